--- a/packages/testkit/src/day-run.ts
+++ b/packages/testkit/src/day-run.ts
@@ -1,6 +1,7 @@
 import type { DrawnPair } from "./effects.ts"
 import { type RandomDay, scenarioOf } from "./random-day.ts"
 import { readScenario } from "./scenario.ts"
+import type { TraceDigest } from "./trace-digest.ts"
 
 /** What one run of a random day showed. */
 export interface DayResult {
@@ -12,11 +13,11 @@
 }
 
 /** Runs a day to its end; a day that throws has failed. */
-export const runDay = (day: RandomDay): DayResult => {
+export const runDay = (day: RandomDay, trace?: TraceDigest): DayResult => {
   const began = performance.now()
   const tookMs = () => Math.round(performance.now() - began)
   try {
-    const { failures, world } = readScenario(scenarioOf(day)).run()
+    const { failures, world } = readScenario(scenarioOf(day)).run(trace)
     return { seed: day.seed, failures, pairs: world.pairs, starts: world.rules.starts, tookMs: tookMs() }
   } catch (cause) {
     const thrown = `threw: ${(cause as Error).stack ?? String(cause)}`
--- a/packages/testkit/src/net.ts
+++ b/packages/testkit/src/net.ts
@@ -1,4 +1,5 @@
 import type { Sim } from "./sim.ts"
+import type { TraceDigest } from "./trace-digest.ts"
 
 export interface Request {
   readonly method: string
@@ -50,6 +51,8 @@
   slowMs = 0
   /** Copies come at most this much later. */
   repeatWithinMs = 20_000
+  /** Takes in every message; null: nothing is traced. */
+  trace: TraceDigest | null = null
 
   constructor(private readonly sim: Sim) {}
 
@@ -101,7 +104,10 @@
       const sentTo = this.servers.get(host)
       this.sim.after(afterMs, () => {
         if (this.hasEnded(host, sentTo)) return
-        this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, answered)
+        this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, (answer) => {
+          this.traceAnswer(host, from, request, answer)
+          answered(answer)
+        })
       })
     }
     let verdict: Verdict = "pass"
@@ -112,6 +118,11 @@
     return verdict
   }
 
+  /** Answers to copies and repetitions as well: that nobody hears them doesn't undo what the server did. */
+  private traceAnswer(server: string, to: string, { path }: Request, { status, body }: Answer): void {
+    this.trace?.answer(this.sim.now, server, to, path, status, JSON.stringify(body ?? null))
+  }
+
   /** The connection over which this went has ended, together with the server that it led to. */
   private hasEnded(host: string, sentTo: Server | undefined): boolean {
     return this.connectionsEnd.has(host) && sentTo !== undefined && sentTo !== this.servers.get(host)
@@ -141,6 +152,7 @@
   /** `done(null)`: refused or reset. No call of `done` at all: silence. */
   request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
     const text = JSON.stringify(request.body ?? null)
+    this.trace?.request(this.sim.now, from, to, request.method, request.path, text)
     const verdict = this.verdict(from, to, request, text)
     if (verdict === "refuse") this.sim.after(1, () => done(null))
     if (verdict !== "pass") return
@@ -156,6 +168,7 @@
         first = false
         // A repeated delivery is carried out as well; its answer reaches nobody.
         server({ ...request, body: JSON.parse(text) }, from, (answer) => {
+          this.traceAnswer(to, from, request, answer)
           if (!answered) return
           const body = JSON.parse(JSON.stringify(answer.body ?? null)) as unknown
           this.carry(to, from, () => done({ status: answer.status, body }))
--- a/packages/testkit/src/once.ts
+++ b/packages/testkit/src/once.ts
@@ -1,11 +1,12 @@
 import { readFileSync } from "node:fs"
 import { readScenario } from "./scenario.ts"
+import { TraceDigest } from "./trace-digest.ts"
 
-// Runs one scenario file: `node once.js FILE [SEED-SHIFT]`, prints what failed, and with VERBOSE the log.
-const { failures, world } = readScenario(
-  readFileSync(process.argv[2]!, "utf8"),
-  Number(process.argv[3] ?? 0),
-).run()
+// Runs one scenario file: `node once.js FILE [SEED-SHIFT] [--digest]`, prints what failed, with VERBOSE the log,
+// and with --digest the digest of all its messages.
+const [file, seedShift] = process.argv.slice(2).filter((argument) => argument !== "--digest")
+const trace = process.argv.includes("--digest") ? new TraceDigest() : undefined
+const { failures, world } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run(trace)
 if (process.env.VERBOSE !== undefined) process.stdout.write(`${world.logged.join("\n")}\n`)
 if (process.env.VERBOSE !== undefined) {
   for (const id of world.users.jobs) {
@@ -17,5 +18,6 @@
 if (process.env.VERBOSE !== undefined)
   for (const [what, count] of Object.entries(world.sim.occurrences.all()))
     process.stdout.write(`${count} ${what}\n`)
+if (trace !== undefined) process.stdout.write(`digest ${trace.digest()}\n`)
 process.stdout.write(`${failures.join("\n")}\n`)
 process.exit(failures.length === 0 ? 0 : 1)
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -5,6 +5,7 @@
 import { epochsOwnedTwice } from "./epoch-rule.ts"
 import { limitActions } from "./limit-actions.ts"
 import { membershipActions } from "./membership-actions.ts"
+import type { TraceDigest } from "./trace-digest.ts"
 import { troubleActions } from "./trouble-actions.ts"
 import { HARMLESS, happened, userActions, userExpectations } from "./user-actions.ts"
 import { type Sending, type Setup, usualSetup, World } from "./world.ts"
@@ -18,7 +19,8 @@
 export interface Scenario {
   readonly name: string
   readonly guards: ReadonlyArray<Guard>
-  readonly run: () => Result
+  /** Messages of all seeds go into the one `trace`. */
+  readonly run: (trace?: TraceDigest) => Result
 }
 export interface Result {
   readonly failures: ReadonlyArray<string>
@@ -290,8 +292,8 @@
   return {
     name: title?.type === "string" ? title.content : "unnamed",
     guards,
-    run: () => {
-      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) => runOnce(seed + seedShift))
+    run: (trace) => {
+      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) => runOnce(seed + seedShift, trace))
       const failures = runs.flatMap((run) => run.failures)
       const worlds = runs.map(({ world }) => world)
       for (const meeting of meetings) {
@@ -303,9 +305,11 @@
   }
 
   /** Everything but the meetings has to hold on each seed. */
-  function runOnce(seed: number): Result {
+  function runOnce(seed: number, trace?: TraceDigest): Result {
     jobCount = 0
     const world = new World({ ...setup, seed })
+    trace?.run(seed)
+    world.net.trace = trace ?? null
     for (const { atS, action, args, lastsS } of events)
       world.sim.after(atS * 1000, () => {
         world.rules.trouble(lastsS * 1000)
--- a/packages/testkit/src/sweep.ts
+++ b/packages/testkit/src/sweep.ts
@@ -4,9 +4,11 @@
 import { type DayResult, runDay } from "./day-run.ts"
 import { drawDay, scenarioOf } from "./random-day.ts"
 import { shrink } from "./shrink.ts"
+import { TraceDigest } from "./trace-digest.ts"
 
-// Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink]`. Prints every day that
-// fails with its scenario, then how often the pairs of troubles met. Exits with 1 if a day failed.
+// Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
+// day that fails with its scenario, then how often the pairs of troubles met, and with --digest the digest of
+// each day's messages as it ends. Exits with 1 if a day failed.
 
 const { values } = parseArgs({
   options: {
@@ -14,14 +16,22 @@
     days: { type: "string", default: "100" },
     jobs: { type: "string", default: "3" },
     shrink: { type: "boolean", default: false },
+    digest: { type: "boolean", default: false },
     "day-limit-s": { type: "string", default: "180" },
   },
 })
 const MOST_SHRINKING_RUNS = 200
 
+/** `digest`: of the day's messages; null if it wasn't asked for, or the process ended before the day. */
+type SweptDay = DayResult & { readonly digest: string | null }
+
+const sweepDay = (seed: number): SweptDay => {
+  const trace = values.digest ? new TraceDigest() : undefined
+  return { ...runDay(drawDay(seed), trace), digest: trace?.digest() ?? null }
+}
 /** A worker process gets seeds and answers with what their days showed. */
 const serveDays = (): void => {
-  process.on("message", (seed: number) => process.send?.(runDay(drawDay(seed))))
+  process.on("message", (seed: number) => process.send?.(sweepDay(seed)))
 }
 
 class Sweep {
@@ -45,17 +55,17 @@
   private async keepWorking(): Promise<void> {
     let worker: ChildProcess | null = null
     while (this.next < this.end) {
-      worker ??= fork(process.argv[1]!, [], { env: { ...process.env, SWEEP_WORKER: "1" } })
+      worker ??= fork(process.argv[1]!, process.argv.slice(2), { env: { ...process.env, SWEEP_WORKER: "1" } })
       const result = await this.oneDay(worker, this.next++)
       this.take(result)
       if (!worker.connected || worker.killed) worker = null
     }
     worker?.disconnect()
   }
-  private oneDay(worker: ChildProcess, seed: number): Promise<DayResult> {
+  private oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
     return new Promise((resolve) => {
       const broken = (why: string) =>
-        resolve({ seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN })
+        resolve({ seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null })
       const limitS = Number(values["day-limit-s"])
       const timer = setTimeout(() => {
         worker.kill("SIGKILL")
@@ -69,13 +79,14 @@
       worker.once("message", (result) => {
         clearTimeout(timer)
         worker.off("exit", ended)
-        resolve(result as DayResult)
+        resolve(result as SweptDay)
       })
       worker.send(seed)
     })
   }
-  private take(result: DayResult): void {
+  private take(result: SweptDay): void {
     this.ran++
+    if (result.digest !== null) process.stdout.write(`seed ${result.seed} digest ${result.digest}\n`)
     this.starts += result.starts
     if (this.slowest === null || result.tookMs > this.slowest.tookMs) this.slowest = result
     for (const pair of result.pairs) this.coverage.add(pair)
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -188,7 +188,10 @@
           const life = this.lives.get(to)
           life?.process.whenAwake(() => life.hear.receive?.(bytes), peerMessageMs(bytes.length))
         }
-        process.whenAwake(() => this.net.carry(name, to, deliver))
+        process.whenAwake(() => {
+          this.net.trace?.frame(this.sim.now, name, to, bytes)
+          this.net.carry(name, to, deliver)
+        })
       },
       receive: (handler) => {
         hear.receive = handler
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -42,6 +42,14 @@
   })
   // esbuild itself, which one test uses, stays outside of the bundle.
   await build({ ...common, entryPoints: tests, outdir: "target/tests", external: ["esbuild"] })
-  await build({ ...common, entryPoints: ["packages/testkit/src/once.ts"], outfile: "target/scenario.js" })
-  await build({ ...common, entryPoints: ["packages/testkit/src/sweep.ts"], outfile: "target/sweep.js" })
+  for (const [program, out] of [
+    ["once", "scenario"],
+    ["sweep", "sweep"],
+    ["digests", "digests"],
+  ])
+    await build({
+      ...common,
+      entryPoints: [`packages/testkit/src/${program}.ts`],
+      outfile: `target/${out}.js`,
+    })
 }
