--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -3,8 +3,9 @@
 import type { JobRecord, StateTrouble } from "@sorreltally/state"
 import {
   type Answer,
+  decodeHeartbeat,
   decodeJobRequest,
-  decodeReport,
+  type Heartbeat,
   type Incoming,
   type JobId,
   JobId as JobIdSchema,
@@ -12,7 +13,6 @@
   type JobView,
   type MachineType,
   type Outgoing,
-  type Report,
   type Timekeeper,
   type TypeName,
 } from "@sorreltally/wire"
@@ -39,7 +39,7 @@
   readonly catalog: () => ReadonlyMap<TypeName, MachineType> | null
   readonly jobs: JobTable
   readonly counts: (id: JobId) => { readonly done: number; readonly running: number }
-  readonly report: (body: Report, answer: Answer) => void
+  readonly report: (body: Heartbeat, answer: Answer) => void
 }
 
 /** Users wait 5 s for a submission and 2 s for a poll; a final "no" in time is worth more than silence. */
@@ -98,7 +98,7 @@
   }
   /** Answers a worker's report. No fiber is made for it: reports are by far the most of a node's requests. */
   report(body: string, answer: Answer): void {
-    const report = decodeReport(parse(body))
+    const report = decodeHeartbeat(parse(body))
     if (Result.isFailure(report)) answer({ status: 400, body: { error: report.failure.message } })
     else this.desk.report(report.success, answer)
   }
--- a/packages/controller/src/command-relay.ts
+++ b/packages/controller/src/command-relay.ts
@@ -5,19 +5,21 @@
 import type { PeerChannel } from "@sorreltally/peers"
 import {
   type Address,
-  decodeReport,
+  type CommandBatch,
+  decodeHeartbeat,
   type Exchange,
+  encodeCommandBatch,
+  type Heartbeat,
   NOT_SENT,
   type NodeName,
-  type OrdersRequest,
   packReport,
   type RelayedCommand,
   type RelayedCommands,
   type RelayedReplies,
   type RelayedReply,
-  type Report,
   type Timekeeper,
   unpackReport,
+  type WireCommandBatch,
 } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import type { InFlight } from "./in-flight.ts"
@@ -33,9 +35,9 @@
   /** 0: no answer, it may have been carried out, or may be yet; `NOT_SENT`: it surely was not. */
   readonly status: number
   /** The worker's report after the commands, or instead of them. */
-  readonly report: Report | null
+  readonly heartbeat: Heartbeat | null
 }
-const NO_REPLY: CommandReply = { status: 0, report: null }
+const NO_REPLY: CommandReply = { status: 0, heartbeat: null }
 
 interface Waiting {
   readonly resume: (reply: CommandReply) => void
@@ -74,21 +76,25 @@
   }
 
   /** Sends commands to a worker, through another node if one is named and heard. */
-  send(address: Address, body: OrdersRequest, via: NodeName | null): Effect.Effect<CommandReply> {
+  send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandReply> {
+    const body = encodeCommandBatch(batch)
     const through = via !== null && this.peers.hears(via) ? via : null
     return this.underWay.within(
       through === null ? this.call(address, body) : this.ask(through, address, body),
     )
   }
-  private call(address: Address, body: OrdersRequest): Effect.Effect<CommandReply> {
+  private call(address: Address, body: WireCommandBatch): Effect.Effect<CommandReply> {
     const call = { address, method: "POST", path: "/orders", body, timeoutMs: CALL_TIMEOUT_MS } as const
     return Effect.map(Effect.result(this.exchange.call(call)), (reply): CommandReply => {
       if (Result.isFailure(reply)) return NO_REPLY
-      const report = decodeReport(reply.success.body)
-      return { status: reply.success.status, report: Result.isSuccess(report) ? report.success : null }
+      const heartbeat = decodeHeartbeat(reply.success.body)
+      return {
+        status: reply.success.status,
+        heartbeat: Result.isSuccess(heartbeat) ? heartbeat.success : null,
+      }
     })
   }
-  private ask(via: NodeName, address: Address, body: OrdersRequest): Effect.Effect<CommandReply> {
+  private ask(via: NodeName, address: Address, body: WireCommandBatch): Effect.Effect<CommandReply> {
     return Effect.callback<CommandReply>((resume) => {
       const n = ++this.count
       this.waiting.set(n, { resume: (reply) => resume(Effect.succeed(reply)) })
@@ -116,10 +122,10 @@
     life: number,
     n: number,
     address: Address,
-    body: OrdersRequest,
+    body: WireCommandBatch,
   ): Effect.Effect<void> {
-    return Effect.map(this.underWay.within(this.call(address, body)), ({ status, report }) =>
-      this.replies.put(from, { life, item: [n, status, report === null ? null : packReport(report)] }),
+    return Effect.map(this.underWay.within(this.call(address, body)), ({ status, heartbeat }) =>
+      this.replies.put(from, { life, item: [n, status, heartbeat === null ? null : packReport(heartbeat)] }),
     )
   }
   /** What came of commands that another node sent for us. */
@@ -129,7 +135,7 @@
     for (const [n, status, report] of replies) {
       const waiting = this.waiting.get(n)
       this.waiting.delete(n)
-      waiting?.resume({ status, report: report === null ? null : unpackReport(report) })
+      waiting?.resume({ status, heartbeat: report === null ? null : unpackReport(report) })
     }
   }
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -7,6 +7,8 @@
 import {
   type Answer,
   Exchange,
+  encodeRedirect,
+  type Heartbeat,
   type HireName,
   type JobId,
   type JobRequest,
@@ -18,13 +20,11 @@
   type NodeName,
   type Outgoing,
   type PartName,
-  type Redirect,
   type RelayedAnswers,
   type RelayedCommands,
   type RelayedReplies,
   type RelayedReports,
   type RepeatedReport,
-  type Report,
   type Stamp,
   type Timekeeper,
   type TypeName,
@@ -275,16 +275,16 @@
   // --- workers --------------------------------------------------------------
 
   /** Answers a worker that reports to this node, at once or as soon as there is something to say. */
-  report(body: Report, answer: Answer): void {
+  report(body: Heartbeat, answer: Answer): void {
     this.sharing.came()
-    const part = this.partOfMachine(body.host)
+    const part = this.partOfMachine(body.machineId)
     const own = this.engines.get(part)
     const { node_name } = this.platform
     const owner = own === undefined ? this.membership.owner(part) : node_name
     if (owner === null || (owner === node_name && (own === undefined || !this.membership.entitled())))
       return answer(LATER)
     const elsewhere = this.reportsElsewhere(body, owner)
-    if (elsewhere !== null) return answer({ status: 421, body: { steward: elsewhere } satisfies Redirect })
+    if (elsewhere !== null) return answer({ status: 421, body: encodeRedirect(elsewhere) })
     if (own !== undefined) return own.engine.report(body, null, answer)
     // An owner that no node reaches may still be reached by its workers.
     if (!this.loads.sharesReports(owner) || !this.peers.reaches(owner))
@@ -292,9 +292,9 @@
     this.relays.relay(body, owner, answer)
   }
   /** The node that this worker should report to instead, where an owner shares its workers' reports. */
-  private reportsElsewhere({ host }: Report, owner: NodeName): NodeName | null {
-    if (owner === this.platform.node_name) return this.sharing.elsewhere(host)
-    return this.loads.sharesReports(owner) ? this.sharing.evener(host) : null
+  private reportsElsewhere({ machineId }: Heartbeat, owner: NodeName): NodeName | null {
+    if (owner === this.platform.node_name) return this.sharing.elsewhere(machineId)
+    return this.loads.sharesReports(owner) ? this.sharing.evener(machineId) : null
   }
   private load(): NodeLoad {
     let machines = 0
@@ -327,12 +327,12 @@
   }
   private takeReports(from: NodeName, letter: RelayedReports): void {
     const engineOf = (machine: MachineId) => this.engines.get(this.partOfMachine(machine))?.engine
-    const take = (report: Report, answer: Answer) => {
-      const engine = engineOf(report.host)
+    const take = (report: Heartbeat, answer: Answer) => {
+      const engine = engineOf(report.machineId)
       if (engine === undefined) answer(LATER)
       else engine.report(report, from, answer)
     }
-    const whole = (repeat: RepeatedReport) => engineOf(repeat.host)?.repeated(repeat) ?? null
+    const whole = (repeat: RepeatedReport) => engineOf(repeat.machineId)?.repeated(repeat) ?? null
     this.relays.receivedReports(from, letter, take, whole)
   }
   private takeList(told: ToldList): void {
--- a/packages/controller/src/engine.ts
+++ b/packages/controller/src/engine.ts
@@ -2,6 +2,7 @@
 import { type Entry, keys } from "@sorreltally/state"
 import {
   type Answer,
+  type Heartbeat,
   type JobId,
   later,
   type MachineId,
@@ -10,7 +11,6 @@
   type NodeName,
   type PartName,
   type RepeatedReport,
-  type Report,
   type Stamp,
 } from "@sorreltally/wire"
 import { type Introduction, type MachineEntry, WorkerSession } from "@sorreltally/workers"
@@ -218,12 +218,12 @@
 
   // --- workers --------------------------------------------------------------
 
-  report(body: Report, via: NodeName | null, answer: Answer): void {
+  report(body: Heartbeat, via: NodeName | null, answer: Answer): void {
     this.workers.report(body, via, answer)
   }
   /** The whole of a report that repeats the last word of its machine; null: that was another one. */
-  repeated(repeat: RepeatedReport): Report | null {
-    return this.machines.get(repeat.host)?.repeated(repeat) ?? null
+  repeated(repeat: RepeatedReport): Heartbeat | null {
+    return this.machines.get(repeat.machineId)?.repeated(repeat) ?? null
   }
 
   // --- what became durable ----------------------------------------------------
--- a/packages/controller/src/relays.ts
+++ b/packages/controller/src/relays.ts
@@ -2,6 +2,8 @@
 import type { PeerChannel } from "@sorreltally/peers"
 import {
   type Answer,
+  encodeRedirect,
+  type Heartbeat,
   later,
   type MachineId,
   type Moment,
@@ -12,17 +14,15 @@
   PACKED_TASK_BYTES,
   packRepeat,
   packReport,
-  type Redirect,
   type RelayedAnswers,
   type RelayedReports,
   type RepeatedReport,
-  type Report,
-  type ReportAnswer,
   repeats,
   SEND_WHOLE,
   type Timekeeper,
   unpackRepeat,
   unpackReport,
+  type WireHeartbeatReply,
 } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { type ForLife, Outbox, ofLife } from "./outbox.ts"
@@ -36,7 +36,7 @@
 const GATHER_MS = 20
 /** Well below the longest message between controllers, answers with a command a task included. */
 const BATCH_BYTES = 256 * 1024
-const sizeOf = (report: Report): number => PACKED_REPORT_BYTES + PACKED_TASK_BYTES * report.pieces.length
+const sizeOf = (report: Heartbeat): number => PACKED_REPORT_BYTES + PACKED_TASK_BYTES * report.tasks.length
 /** A worker that we sent to its owner and that is back this soon could not reach it. */
 const BACK_SOON_MS = 20_000
 const RELAY_FOR_MS = 30_000
@@ -55,14 +55,14 @@
 
 /** A worker's report that waits for its owner's word. */
 interface Waiting {
-  readonly report: Report
+  readonly report: Heartbeat
   readonly owner: NodeName
   readonly until: Moment
   readonly answer: Answer
 }
 /** The last report of a machine that its owner answered through this node. */
 interface Answered {
-  readonly report: Report
+  readonly report: Heartbeat
   readonly owner: NodeName
 }
 const LATER: Outgoing = { status: 503, body: {} }
@@ -76,7 +76,11 @@
   private readonly relayUntil = new Map<MachineId, Moment>()
   private readonly waiting = new Map<number, Waiting>()
   private readonly answered = new Map<MachineId, Answered>()
-  private readonly reports: Outbox<{ readonly n: number; readonly report: Report; readonly whole: boolean }>
+  private readonly reports: Outbox<{
+    readonly n: number
+    readonly report: Heartbeat
+    readonly whole: boolean
+  }>
   private readonly answers: Outbox<ForLife<RelayedAnswers["answers"][number]>>
   /** Lives of the nodes whose reports we answer. */
   private readonly lives = new Map<NodeName, number>()
@@ -104,22 +108,22 @@
   }
 
   /** A report of a machine whose owner has its workers report to it alone. */
-  passOn(report: Report, owner: NodeName, answer: Answer): void {
+  passOn(report: Heartbeat, owner: NodeName, answer: Answer): void {
     const now = this.time.moment()
-    const relaying = now < (this.relayUntil.get(report.host) ?? NEVER)
-    const back = now < later(this.sentAway.get(report.host) ?? NEVER, BACK_SOON_MS)
+    const relaying = now < (this.relayUntil.get(report.machineId) ?? NEVER)
+    const back = now < later(this.sentAway.get(report.machineId) ?? NEVER, BACK_SOON_MS)
     if (!relaying && !back) {
-      this.sentAway.set(report.host, now)
-      return answer({ status: 421, body: { steward: owner } satisfies Redirect })
+      this.sentAway.set(report.machineId, now)
+      return answer({ status: 421, body: encodeRedirect(owner) })
     }
     if (!relaying) {
-      this.sentAway.delete(report.host)
-      this.relayUntil.set(report.host, later(now, RELAY_FOR_MS))
+      this.sentAway.delete(report.machineId)
+      this.relayUntil.set(report.machineId, later(now, RELAY_FOR_MS))
     }
     this.relay(report, owner, answer)
   }
   /** A report of a machine whose owner shares its workers' reports among the nodes. */
-  relay(report: Report, owner: NodeName, answer: Answer): void {
+  relay(report: Heartbeat, owner: NodeName, answer: Answer): void {
     const n = ++this.count
     this.waiting.set(n, { report, owner, answer, until: later(this.time.moment(), RELAY_TIMEOUT_MS) })
     this.reports.put(owner, { n, report, whole: false })
@@ -145,15 +149,15 @@
 
   private sendReports(
     owner: NodeName,
-    items: Array<{ readonly n: number; readonly report: Report; readonly whole: boolean }>,
+    items: Array<{ readonly n: number; readonly report: Heartbeat; readonly whole: boolean }>,
   ): void {
     while (items.length > 0) {
       const reports: Array<RelayedReports["reports"][number]> = []
       const repeated: Array<RelayedReports["repeats"][number]> = []
       for (const { n, report, whole } of takeBatch(items, ({ report }) => sizeOf(report))) {
-        const before = whole ? undefined : this.answered.get(report.host)
+        const before = whole ? undefined : this.answered.get(report.machineId)
         if (before !== undefined && before.owner === owner && repeats(report, before.report))
-          repeated.push([n, packRepeat(report, before.report.tick)])
+          repeated.push([n, packRepeat(report, before.report.sequence)])
         else reports.push([n, packReport(report)])
       }
       const letter: RelayedReports = { life: this.life, at: this.time.wall(), reports, repeats: repeated }
@@ -169,14 +173,14 @@
       if (waiting === undefined) continue
       const { report, owner } = waiting
       if (status === SEND_WHOLE) {
-        this.answered.delete(report.host)
+        this.answered.delete(report.machineId)
         this.reports.put(owner, { n, report, whole: true })
         continue
       }
       this.waiting.delete(n)
       if (status === 200 && token !== null) {
-        this.answered.set(report.host, { report, owner })
-        waiting.answer({ status, body: { baton: token, orders } satisfies ReportAnswer })
+        this.answered.set(report.machineId, { report, owner })
+        waiting.answer({ status, body: { baton: token, orders } satisfies WireHeartbeatReply })
       } else waiting.answer({ status, body: {} })
     }
   }
@@ -185,8 +189,8 @@
   receivedReports(
     from: NodeName,
     letter: RelayedReports,
-    take: (report: Report, answer: Answer) => void,
-    whole: (repeat: RepeatedReport) => Report | null,
+    take: (report: Heartbeat, answer: Answer) => void,
+    whole: (repeat: RepeatedReport) => Heartbeat | null,
   ): void {
     if (this.time.wall() - letter.at > TOO_OLD_MS + 2 * this.clocksOffMs) return
     const { life } = letter
@@ -194,7 +198,7 @@
     const answerTo =
       (n: number): Answer =>
       ({ status, body }) => {
-        const { baton, orders } = body as Partial<ReportAnswer>
+        const { baton, orders } = body as Partial<WireHeartbeatReply>
         this.answers.put(from, { life, item: [n, status, baton ?? null, orders ?? []] })
       }
     for (const [n, packed] of letter.reports) take(unpackReport(packed), answerTo(n))
--- a/packages/controller/src/worker-exchange.ts
+++ b/packages/controller/src/worker-exchange.ts
@@ -2,15 +2,15 @@
 import { cancellationBudget } from "@sorreltally/settings"
 import {
   type Answer,
-  decodeReport,
+  decodeHeartbeat,
+  encodeHeartbeatReply,
+  type Heartbeat,
   later,
   type MachineId,
   type Moment,
   NOT_SENT,
   type NodeName,
-  type OrdersRequest,
   type Outgoing,
-  type Report,
 } from "@sorreltally/wire"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
@@ -68,7 +68,7 @@
    * what then starts goes along, where a command of its own would cost both
    * ends a request more. A worker says nothing new for half a second anyway.
    */
-  report(body: Report, via: NodeName | null, answer: Answer): void {
+  report(body: Heartbeat, via: NodeName | null, answer: Answer): void {
     const before = this.roomChanges
     const session = this.heard(body)
     if (session === null) return answer(NOT_OURS)
@@ -80,12 +80,12 @@
   }
 
   /** Takes a report in; null when we may not act for its machine, or it is a late copy. */
-  private heard(body: Report): WorkerSession | null {
-    const session = this.of.machines.get(body.host)
+  private heard(body: Heartbeat): WorkerSession | null {
+    const session = this.of.machines.get(body.machineId)
     if (!this.of.mayAct() || session === undefined) return null
     const now = this.of.ctx.time.moment()
     const begins = !session.up
-    const outcomes = session.observe(body, "report", now)
+    const outcomes = session.observe(body, "heartbeat", now)
     if (outcomes === null) {
       // A late copy says nothing, and nobody waits for its answer. Or the
       // worker began anew: then its reports would be taken for copies for ever.
@@ -105,11 +105,12 @@
       this.afterBody(session)
       return NOT_OURS
     }
-    const orders = session.orders(now, (task) => this.of.registry.finishIsDurable(task))
-    session.answering(orders, now)
+    const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
+    session.answering(commands, now)
     this.toTell.delete(session)
     this.afterBody(session)
-    return { status: 200, body: { baton: session.token, orders } }
+    const reply = encodeHeartbeatReply({ fencingToken: session.token, commands })
+    return { status: 200, body: reply }
   }
 
   /**
@@ -123,7 +124,7 @@
   }
 
   /** What `/inspect` answers is no late copy. */
-  private inspect(session: WorkerSession, body: Report): void {
+  private inspect(session: WorkerSession, body: Heartbeat): void {
     if (this.inspecting.has(session.id)) return
     this.inspecting.add(session.id)
     const since = session.standing()
@@ -137,14 +138,17 @@
     fork(
       Effect.gen({ self: this }, function* () {
         const reply = yield* Effect.result(exchange.call(call))
-        const decoded = Result.isSuccess(reply) ? decodeReport(reply.success.body) : null
+        const decoded = Result.isSuccess(reply) ? decodeHeartbeat(reply.success.body) : null
         if (decoded === null || Result.isFailure(decoded) || this.of.machines.get(session.id) !== session)
           return
-        if (decoded.success.host !== session.id) return
+        if (decoded.success.machineId !== session.id) return
         const outcomes = session.observe(decoded.success, "direct", time.moment())
         if (outcomes !== null) this.apply(session, outcomes)
         else if (session.restarted(decoded.success, since, time.moment()))
-          this.of.ctx.log.info("worker began anew", { machine: session.id, tenure: decoded.success.tenure })
+          this.of.ctx.log.info("worker began anew", {
+            machine: session.id,
+            tenure: decoded.success.agentEpoch,
+          })
         this.afterBody(session)
       }).pipe(Effect.ensuring(Effect.sync(() => this.inspecting.delete(session.id)))),
     )
@@ -205,7 +209,7 @@
   /** How long a job has to pause after a task of it left its machine unfinished. */
   private pauseAfter(cause: string, job: JobState, session: WorkerSession, now: Moment): number {
     if (cause === "error") return this.failed(job, session, now)
-    if (cause !== "no_room" && cause !== "unknown") return 0
+    if (cause !== "insufficientResources" && cause !== "unknown") return 0
     // A start that is refused again and again is tried ever less often.
     job.refusals++
     return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(7, job.refusals))
@@ -263,25 +267,25 @@
       const { address, tenure, token } = session
       if (session.ordersInFlight || address === null || tenure === null || !this.of.isEntitled())
         return Effect.void
-      const orders = session.orders(now, (task) => this.of.registry.finishIsDurable(task))
-      if (!orders.some((o) => o.verb !== "forget")) return Effect.void
-      session.sending(orders, now)
-      const body: OrdersRequest = { baton: token, tenure, orders }
-      return Effect.map(this.of.ctx.commandRelay.send(address, body, session.via), (reply) => {
+      const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
+      if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
+      session.sending(commands, now)
+      const batch = { fencingToken: token, agentEpoch: tenure, commands }
+      return Effect.map(this.of.ctx.commandRelay.send(address, batch, session.via), (reply) => {
         const sure = reply.status === 200 || reply.status === 409 || reply.status === NOT_SENT
-        session.sent(orders, token, sure)
+        session.sent(commands, token, sure)
         if (this.of.isOver() || this.of.machines.get(session.id) !== session) return
-        this.replied(session, reply.report)
+        this.replied(session, reply.heartbeat)
       })
     })
   }
-  private replied(session: WorkerSession, report: Report | null): void {
+  private replied(session: WorkerSession, heartbeat: Heartbeat | null): void {
     const now = this.of.ctx.time.moment()
-    if (report === null) {
+    if (heartbeat === null) {
       session.ordersBadUntil = later(now, ORDERS_BACKOFF_MS)
       return
     }
-    const outcomes = session.observe(report, "direct", now)
+    const outcomes = session.observe(heartbeat, "direct", now)
     if (outcomes !== null) this.apply(session, outcomes)
     this.afterBody(session)
     if (this.mustWait || this.toTell.has(session)) this.pushOrders()
--- a/packages/controller/test/relays.test.ts
+++ b/packages/controller/test/relays.test.ts
@@ -2,13 +2,13 @@
 import { test } from "node:test"
 import type { PeerChannel } from "@sorreltally/peers"
 import {
+  type Heartbeat,
   type Moment,
   type NodeName,
   type Outgoing,
   packReport,
   type RelayedAnswers,
   type RelayedReports,
-  type Report,
   type Timekeeper,
   type Token,
   type WallTime,
@@ -17,19 +17,19 @@
 import { Relays } from "../src/relays.ts"
 
 const OWNER = "host-0" as NodeName
-const report = (tick: number, status = "running"): Report =>
+const heartbeat = (sequence: number, phase = "running"): Heartbeat =>
   ({
-    host: "i-1",
+    machineId: "i-1",
     address: "10.1.0.1:9000",
-    build: "g8",
-    site: "a",
-    loaners: true,
-    tenure: 1,
-    tick,
-    baton: 7,
-    warning_s: null,
-    pieces: [{ piece: "run-000001/0", try: 9, status, cause: null, stored: null }],
-  }) as unknown as Report
+    machineType: "g8",
+    zone: "a",
+    spot: true,
+    agentEpoch: 1,
+    sequence,
+    fencingToken: 7,
+    preemptionNoticeS: null,
+    tasks: [{ taskId: "run-000001/0", attempt: 9, phase, exitReason: null, checkpointed: null }],
+  }) as unknown as Heartbeat
 
 /** Sleeps end when the test says so; what is told is kept. */
 const harness = () => {
@@ -65,7 +65,7 @@
   const { relays, told, settle, end } = harness()
   const answered: Array<Outgoing> = []
   const hand = async (tick: number, status?: string): Promise<RelayedReports> => {
-    relays.relay(report(tick, status), OWNER, (outgoing) => answered.push(outgoing))
+    relays.relay(heartbeat(tick, status), OWNER, (outgoing) => answered.push(outgoing))
     await settle()
     return told.at(-1)!.body as RelayedReports
   }
@@ -92,7 +92,7 @@
 test("an answer meant for another life of the node answers nobody", async () => {
   const { relays, told, settle, end } = harness()
   const answered: Array<Outgoing> = []
-  relays.relay(report(1), OWNER, (outgoing) => answered.push(outgoing))
+  relays.relay(heartbeat(1), OWNER, (outgoing) => answered.push(outgoing))
   await settle()
   const letter = told[0]!.body as RelayedReports
   relays.receivedAnswers({ ...answers(letter, 200), life: letter.life - 1 })
@@ -110,7 +110,7 @@
     reports: [],
     repeats: [[3, ["i-1", 1, 9, 7, 8] as never]],
   }
-  const taken: Array<Report> = []
+  const taken: Array<Heartbeat> = []
   owner.relays.receivedReports(
     OWNER,
     repeat,
@@ -147,7 +147,7 @@
   const ask = (life: number): RelayedReports => ({
     life,
     at: 1_000_000,
-    reports: [[5, packReport(report(1))]],
+    reports: [[5, packReport(heartbeat(1))]],
     repeats: [],
   })
   const hand = (life: number) =>
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,5 +1,5 @@
 /** Which kinds of machine are asked for: the cheapest for the work, spot before steady. */
-import { type JobId, type MachineId, type MachineType, MOST_TASKS_ON_MACHINE } from "@sorreltally/wire"
+import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/wire"
 import {
   allowed,
   EPSILON,
@@ -68,7 +68,7 @@
     if (left <= 0 || cost > limit + EPSILON) break
     if (option.asked) continue
     const asked = hires.get(option)
-    const per = Math.min(slotsIn(job.request, option.type), MOST_TASKS_ON_MACHINE)
+    const per = Math.min(slotsIn(job.request, option.type), MAX_TASKS_ON_MACHINE)
     const count = Math.min(Math.ceil(left / per), snapshot.rentalSize - (asked?.count ?? 0))
     if (count <= 0) continue
     if (asked === undefined) hires.set(option, { count, holder: job.id })
--- a/packages/planner/src/slots.ts
+++ b/packages/planner/src/slots.ts
@@ -1,5 +1,5 @@
 /** Free room on machines, as a plan fills it. */
-import { type JobRequest, type MachineType, MOST_TASKS_ON_MACHINE, type ZoneName } from "@sorreltally/wire"
+import { type JobRequest, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/wire"
 import { EPSILON, type MachineView, type Room, slotsIn } from "./model.ts"
 
 export interface Slot {
@@ -18,7 +18,7 @@
   machine,
   reserved: machine.reserved,
   free: machine.free,
-  tasksLeft: MOST_TASKS_ON_MACHINE - machine.busyTasks,
+  tasksLeft: MAX_TASKS_ON_MACHINE - machine.busyTasks,
 })
 
 /** Can anything more be placed there? */
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -3,9 +3,9 @@
 import {
   type JobId,
   type JobRequest,
+  MAX_TASKS_ON_MACHINE,
   type MachineId,
   type MachineType,
-  MOST_TASKS_ON_MACHINE,
   type TeamName,
   type ZoneName,
 } from "@sorreltally/wire"
@@ -160,6 +160,6 @@
   const shares = { red: 200 }
   const placed = plan(snapshot([tiny], [machine("i-1"), machine("i-2", { busyTasks: 290 })], shares, shares))
   const on = (id: string) => placed.placements.filter((p) => p.machine === id).length
-  assert.equal(on("i-1"), MOST_TASKS_ON_MACHINE)
-  assert.equal(on("i-2"), MOST_TASKS_ON_MACHINE - 290)
+  assert.equal(on("i-1"), MAX_TASKS_ON_MACHINE)
+  assert.equal(on("i-2"), MAX_TASKS_ON_MACHINE - 290)
 })
--- a/packages/testkit/src/machines.ts
+++ b/packages/testkit/src/machines.ts
@@ -1,4 +1,4 @@
-import type { JobRequest, MachineType, Order, Report } from "@sorreltally/wire"
+import type { JobRequest, MachineType, WireCommand, WireHeartbeat } from "@sorreltally/wire"
 import type { Net } from "./net.ts"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
@@ -86,7 +86,7 @@
           const { baton, tenure, orders } = request.body as {
             baton?: number
             tenure?: number
-            orders: Array<Order>
+            orders: Array<WireCommand>
           }
           if (baton === undefined || tenure === undefined) return answer({ status: 400, body: {} })
           if (baton < this.baton || tenure !== this.tenure) {
@@ -207,7 +207,7 @@
     this.change()
   }
 
-  private body(): Report {
+  private body(): WireHeartbeat {
     const pieces = [...this.tasks.entries()].map(([piece, t]) => ({
       piece,
       try: t.attempt,
@@ -225,7 +225,7 @@
       baton: this.baton,
       warning_s: this.warningUntil === null ? null : Math.max(0, (this.warningUntil - this.sim.now) / 1000),
       pieces,
-    } as unknown as Report
+    } as unknown as WireHeartbeat
   }
   private hear(token: number): void {
     if (token <= this.baton) return
@@ -273,7 +273,7 @@
             return this.schedule(this.sim.luck.between(0, 500))
           }
           if (answer?.status !== 200) return tryNext()
-          const { baton, orders } = answer.body as { baton?: number; orders: Array<Order> }
+          const { baton, orders } = answer.body as { baton?: number; orders: Array<WireCommand> }
           if (tenure === this.tenure && baton !== undefined && baton >= this.baton) {
             this.lastAnswered = sent
             this.hear(baton)
@@ -286,7 +286,7 @@
     })
   }
 
-  private execute(orders: ReadonlyArray<Order>): void {
+  private execute(orders: ReadonlyArray<WireCommand>): void {
     for (const order of orders) {
       const task = this.tasks.get(order.piece)
       if (order.verb === "start") this.start(order.piece, order.try)
--- a/packages/testkit/src/troubles.ts
+++ b/packages/testkit/src/troubles.ts
@@ -1,4 +1,4 @@
-import type { NodeName, OrdersRequest, Report } from "@sorreltally/wire"
+import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/wire"
 import type { Machine } from "./machines.ts"
 import type { CutMode, Departure, Request } from "./net.ts"
 import type { World } from "./world.ts"
@@ -15,7 +15,7 @@
 const SILENCE_SHOWS_MS = 10_000
 
 const startsTasks = ({ path, body }: Request): boolean =>
-  path === "/orders" && (body as OrdersRequest).orders.some(({ verb }) => verb === "start")
+  path === "/orders" && (body as WireCommandBatch).orders.some(({ verb }) => verb === "start")
 
 /** What can ail a machine without its being gone. */
 type Affliction = "receives nothing" | "sends nothing" | "cut" | "hung"
@@ -120,7 +120,7 @@
   private countLateReport({ from, request }: Departure): void {
     const { occurrences } = this.world.sim
     const machine = this.world.cloud.machines.get(from)
-    const copy = request.body as Report
+    const copy = request.body as WireHeartbeat
     occurrences.count("late reports")
     if (machine === undefined) return occurrences.count("late reports of machines that are gone")
     if (copy.tenure > machine.tenure || (copy.tenure === machine.tenure && copy.tick > machine.lastTick))
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -1,6 +1,14 @@
 /** Reports as controllers hand them on to a machine's owner, and the owner's answers. */
 import type { Address, Attempt, MachineId, TaskId, Tenure, Tick, Token, TypeName, ZoneName } from "./ids.ts"
-import type { Order, Piece, Report } from "./workers.ts"
+import {
+  exitReasonFromWire,
+  exitReasonToWire,
+  type Heartbeat,
+  phaseFromWire,
+  phaseToWire,
+  type ReportedTask,
+  type WireCommand,
+} from "./workers.ts"
 
 type PackedTask = readonly [TaskId, Attempt, status: string, cause: string | null, stored: boolean | null]
 /** A report without the names of its fields: those are most of its bytes. */
@@ -19,11 +27,11 @@
 /** A report that differs by its counters alone from one of the same session, the one with the tick `since`. */
 type PackedRepeat = readonly [MachineId, Tenure, Tick, Token, since: Tick]
 export interface RepeatedReport {
-  readonly host: MachineId
-  readonly tenure: Tenure
-  readonly tick: Tick
-  readonly baton: Token
-  /** The tick of the report that it repeats. */
+  readonly machineId: MachineId
+  readonly agentEpoch: Tenure
+  readonly sequence: Tick
+  readonly fencingToken: Token
+  /** The sequence number of the report that it repeats. */
   readonly since: Tick
 }
 
@@ -41,12 +49,18 @@
 export interface RelayedAnswers {
   readonly life: number
   readonly answers: ReadonlyArray<
-    readonly [number: number, status: number, token: Token | null, orders: ReadonlyArray<Order>]
+    readonly [number: number, status: number, token: Token | null, orders: ReadonlyArray<WireCommand>]
   >
 }
 
 /** Commands to one worker that another node is to send: number, address, token, tenure, orders. */
-export type RelayedCommand = readonly [number: number, Address, Token, Tenure, orders: ReadonlyArray<Order>]
+export type RelayedCommand = readonly [
+  number: number,
+  Address,
+  Token,
+  Tenure,
+  orders: ReadonlyArray<WireCommand>,
+]
 export interface RelayedCommands {
   readonly life: number
   readonly at: number
@@ -65,73 +79,81 @@
 export const PACKED_REPORT_BYTES = 120
 export const PACKED_TASK_BYTES = 48
 
-export const packReport = (report: Report): PackedReport => [
-  report.host,
-  report.address,
-  report.build,
-  report.site,
-  report.loaners,
-  report.tenure,
-  report.tick,
-  report.baton,
-  report.warning_s ?? null,
-  report.pieces.map((p): PackedTask => [p.piece, p.try, p.status, p.cause ?? null, p.stored ?? null]),
+export const packReport = (heartbeat: Heartbeat): PackedReport => [
+  heartbeat.machineId,
+  heartbeat.address,
+  heartbeat.machineType,
+  heartbeat.zone,
+  heartbeat.spot,
+  heartbeat.agentEpoch,
+  heartbeat.sequence,
+  heartbeat.fencingToken,
+  heartbeat.preemptionNoticeS ?? null,
+  heartbeat.tasks.map(packTask),
+]
+const packTask = ({ taskId, attempt, phase, exitReason, checkpointed }: ReportedTask): PackedTask => [
+  taskId,
+  attempt,
+  phaseToWire(phase),
+  exitReason == null ? null : exitReasonToWire(exitReason),
+  checkpointed ?? null,
 ]
 export const unpackReport = ([
-  host,
+  machineId,
   address,
-  build,
-  site,
-  loaners,
-  tenure,
-  tick,
-  baton,
-  warning_s,
+  machineType,
+  zone,
+  spot,
+  agentEpoch,
+  sequence,
+  fencingToken,
+  preemptionNoticeS,
   tasks,
-]: PackedReport): Report => ({
-  host,
+]: PackedReport): Heartbeat => ({
+  machineId,
   address,
-  build,
-  site,
-  loaners,
-  tenure,
-  tick,
-  baton,
-  warning_s,
-  pieces: tasks.map(([piece, attempt, status, cause, stored]) => ({
-    piece,
-    try: attempt,
-    status,
-    cause,
-    stored,
-  })),
+  machineType,
+  zone,
+  spot,
+  agentEpoch,
+  sequence,
+  fencingToken,
+  preemptionNoticeS,
+  tasks: tasks.map(unpackTask),
+})
+const unpackTask = ([taskId, attempt, status, cause, checkpointed]: PackedTask): ReportedTask => ({
+  taskId,
+  attempt,
+  phase: phaseFromWire(status),
+  exitReason: cause === null ? null : exitReasonFromWire(cause),
+  checkpointed,
 })
-export const packRepeat = ({ host, tenure, tick, baton }: Report, since: Tick): PackedRepeat => [
-  host,
-  tenure,
-  tick,
-  baton,
+export const packRepeat = (heartbeat: Heartbeat, since: Tick): PackedRepeat => [
+  heartbeat.machineId,
+  heartbeat.agentEpoch,
+  heartbeat.sequence,
+  heartbeat.fencingToken,
   since,
 ]
-export const unpackRepeat = ([host, tenure, tick, baton, since]: PackedRepeat): RepeatedReport => ({
-  host,
-  tenure,
-  tick,
-  baton,
+export const unpackRepeat = ([
+  machineId,
+  agentEpoch,
+  sequence,
+  fencingToken,
   since,
-})
+]: PackedRepeat): RepeatedReport => ({ machineId, agentEpoch, sequence, fencingToken, since })
 
-const sameTask = (a: Piece, b: Piece): boolean =>
-  a.piece === b.piece &&
-  a.try === b.try &&
-  a.status === b.status &&
-  (a.cause ?? null) === (b.cause ?? null) &&
-  (a.stored ?? null) === (b.stored ?? null)
-/** Does a report say what an earlier one of the same session said, but for its counters? */
-export const repeats = (report: Report, earlier: Report): boolean =>
-  report.tenure === earlier.tenure &&
-  report.address === earlier.address &&
-  (report.warning_s ?? null) === null &&
-  (earlier.warning_s ?? null) === null &&
-  report.pieces.length === earlier.pieces.length &&
-  report.pieces.every((task, i) => sameTask(task, earlier.pieces[i]!))
+const sameTask = (a: ReportedTask, b: ReportedTask): boolean =>
+  a.taskId === b.taskId &&
+  a.attempt === b.attempt &&
+  a.phase === b.phase &&
+  (a.exitReason ?? null) === (b.exitReason ?? null) &&
+  (a.checkpointed ?? null) === (b.checkpointed ?? null)
+/** Does a heartbeat say what an earlier one of the same agent epoch said, but for its counters? */
+export const repeats = (heartbeat: Heartbeat, earlier: Heartbeat): boolean =>
+  heartbeat.agentEpoch === earlier.agentEpoch &&
+  heartbeat.address === earlier.address &&
+  (heartbeat.preemptionNoticeS ?? null) === null &&
+  (earlier.preemptionNoticeS ?? null) === null &&
+  heartbeat.tasks.length === earlier.tasks.length &&
+  heartbeat.tasks.every((task, i) => sameTask(task, earlier.tasks[i]!))
--- a/packages/wire/src/report.ts
+++ b/packages/wire/src/report.ts
@@ -1,15 +1,25 @@
-import { Result } from "effect"
+/** Decoder of workers' heartbeats. */
+import { Data, Result } from "effect"
 import { TASK_ID } from "./ids.ts"
-import type { Piece, Report } from "./workers.ts"
+import {
+  exitReasonFromWire,
+  type Heartbeat,
+  phaseFromWire,
+  type ReportedTask,
+  type WireHeartbeat,
+  type WireTask,
+} from "./workers.ts"
+
+/** A body that should be a heartbeat and is none; the message names the field. */
+export class InvalidHeartbeatError extends Data.TaggedError("InvalidHeartbeatError")<{
+  readonly message: string
+}> {}
 
-/** What is wrong with a body that should be a report. */
-export class BadReport {
-  constructor(readonly message: string) {}
-}
 const isName = (value: unknown): value is string => typeof value === "string" && value.length > 0
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0
 
-const pieceFault = (value: unknown): string | null => {
+/** The wire field that is missing or wrong; null: the task is well formed. */
+const invalidTaskField = (value: unknown): string | null => {
   if (typeof value !== "object" || value === null) return "a piece is no object"
   const { piece, try: attempt, status, cause, stored } = value as Record<string, unknown>
   if (typeof piece !== "string" || !TASK_ID.test(piece)) return "piece"
@@ -20,30 +30,53 @@
   return null
 }
 
+/** The wire field that is missing or wrong; null: the heartbeat is well formed. */
+const invalidField = (wire: Record<string, unknown>): string | null => {
+  if (!isName(wire["host"])) return "host"
+  if (!isName(wire["address"])) return "address"
+  if (!isName(wire["build"])) return "build"
+  if (!isName(wire["site"])) return "site"
+  if (typeof wire["loaners"] !== "boolean") return "loaners"
+  if (!isCount(wire["tenure"])) return "tenure"
+  if (!isCount(wire["tick"])) return "tick"
+  if (!isCount(wire["baton"])) return "baton"
+  if (wire["warning_s"] != null && !Number.isFinite(wire["warning_s"])) return "warning_s"
+  if (!Array.isArray(wire["pieces"])) return "pieces"
+  for (const task of wire["pieces"] as ReadonlyArray<unknown>) {
+    const field = invalidTaskField(task)
+    if (field !== null) return field
+  }
+  return null
+}
+
+const decodeTask = ({ piece, try: attempt, status, cause, stored }: WireTask): ReportedTask => ({
+  taskId: piece,
+  attempt,
+  phase: phaseFromWire(status),
+  exitReason: cause == null ? null : exitReasonFromWire(cause),
+  checkpointed: stored ?? null,
+})
+
 /**
- * Checks a report by hand: a controller takes hundreds a second on a third of
- * a core, and a general decoder costs more than all that is done with them.
+ * Checks a heartbeat by hand: a controller takes hundreds a second on a tenth of a core, and a
+ * general decoder costs more than all that is done with them.
  */
-export const decodeReport = (body: unknown): Result.Result<Report, BadReport> => {
-  const bad = (message: string) => Result.fail(new BadReport(`report: ${message}`))
-  if (typeof body !== "object" || body === null || Array.isArray(body)) return bad("not an object")
-  const { host, address, build, site, loaners, tenure, tick, baton, warning_s, pieces } = body as Record<
-    string,
-    unknown
-  >
-  if (!isName(host)) return bad("host")
-  if (!isName(address)) return bad("address")
-  if (!isName(build)) return bad("build")
-  if (!isName(site)) return bad("site")
-  if (typeof loaners !== "boolean") return bad("loaners")
-  if (!isCount(tenure)) return bad("tenure")
-  if (!isCount(tick)) return bad("tick")
-  if (!isCount(baton)) return bad("baton")
-  if (warning_s != null && !Number.isFinite(warning_s)) return bad("warning_s")
-  if (!Array.isArray(pieces)) return bad("pieces")
-  for (const piece of pieces as ReadonlyArray<unknown>) {
-    const fault = pieceFault(piece)
-    if (fault !== null) return bad(fault)
-  }
-  return Result.succeed(body as Report & { pieces: ReadonlyArray<Piece> })
+export const decodeHeartbeat = (body: unknown): Result.Result<Heartbeat, InvalidHeartbeatError> => {
+  const invalid = (what: string) => Result.fail(new InvalidHeartbeatError({ message: `report: ${what}` }))
+  if (typeof body !== "object" || body === null || Array.isArray(body)) return invalid("not an object")
+  const field = invalidField(body as Record<string, unknown>)
+  if (field !== null) return invalid(field)
+  const wire = body as WireHeartbeat
+  return Result.succeed({
+    machineId: wire.host,
+    address: wire.address,
+    machineType: wire.build,
+    zone: wire.site,
+    spot: wire.loaners,
+    agentEpoch: wire.tenure,
+    sequence: wire.tick,
+    fencingToken: wire.baton,
+    preemptionNoticeS: wire.warning_s ?? null,
+    tasks: wire.pieces.map(decodeTask),
+  })
 }
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -1,9 +1,12 @@
-import { Schema } from "effect"
-import {
+/**
+ * Codec between controllers and workers: heartbeats, the replies to them, and commands sent to a
+ * worker's own address (protocol, "Workers -> controller nodes" and "Controller nodes -> workers").
+ */
+import type {
   Address,
   Attempt,
   MachineId,
-  type NodeName,
+  NodeName,
   TaskId,
   Tenure,
   Tick,
@@ -14,58 +17,172 @@
 
 /** The protocol's limit on a body, and on a line of an answer to workers or users. */
 export const BODY_LIMIT = 64 * 1024
-/** Generous sizes in JSON of a task in a report, and of a command. */
+/** Generous sizes in JSON of a task in a heartbeat, and of a command. */
 export const TASK_BYTES = 110
-const ORDER_BYTES = 100
+const COMMAND_BYTES = 100
 /** Commands in one message; the rest go with the next one. */
-export const MOST_ORDERS = Math.floor(BODY_LIMIT / ORDER_BYTES) - 1
+export const MAX_COMMANDS = Math.floor(BODY_LIMIT / COMMAND_BYTES) - 1
 /**
- * Tasks placed on one machine at a time: they take up to half of its report, and leave the
- * other half to exited tasks that wait for their `forget`.
+ * Tasks placed on one machine at a time: they take up to half of its heartbeat, and leave the
+ * other half to exited tasks that wait to be purged.
  */
-export const MOST_TASKS_ON_MACHINE = Math.floor(BODY_LIMIT / (2 * TASK_BYTES))
+export const MAX_TASKS_ON_MACHINE = Math.floor(BODY_LIMIT / (2 * TASK_BYTES))
 
-const maybe = <S extends Schema.Top>(schema: S) => Schema.optionalKey(Schema.NullOr(schema))
+/** Phase of a task on its machine; one that the protocol doesn't name is kept as it came. */
+export type TaskPhase = "fetching" | "running" | "checkpointing" | "exited" | (string & {})
+/** Why a task exited; a reason that the protocol doesn't name is kept as it came. */
+export type ExitReason =
+  | "done"
+  | "stopped"
+  | "error"
+  | "insufficientResources"
+  | "attemptConflict"
+  | "unknown"
+  | (string & {})
 
-/** A task as its worker reports it. States and causes that we don't know are kept as they come. */
-export const Piece = Schema.Struct({
-  piece: TaskId,
-  try: Attempt,
-  status: Schema.String,
-  cause: maybe(Schema.String),
-  stored: maybe(Schema.Boolean),
-})
-export type Piece = typeof Piece.Type
+/** A task as its worker reports it. */
+export interface ReportedTask {
+  readonly taskId: TaskId
+  readonly attempt: Attempt
+  readonly phase: TaskPhase
+  /** Null or absent while the task has not exited. */
+  readonly exitReason?: ExitReason | null
+  /** Whether a stopped task saved its progress. */
+  readonly checkpointed?: boolean | null
+}
 
-export const Report = Schema.Struct({
-  host: MachineId,
-  address: Address,
-  build: TypeName,
-  site: ZoneName,
-  loaners: Schema.Boolean,
-  tenure: Tenure,
-  tick: Tick,
-  baton: Token,
-  warning_s: maybe(Schema.Finite),
-  pieces: Schema.Array(Piece),
-})
-export type Report = typeof Report.Type
+/** A worker's heartbeat with its status; `/orders` and `/inspect` answer with the same body. */
+export interface Heartbeat {
+  readonly machineId: MachineId
+  readonly address: Address
+  readonly machineType: TypeName
+  readonly zone: ZoneName
+  readonly spot: boolean
+  readonly agentEpoch: Tenure
+  /** Counts the worker's messages; within an agent epoch the larger one is the newer message. */
+  readonly sequence: Tick
+  /** The highest fencing token that the worker has seen. */
+  readonly fencingToken: Token
+  /** Seconds until the cloud takes a spot machine away; null or absent without a notice. */
+  readonly preemptionNoticeS?: number | null
+  readonly tasks: ReadonlyArray<ReportedTask>
+}
 
-export type Order =
+/** A command to a worker about one attempt of a task. */
+export type Command =
+  | { readonly kind: "start"; readonly taskId: TaskId; readonly attempt: Attempt }
+  | {
+      readonly kind: "stop"
+      readonly taskId: TaskId
+      readonly attempt: Attempt
+      /** Seconds that the task may take to save its progress. */
+      readonly gracePeriodS: number
+    }
+  /** Removes an exited task from the worker's heartbeats. */
+  | { readonly kind: "purge"; readonly taskId: TaskId; readonly attempt: Attempt }
+
+/** The owner's reply to a heartbeat. */
+export interface HeartbeatReply {
+  readonly fencingToken: Token
+  readonly commands: ReadonlyArray<Command>
+}
+/** Commands sent straight to a worker; it executes none of them in another agent epoch. */
+export interface CommandBatch extends HeartbeatReply {
+  readonly agentEpoch: Tenure
+}
+
+// --- wire forms ---------------------------------------------------------------
+
+/** A task on the wire. */
+export interface WireTask {
+  readonly piece: TaskId
+  readonly try: Attempt
+  readonly status: string
+  readonly cause?: string | null
+  readonly stored?: boolean | null
+}
+/** A heartbeat on the wire. */
+export interface WireHeartbeat {
+  readonly host: MachineId
+  readonly address: Address
+  readonly build: TypeName
+  readonly site: ZoneName
+  readonly loaners: boolean
+  readonly tenure: Tenure
+  readonly tick: Tick
+  readonly baton: Token
+  readonly warning_s?: number | null
+  readonly pieces: ReadonlyArray<WireTask>
+}
+/** A command on the wire. */
+export type WireCommand =
   | { readonly verb: "start"; readonly piece: TaskId; readonly try: Attempt }
   | { readonly verb: "stop"; readonly piece: TaskId; readonly try: Attempt; readonly leeway_s: number }
   | { readonly verb: "forget"; readonly piece: TaskId; readonly try: Attempt }
-
-/** The answer to a report. */
-export interface ReportAnswer {
+/** The reply to a heartbeat on the wire. */
+export interface WireHeartbeatReply {
   readonly baton: Token
-  readonly orders: ReadonlyArray<Order>
+  readonly orders: ReadonlyArray<WireCommand>
 }
-/** What `/orders` takes. */
-export interface OrdersRequest extends ReportAnswer {
+/** The body of `POST /orders`. */
+export interface WireCommandBatch extends WireHeartbeatReply {
   readonly tenure: Tenure
 }
-/** The body of a 421. */
-export interface Redirect {
-  readonly steward?: NodeName
+
+/** Wire statuses and causes that the code names differently; all others have the same name in both. */
+const PHASES: ReadonlyArray<readonly [status: string, phase: TaskPhase]> = [
+  ["pulling", "fetching"],
+  ["flushing", "checkpointing"],
+]
+const EXIT_REASONS: ReadonlyArray<readonly [cause: string, reason: ExitReason]> = [
+  ["no_room", "insufficientResources"],
+  ["in_use", "attemptConflict"],
+]
+const reversed = <A, B>(pairs: ReadonlyArray<readonly [A, B]>): ReadonlyMap<B, A> =>
+  new Map(pairs.map(([a, b]) => [b, a]))
+const phaseByStatus: ReadonlyMap<string, TaskPhase> = new Map(PHASES)
+const statusByPhase = reversed(PHASES)
+const reasonByCause: ReadonlyMap<string, ExitReason> = new Map(EXIT_REASONS)
+const causeByReason = reversed(EXIT_REASONS)
+
+/** The phase that a wire status names. */
+export const phaseFromWire = (status: string): TaskPhase => phaseByStatus.get(status) ?? status
+/** The wire status of a phase. */
+export const phaseToWire = (phase: TaskPhase): string => statusByPhase.get(phase) ?? phase
+/** The exit reason that a wire cause names. */
+export const exitReasonFromWire = (cause: string): ExitReason => reasonByCause.get(cause) ?? cause
+/** The wire cause of an exit reason. */
+export const exitReasonToWire = (reason: ExitReason): string => causeByReason.get(reason) ?? reason
+
+/** One command in the form that workers take. */
+export const encodeCommand = (command: Command): WireCommand => {
+  const { taskId: piece, attempt } = command
+  switch (command.kind) {
+    case "start":
+      return { verb: "start", piece, try: attempt }
+    case "stop":
+      return { verb: "stop", piece, try: attempt, leeway_s: command.gracePeriodS }
+    case "purge":
+      return { verb: "forget", piece, try: attempt }
+  }
 }
+
+/** The body of a 200 to a heartbeat. */
+export const encodeHeartbeatReply = ({ fencingToken, commands }: HeartbeatReply): WireHeartbeatReply => ({
+  baton: fencingToken,
+  orders: commands.map(encodeCommand),
+})
+
+/** The body of `POST /orders`. */
+export const encodeCommandBatch = ({
+  fencingToken,
+  agentEpoch,
+  commands,
+}: CommandBatch): WireCommandBatch => ({
+  baton: fencingToken,
+  tenure: agentEpoch,
+  orders: commands.map(encodeCommand),
+})
+
+/** The body of a 421: the worker should report to that node instead. */
+export const encodeRedirect = (owner: NodeName): { readonly steward: NodeName } => ({ steward: owner })
--- a/packages/workers/src/session.ts
+++ b/packages/workers/src/session.ts
@@ -2,6 +2,8 @@
 import {
   type Address,
   type Attempt,
+  type Command,
+  type Heartbeat,
   type ImageName,
   later,
   type MachineId,
@@ -9,10 +11,8 @@
   type Moment,
   NEVER,
   type NodeName,
-  type Order,
-  type Piece,
   type RepeatedReport,
-  type Report,
+  type ReportedTask,
   type Stamp,
   type TaskId,
   type Tenure,
@@ -21,7 +21,7 @@
 } from "@sorreltally/wire"
 import { ImageCache } from "./image-cache.ts"
 import type { FreeRoom, Introduction, LeaseTimes, MachineEntry, Outcome } from "./model.ts"
-import { ordersFor } from "./orders.ts"
+import { commandsFor } from "./orders.ts"
 import { StartTracker } from "./start-tracker.ts"
 
 /** Steady clocks drift apart by at most this share; both ends may. */
@@ -56,7 +56,7 @@
    * shown a token that we raised after this.
    */
   receivesNothingSince: Moment | null = null
-  pieces = new Map<TaskId, Piece>()
+  pieces = new Map<TaskId, ReportedTask>()
   /** Counter of the body that listed them; null: nothing of this session did. */
   private piecesAt: Tick | null = null
   readonly placements = new Map<TaskId, Placement>()
@@ -135,77 +135,78 @@
    * Takes in a report, or the body of an `/orders` or `/inspect` answer.
    * Returns null for one that is older than what we know.
    */
-  observe(body: Report, how: "report" | "direct", now: Moment): ReadonlyArray<Outcome> | null {
-    if (body.tenure < this.liveTenure) return null
+  observe(body: Heartbeat, source: "heartbeat" | "direct", now: Moment): ReadonlyArray<Outcome> | null {
+    if (body.agentEpoch < this.liveTenure) return null
     if (this.tenure !== null) {
-      if (body.tenure < this.tenure) return null
-      if (body.tenure === this.tenure && body.tick <= this.tick) return null
+      if (body.agentEpoch < this.tenure) return null
+      if (body.agentEpoch === this.tenure && body.sequence <= this.tick) return null
     }
     // A worker keeps the highest token over all its sessions. One that began anew counts from the
     // start: what its former self reported under an older token looks newer by the counters alone.
-    if (how === "report" && body.baton < this.seenToken) return null
+    if (source === "heartbeat" && body.fencingToken < this.seenToken) return null
     const outcomes: Array<Outcome> = []
-    if (this.tenure === null || body.tenure > this.tenure) {
+    if (this.tenure === null || body.agentEpoch > this.tenure) {
       // It lost a lease that we kept answering for: our answers didn't reach it.
       if (
         this.tenure !== null &&
-        how === "report" &&
+        source === "heartbeat" &&
         this.lastAnswered > later(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
       )
         this.receivesNothingSince ??= now
       // A session's lease runs from its beginning, before any report of it was
       // answered: we may hear of it by way of /orders first.
       this.lastAnswered = now
-      this.tenure = body.tenure
+      this.tenure = body.agentEpoch
       this.cache.clear()
       this.starts.sessionBegan()
     }
-    this.tick = body.tick
-    this.seenToken = body.baton
+    this.tick = body.sequence
+    this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
-    if (how === "report") this.reportedAt = now
-    const proven = how === "direct" || this.confirmed || this.fresh
+    if (source === "heartbeat") this.reportedAt = now
+    const proven = source === "direct" || this.confirmed || this.fresh
     if (proven) this.provenAt = now
     if (this.receivesNothingSince !== null && this.confirmed && this.raisedSince) {
       this.receivesNothingSince = null
       this.raisedSince = false
     }
-    this.warningUntil = typeof body.warning_s === "number" ? later(now, body.warning_s * 1000) : null
-    this.starts.tokenShown(body.baton)
-    this.pieces = new Map(body.pieces.map((p) => [p.piece, p]))
-    this.piecesAt = body.tick
-    for (const { piece, try: attempt } of body.pieces) this.starts.shown(piece, attempt)
+    this.warningUntil =
+      typeof body.preemptionNoticeS === "number" ? later(now, body.preemptionNoticeS * 1000) : null
+    this.starts.tokenShown(body.fencingToken)
+    this.pieces = new Map(body.tasks.map((task) => [task.taskId, task]))
+    this.piecesAt = body.sequence
+    for (const { taskId, attempt } of body.tasks) this.starts.shown(taskId, attempt)
     this.starts.keepDirect((task) => this.pieces.has(task) || this.placements.has(task))
 
     for (const placement of [...this.placements.values()]) {
-      if (placement.tenure !== body.tenure) {
+      if (placement.tenure !== body.agentEpoch) {
         // The tenure rose: the worker killed and forgot all it had, and starts under the former
         // tenure are refused. A late copy may tell of a tenure of the worker's former self.
-        if (placement.tenure < body.tenure && proven) this.clear(placement, "lease ended", outcomes)
+        if (placement.tenure < body.agentEpoch && proven) this.clear(placement, "lease ended", outcomes)
         // Placed before the worker began anew, and nothing sent then can take effect any more.
-        if (placement.tenure > body.tenure && this.confirmed && this.receivesNothingSince === null)
+        if (placement.tenure > body.agentEpoch && this.confirmed && this.receivesNothingSince === null)
           this.clear(placement, "worker began anew", outcomes)
         continue
       }
-      const piece = this.pieces.get(placement.task)
-      if (piece === undefined || piece.try !== placement.attempt) {
+      const reported = this.pieces.get(placement.task)
+      if (reported === undefined || reported.attempt !== placement.attempt) {
         // Not there, and no start that could still bring it: only then is a
         // task that should leave surely gone.
         const going = placement.stop !== null || placement.inherited
-        if (going && this.settled(placement.task, placement.attempt, how, now)) {
+        if (going && this.settled(placement.task, placement.attempt, source, now)) {
           this.clear(placement, "never started", outcomes)
-        } else if (!going && how === "report" && placement.unheard >= IGNORED_STARTS) {
+        } else if (!going && source === "heartbeat" && placement.unheard >= IGNORED_STARTS) {
           this.receivesNothingSince ??= now
         }
-      } else if (piece.status === "exited") {
-        if (piece.cause === "done") {
+      } else if (reported.phase === "exited") {
+        if (reported.exitReason === "done") {
           this.release(placement)
           outcomes.push({ kind: "done", placement })
         } else if (proven) {
-          this.clear(placement, piece.cause ?? "exited", outcomes)
+          this.clear(placement, reported.exitReason ?? "exited", outcomes)
         }
-      } else if (piece.status === "running" && placement.runningSince === null) {
+      } else if (reported.phase === "running" && placement.runningSince === null) {
         this.cache.use(placement.job.request.bundle, placement.job.request.image_gb)
         outcomes.push({ kind: "running", placement })
       }
@@ -214,11 +215,21 @@
   }
 
   /** The report in full, if the last word of this machine was the report that it repeats. */
-  repeated({ host, tenure, tick, baton, since }: RepeatedReport): Report | null {
-    if (this.address === null || this.tenure !== tenure || this.piecesAt !== since) return null
+  repeated({ machineId, agentEpoch, sequence, fencingToken, since }: RepeatedReport): Heartbeat | null {
+    if (this.address === null || this.tenure !== agentEpoch || this.piecesAt !== since) return null
     const { build, site, loaners } = this.recorded
-    const pieces = [...this.pieces.values()]
-    return { host, address: this.address, build, site, loaners, tenure, tick, baton, warning_s: null, pieces }
+    return {
+      machineId,
+      address: this.address,
+      machineType: build,
+      zone: site,
+      spot: loaners,
+      agentEpoch,
+      sequence,
+      fencingToken,
+      preemptionNoticeS: null,
+      tasks: [...this.pieces.values()],
+    }
   }
 
   /** Where this session stands; a body below it is old, or from a worker that began anew. */
@@ -233,18 +244,19 @@
    * has to show a raised token before its former tasks count as gone, since
    * commands to its former self may still be under way.
    */
-  restarted(body: Report, since: { readonly tenure: Tenure; readonly tick: Tick }, now: Moment): boolean {
-    const below = body.tenure < since.tenure || (body.tenure === since.tenure && body.tick < since.tick)
+  restarted(body: Heartbeat, since: { readonly tenure: Tenure; readonly tick: Tick }, now: Moment): boolean {
+    const below =
+      body.agentEpoch < since.tenure || (body.agentEpoch === since.tenure && body.sequence < since.tick)
     if (!below) return false
-    this.tenure = body.tenure
-    this.liveTenure = body.tenure
-    this.tick = body.tick
-    this.seenToken = body.baton
+    this.tenure = body.agentEpoch
+    this.liveTenure = body.agentEpoch
+    this.tick = body.sequence
+    this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
     this.lastAnswered = now
-    this.pieces = new Map(body.pieces.map((p) => [p.piece, p]))
-    this.piecesAt = body.tick
+    this.pieces = new Map(body.tasks.map((task) => [task.taskId, task]))
+    this.piecesAt = body.sequence
     this.cache.clear()
     this.starts.workerRestarted()
     this.receivesNothingSince = now
@@ -253,9 +265,15 @@
   }
 
   /** No start of this attempt can still take effect, as far as the last body tells. */
-  private settled(task: TaskId, attempt: Attempt, how: "report" | "direct", now: Moment): boolean {
+  private settled(task: TaskId, attempt: Attempt, source: "heartbeat" | "direct", now: Moment): boolean {
     const { token, confirmed, tick } = this
-    return this.starts.isSettled(task, attempt, { token, confirmed, tick, isReport: how === "report", now })
+    return this.starts.isSettled(task, attempt, {
+      token,
+      confirmed,
+      tick,
+      isReport: source === "heartbeat",
+      now,
+    })
   }
   /** Its token was raised. */
   tokenRaised(): void {
@@ -271,8 +289,8 @@
     if (this.unforgettable > MOST_UNFORGETTABLE) return true
     if (!this.starts.hasUnanswered(this.token)) return false
     for (const placement of this.placements.values()) if (placement.stop !== null) return true
-    for (const piece of this.pieces.values())
-      if (piece.status === "exited" && !this.placements.has(piece.piece)) return true
+    for (const { taskId, phase } of this.pieces.values())
+      if (phase === "exited" && !this.placements.has(taskId)) return true
     return false
   }
 
@@ -326,8 +344,8 @@
   /** Nothing is, or may come to be, on this machine whose owner we would have to be. */
   empty(finishIsDurable: (task: TaskId) => boolean): boolean {
     if (this.placements.size > 0 || this.ordersInFlight) return false
-    for (const piece of this.pieces.values()) {
-      if (piece.status !== "exited" || (piece.cause === "done" && !finishIsDurable(piece.piece))) return false
+    for (const { taskId, phase, exitReason } of this.pieces.values()) {
+      if (phase !== "exited" || (exitReason === "done" && !finishIsDurable(taskId))) return false
     }
     return true
   }
@@ -349,21 +367,21 @@
   }
 
   /** What the worker should be told now, given what it last said. */
-  orders(now: Moment, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Order> {
+  commands(now: Moment, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
     const { tenure, pieces, placements } = this
     if (tenure === null) return []
     this.unforgettable = 0
-    const mayForget = (piece: Piece) =>
-      (piece.cause !== "done" || finishIsDurable(piece.piece)) && this.mayForget(piece, now)
-    return ordersFor({ tenure, pieces, placements, mayForget, now })
+    const mayPurge = (task: ReportedTask) =>
+      (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, now)
+    return commandsFor({ agentEpoch: tenure, tasks: pieces, placements, mayPurge, now })
   }
   /** Forgetting too early would let a late start, or a copy of one, run the task once more. */
-  private mayForget({ piece: task, try: attempt }: Piece, now: Moment): boolean {
-    if (!this.starts.mayForget(task, attempt, this.token, this.confirmed, now)) {
-      if (this.starts.wasSentUnder(task, attempt, this.token)) this.unforgettable++
+  private mayPurge({ taskId, attempt }: ReportedTask, now: Moment): boolean {
+    if (!this.starts.mayPurge(taskId, attempt, this.token, this.confirmed, now)) {
+      if (this.starts.wasSentUnder(taskId, attempt, this.token)) this.unforgettable++
       return false
     }
-    return this.settled(task, attempt, "direct", now)
+    return this.settled(taskId, attempt, "direct", now)
   }
 
   /**
@@ -375,36 +393,36 @@
     let since: Moment | null = null
     for (const { job, stop, tenure, task, attempt } of this.placements.values()) {
       if (!job.withdrawn || stop === null || tenure !== this.tenure) continue
-      if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.pieces.get(task)?.try !== attempt)
+      if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.pieces.get(task)?.attempt !== attempt)
         since = since === null ? stop.since : (Math.min(since, stop.since) as Moment)
     }
     return since
   }
 
   /** The answer to a report is about to be sent. */
-  answering(orders: ReadonlyArray<Order>, now: Moment): void {
+  answering(commands: ReadonlyArray<Command>, now: Moment): void {
     this.lastAnswered = now
     this.starts.dropOldAnswers(now)
-    for (const { verb, piece, try: attempt } of orders) {
-      if (verb !== "start") continue
-      this.starts.inAnswer(piece, attempt, this.tick, now)
-      const placement = this.placements.get(piece)
+    for (const { kind, taskId, attempt } of commands) {
+      if (kind !== "start") continue
+      this.starts.inAnswer(taskId, attempt, this.tick, now)
+      const placement = this.placements.get(taskId)
       if (placement !== undefined) placement.unheard++
     }
   }
   /** Commands are about to be sent to the worker's own address. */
-  sending(orders: ReadonlyArray<Order>, now: Moment): void {
+  sending(commands: ReadonlyArray<Command>, now: Moment): void {
     this.ordersInFlight = true
-    for (const { verb, piece, try: attempt } of orders)
-      if (verb === "start") this.starts.sending(piece, attempt, this.token, now)
+    for (const { kind, taskId, attempt } of commands)
+      if (kind === "start") this.starts.sending(taskId, attempt, this.token, now)
   }
   /** They were answered, or given up. */
-  sent(orders: ReadonlyArray<Order>, token: Token, answered: boolean): void {
+  sent(commands: ReadonlyArray<Command>, token: Token, answered: boolean): void {
     this.ordersInFlight = false
-    for (const { verb, piece, try: attempt } of orders) {
-      if (verb !== "start") continue
-      this.starts.sent(piece, attempt, token, answered)
-      const placement = this.placements.get(piece)
+    for (const { kind, taskId, attempt } of commands) {
+      if (kind !== "start") continue
+      this.starts.sent(taskId, attempt, token, answered)
+      const placement = this.placements.get(taskId)
       if (!answered && placement !== undefined) placement.unheard++
     }
   }
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -127,7 +127,7 @@
    * are dead once the worker has seen our token, and starts in an answer to a
    * report never come late.
    */
-  mayForget(task: TaskId, attempt: Attempt, token: Token, confirmed: boolean, now: Moment): boolean {
+  mayPurge(task: TaskId, attempt: Attempt, token: Token, confirmed: boolean, now: Moment): boolean {
     const sent = this.direct.get(keyOf(task, attempt))
     if (sent === undefined) return confirmed
     return (confirmed && token > sent.token) || now > later(sent.at, COPIES_COME_MS)
--- a/packages/workers/test/session.test.ts
+++ b/packages/workers/test/session.test.ts
@@ -4,12 +4,12 @@
 import type { JobRecord } from "@sorreltally/state"
 import type {
   Attempt,
+  Heartbeat,
   JobId,
   MachineId,
   MachineType,
   Moment,
   RepeatedReport,
-  Report,
   Stamp,
   TaskId,
   Token,
@@ -22,20 +22,20 @@
 const type = { name: "g8", cores: 8, accelerators: 0, mem_gb: 32, cache_gb: 10 } as unknown as MachineType
 const session = (fresh = true) =>
   new WorkerSession("i-1" as MachineId, entry, type, EPOCH as Stamp, { leaseS: 27, reportS: 3 }, fresh, at(0))
-const report = (tick: number, more: Record<string, unknown> = {}): Report =>
+const heartbeat = (sequence: number, more: Partial<Record<keyof Heartbeat, unknown>> = {}): Heartbeat =>
   ({
-    host: "i-1",
+    machineId: "i-1",
     address: "10.1.0.1:9000",
-    build: "g8",
-    site: "a",
-    loaners: true,
-    tenure: 1,
-    tick,
-    baton: EPOCH,
-    warning_s: null,
-    pieces: [],
+    machineType: "g8",
+    zone: "a",
+    spot: true,
+    agentEpoch: 1,
+    sequence,
+    fencingToken: EPOCH,
+    preemptionNoticeS: null,
+    tasks: [],
     ...more,
-  }) as unknown as Report
+  }) as unknown as Heartbeat
 const place = (on: WorkerSession): Placement => {
   const request = {
     id: "run-000001",
@@ -77,38 +77,38 @@
 
 test("a session's lease runs from its beginning, heard of by way of an order or not", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   s.answering([], at(1))
   assert.equal(s.leaseOver(at(27)), false)
   // Guards against ran_twice: the worker started tenure 2 unheard, at 28 s at the latest.
-  s.observe(report(2, { tenure: 2 }), "direct", at(28))
+  s.observe(heartbeat(2, { agentEpoch: 2 }), "direct", at(28))
   assert.equal(s.leaseOver(at(40)), false)
   assert.equal(s.leaseOver(at(57)), true)
 })
 
 test("an older body changes nothing", () => {
   const s = session()
-  s.observe(report(5), "report", at(1))
-  assert.equal(s.observe(report(4), "report", at(2)), null)
-  assert.equal(s.observe(report(5), "direct", at(2)), null)
+  s.observe(heartbeat(5), "heartbeat", at(1))
+  assert.equal(s.observe(heartbeat(4), "heartbeat", at(2)), null)
+  assert.equal(s.observe(heartbeat(5), "direct", at(2)), null)
 })
 
 test("a task that should go is gone only when no start can bring it any more", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   const placement = place(s)
-  const start = s.orders(at(1), durable)
+  const start = s.commands(at(1), durable)
   s.sending(start, at(1))
   stop(placement)
   // The start is under way: its absence proves nothing.
-  assert.deepEqual(s.observe(report(2), "report", at(2)), [])
+  assert.deepEqual(s.observe(heartbeat(2), "heartbeat", at(2)), [])
   // It got no answer: it may come minutes later, until a higher token was seen.
   s.sent(start, s.token, false)
-  assert.deepEqual(s.observe(report(3), "report", at(9)), [])
+  assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(9)), [])
   assert.equal(s.needsHigherToken(), true)
   s.update({ ...entry, token: 20 as Token })
-  assert.deepEqual(s.observe(report(4), "report", at(10)), [])
-  const outcomes = s.observe(report(5, { baton: 20 }), "report", at(11))
+  assert.deepEqual(s.observe(heartbeat(4), "heartbeat", at(10)), [])
+  const outcomes = s.observe(heartbeat(5, { fencingToken: 20 }), "heartbeat", at(11))
   assert.deepEqual(
     outcomes?.map((o) => o.kind),
     ["cleared"],
@@ -117,135 +117,141 @@
 
 test("a start in the answer to a report is settled by the next report, not by an order's answer", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   const placement = place(s)
-  s.answering(s.orders(at(1), durable), at(1))
+  s.answering(s.commands(at(1), durable), at(1))
   stop(placement)
-  assert.deepEqual(s.observe(report(2), "direct", at(1.5)), [])
+  assert.deepEqual(s.observe(heartbeat(2), "direct", at(1.5)), [])
   assert.deepEqual(
-    s.observe(report(3), "report", at(2))?.map((o) => o.kind),
+    s.observe(heartbeat(3), "heartbeat", at(2))?.map((o) => o.kind),
     ["cleared"],
   )
 })
 
 test("a result is forgotten only once it is durable", () => {
   const s = session()
-  const pieces = [{ piece: "run-000001/0", try: 9, status: "exited", cause: "done" }]
-  s.observe(report(1, { pieces }), "report", at(1))
+  const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason: "done" }]
+  s.observe(heartbeat(1, { tasks }), "heartbeat", at(1))
   assert.deepEqual(
-    s.orders(at(1), () => false),
+    s.commands(at(1), () => false),
     [],
   )
   assert.deepEqual(
-    s.orders(at(1), durable).map((o) => o.verb),
-    ["forget"],
+    s.commands(at(1), durable).map((o) => o.kind),
+    ["purge"],
   )
 })
 
 test("a running task that nothing durable stands for is stopped, never adopted", () => {
   const s = session()
-  s.observe(report(1, { pieces: [{ piece: "run-000001/0", try: 4, status: "running" }] }), "report", at(1))
-  assert.deepEqual(s.orders(at(1), durable), [{ verb: "stop", piece: "run-000001/0", try: 4, leeway_s: 0 }])
+  s.observe(
+    heartbeat(1, { tasks: [{ taskId: "run-000001/0", attempt: 4, phase: "running" }] }),
+    "heartbeat",
+    at(1),
+  )
+  assert.deepEqual(s.commands(at(1), durable), [
+    { kind: "stop", taskId: "run-000001/0", attempt: 4, gracePeriodS: 0 },
+  ])
 })
 
 test("nothing from a tenure that has surely ended is believed", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   place(s)
   assert.equal(s.endTenure().length, 1)
-  const late = report(9, { pieces: [{ piece: "run-000001/0", try: 9, status: "running" }] })
-  assert.equal(s.observe(late, "report", at(40)), null)
+  const late = heartbeat(9, { tasks: [{ taskId: "run-000001/0", attempt: 9, phase: "running" }] })
+  assert.equal(s.observe(late, "heartbeat", at(40)), null)
 })
 
 // Guards against a task that runs twice: a worker that began anew counts its sessions from the start, and
 // takes a command that was held up on its way to its former self.
 test("a task whose direct start got no answer stays placed past the lease, until the machine is deleted", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   const lost = place(s)
-  const orders = s.orders(at(2), durable)
-  s.sending(orders, at(2))
-  s.sent(orders, s.token, false)
+  const commands = s.commands(at(2), durable)
+  s.sending(commands, at(2))
+  s.sent(commands, s.token, false)
   assert.deepEqual(s.endTenure(), [])
   assert.deepEqual([...s.placements.values()], [lost])
   assert.equal(s.clearAll("machine deleted").length, 1)
   const heard = session()
-  heard.observe(report(1), "report", at(1))
+  heard.observe(heartbeat(1), "heartbeat", at(1))
   place(heard)
-  heard.sending(orders, at(2))
-  heard.sent(orders, heard.token, true)
+  heard.sending(commands, at(2))
+  heard.sent(commands, heard.token, true)
   assert.equal(heard.endTenure().length, 1)
   // The answer got lost, and a report shows the task: its start is no longer under way.
   const shown = session()
-  shown.observe(report(1), "report", at(1))
+  shown.observe(heartbeat(1), "heartbeat", at(1))
   place(shown)
-  shown.sending(orders, at(2))
-  shown.sent(orders, shown.token, false)
-  const running = { piece: "run-000001/0", try: 9, status: "running" }
-  shown.observe(report(2, { pieces: [running] }), "report", at(3))
+  shown.sending(commands, at(2))
+  shown.sent(commands, shown.token, false)
+  const running = { taskId: "run-000001/0", attempt: 9, phase: "running" }
+  shown.observe(heartbeat(2, { tasks: [running] }), "heartbeat", at(3))
   assert.equal(shown.endTenure().length, 1)
 })
 
 test("what comes from before a take-over gives a machine no work: only our token proves that it is no copy", () => {
   const s = session(false)
-  s.observe(report(40, { baton: 2 }), "report", at(1))
-  s.observe(report(41, { baton: 2 }), "report", at(2))
+  s.observe(heartbeat(40, { fencingToken: 2 }), "heartbeat", at(1))
+  s.observe(heartbeat(41, { fencingToken: 2 }), "heartbeat", at(2))
   assert.equal(s.usable(at(2)), false)
-  s.observe(report(42), "report", at(3))
+  s.observe(heartbeat(42), "heartbeat", at(3))
   assert.equal(s.usable(at(3)), true)
 })
 
 test("an inherited placement is never started anew, and cleared once its machine surely lacks it", () => {
   const s = session(false)
-  s.observe(report(1, { baton: 2 }), "report", at(1))
+  s.observe(heartbeat(1, { fencingToken: 2 }), "heartbeat", at(1))
   const placement = { ...place(s), inherited: true }
   s.placements.set(placement.task, placement)
-  assert.deepEqual(s.orders(at(1), durable), [])
-  assert.deepEqual(s.observe(report(2, { baton: 2 }), "report", at(2)), [])
+  assert.deepEqual(s.commands(at(1), durable), [])
+  assert.deepEqual(s.observe(heartbeat(2, { fencingToken: 2 }), "heartbeat", at(2)), [])
   assert.deepEqual(
-    s.observe(report(3), "report", at(3))?.map((o) => o.kind),
+    s.observe(heartbeat(3), "heartbeat", at(3))?.map((o) => o.kind),
     ["cleared"],
   )
 })
 
 test("a machine that loses a lease we answered for gets no work until it shows a raised token", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   s.answering([], at(1))
-  s.observe(report(2, { tenure: 2 }), "report", at(2))
+  s.observe(heartbeat(2, { agentEpoch: 2 }), "heartbeat", at(2))
   assert.equal(s.usable(at(2)), false)
   assert.equal(s.needsHigherToken(), true)
   s.update({ ...entry, token: 20 as Token })
   s.tokenRaised()
-  s.observe(report(3, { tenure: 2 }), "report", at(3))
+  s.observe(heartbeat(3, { agentEpoch: 2 }), "heartbeat", at(3))
   assert.equal(s.usable(at(3)), false)
-  s.observe(report(4, { tenure: 2, baton: 20 }), "report", at(4))
+  s.observe(heartbeat(4, { agentEpoch: 2, fencingToken: 20 }), "heartbeat", at(4))
   assert.equal(s.usable(at(4)), true)
 })
 
 test("a start that no report ever shows means that the machine hears nothing", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
+  s.observe(heartbeat(1), "heartbeat", at(1))
   place(s)
   for (const tick of [2, 3, 4]) {
-    s.answering(s.orders(at(tick), durable), at(tick))
-    s.observe(report(tick), "report", at(tick))
+    s.answering(s.commands(at(tick), durable), at(tick))
+    s.observe(heartbeat(tick), "heartbeat", at(tick))
   }
   assert.equal(s.usable(at(5)), false)
 })
 
 test("a worker that began anew is believed by way of /inspect, its former tasks gone once it shows a raised token", () => {
   const s = session()
-  s.observe(report(500, { tenure: 3 }), "report", at(1))
+  s.observe(heartbeat(500, { agentEpoch: 3 }), "heartbeat", at(1))
   place(s)
   const before = s.standing()
-  assert.equal(s.observe(report(1), "report", at(9)), null)
-  assert.equal(s.restarted(report(2), before, at(9)), true)
+  assert.equal(s.observe(heartbeat(1), "heartbeat", at(9)), null)
+  assert.equal(s.restarted(heartbeat(2), before, at(9)), true)
   assert.equal(s.usable(at(9)), false)
   s.update({ ...entry, token: 20 as Token })
   s.tokenRaised()
-  assert.deepEqual(s.observe(report(3), "report", at(10)), [])
-  const outcomes = s.observe(report(4, { baton: 20 }), "report", at(11))
+  assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(10)), [])
+  const outcomes = s.observe(heartbeat(4, { fencingToken: 20 }), "heartbeat", at(11))
   assert.deepEqual(
     outcomes?.map((o) => o.kind),
     ["cleared"],
@@ -253,58 +259,58 @@
 })
 
 test("what was started by a command of its own is forgotten only under a higher token, done or not", () => {
-  for (const cause of ["stopped", "done"]) {
+  for (const exitReason of ["stopped", "done"]) {
     const s = session()
-    s.observe(report(1), "report", at(1))
+    s.observe(heartbeat(1), "heartbeat", at(1))
     s.release(place(s))
-    const start = [{ verb: "start", piece: "run-000001/0" as TaskId, try: 9 as Attempt }] as const
+    const start = [{ kind: "start", taskId: "run-000001/0" as TaskId, attempt: 9 as Attempt }] as const
     s.sending(start, at(1))
     s.sent(start, s.token, true)
-    const pieces = [{ piece: "run-000001/0", try: 9, status: "exited", cause }]
-    s.observe(report(2, { pieces }), "report", at(60))
-    assert.deepEqual(s.orders(at(60), durable), [])
+    const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason }]
+    s.observe(heartbeat(2, { tasks }), "heartbeat", at(60))
+    assert.deepEqual(s.commands(at(60), durable), [])
     s.update({ ...entry, token: 20 as Token })
-    s.observe(report(3, { pieces, baton: 20 }), "report", at(61))
+    s.observe(heartbeat(3, { tasks, fencingToken: 20 }), "heartbeat", at(61))
     assert.deepEqual(
-      s.orders(at(61), durable).map((o) => o.verb),
-      ["forget"],
+      s.commands(at(61), durable).map((o) => o.kind),
+      ["purge"],
     )
   }
 })
 
 test("what a former owner may have started is forgotten once the worker has shown our token", () => {
   const s = session()
-  const pieces = [{ piece: "run-000001/0", try: 4, status: "exited", cause: "done" }]
-  s.observe(report(1, { pieces, baton: 5 }), "report", at(1))
-  assert.deepEqual(s.orders(at(1), durable), [])
-  s.observe(report(2, { pieces }), "report", at(2))
+  const tasks = [{ taskId: "run-000001/0", attempt: 4, phase: "exited", exitReason: "done" }]
+  s.observe(heartbeat(1, { tasks, fencingToken: 5 }), "heartbeat", at(1))
+  assert.deepEqual(s.commands(at(1), durable), [])
+  s.observe(heartbeat(2, { tasks }), "heartbeat", at(2))
   assert.deepEqual(
-    s.orders(at(2), durable).map((o) => o.verb),
-    ["forget"],
+    s.commands(at(2), durable).map((o) => o.kind),
+    ["purge"],
   )
 })
 
 test("a worker that has much to keep until its token is raised has it raised", () => {
   const s = session()
-  s.observe(report(1), "report", at(1))
-  const tasks = Array.from({ length: 25 }, (_, i) => `run-000001/${i}` as TaskId)
-  const starts = tasks.map((piece) => ({ verb: "start" as const, piece, try: 9 as Attempt }))
+  s.observe(heartbeat(1), "heartbeat", at(1))
+  const taskIds = Array.from({ length: 25 }, (_, i) => `run-000001/${i}` as TaskId)
+  const starts = taskIds.map((taskId) => ({ kind: "start" as const, taskId, attempt: 9 as Attempt }))
   s.sending(starts, at(1))
   s.sent(starts, s.token, true)
-  const pieces = tasks.map((piece) => ({ piece, try: 9, status: "exited", cause: "done" }))
-  s.observe(report(2, { pieces }), "report", at(30))
-  s.orders(at(30), durable)
+  const tasks = taskIds.map((taskId) => ({ taskId, attempt: 9, phase: "exited", exitReason: "done" }))
+  s.observe(heartbeat(2, { tasks }), "heartbeat", at(30))
+  s.commands(at(30), durable)
   assert.equal(s.needsHigherToken(), true)
   s.update({ ...entry, token: 20 as Token })
-  s.observe(report(3, { pieces }), "report", at(31))
-  s.orders(at(31), durable)
+  s.observe(heartbeat(3, { tasks }), "heartbeat", at(31))
+  s.commands(at(31), durable)
   assert.equal(s.needsHigherToken(), false)
 })
 
 // Guards against a machine that was handed over and taken to show no task, because none was listed yet.
 test("a repeated report is known by the body that it repeats, seen by this very session", () => {
-  const repeat = (tick: number, since: number) =>
-    ({ host: "i-1", tenure: 1, tick, baton: EPOCH, since }) as unknown as RepeatedReport
+  const repeat = (sequence: number, since: number) =>
+    ({ machineId: "i-1", agentEpoch: 1, sequence, fencingToken: EPOCH, since }) as unknown as RepeatedReport
   const tasks = [{ piece: "run-000001/0", try: 9, status: "exited", cause: "done" }]
   const on = session()
   assert.equal(on.repeated(repeat(5, 4)), null)
@@ -313,9 +319,9 @@
     at(1),
   )
   assert.equal(on.repeated(repeat(5, 4)), null)
-  on.observe(report(5, { pieces: tasks }), "report", at(2))
-  assert.deepEqual(on.repeated(repeat(6, 5))?.pieces, tasks)
+  on.observe(heartbeat(5, { tasks }), "heartbeat", at(2))
+  assert.deepEqual(on.repeated(repeat(6, 5))?.tasks, tasks)
   assert.equal(on.repeated(repeat(6, 4)), null)
-  on.observe(report(6), "direct", at(3))
+  on.observe(heartbeat(6), "direct", at(3))
   assert.equal(on.repeated(repeat(7, 5)), null)
 })
