--- a/packages/api/src/limiter.ts
+++ b/packages/api/src/limiter.ts
@@ -1,4 +1,4 @@
-import type { Moment } from "@sorreltally/wire"
+import type { MonotonicTime } from "@sorreltally/wire"
 
 export interface LimiterSettings {
   readonly least: number
@@ -26,7 +26,7 @@
   }
 
   /** Null: too much in progress. Otherwise call what it returns when the answer is ready. */
-  enter(now: Moment): ((end: Moment) => void) | null {
+  enter(now: MonotonicTime): ((end: MonotonicTime) => void) | null {
     if (this.inProgress >= this.limit) return null
     this.inProgress++
     return (end) => {
--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -1,45 +1,45 @@
 import { allowed } from "@sorreltally/planner"
 import type { Operators, Platform } from "@sorreltally/settings"
-import type { JobRecord, StateTrouble } from "@sorreltally/state"
+import type { FinalStatus, JobRecord, StoreError } from "@sorreltally/state"
 import {
-  type Answer,
+  type Clocks,
   decodeHeartbeat,
-  decodeJobRequest,
+  decodeJobSpec,
+  encodeJobView,
   type Heartbeat,
-  type Incoming,
+  type IncomingRequest,
   type JobId,
   JobId as JobIdSchema,
-  type JobRequest,
-  type JobView,
+  type JobSpec,
   type MachineType,
-  type Outgoing,
-  type Timekeeper,
-  type TypeName,
+  type MachineTypeName,
+  type OutgoingResponse,
+  type Respond,
 } from "@sorreltally/wire"
 import { Effect, Option, Result, Schema } from "effect"
 import { Limiter } from "./limiter.ts"
 
 type Found =
   | { readonly kind: "live"; readonly record: JobRecord }
-  | { readonly kind: "final"; readonly status: "done" | "withdrawn" }
+  | { readonly kind: "final"; readonly status: FinalStatus }
   | { readonly kind: "none" }
 
 /** All jobs of the deployment. What is found is not older than the question. */
 export interface JobTable {
-  readonly find: (id: JobId) => Effect.Effect<Found, StateTrouble>
+  readonly find: (id: JobId) => Effect.Effect<Found, StoreError>
   /** Durably; what is found otherwise was accepted before. */
-  readonly accept: (record: JobRecord) => Effect.Effect<Found | { readonly kind: "accepted" }, StateTrouble>
+  readonly accept: (record: JobRecord) => Effect.Effect<Found | { readonly kind: "accepted" }, StoreError>
   /** Durably: what is live then is cancelled. A job that is over stays as it is. */
-  readonly cancel: (id: JobId) => Effect.Effect<Found, StateTrouble>
+  readonly cancel: (id: JobId) => Effect.Effect<Found, StoreError>
 }
 
 /** What the users' side asks of the controller behind it. */
 export interface Desk {
   readonly ready: () => boolean
-  readonly catalog: () => ReadonlyMap<TypeName, MachineType> | null
+  readonly catalog: () => ReadonlyMap<MachineTypeName, MachineType> | null
   readonly jobs: JobTable
   readonly counts: (id: JobId) => { readonly done: number; readonly running: number }
-  readonly report: (body: Heartbeat, answer: Answer) => void
+  readonly report: (body: Heartbeat, answer: Respond) => void
 }
 
 /** Users wait 5 s for a submission and 2 s for a poll; a final "no" in time is worth more than silence. */
@@ -57,13 +57,13 @@
     private readonly platform: Platform,
     private readonly operators: Operators,
     private readonly desk: Desk,
-    private readonly time: Timekeeper,
+    private readonly time: Clocks,
   ) {
     const { admission } = operators
     this.limiter = new Limiter({ least: admission["least-in-progress"], most: admission["most-in-progress"] })
   }
 
-  handle(request: Incoming): Effect.Effect<Outgoing> {
+  handle(request: IncomingRequest): Effect.Effect<OutgoingResponse> {
     const path = request.path.split("?")[0] ?? request.path
     if (path === "/ready") return this.only("GET", request, () => Effect.succeed(this.ready()))
     if (path === REPORT_PATH) return this.only("POST", request, () => this.reported(request.body))
@@ -79,58 +79,61 @@
 
   private only(
     method: string,
-    request: Incoming,
-    run: () => Effect.Effect<Outgoing>,
-  ): Effect.Effect<Outgoing> {
+    request: IncomingRequest,
+    run: () => Effect.Effect<OutgoingResponse>,
+  ): Effect.Effect<OutgoingResponse> {
     return request.method === method
       ? run()
       : Effect.succeed({ status: 405, body: { error: `only ${method}` } })
   }
 
-  private ready(): Outgoing {
+  private ready(): OutgoingResponse {
     return this.desk.ready() ? { status: 200, body: {} } : { status: 503, body: {} }
   }
 
-  private reported(body: string): Effect.Effect<Outgoing> {
-    return Effect.callback<Outgoing>((resume) =>
+  private reported(body: string): Effect.Effect<OutgoingResponse> {
+    return Effect.callback<OutgoingResponse>((resume) =>
       this.report(body, (outgoing) => resume(Effect.succeed(outgoing))),
     )
   }
   /** Answers a worker's report. No fiber is made for it: reports are by far the most of a node's requests. */
-  report(body: string, answer: Answer): void {
+  report(body: string, answer: Respond): void {
     const report = decodeHeartbeat(parse(body))
     if (Result.isFailure(report)) answer({ status: 400, body: { error: report.failure.message } })
     else this.desk.report(report.success, answer)
   }
 
-  private later(status: 429 | 503, error: string): Outgoing {
+  private later(status: 429 | 503, error: string): OutgoingResponse {
     return { status, body: { error }, retryAfterS: this.operators.admission["retry-after-s"] }
   }
 
   /** Within the limit on requests in progress, and with an answer in time whatever happens. */
-  private admitted(work: Effect.Effect<Outgoing, StateTrouble>, withinMs: number): Effect.Effect<Outgoing> {
+  private admitted(
+    work: Effect.Effect<OutgoingResponse, StoreError>,
+    withinMs: number,
+  ): Effect.Effect<OutgoingResponse> {
     return Effect.suspend(() => {
-      const leave = this.limiter.enter(this.time.moment())
+      const leave = this.limiter.enter(this.time.monotonicNow())
       if (leave === null) return Effect.succeed(this.later(429, "too many requests in progress"))
       return work.pipe(
         Effect.timeoutOption(withinMs),
         Effect.map(Option.getOrElse(() => this.later(503, "the state service did not answer"))),
-        Effect.catchTag("StateTrouble", () =>
+        Effect.catchTag("StoreError", () =>
           Effect.succeed(this.later(503, "the state service can't be used now")),
         ),
-        Effect.ensuring(Effect.sync(() => leave(this.time.moment()))),
+        Effect.ensuring(Effect.sync(() => leave(this.time.monotonicNow()))),
       )
     })
   }
 
   // --- submissions ------------------------------------------------------------
 
-  private submit(incoming: Incoming): Effect.Effect<Outgoing, StateTrouble> {
+  private submit(incoming: IncomingRequest): Effect.Effect<OutgoingResponse, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const body = parse(incoming.body)
       if (body === undefined) return bad("not JSON")
       if (typeof body !== "object" || body === null || Array.isArray(body)) return bad("not an object")
-      const decoded = decodeJobRequest(body)
+      const decoded = decodeJobSpec(body)
       if (Result.isFailure(decoded)) return bad(decoded.failure.message)
       const request = decoded.success
       const refusal = this.refusal(request)
@@ -140,23 +143,20 @@
         if (found.kind !== "none") return this.view(request.id, found)
         return refusal
       }
-      const record: JobRecord = {
-        request,
-        submitted: this.time.wall(),
-      }
+      const record: JobRecord = { spec: request, submittedAt: this.time.wallNow(), cancelled: false }
       const found = yield* this.desk.jobs.accept(record)
       if (found.kind === "accepted")
-        return { status: 201, body: { id: request.id, status: "queued" } satisfies JobView }
+        return { status: 201, body: encodeJobView({ id: request.id, status: "queued" }) }
       if (found.kind === "none") return this.later(503, "the job's state can't be read now")
       return this.view(request.id, found)
     })
   }
 
   /** Null: the job can run. */
-  private refusal(request: JobRequest): Outgoing | null {
+  private refusal(request: JobSpec): OutgoingResponse | null {
     const { teams, zones } = this.platform.facts
-    const team = teams.find((t) => t.name === request.owner)
-    if (team === undefined) return never(`unknown team ${request.owner}`)
+    const team = teams.find((t) => t.name === request.team)
+    if (team === undefined) return never(`unknown team ${request.team}`)
     if (request.cores > team.cpus_max || request.accelerators > team.gpus_max) {
       return never(`a task needs more than the limit of team ${team.name}`)
     }
@@ -164,12 +164,12 @@
     if (catalog === null) return this.later(503, "the machine types aren't known yet")
     const places = new Set<string>()
     for (const type of catalog.values()) {
-      for (const zone of type.sites) {
+      for (const zone of type.zones) {
         if (zones.includes(zone) && allowed(request, { type, zone, spot: false })) places.add(zone)
       }
     }
     if (places.size === 0) return never("a task fits no allowed machine type")
-    if (request.scatter && request.pieces > 1 && (request.together || places.size < 2)) {
+    if (request.spreadZones && request.taskCount > 1 && (request.singleZone || places.size < 2)) {
       return never("its tasks can't be scattered over the allowed zones")
     }
     return null
@@ -177,34 +177,33 @@
 
   // --- polls and cancellations --------------------------------------------------
 
-  private view(id: JobId, found: Found): Outgoing {
+  private view(id: JobId, found: Found): OutgoingResponse {
     if (found.kind === "none") return { status: 404, body: { error: "no such job" } }
-    if (found.kind === "final") return { status: 200, body: { id, status: found.status } satisfies JobView }
-    if (found.record.withdrawn === true)
-      return { status: 200, body: { id, status: "withdrawn" } satisfies JobView }
+    if (found.kind === "final") return { status: 200, body: encodeJobView({ id, status: found.status }) }
+    if (found.record.cancelled) return { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
     const counts = this.desk.counts(id)
     const status = counts.running > 0 ? "running" : "queued"
-    return { status: 200, body: { id, status, ...counts } satisfies JobView }
+    return { status: 200, body: encodeJobView({ id, status, ...counts }) }
   }
 
-  private poll(id: string): Effect.Effect<Outgoing, StateTrouble> {
+  private poll(id: string): Effect.Effect<OutgoingResponse, StoreError> {
     if (!isJobId(id)) return Effect.succeed({ status: 404, body: { error: "no such job" } })
     return Effect.map(this.desk.jobs.find(id), (found) => this.view(id, found))
   }
 
-  private cancel(id: string): Effect.Effect<Outgoing, StateTrouble> {
+  private cancel(id: string): Effect.Effect<OutgoingResponse, StoreError> {
     if (!isJobId(id)) return Effect.succeed({ status: 404, body: { error: "no such job" } })
     return Effect.map(this.desk.jobs.cancel(id), (found) => {
       const cancelled = found.kind === "live"
       return cancelled
-        ? { status: 200, body: { id, status: "withdrawn" } satisfies JobView }
+        ? { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
         : this.view(id, found)
     })
   }
 }
 
-const bad = (error: string): Outgoing => ({ status: 400, body: { error } })
-const never = (error: string): Outgoing => ({ status: 422, body: { error } })
+const bad = (error: string): OutgoingResponse => ({ status: 400, body: { error } })
+const never = (error: string): OutgoingResponse => ({ status: 422, body: { error } })
 const parse = (text: string): unknown => {
   try {
     return JSON.parse(text)
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -1,8 +1,15 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { defaultOperators, type Platform } from "@sorreltally/settings"
-import { type JobRecord, StateTrouble } from "@sorreltally/state"
-import type { Answer, MachineType, Moment, Outgoing, TypeName, WallTime } from "@sorreltally/wire"
+import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/state"
+import type {
+  MachineType,
+  MachineTypeName,
+  MonotonicTime,
+  OutgoingResponse,
+  Respond,
+  WallTime,
+} from "@sorreltally/wire"
 import { Effect } from "effect"
 import { Limiter } from "../src/limiter.ts"
 import { Api, type JobTable } from "../src/users.ts"
@@ -31,7 +38,7 @@
 
 const harness = (options: { readonly catalog?: boolean; readonly down?: boolean } = {}) => {
   const live = new Map<string, JobRecord>()
-  const finals = new Map<string, "done" | "withdrawn">()
+  const finals = new Map<string, FinalStatus>()
   const find = (id: string) => {
     const [status, record] = [finals.get(id), live.get(id)]
     if (status !== undefined) return { kind: "final", status } as const
@@ -39,13 +46,13 @@
   }
   const unlessDown = <A>(answer: () => A) =>
     options.down === true
-      ? Effect.fail(new StateTrouble({ outcome: "refused", status: 503 }))
+      ? Effect.fail(new StoreError({ operation: "get", outcome: "refused", status: 503 }))
       : Effect.sync(answer)
   const jobs: JobTable = {
     find: (id) => unlessDown(() => find(id)),
     accept: (record) =>
       unlessDown(() => {
-        const { id } = record.request
+        const { id } = record.spec
         const found = find(id)
         if (found.kind !== "none") return found
         live.set(id, record)
@@ -54,7 +61,7 @@
     cancel: (id) =>
       unlessDown(() => {
         const found = find(id)
-        if (found.kind === "live") live.set(id, { ...found.record, withdrawn: true })
+        if (found.kind === "live") live.set(id, { ...found.record, cancelled: true })
         return find(id)
       }),
   }
@@ -65,23 +72,26 @@
       state: { value_kb: 4 },
     },
   } as unknown as Platform
-  const type = { name: "g8", cores: 16, accelerators: 0, mem_gb: 64, sites: ["a"] } as unknown as MachineType
+  const type = { name: "g8", cores: 16, accelerators: 0, memGb: 64, zones: ["a"] } as unknown as MachineType
   const desk = {
     ready: () => true,
-    catalog: () => (options.catalog === false ? null : new Map([["g8" as TypeName, type]])),
+    catalog: () => (options.catalog === false ? null : new Map([["g8" as MachineTypeName, type]])),
     jobs,
     counts: () => ({ done: 1, running: 2 }),
-    report: (_: unknown, answer: Answer) => answer({ status: 200, body: {} }),
+    report: (_: unknown, answer: Respond) => answer({ status: 200, body: {} }),
+  }
+  const time = {
+    monotonicNow: () => performance.now() as MonotonicTime,
+    wallNow: () => Date.now() as WallTime,
   }
-  const time = { moment: () => performance.now() as Moment, wall: () => Date.now() as WallTime }
   const api = new Api(platform, defaultOperators(), desk, time)
-  const ask = (method: string, path: string, body: unknown = ""): Promise<Outgoing> =>
+  const ask = (method: string, path: string, body: unknown = ""): Promise<OutgoingResponse> =>
     Effect.runPromise(
       api.handle({ method, path, body: typeof body === "string" ? body : JSON.stringify(body) }),
     )
   return { ask, finals, submit: (body: unknown) => ask("POST", "/v1/jobs", body) }
 }
-const status = async (answer: Promise<Outgoing>) => (await answer).status
+const status = async (answer: Promise<OutgoingResponse>) => (await answer).status
 
 test("a good submission is accepted once and known ever after", async () => {
   const { ask, submit } = harness()
@@ -183,14 +193,16 @@
 test("the limit on requests in progress follows measured times", () => {
   const limiter = new Limiter({ least: 4, most: 64 })
   const work = (ms: number, rounds: number) => {
-    for (let i = 0; i < rounds; i++) limiter.enter(0 as Moment)?.(ms as Moment)
+    for (let i = 0; i < rounds; i++) limiter.enter(0 as MonotonicTime)?.(ms as MonotonicTime)
   }
   work(10, 200)
   const calm = limiter.current
   assert.ok(calm > 30, `grown to ${calm}`)
   work(400, 20)
   assert.ok(limiter.current < calm / 2, `shrunk to ${limiter.current}`)
-  const held = Array.from({ length: 100 }, () => limiter.enter(0 as Moment)).filter((leave) => leave !== null)
+  const held = Array.from({ length: 100 }, () => limiter.enter(0 as MonotonicTime)).filter(
+    (leave) => leave !== null,
+  )
   assert.ok(held.length === limiter.current || held.length === limiter.current + 1, `${held.length} let in`)
-  assert.equal(limiter.enter(0 as Moment), null)
+  assert.equal(limiter.enter(0 as MonotonicTime), null)
 })
--- a/packages/cloud/src/index.ts
+++ b/packages/cloud/src/index.ts
@@ -1,116 +1,154 @@
-import { type Haste, SharedPace } from "@sorreltally/pacing"
+/** Client of the cloud that rents machines (protocol, "Controller nodes -> cloud"). */
+import { type RequestPriority, SharedRateLimit } from "@sorreltally/pacing"
 import {
   type Address,
-  Catalog,
-  Exchange,
-  HireAnswer,
-  type HireRequest,
+  decodeCatalog,
+  decodeMachinePage,
+  decodeRental,
+  encodeDeletion,
+  encodeRentalRequest,
+  HttpClient,
+  type HttpResponse,
   type ListedMachine,
   type MachineId,
-  MachinePage,
   type MachineType,
-  timekeeper,
+  processClocks,
+  type RentalRequest,
 } from "@sorreltally/wire"
-import { Data, Effect, Result, Schema } from "effect"
+import { Data, Effect, Result } from "effect"
 
-/** `unknown`: the request may have been, or may yet be, carried out. */
-export class CloudTrouble extends Data.TaggedError("CloudTrouble")<{
+/** What was asked of the cloud. */
+export type CloudOperation = "catalog" | "rent" | "delete" | "list"
+
+/** The cloud did not do what was asked of it. */
+export class CloudError extends Data.TaggedError("CloudError")<{
+  readonly operation: CloudOperation
+  /** `unknown`: the request may have been, or may yet be, carried out; `refused`: it was not. */
   readonly outcome: "refused" | "unknown"
+  /** HTTP status; 0 without a response. */
   readonly status: number
 }> {}
 
-export type HireOutcome =
+/** What came of a rental request. */
+export type RentalOutcome =
   | { readonly kind: "rented"; readonly machines: ReadonlyArray<MachineId> }
   | { readonly kind: "no-capacity" }
   /** Not wanted any more when its turn came. */
   | { readonly kind: "dropped" }
 
+/** The cloud, as one controller uses it. */
 export interface CloudClient {
-  readonly catalog: Effect.Effect<ReadonlyArray<MachineType>, CloudTrouble>
-  readonly hire: (
-    request: HireRequest,
+  readonly catalog: Effect.Effect<ReadonlyArray<MachineType>, CloudError>
+  /** Rents machines; repeated under the same request id, it rents nothing twice. */
+  readonly rent: (
+    request: RentalRequest,
     stillWanted: () => boolean,
-  ) => Effect.Effect<HireOutcome, CloudTrouble>
+  ) => Effect.Effect<RentalOutcome, CloudError>
   /** Once this succeeds, the machines and all that ran on them are gone. */
-  readonly remove: (machines: ReadonlyArray<MachineId>) => Effect.Effect<void, CloudTrouble>
-  readonly list: Effect.Effect<ReadonlyArray<ListedMachine>, CloudTrouble>
+  readonly remove: (machines: ReadonlyArray<MachineId>) => Effect.Effect<void, CloudError>
+  /** All machines; the list lags. */
+  readonly list: Effect.Effect<ReadonlyArray<ListedMachine>, CloudError>
 }
 
-const decodeCatalog = Schema.decodeUnknownResult(Catalog)
-const decodePage = Schema.decodeUnknownResult(MachinePage)
-const decodeHire = Schema.decodeUnknownResult(HireAnswer)
-
 const TIMEOUT_MS = 3_000
 /** Machines in one page of the list. */
 export const LIST_PAGE = 500
+/** Renting and deleting go first, then the list of machines and the catalog. */
+const CHANGE: RequestPriority = 2
+const READ: RequestPriority = 3
 
+/** A client that shares the cloud's rate limit with `nodes` controllers. */
 export const makeCloudClient = (
   address: Address,
   limits: { readonly rps: number },
   nodes: number,
-): Effect.Effect<CloudClient, never, Exchange> =>
+): Effect.Effect<CloudClient, never, HttpClient> =>
   Effect.gen(function* () {
-    const exchange = yield* Exchange
-    const time = yield* timekeeper
-    // Renting and giving back go first, then the list of machines, then the rest.
-    // The cloud allows bursts worth two seconds: one of them is for the others.
-    const pace = new SharedPace(limits.rps, nodes, limits.rps, time.moment)
-    const send = (method: "GET" | "POST", path: string, body?: unknown) =>
-      exchange.call({ address, method, path, body, timeoutMs: TIMEOUT_MS }).pipe(
-        Effect.mapError(() => new CloudTrouble({ outcome: "unknown", status: 0 })),
-        Effect.tap((reply) =>
+    const httpClient = yield* HttpClient
+    const clocks = yield* processClocks
+    // The cloud allows bursts worth two seconds: one of them is for the other nodes.
+    const rateLimit = new SharedRateLimit({
+      limit: limits.rps,
+      nodes,
+      burst: limits.rps,
+      now: clocks.monotonicNow,
+    })
+    const send = (operation: CloudOperation, method: "GET" | "POST", path: string, body?: unknown) =>
+      httpClient.call({ address, method, path, body, timeoutMs: TIMEOUT_MS }).pipe(
+        Effect.mapError(() => new CloudError({ operation, outcome: "unknown", status: 0 })),
+        Effect.tap((response) =>
           Effect.sync(() => {
-            if (reply.status === 429) pace.refused()
+            if (response.status === 429) rateLimit.rejected()
           }),
         ),
       )
-    const call = (haste: Haste, method: "GET" | "POST", path: string, body?: unknown) =>
-      Effect.andThen(pace.take(1, haste), send(method, path, body))
-    const refuse = (status: number) => Effect.fail(new CloudTrouble({ outcome: "refused", status }))
+    const refused = (operation: CloudOperation, { status }: HttpResponse) =>
+      Effect.fail(new CloudError({ operation, outcome: "refused", status }))
 
-    return {
-      catalog: Effect.flatMap(call(3, "GET", "/catalog"), (reply) => {
-        const decoded = decodeCatalog(reply.body)
-        return reply.status === 200 && Result.isSuccess(decoded)
-          ? Effect.succeed(decoded.success.builds)
-          : refuse(reply.status)
-      }),
-      hire: (request, stillWanted) =>
+    const catalog: CloudClient["catalog"] = Effect.flatMap(
+      Effect.andThen(rateLimit.acquire(1, READ), send("catalog", "GET", "/catalog")),
+      (response) => {
+        const decoded = decodeCatalog(response.body)
+        return response.status === 200 && Result.isSuccess(decoded)
+          ? Effect.succeed(decoded.success)
+          : refused("catalog", response)
+      },
+    )
+
+    const rentalOutcome = (response: HttpResponse): Effect.Effect<RentalOutcome, CloudError> => {
+      const decoded = decodeRental(response.body)
+      if (response.status === 200 && Result.isSuccess(decoded))
+        return Effect.succeed({ kind: "rented", machines: decoded.success })
+      const error = (response.body as { error?: unknown } | null)?.error
+      return response.status === 503 && error === "no capacity"
+        ? Effect.succeed({ kind: "no-capacity" })
+        : refused("rent", response)
+    }
+    const rent: CloudClient["rent"] = (request, stillWanted) =>
+      Effect.andThen(
+        rateLimit.acquire(1, CHANGE),
+        Effect.suspend((): Effect.Effect<RentalOutcome, CloudError> => {
+          if (!stillWanted()) return Effect.succeed({ kind: "dropped" })
+          return Effect.flatMap(
+            send("rent", "POST", "/machines", encodeRentalRequest(request)),
+            rentalOutcome,
+          )
+        }),
+      )
+
+    const remove: CloudClient["remove"] = (machines) =>
+      Effect.flatMap(
         Effect.andThen(
-          pace.take(1, 2),
-          Effect.suspend((): Effect.Effect<HireOutcome, CloudTrouble> => {
-            if (!stillWanted()) return Effect.succeed({ kind: "dropped" })
-            return Effect.flatMap(
-              send("POST", "/machines", request),
-              (reply): Effect.Effect<HireOutcome, CloudTrouble> => {
-                const decoded = decodeHire(reply.body)
-                if (reply.status === 200 && Result.isSuccess(decoded)) {
-                  return Effect.succeed({ kind: "rented", machines: decoded.success.hosts })
-                }
-                const error = (reply.body as { error?: unknown } | null)?.error
-                return reply.status === 503 && error === "no capacity"
-                  ? Effect.succeed({ kind: "no-capacity" })
-                  : refuse(reply.status)
-              },
-            )
-          }),
+          rateLimit.acquire(1, CHANGE),
+          send("delete", "POST", "/machines/delete", encodeDeletion(machines)),
         ),
-      remove: (machines) =>
-        Effect.flatMap(call(2, "POST", "/machines/delete", { hosts: machines }), (reply) =>
-          reply.status === 200 ? Effect.void : refuse(reply.status),
+        (response) => (response.status === 200 ? Effect.void : refused("delete", response)),
+      )
+
+    const readPage = (after: string) =>
+      Effect.flatMap(
+        Effect.andThen(
+          rateLimit.acquire(1, READ),
+          send("list", "GET", `/machines?after=${after}&page=${LIST_PAGE}`),
         ),
-      list: Effect.gen(function* () {
-        const all: Array<ListedMachine> = []
-        let after = ""
-        for (;;) {
-          const reply = yield* call(3, "GET", `/machines?after=${after}&page=${LIST_PAGE}`)
-          const decoded = decodePage(reply.body)
-          if (reply.status !== 200 || !Result.isSuccess(decoded)) return yield* refuse(reply.status)
-          all.push(...decoded.success.hosts)
-          const last = decoded.success.hosts.at(-1)
-          if (!decoded.success.more || last === undefined) return all
-          after = last.id
-        }
-      }),
-    }
+        (response) => {
+          const decoded = decodeMachinePage(response.body)
+          return response.status === 200 && Result.isSuccess(decoded)
+            ? Effect.succeed(decoded.success)
+            : refused("list", response)
+        },
+      )
+    const list: CloudClient["list"] = Effect.gen(function* () {
+      const all: Array<ListedMachine> = []
+      let after = ""
+      for (;;) {
+        const page = yield* readPage(after)
+        all.push(...page.machines)
+        const last = page.machines.at(-1)
+        if (!page.hasMore || last === undefined) return all
+        after = last.id
+      }
+    })
+
+    return { catalog, rent, remove, list }
   })
--- a/packages/controller/src/arrivals.ts
+++ b/packages/controller/src/arrivals.ts
@@ -1,4 +1,4 @@
-import { type ImageName, type Moment, NEVER } from "@sorreltally/wire"
+import { type ImageName, type MonotonicTime, NEVER } from "@sorreltally/wire"
 
 /** Weight of the newest arrival; about the last twenty count. */
 const NEWEST = 0.1
@@ -20,7 +20,7 @@
 
   private readonly recent: Array<ImageName> = []
 
-  learn(cores: number, image: ImageName, now: Moment): void {
+  learn(cores: number, image: ImageName, now: MonotonicTime): void {
     if (this.seen > 0) this.gapMs += Math.max(NEWEST, 1 / (this.seen + 1)) * (now - this.lastAt - this.gapMs)
     this.lastAt = now
     this.recent.push(image)
@@ -35,7 +35,7 @@
     return new Set(this.recent)
   }
   /** One arrival of more than usual size. */
-  reserveCores(now: Moment): number {
+  reserveCores(now: MonotonicTime): number {
     // Once they stop coming, there is nothing to keep room for.
     const overdue = (now - this.lastAt) / Math.max(1, this.gapMs)
     return overdue > OVERDUE ? 0 : this.mean + Math.sqrt(this.variance)
--- a/packages/controller/src/blocks.ts
+++ b/packages/controller/src/blocks.ts
@@ -1,6 +1,22 @@
 import type { Membership } from "@sorreltally/membership"
-import { type BlockRecord, type Change, type Condition, keys, type StateClient } from "@sorreltally/state"
-import { ABSENT, type MachineId, type PartName, type Stamp, type Token } from "@sorreltally/wire"
+import {
+  type BlockMachine,
+  type Condition,
+  keys,
+  type MachineBlock,
+  type Operation,
+  put,
+  remove,
+  type StoreClient,
+  type StoreKey,
+} from "@sorreltally/state"
+import {
+  ABSENT,
+  type FencingToken,
+  type MachineId,
+  type ModRevision,
+  type ShardName,
+} from "@sorreltally/wire"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
 import { ADOPTED, type FleetBook, type Kind, originFor } from "./book.ts"
@@ -8,7 +24,7 @@
 
 export type Edit =
   /** To another part. */
-  | { readonly kind: "move"; readonly to: PartName }
+  | { readonly kind: "move"; readonly to: ShardName }
   /** Only its token rises. */
   | { readonly kind: "fence" }
   /** It was deleted. */
@@ -17,20 +33,20 @@
 interface Queued {
   readonly edit: Edit
   /** The machine's token when this was asked for: every move and fence raises it. */
-  readonly token: Token
+  readonly token: FencingToken
   /** False: the machine wasn't ours any more. */
   readonly settled: (done: boolean) => void
 }
 /** Machines rented by one call, or found in the cloud's list. */
 export interface NewMachines extends Kind {
-  readonly rented: number
+  readonly rentedAt: number
   readonly ids: ReadonlyArray<MachineId>
 }
 interface QueuedMachines extends NewMachines {
   readonly adopted: boolean
   readonly settled: () => void
 }
-type MutableBlock = Map<MachineId, readonly [PartName, Token, number]>
+type MutableBlock = Map<MachineId, BlockMachine>
 
 /** Bytes of one machine in a block, and of a block without machines; generous. */
 const MACHINE_BYTES = 42
@@ -56,10 +72,10 @@
   private removedAt = Number.NEGATIVE_INFINITY
 
   constructor(
-    private readonly part: PartName,
-    private readonly epoch: Stamp,
-    private readonly parts: ReadonlyArray<PartName>,
-    private readonly state: StateClient,
+    private readonly part: ShardName,
+    private readonly epoch: ModRevision,
+    private readonly parts: ReadonlyArray<ShardName>,
+    private readonly state: StoreClient,
     private readonly membership: Membership,
     private readonly book: FleetBook,
     private readonly now: () => number,
@@ -74,7 +90,7 @@
       if (outcome === "open") return
       queued.settled(outcome === "done")
     }
-    this.edits.set(id, { edit, token: entry?.token ?? (0 as Token), settled })
+    this.edits.set(id, { edit, token: entry?.token ?? (0 as FencingToken), settled })
     this.signal.notify()
   }
   /** Guards against an edit that was overtaken standing in the way of what is decided next. */
@@ -83,7 +99,7 @@
     return queued !== undefined && this.outcomeOf(queued, this.book.get(id)) === "open"
   }
   add(machines: NewMachines, adopted: boolean, settled: () => void): void {
-    const most = blockSize(this.state.limits.value_kb)
+    const most = blockSize(this.state.limits.valueKb)
     for (let i = 0; i < machines.ids.length; i += most) {
       const last = i + most >= machines.ids.length
       const ids = machines.ids.slice(i, i + most)
@@ -126,21 +142,21 @@
    */
   private writeFresh() {
     return Effect.gen({ self: this }, function* () {
-      yield* this.state.room(1, 1)
+      yield* this.state.awaitWriteCapacity(1, 1)
       const kind = this.fresh[0]
       if (kind === undefined) return
-      const { adopted, build, site, loaners } = kind
+      const { adopted, machineType, zone, spot } = kind
       const { mirror } = this.membership
-      const when: Array<Condition> = [{ path: keys.part(this.part), stamp: this.epoch }]
+      const when: Array<Condition> = [{ key: keys.shard(this.part), modRevision: this.epoch }]
       const origin = originFor(adopted ? ADOPTED : this.part, kind)
       const last = adopted ? null : this.book.last(origin)
       for (const other of adopted ? this.parts : ([ADOPTED] as const)) {
         const theirs = originFor(other, kind)
         const latest = adopted ? this.book.last(theirs) : null
-        if (latest !== null) when.push({ path: latest.path, stamp: mirror.stamp(latest.path) })
-        when.push({ path: this.book.next(theirs), stamp: ABSENT })
+        if (latest !== null) when.push({ key: latest.path, modRevision: mirror.modRevision(latest.path) })
+        when.push({ key: this.book.next(theirs), modRevision: ABSENT })
       }
-      const most = blockSize(this.state.limits.value_kb)
+      const most = blockSize(this.state.limits.valueKb)
       const batch: Array<QueuedMachines> = []
       const left: Array<readonly [MachineId, number]> = []
       for (const queued of this.fresh) {
@@ -149,21 +165,23 @@
         if (!alike || left.length + queued.ids.length > most) continue
         batch.push(queued)
         for (const id of queued.ids)
-          if (this.book.get(id) === undefined && !this.book.gone.has(id)) left.push([id, queued.rented])
+          if (this.book.get(id) === undefined && !this.book.gone.has(id)) left.push([id, queued.rentedAt])
       }
       if (left.length > 0) {
         const appended = last !== null && last.machines + left.length <= most ? last.path : null
         const path = appended ?? this.book.next(origin)
-        const before = mirror.get<BlockRecord>(path)
-        when.push({ path, stamp: before?.stamp ?? ABSENT })
-        const rented = before?.v.rented ?? Math.min(...left.map(([, at]) => at))
-        const at: MutableBlock = before === null ? new Map() : spread(before.v)
-        for (const [id, since] of left)
-          at.set(id, [this.part, 0 as Token, Math.round((since - rented) / 1000)])
-        const v: BlockRecord = { build, site, loaners, rented, at: gather(at) }
-        const done = yield* Effect.result(this.state.multi(when, [{ set: path, v }], "paid"))
+        const before = mirror.get(path)
+        when.push({ key: path, modRevision: before?.modRevision ?? ABSENT })
+        const rentedAt = before?.value.rentedAt ?? Math.min(...left.map(([, at]) => at))
+        const machines = [...(before?.value.machines ?? [])]
+        for (const [machineId, since] of left) {
+          const rentedAfterS = Math.round((since - rentedAt) / 1000)
+          machines.push({ machineId, shard: this.part, token: 0 as FencingToken, rentedAfterS })
+        }
+        const block: MachineBlock = { machineType, zone, spot, rentedAt, machines }
+        const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        mirror.hint({ path, v, stamp: done.success.epoch })
+        mirror.hint({ key: path, value: block, modRevision: done.success.revision })
       }
       this.fresh = this.fresh.filter((b) => !batch.includes(b))
       for (const { settled } of batch) settled()
@@ -186,15 +204,18 @@
   private writeEdits() {
     return Effect.gen({ self: this }, function* () {
       const urgent = [...this.edits.values()].some(({ edit }) => edit.kind !== "remove")
-      const touched = new Set<string>()
+      const touched = new Set<StoreKey<MachineBlock>>()
       for (const id of this.edits.keys()) {
         const block = this.book.get(id)?.block
-        if (block !== undefined && touched.size < this.state.limits.txn_ops) touched.add(block)
+        if (block !== undefined && touched.size < this.state.limits.maxOperations) touched.add(block)
       }
-      yield* this.state.room(Math.max(1, touched.size), urgent ? 2 : 3)
+      yield* this.state.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
       if (!urgent) this.removedAt = this.now()
       const { mirror } = this.membership
-      const records = new Map<string, { readonly at: MutableBlock; readonly stamp: Stamp }>()
+      const records = new Map<
+        StoreKey<MachineBlock>,
+        { readonly machines: MutableBlock; readonly modRevision: ModRevision }
+      >()
       const written: Array<[MachineId, Queued]> = []
       for (const [id, queued] of [...this.edits]) {
         const entry = this.book.get(id)
@@ -207,53 +228,44 @@
         let record = records.get(entry.block)
         if (record === undefined) {
           if (records.size >= touched.size) continue
-          const block = mirror.get<BlockRecord>(entry.block)
+          const block = mirror.get(entry.block)
           if (block === null) continue
-          record = { at: spread(block.v), stamp: block.stamp }
+          record = { machines: byId(block.value), modRevision: block.modRevision }
           records.set(entry.block, record)
         }
         const { edit } = queued
         // Above every token used for this machine so far, and below every epoch to come.
-        const token = (Math.max(this.epoch, entry.token) + 1) as Token
-        if (edit.kind === "remove") record.at.delete(id)
-        else
-          record.at.set(id, [edit.kind === "move" ? edit.to : this.part, token, record.at.get(id)?.[2] ?? 0])
+        const token = (Math.max(this.epoch, entry.token) + 1) as FencingToken
+        if (edit.kind === "remove") record.machines.delete(id)
+        else {
+          const shard = edit.kind === "move" ? edit.to : this.part
+          const rentedAfterS = record.machines.get(id)?.rentedAfterS ?? 0
+          record.machines.set(id, { machineId: id, shard, token, rentedAfterS })
+        }
         written.push([id, queued])
       }
       if (records.size === 0) return
-      const when: Array<Condition> = [{ path: keys.part(this.part), stamp: this.epoch }]
-      const apply: Array<Change> = []
-      for (const [path, { at, stamp }] of records) {
-        when.push({ path, stamp })
-        const block = mirror.get<BlockRecord>(path)!
-        if (at.size === 0 && !this.book.isLatest(path)) apply.push({ delete: path })
-        else apply.push({ set: path, v: { ...block.v, at: gather(at) } satisfies BlockRecord })
+      const when: Array<Condition> = [{ key: keys.shard(this.part), modRevision: this.epoch }]
+      const apply: Array<Operation> = []
+      for (const [path, { machines, modRevision }] of records) {
+        when.push({ key: path, modRevision })
+        const block = mirror.get(path)!.value
+        if (machines.size === 0 && !this.book.isLatest(path)) apply.push(remove(path))
+        else apply.push(put(path, { ...block, machines: [...machines.values()] }))
       }
-      const done = yield* Effect.result(this.state.multi(when, apply, "paid"))
+      const done = yield* Effect.result(this.state.compareAndSwap(when, apply, "reserved"))
       if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
       const current = written.filter(([id, queued]) => this.edits.get(id) === queued)
       for (const [id] of current) this.edits.delete(id)
-      const stamp = done.success.epoch
+      const modRevision = done.success.revision
       for (const change of apply) {
-        if ("set" in change) mirror.hint({ path: change.set, v: change.v, stamp })
-        else mirror.bury(change.delete, stamp)
+        if (change.kind === "put") mirror.hint({ key: change.key, value: change.value, modRevision })
+        else mirror.bury(change.key, modRevision)
       }
       for (const [, { settled }] of current) settled(true)
     })
   }
 }
 
-const spread = (block: BlockRecord): MutableBlock => {
-  const at: MutableBlock = new Map()
-  for (const [part, machines] of Object.entries(block.at))
-    for (const [id, token, afterS] of machines) at.set(id, [part as PartName, token, afterS])
-  return at
-}
-const gather = (at: MutableBlock): BlockRecord["at"] => {
-  const out: Record<string, Array<[MachineId, Token, number]>> = {}
-  for (const [id, [part, token, afterS]] of at) {
-    out[part] ??= []
-    out[part].push([id, token, afterS])
-  }
-  return out
-}
+const byId = ({ machines }: MachineBlock): MutableBlock =>
+  new Map(machines.map((machine) => [machine.machineId, machine]))
--- a/packages/controller/src/book.ts
+++ b/packages/controller/src/book.ts
@@ -1,6 +1,6 @@
 import type { Mirror } from "@sorreltally/membership"
-import { type BlockRecord, type Entry, keys } from "@sorreltally/state"
-import type { MachineId, PartName, TypeName, WallTime, ZoneName } from "@sorreltally/wire"
+import { type Entry, keys, type MachineBlock, type StoreKey } from "@sorreltally/state"
+import type { MachineId, MachineTypeName, ShardName, WallTime, ZoneName } from "@sorreltally/wire"
 import type { MachineEntry } from "@sorreltally/workers"
 
 export const BLOCKS = "s/block/"
@@ -8,13 +8,13 @@
 export const ADOPTED = "adopted"
 
 export interface Kind {
-  readonly build: TypeName
-  readonly site: ZoneName
-  readonly loaners: boolean
+  readonly machineType: MachineTypeName
+  readonly zone: ZoneName
+  readonly spot: boolean
 }
 /** Blocks are numbered for each part and kind of machine. */
-export const originFor = (by: PartName | typeof ADOPTED, { build, site, loaners }: Kind): string =>
-  `${by}~${build}~${site}~${loaners ? "spot" : "steady"}`
+export const originFor = (by: ShardName | typeof ADOPTED, { machineType, zone, spot }: Kind): string =>
+  `${by}~${machineType}~${zone}~${spot ? "spot" : "steady"}`
 
 export type MachineListener = (id: MachineId, entry: MachineEntry | null) => void
 
@@ -36,7 +36,7 @@
 export class FleetBook {
   private readonly machines = new Map<MachineId, MachineEntry>()
   private readonly inBlock = new Map<string, ReadonlyArray<MachineId>>()
-  private readonly sizes = new Map<PartName, number>()
+  private readonly sizes = new Map<ShardName, number>()
   private readonly latest = new Map<string, number>()
   private readonly listeners = new Set<MachineListener>()
   /** Machines that are off the record; a lagging list may still show them. */
@@ -53,7 +53,7 @@
     return this.machines.values()
   }
   /** How many machines a part has. */
-  size(part: PartName): number {
+  size(part: ShardName): number {
     return this.sizes.get(part) ?? 0
   }
   get total(): number {
@@ -64,14 +64,14 @@
     return () => this.listeners.delete(listener)
   }
   /** The key of the next block of an origin: absent unless somebody was faster. */
-  next(origin: string): string {
-    return keys.block(origin, (this.latest.get(origin) ?? 0) + 1)
+  next(origin: string): StoreKey<MachineBlock> {
+    return keys.machineBlock(origin, (this.latest.get(origin) ?? 0) + 1)
   }
   /** The latest block of an origin, and how many machines it holds. */
-  last(origin: string): { readonly path: string; readonly machines: number } | null {
+  last(origin: string): { readonly path: StoreKey<MachineBlock>; readonly machines: number } | null {
     const n = this.latest.get(origin)
     if (n === undefined) return null
-    const path = keys.block(origin, n)
+    const path = keys.machineBlock(origin, n)
     return { path, machines: this.inBlock.get(path)?.length ?? 0 }
   }
   /**
@@ -89,24 +89,14 @@
     const now: Array<MachineId> = []
     if (entry === null) this.inBlock.delete(path)
     else {
-      const { at, build, site, loaners, rented } = entry.v as BlockRecord
-      for (const [part, machines] of Object.entries(at)) {
-        for (const [id, token, afterS] of machines) {
-          now.push(id)
-          const known = this.machines.get(id)
-          if (known !== undefined && known.part === part && known.token === token) continue
-          const fresh: MachineEntry = {
-            id,
-            block: path,
-            part: part as PartName,
-            token,
-            build,
-            site,
-            loaners,
-            rented: (rented + 1000 * afterS) as WallTime,
-          }
-          this.put(fresh, known)
-        }
+      const block = path as StoreKey<MachineBlock>
+      const { machines, machineType, zone, spot, rentedAt } = entry.value as MachineBlock
+      for (const { machineId: id, shard, token, rentedAfterS } of machines) {
+        now.push(id)
+        const known = this.machines.get(id)
+        if (known !== undefined && known.part === shard && known.token === token) continue
+        const rented = (rentedAt + 1000 * rentedAfterS) as WallTime
+        this.put({ id, block, part: shard, token, machineType, zone, spot, rentedAt: rented }, known)
       }
       this.inBlock.set(path, now)
     }
@@ -127,7 +117,7 @@
     this.machines.set(entry.id, entry)
     for (const listener of this.listeners) listener(entry.id, entry)
   }
-  private count(part: PartName, by: number): void {
+  private count(part: ShardName, by: number): void {
     this.sizes.set(part, (this.sizes.get(part) ?? 0) + by)
   }
 }
--- a/packages/controller/src/command-relay.ts
+++ b/packages/controller/src/command-relay.ts
@@ -2,140 +2,130 @@
  * Commands to workers, sent by the node that a worker reports to where its owner is busy. A command costs
  * its sender a client request and often a connection, by far more than a line in a message between nodes.
  */
-import type { PeerChannel } from "@sorreltally/peers"
+import {
+  type CommandResult,
+  type CommandResults,
+  type ForwardedCommand,
+  type ForwardedCommands,
+  NOT_SENT,
+  type PeerChannel,
+} from "@sorreltally/peers"
 import {
   type Address,
+  type Clocks,
   type CommandBatch,
   decodeHeartbeat,
-  type Exchange,
   encodeCommandBatch,
-  type Heartbeat,
-  NOT_SENT,
+  type HttpClient,
   type NodeName,
-  packReport,
-  type RelayedCommand,
-  type RelayedCommands,
-  type RelayedReplies,
-  type RelayedReply,
-  type Timekeeper,
-  unpackReport,
   type WireCommandBatch,
 } from "@sorreltally/wire"
-import { Effect, Result } from "effect"
+import { Effect, Option, Result } from "effect"
 import type { InFlight } from "./in-flight.ts"
 import { type ForLife, Outbox, ofLife } from "./outbox.ts"
 
-const CALL_TIMEOUT_MS = 3_000
+const COMMAND_TIMEOUT_MS = 3_000
 /** What the node that sends a command for another takes besides, there and back. */
-const RELAY_MS = 500
+const FORWARDING_MS = 500
 const GATHER_MS = 10
 
-/** What came of commands to one worker. */
-export interface CommandReply {
-  /** 0: no answer, it may have been carried out, or may be yet; `NOT_SENT`: it surely was not. */
-  readonly status: number
-  /** The worker's report after the commands, or instead of them. */
-  readonly heartbeat: Heartbeat | null
-}
-const NO_REPLY: CommandReply = { status: 0, heartbeat: null }
+/** What came of commands to one worker; status 0: no answer, they may have been carried out, or may be yet. */
+export type CommandOutcome = Omit<CommandResult, "id">
+const NO_ANSWER: CommandOutcome = { status: 0, heartbeat: null }
 
-interface Waiting {
-  readonly resume: (reply: CommandReply) => void
+/** What the forwarding of commands needs of its node. */
+export interface CommandForwarderOptions {
+  readonly peers: PeerChannel
+  readonly httpClient: HttpClient["Service"]
+  /** Commands under way from this node. */
+  readonly inFlight: InFlight
+  readonly clocks: Clocks
+  /** By how much the nodes' times of day may differ. */
+  readonly clockSkewMs: number
+  readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
-export class CommandRelay {
-  private readonly waiting = new Map<number, Waiting>()
-  private readonly commands: Outbox<RelayedCommand>
-  private readonly replies: Outbox<ForLife<RelayedReply>>
+/** Sends commands to workers, directly or through another node. */
+export class CommandForwarder {
+  private readonly waiting = new Map<number, (outcome: CommandOutcome) => void>()
+  private readonly commands: Outbox<ForwardedCommand>
+  private readonly results: Outbox<ForLife<CommandResult>>
   /** Lives of the nodes for which we send commands. */
   private readonly lives = new Map<NodeName, number>()
   private readonly life: number
   private count = 0
 
-  constructor(
-    private readonly peers: PeerChannel,
-    private readonly exchange: Exchange["Service"],
-    /** Commands under way from this node. */
-    private readonly underWay: InFlight,
-    private readonly time: Timekeeper,
-    private readonly clocksOffMs: number,
-    private readonly fork: (effect: Effect.Effect<unknown>) => void,
-  ) {
-    this.life = Math.floor(time.wall())
-    const sendCommands = (to: NodeName, commands: ReadonlyArray<RelayedCommand>) => {
-      const letter: RelayedCommands = { life: this.life, at: time.wall(), commands }
-      peers.tell("commands", letter, to)
-    }
-    const sendReplies = (to: NodeName, replies: ReadonlyArray<ForLife<RelayedReply>>) => {
-      const life = this.lives.get(to) ?? 0
-      const letter: RelayedReplies = { life, replies: ofLife(replies, life) }
-      peers.tell("replies", letter, to)
+  constructor(private readonly options: CommandForwarderOptions) {
+    const { clocks, peers, fork } = options
+    this.life = Math.floor(clocks.wallNow())
+    const sendCommands = (to: NodeName, commands: ReadonlyArray<ForwardedCommand>) =>
+      peers.send({ kind: "commands", senderLife: this.life, sentAt: clocks.wallNow(), commands }, to)
+    const sendResults = (to: NodeName, results: ReadonlyArray<ForLife<CommandResult>>) => {
+      const recipientLife = this.lives.get(to) ?? 0
+      peers.send({ kind: "commandResults", recipientLife, results: ofLife(results, recipientLife) }, to)
     }
     this.commands = new Outbox(GATHER_MS, sendCommands, fork)
-    this.replies = new Outbox(GATHER_MS, sendReplies, fork)
+    this.results = new Outbox(GATHER_MS, sendResults, fork)
   }
 
   /** Sends commands to a worker, through another node if one is named and heard. */
-  send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandReply> {
+  send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandOutcome> {
     const body = encodeCommandBatch(batch)
-    const through = via !== null && this.peers.hears(via) ? via : null
-    return this.underWay.within(
-      through === null ? this.call(address, body) : this.ask(through, address, body),
+    const through = via !== null && this.options.peers.hears(via) ? via : null
+    return this.options.inFlight.within(
+      through === null ? this.call(address, body) : this.forward(through, address, body),
     )
   }
-  private call(address: Address, body: WireCommandBatch): Effect.Effect<CommandReply> {
-    const call = { address, method: "POST", path: "/orders", body, timeoutMs: CALL_TIMEOUT_MS } as const
-    return Effect.map(Effect.result(this.exchange.call(call)), (reply): CommandReply => {
-      if (Result.isFailure(reply)) return NO_REPLY
-      const heartbeat = decodeHeartbeat(reply.success.body)
-      return {
-        status: reply.success.status,
-        heartbeat: Result.isSuccess(heartbeat) ? heartbeat.success : null,
-      }
+  private call(address: Address, body: WireCommandBatch): Effect.Effect<CommandOutcome> {
+    const request = { address, method: "POST", path: "/orders", body, timeoutMs: COMMAND_TIMEOUT_MS } as const
+    return Effect.map(Effect.result(this.options.httpClient.call(request)), (response): CommandOutcome => {
+      if (Result.isFailure(response)) return NO_ANSWER
+      const heartbeat = Result.getOrElse(decodeHeartbeat(response.success.body), () => null)
+      return { status: response.success.status, heartbeat }
     })
   }
-  private ask(via: NodeName, address: Address, body: WireCommandBatch): Effect.Effect<CommandReply> {
-    return Effect.callback<CommandReply>((resume) => {
-      const n = ++this.count
-      this.waiting.set(n, { resume: (reply) => resume(Effect.succeed(reply)) })
-      this.commands.put(via, [n, address, body.baton, body.tenure, body.orders])
-      return Effect.sync(() => this.waiting.delete(n))
+  private forward(via: NodeName, address: Address, batch: WireCommandBatch): Effect.Effect<CommandOutcome> {
+    return Effect.callback<CommandOutcome>((resume) => {
+      const id = ++this.count
+      this.waiting.set(id, (outcome) => resume(Effect.succeed(outcome)))
+      this.commands.put(via, { id, address, batch })
+      return Effect.sync(() => this.waiting.delete(id))
     }).pipe(
-      Effect.timeoutOption(CALL_TIMEOUT_MS + RELAY_MS),
-      Effect.map((reply) => (reply._tag === "Some" ? reply.value : NO_REPLY)),
+      Effect.timeoutOption(COMMAND_TIMEOUT_MS + FORWARDING_MS),
+      Effect.map(Option.getOrElse(() => NO_ANSWER)),
     )
   }
 
   /** Another node's commands, to be sent to workers that report here. */
-  receivedCommands(from: NodeName, { life, at, commands }: RelayedCommands): void {
-    this.lives.set(from, life)
-    const wall = this.time.wall()
+  receivedCommands(from: NodeName, { senderLife, sentAt, commands }: ForwardedCommands): void {
+    const { clocks, clockSkewMs, inFlight, fork } = this.options
+    this.lives.set(from, senderLife)
+    const ageMs = clocks.wallNow() - sentAt
     // Its sender has given up on what is older, and has sent other commands since.
-    const tooOld = wall - at > CALL_TIMEOUT_MS + 2 * this.clocksOffMs
-    for (const [n, address, baton, tenure, orders] of commands) {
-      if (tooOld || this.underWay.full) this.replies.put(from, { life, item: [n, NOT_SENT, null] })
-      else this.fork(this.sendFor(from, life, n, address, { baton, tenure, orders }))
+    const tooOld = ageMs > COMMAND_TIMEOUT_MS + 2 * clockSkewMs
+    for (const command of commands) {
+      if (!tooOld && !inFlight.full) fork(this.sendFor(from, senderLife, command))
+      else
+        this.results.put(from, { life: senderLife, item: { ...NO_ANSWER, id: command.id, status: NOT_SENT } })
     }
   }
   private sendFor(
     from: NodeName,
     life: number,
-    n: number,
-    address: Address,
-    body: WireCommandBatch,
+    { id, address, batch }: ForwardedCommand,
   ): Effect.Effect<void> {
-    return Effect.map(this.underWay.within(this.call(address, body)), ({ status, heartbeat }) =>
-      this.replies.put(from, { life, item: [n, status, heartbeat === null ? null : packReport(heartbeat)] }),
+    return Effect.map(this.options.inFlight.within(this.call(address, batch)), (outcome) =>
+      this.results.put(from, { life, item: { id, ...outcome } }),
     )
   }
   /** What came of commands that another node sent for us. */
-  receivedReplies({ life, replies }: RelayedReplies): void {
-    // A reply meant for an earlier life of this process is nobody's.
-    if (life !== this.life) return
-    for (const [n, status, report] of replies) {
-      const waiting = this.waiting.get(n)
-      this.waiting.delete(n)
-      waiting?.resume({ status, heartbeat: report === null ? null : unpackReport(report) })
+  receivedResults({ recipientLife, results }: CommandResults): void {
+    // A result meant for an earlier life of this process is nobody's.
+    if (recipientLife !== this.life) return
+    for (const { id, ...outcome } of results) {
+      const resume = this.waiting.get(id)
+      this.waiting.delete(id)
+      resume?.(outcome)
     }
   }
 }
--- a/packages/controller/src/commits.ts
+++ b/packages/controller/src/commits.ts
@@ -1,8 +1,8 @@
 import { type Draft, type JobState, Ledger, type Placement } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import { byLoad } from "@sorreltally/pacing"
-import { type Change, type Condition, keys, type SlotRecord, type StateClient } from "@sorreltally/state"
-import { ABSENT, later, type Moment, NEVER, type PartName, type Stamp } from "@sorreltally/wire"
+import { interpolateByLoad } from "@sorreltally/pacing"
+import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/state"
+import { ABSENT, addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import { Signal } from "./signal.ts"
 
@@ -33,9 +33,9 @@
 
 /** The pages of the job table that hold these jobs, as they were when the jobs were last heard of. */
 export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
-  const pages = new Map<string, Stamp>()
+  const pages = new Map<string, ModRevision>()
   for (const { page, stamp } of jobs) pages.set(page, stamp)
-  return [...pages].map(([path, stamp]) => ({ path, stamp }))
+  return [...pages].map(([path, stamp]) => ({ key: path, modRevision: stamp }))
 }
 
 /** Writes down what became of one part's tasks: starts at once, finishes by the way. */
@@ -43,21 +43,21 @@
   readonly ledger: Ledger
   private readonly starts = new Set<Placement>()
   private readonly finishing = new Set<JobState>()
-  private finishingSince: Moment = NEVER
-  private wroteAt: Moment = NEVER
+  private finishingSince: MonotonicTime = NEVER
+  private wroteAt: MonotonicTime = NEVER
   private inFlight: ReadonlySet<Placement> = new Set()
   private readonly signal = new Signal()
 
   constructor(
-    private readonly part: PartName,
-    private readonly epoch: Stamp,
-    private readonly state: StateClient,
+    private readonly part: ShardName,
+    private readonly epoch: ModRevision,
+    private readonly state: StoreClient,
     private readonly membership: Membership,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
     private readonly events: CommitEvents,
   ) {
-    this.ledger = new Ledger(state.limits.value_kb)
+    this.ledger = new Ledger(state.limits.valueKb)
   }
 
   place(placement: Placement): void {
@@ -93,22 +93,22 @@
     ),
   )
   private finishesDue(): boolean {
-    return this.finishing.size > 0 && this.now() > later(this.finishingSince, FINISHES_WAIT_MS)
+    return this.finishing.size > 0 && this.now() > addMs(this.finishingSince, FINISHES_WAIT_MS)
   }
   private get partCondition(): Condition {
-    return { path: keys.part(this.part), stamp: this.epoch }
+    return { key: keys.shard(this.part), modRevision: this.epoch }
   }
   private get mostConditions(): number {
-    return 4 * this.state.limits.txn_ops
+    return 4 * this.state.limits.maxOperations
   }
 
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
       // What becomes ready while this waits for its turn goes along.
-      const share = byLoad(this.state.load(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
-      const pauseMs = later(this.wroteAt, 1000 / (share * this.state.limits.write_rps)) - this.now()
+      const share = interpolateByLoad(this.state.writeLoad(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
+      const pauseMs = addMs(this.wroteAt, 1000 / (share * this.state.limits.writesPerSecond)) - this.now()
       if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.state.room(1, 2)
+      yield* this.state.awaitWriteCapacity(1, 2)
       this.wroteAt = this.now()
       for (const placement of this.starts) {
         if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
@@ -129,27 +129,33 @@
   private write(draft: Draft) {
     return Effect.gen({ self: this }, function* () {
       const path = keys.slot(this.part, draft.slot)
-      const when = [this.partCondition, { path, stamp: draft.before }, ...pageConditions(draft.jobs)]
-      const apply: Array<Change> = [{ set: path, v: draft.record }]
+      const when = [
+        this.partCondition,
+        { key: path, modRevision: draft.before },
+        ...pageConditions(draft.jobs),
+      ]
+      const apply: Array<Operation> = [put(path, draft.record)]
       for (let tries = 0; ; tries++) {
-        const done = yield* Effect.result(this.state.multi(when, apply, tries === 0 ? "paid" : 2))
-        if (Result.isSuccess(done) && done.success.ok) return this.saved(draft, done.success.epoch)
+        const done = yield* Effect.result(
+          this.state.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
+        )
+        if (Result.isSuccess(done) && done.success.ok) return this.saved(draft, done.success.revision)
         if (Result.isFailure(done) && done.failure.outcome === "refused" && tries === 0) {
           yield* Effect.sleep(PAUSE_MS)
           return this.dropped(draft, draft.before)
         }
         // Without an answer it may have been written, or may yet be: as long
         // as that isn't known, only the very same write is tried again.
-        const failed = Result.isSuccess(done) && !done.success.ok ? done.success.failed : null
+        const failed = Result.isSuccess(done) && !done.success.ok ? done.success.failedKeys : null
         const read = yield* Effect.result(this.state.get(path))
         if (Result.isFailure(read)) {
           yield* Effect.sleep(PAUSE_MS)
           continue
         }
-        const stamp = read.success?.stamp ?? ABSENT
-        const [epoch, write] = (read.success?.v as SlotRecord | undefined)?.w ?? []
-        const [ourEpoch, ourWrite] = draft.record.w
-        if (epoch === ourEpoch && write === ourWrite) return this.saved(draft, stamp)
+        const stamp = read.success?.modRevision ?? ABSENT
+        const written = read.success?.value.write
+        const { epoch, number } = draft.record.write
+        if (written?.epoch === epoch && written.number === number) return this.saved(draft, stamp)
         if (failed === null) continue
         // A condition failed, and will fail for every late copy of it as well.
         yield* Effect.result(this.membership.freshness.since)
@@ -157,11 +163,11 @@
       }
     })
   }
-  private saved(draft: Draft, stamp: Stamp): void {
+  private saved(draft: Draft, stamp: ModRevision): void {
     this.ledger.saved(draft, stamp)
     this.events.durable(draft.starts)
   }
-  private dropped(draft: Draft, stamp: Stamp): void {
+  private dropped(draft: Draft, stamp: ModRevision): void {
     this.ledger.dropped(draft, stamp)
     for (const placement of draft.starts) {
       // What a draft only repeated of an older slot is durable there, and may
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,51 +1,53 @@
 import type { CloudClient } from "@sorreltally/cloud"
 import { DEADLINE, type Host, Membership, partOf } from "@sorreltally/membership"
-import type { PeerChannel } from "@sorreltally/peers"
-import type { Wants } from "@sorreltally/planner"
+import type {
+  ForwardedHeartbeats,
+  MachineHandoffMessage,
+  NodeLoad,
+  PeerChannel,
+  PeerMessage,
+  PublishedDemand,
+  TaskCounts,
+} from "@sorreltally/peers"
+import type { ShardDemand } from "@sorreltally/planner"
 import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
-import type { Entry, StateClient } from "@sorreltally/state"
+import type { Entry, StoreClient } from "@sorreltally/state"
 import {
-  type Answer,
-  Exchange,
+  addMs,
+  type Clocks,
   encodeRedirect,
   type Heartbeat,
-  type HireName,
+  HttpClient,
   type JobId,
-  type JobRequest,
+  type JobSpec,
   type ListedMachine,
   type Log,
-  later,
   type MachineId,
   type MachineType,
+  type MachineTypeName,
+  type ModRevision,
   type NodeName,
-  type Outgoing,
-  type PartName,
-  type RelayedAnswers,
-  type RelayedCommands,
-  type RelayedReplies,
-  type RelayedReports,
-  type RepeatedReport,
-  type Stamp,
-  type Timekeeper,
-  type TypeName,
-  timekeeper,
-  type ZoneName,
+  type OutgoingResponse,
+  processClocks,
+  type RentalRequestId,
+  type Respond,
+  type ShardName,
 } from "@sorreltally/wire"
-import type { Introduction } from "@sorreltally/workers"
+import type { MachineHandoff, RepeatedHeartbeat } from "@sorreltally/workers"
 import { Cause, Effect, Fiber } from "effect"
 import { FleetBook } from "./book.ts"
-import { CommandRelay } from "./command-relay.ts"
+import { CommandForwarder } from "./command-relay.ts"
 import type { EngineContext } from "./context.ts"
 import { PartEngine } from "./engine.ts"
 import { Estimates } from "./estimates.ts"
 import { Fleet } from "./fleet.ts"
 import { InFlight } from "./in-flight.ts"
 import { JobBook } from "./job-book.ts"
-import { JobProgress, type ProgressMessage, type TaskCounts } from "./job-progress.ts"
+import { JobProgress } from "./job-progress.ts"
 import { JobTable } from "./job-table.ts"
-import { type NodeLoad, NodeLoads } from "./node-loads.ts"
-import { PartWants, type ToldWants } from "./part-wants.ts"
-import { Relays } from "./relays.ts"
+import { NodeLoads } from "./node-loads.ts"
+import { DemandRegistry } from "./part-wants.ts"
+import { HeartbeatForwarder } from "./relays.ts"
 import { ReportSharing } from "./report-sharing.ts"
 import { Signal } from "./signal.ts"
 
@@ -55,16 +57,7 @@
 /** Without the leader's list for this long, a node asks the cloud itself. */
 const LISTS_ITSELF_MS = 12_000
 
-type Introductions = ReadonlyArray<readonly [MachineId, Introduction]>
-/** Machines that changed hands, and the record that says so. */
-interface ToldMachines {
-  readonly part: PartName
-  readonly block: Entry
-  readonly machines: Introductions
-}
-/** The cloud's list, as the leader hands it on. */
-type ToldList = ReadonlyArray<readonly [MachineId, string, ZoneName]>
-const LATER: Outgoing = { status: 503, body: {} }
+const LATER: OutgoingResponse = { status: 503, body: {} }
 
 /** One controller: its parts' engines, and what they share. */
 export class Controller {
@@ -76,16 +69,16 @@
   readonly jobTable: JobTable
   private readonly progress: JobProgress
   private readonly engines = new Map<
-    PartName,
+    ShardName,
     { readonly engine: PartEngine; readonly fiber: Fiber.Fiber<unknown> }
   >()
-  private readonly relays: Relays
+  private readonly heartbeatForwarder: HeartbeatForwarder
   private readonly loads: NodeLoads
   private readonly sharing: ReportSharing
   private readonly estimates = new Estimates()
   private readonly commands: InFlight
-  private readonly commandRelay: CommandRelay
-  private readonly wants: PartWants
+  private readonly commandForwarder: CommandForwarder
+  private readonly wants: DemandRegistry
   private readonly wantsChanged = new Signal()
   private hires = 0
 
@@ -93,11 +86,11 @@
     private readonly platform: Platform,
     private readonly operators: Operators,
     private readonly nodes: ReadonlyArray<NodeName>,
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     private readonly cloud: CloudClient,
-    private readonly exchange: Exchange["Service"],
+    private readonly exchange: HttpClient["Service"],
     private readonly peers: PeerChannel,
-    private readonly time: Timekeeper,
+    private readonly time: Clocks,
     private readonly log: Log,
     private readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>,
   ) {
@@ -117,22 +110,34 @@
       },
       state,
       host,
-      time.moment,
+      time.monotonicNow,
       log,
       fork,
     )
     this.book = new FleetBook(this.membership.mirror)
     const { time_bound_ms, machine_limits, workers } = platform.facts
-    this.relays = new Relays(peers, time, time_bound_ms, fork)
-    this.commandRelay = new CommandRelay(peers, exchange, this.commands, time, time_bound_ms, fork)
+    this.heartbeatForwarder = new HeartbeatForwarder({
+      peers,
+      clocks: time,
+      clockSkewMs: time_bound_ms,
+      fork,
+    })
+    this.commandForwarder = new CommandForwarder({
+      peers,
+      httpClient: exchange,
+      inFlight: this.commands,
+      clocks: time,
+      clockSkewMs: time_bound_ms,
+      fork,
+    })
     this.loads = new NodeLoads(peers, time, state, () => this.load())
     this.sharing = new ReportSharing(time, machine_limits.cores, workers.report_s, () => this.loads.takers())
     this.book.listen((id, entry) => {
       if (entry !== null) return
-      this.relays.forget(id)
+      this.heartbeatForwarder.forget(id)
       this.sharing.forget(id)
     })
-    this.wants = new PartWants(time)
+    this.wants = new DemandRegistry(time)
     this.progress = new JobProgress(peers, () => this.ownCounts())
     this.jobBook = new JobBook(this.membership.mirror)
     this.jobBook.listen((id, job) => {
@@ -148,7 +153,7 @@
       cloud,
       state,
       this.membership.mirror,
-      time.moment,
+      time.monotonicNow,
       operators.provisioning["refusal-memory-s"],
       platform.facts.cloud.rps,
       () => this.lists(),
@@ -163,14 +168,14 @@
         this.fleet.run,
         this.tellWants(),
         this.progress.tellOthers,
-        this.peers.serve((kind, body, from) => this.receive(kind, body, from)),
+        this.peers.serve((message, from) => this.receive(message, from)),
         this.loads.run,
       ],
       { concurrency: "unbounded", discard: true },
     ),
   )
 
-  private gained(part: PartName, epoch: Stamp): void {
+  private gained(part: ShardName, epoch: ModRevision): void {
     const context: EngineContext = {
       platform: this.platform,
       operators: this.operators,
@@ -179,7 +184,7 @@
       cloud: this.cloud,
       exchange: this.exchange,
       commands: this.commands,
-      commandRelay: this.commandRelay,
+      commandForwarder: this.commandForwarder,
       membership: this.membership,
       fleet: this.fleet,
       book: this.book,
@@ -193,7 +198,7 @@
       ended: (ends) => this.progress.ended(ends),
       foldJobs: (page) => this.jobTable.fold(page),
       nextHire: () =>
-        `${this.membership.incarnation() ?? this.platform.node_name}-${++this.hires}` as HireName,
+        `${this.membership.incarnation() ?? this.platform.node_name}-${++this.hires}` as RentalRequestId,
       fork: this.fork,
     }
     const engine = new PartEngine(part, epoch, context)
@@ -210,7 +215,7 @@
     )
     this.engines.set(part, { engine, fiber: this.fork(guarded) })
   }
-  private lost(part: PartName): void {
+  private lost(part: ShardName): void {
     const held = this.engines.get(part)
     if (held === undefined) return
     this.engines.delete(part)
@@ -223,18 +228,20 @@
   /** The leader lists for all; without a word from it, every node that has machines does. */
   private lists(): boolean {
     if (this.engines.has(DEADLINE)) return true
-    const waited = this.time.moment() > later(this.fleet.listedAt, LISTS_ITSELF_MS)
+    const waited = this.time.monotonicNow() > addMs(this.fleet.listedAt, LISTS_ITSELF_MS)
     return waited && [...this.engines.values()].some(({ engine }) => engine.machines.size > 0)
   }
   private shareList(list: ReadonlyArray<ListedMachine>): void {
     if (!this.engines.has(DEADLINE)) return
-    const told: ToldList = list.map((m) => [m.id, m.status, m.site])
-    this.peers.tell("list", told)
+    this.peers.send({
+      kind: "machineList",
+      machines: list.map(({ id, status, zone }) => ({ id, status, zone })),
+    })
   }
 
   // --- between the parts ------------------------------------------------------
 
-  private publish(part: PartName, wants: Wants): void {
+  private publish(part: ShardName, wants: ShardDemand): void {
     const change = this.wants.change(part, wants)
     if (change === "none") return
     this.wantsChanged.notify()
@@ -246,16 +253,18 @@
       for (;;) {
         yield* Effect.sleep(WANTS_EVERY_MS)
         yield* this.wantsChanged.wait(WANTS_AGAIN_MS - WANTS_EVERY_MS)
-        const own = [...this.engines.keys()].map((part): ToldWants => ({ part, wants: this.wants.of(part) }))
+        const own = [...this.engines.keys()].map(
+          (part): PublishedDemand => ({ shard: part, demand: this.wants.of(part) }),
+        )
         if (own.length === 0) continue
         // Whoever has no machines can lend none, and quota is asked for only when it lacks.
-        const mine = own.reduce((sum, { part }) => sum + this.book.size(part), 0)
-        if (mine === this.book.total && own.every(({ wants }) => wants.quotas.length === 0)) continue
-        this.peers.tell("wants", own)
+        const mine = own.reduce((sum, { shard: part }) => sum + this.book.size(part), 0)
+        if (mine === this.book.total && own.every(({ demand: wants }) => wants.quotas.length === 0)) continue
+        this.peers.send({ kind: "demand", demands: own })
       }
     })
   }
-  private introduce(part: PartName, id: MachineId, by: Introduction | null): void {
+  private introduce(part: ShardName, id: MachineId, by: MachineHandoff | null): void {
     if (by === null) return
     const own = this.engines.get(part)
     if (own !== undefined) return own.engine.introduced(id, by)
@@ -264,8 +273,8 @@
     if (owner === null || block === undefined) return
     const entry = this.membership.mirror.get(block)
     if (entry === null) return
-    const told: ToldMachines = { part, block: { path: block, ...entry }, machines: [[id, by]] }
-    this.peers.tell("machines", told, owner)
+    const machines = [{ machineId: id, handoff: by }]
+    this.peers.send({ kind: "machineHandoff", shard: part, block: entry, machines }, owner)
   }
 
   private *ownCounts(): Iterable<TaskCounts> {
@@ -275,7 +284,7 @@
   // --- workers --------------------------------------------------------------
 
   /** Answers a worker that reports to this node, at once or as soon as there is something to say. */
-  report(body: Heartbeat, answer: Answer): void {
+  report(body: Heartbeat, answer: Respond): void {
     this.sharing.came()
     const part = this.partOfMachine(body.machineId)
     const own = this.engines.get(part)
@@ -288,8 +297,8 @@
     if (own !== undefined) return own.engine.report(body, null, answer)
     // An owner that no node reaches may still be reached by its workers.
     if (!this.loads.sharesReports(owner) || !this.peers.reaches(owner))
-      return this.relays.passOn(body, owner, answer)
-    this.relays.relay(body, owner, answer)
+      return this.heartbeatForwarder.redirect(body, owner, answer)
+    this.heartbeatForwarder.forward(body, owner, answer)
   }
   /** The node that this worker should report to instead, where an owner shares its workers' reports. */
   private reportsElsewhere({ machineId }: Heartbeat, owner: NodeName): NodeName | null {
@@ -300,56 +309,62 @@
     let machines = 0
     for (const { engine } of this.engines.values()) machines += engine.machines.size
     return {
-      well: this.well(),
-      changes: this.state.usage(),
-      reports: this.sharing.reportsPerSecond,
-      sharesReports: this.sharing.owns(machines),
+      healthy: this.well(),
+      writesPerSecond: this.state.writeRate(),
+      heartbeatsPerSecond: this.sharing.reportsPerSecond,
+      sharesHeartbeats: this.sharing.owns(machines),
     }
   }
 
   /** A machine that nobody has on record is the leader's to adopt. */
-  private partOfMachine(machine: MachineId): PartName {
+  private partOfMachine(machine: MachineId): ShardName {
     return this.book.get(machine)?.part ?? DEADLINE
   }
 
-  /** Takes in what another node tells. */
-  private receive(kind: string, body: unknown, from: NodeName): void {
-    if (kind === "reports") return this.takeReports(from, body as RelayedReports)
-    if (kind === "answers") return this.relays.receivedAnswers(body as RelayedAnswers)
-    if (kind === "commands") return this.commandRelay.receivedCommands(from, body as RelayedCommands)
-    if (kind === "replies") return this.commandRelay.receivedReplies(body as RelayedReplies)
-    if (kind === "list") return this.takeList(body as ToldList)
-    if (kind === "load") return this.loads.received(from, body as NodeLoad)
-    if (kind === "job") return this.membership.mirror.hint(body as Entry)
-    if (kind === "wants") return this.takeWants(body as ReadonlyArray<ToldWants>)
-    if (kind === "machines") return this.takeMachines(body as ToldMachines)
-    if (kind === "counts") return this.progress.received(body as ProgressMessage)
+  /** Takes in a message from another node. */
+  private receive(message: PeerMessage, from: NodeName): void {
+    switch (message.kind) {
+      case "heartbeats":
+        return this.receiveHeartbeats(from, message)
+      case "heartbeatReplies":
+        return this.heartbeatForwarder.receivedReplies(message)
+      case "commands":
+        return this.commandForwarder.receivedCommands(from, message)
+      case "commandResults":
+        return this.commandForwarder.receivedResults(message)
+      case "machineList":
+        // It was asked for a moment ago; as the list itself lags by seconds, that is near enough.
+        return this.fleet.take(message.machines, this.time.monotonicNow())
+      case "nodeLoad":
+        return this.loads.received(from, message.load)
+      case "jobChanged":
+        return this.membership.mirror.hint(message.page)
+      case "demand":
+        return this.receiveDemand(message.demands)
+      case "machineHandoff":
+        return this.receiveHandoff(message)
+      case "jobProgress":
+        return this.progress.received(message)
+    }
   }
-  private takeReports(from: NodeName, letter: RelayedReports): void {
+  private receiveHeartbeats(from: NodeName, message: ForwardedHeartbeats): void {
     const engineOf = (machine: MachineId) => this.engines.get(this.partOfMachine(machine))?.engine
-    const take = (report: Heartbeat, answer: Answer) => {
-      const engine = engineOf(report.machineId)
-      if (engine === undefined) answer(LATER)
-      else engine.report(report, from, answer)
+    const take = (heartbeat: Heartbeat, respond: Respond) => {
+      const engine = engineOf(heartbeat.machineId)
+      if (engine === undefined) respond(LATER)
+      else engine.report(heartbeat, from, respond)
     }
-    const whole = (repeat: RepeatedReport) => engineOf(repeat.machineId)?.repeated(repeat) ?? null
-    this.relays.receivedReports(from, letter, take, whole)
+    const whole = (repeat: RepeatedHeartbeat) => engineOf(repeat.machineId)?.repeated(repeat) ?? null
+    this.heartbeatForwarder.receivedHeartbeats(from, message, take, whole)
   }
-  private takeList(told: ToldList): void {
-    // It was asked for a moment ago; as the list itself lags by seconds, that is near enough.
-    this.fleet.take(
-      told.map(([id, status, site]) => ({ id, status, site })),
-      this.time.moment(),
-    )
-  }
-  private takeWants(told: ReadonlyArray<ToldWants>): void {
-    for (const { part, wants } of told) if (!this.engines.has(part)) this.wants.set(part, wants)
+  private receiveDemand(demands: ReadonlyArray<PublishedDemand>): void {
+    for (const { shard, demand } of demands) if (!this.engines.has(shard)) this.wants.set(shard, demand)
     for (const { engine } of this.engines.values()) engine.wake()
   }
-  private takeMachines({ part, block, machines }: ToldMachines): void {
+  private receiveHandoff({ shard, block, machines }: MachineHandoffMessage): void {
     this.membership.mirror.hint(block)
-    const own = this.engines.get(part)
-    for (const [id, by] of machines) own?.engine.introduced(id, by)
+    const own = this.engines.get(shard)
+    for (const { machineId, handoff } of machines) own?.engine.introduced(machineId, handoff)
   }
 
   // --- is this node of use? -------------------------------------------------------
@@ -364,19 +379,20 @@
 
   // --- what the users' side needs --------------------------------------------
 
-  catalog(): ReadonlyMap<TypeName, MachineType> | null {
+  catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
     return this.fleet.catalog()
   }
 
   /** A job was accepted or cancelled: its owner should know before the watch tells it. */
-  private jobChanged(entry: Entry, request: JobRequest): Effect.Effect<void> {
+  private jobChanged(entry: Entry, request: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
       this.membership.mirror.hint(entry)
       const owner = this.membership.owner(this.partOfJob(request))
-      if (owner !== null && owner !== this.platform.node_name) this.peers.tell("job", entry, owner)
+      if (owner !== null && owner !== this.platform.node_name)
+        this.peers.send({ kind: "jobChanged", page: entry }, owner)
     })
   }
-  private partOfJob({ id, due_s }: JobRequest): PartName {
+  private partOfJob({ id, deadlineS: due_s }: JobSpec): ShardName {
     return partOf(id, due_s != null, this.nodes.length)
   }
   /** Tasks done and running, for display. */
@@ -389,14 +405,14 @@
   platform: Platform,
   operators: Operators,
   nodes: ReadonlyArray<NodeName>,
-  state: StateClient,
+  state: StoreClient,
   cloud: CloudClient,
   peers: PeerChannel,
   log: Log,
-): Effect.Effect<Controller, never, Exchange> =>
+): Effect.Effect<Controller, never, HttpClient> =>
   Effect.gen(function* () {
-    const exchange = yield* Exchange
-    const time = yield* timekeeper
+    const exchange = yield* HttpClient
+    const time = yield* processClocks
     const context = yield* Effect.context<never>()
     const fork = (effect: Effect.Effect<unknown>) =>
       Effect.runForkWith(context)(
--- a/packages/controller/src/draining.ts
+++ b/packages/controller/src/draining.ts
@@ -3,12 +3,12 @@
  * Only empty machines change parts, and under load none is ever empty by
  * itself: what ends makes room for what waits here.
  */
-import { allowed, type Lent, type MachineView, type Need, STARVED_RANK } from "@sorreltally/planner"
-import type { MachineId, PartName } from "@sorreltally/wire"
+import { allowed, type Lent, type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
+import type { MachineId, ShardName } from "@sorreltally/wire"
 
 export class Draining {
   /** The machine that is emptied for each part that lacks machines. */
-  private readonly machines = new Map<PartName, MachineId>()
+  private readonly machines = new Map<ShardName, MachineId>()
 
   /**
    * The views as the plan is to see them: machines that are emptied take
@@ -17,11 +17,11 @@
    */
   apply(
     views: ReadonlyArray<MachineView>,
-    needs: ReadonlyArray<Need>,
+    needs: ReadonlyArray<MachineDemand>,
     unusedCores: number,
     forStarved: boolean,
   ): ReadonlyArray<MachineView> {
-    const asking = new Set(needs.map(({ part }) => part))
+    const asking = new Set(needs.map(({ shard: part }) => part))
     for (const part of this.machines.keys()) if (!asking.has(part)) this.machines.delete(part)
     if (needs.length === 0) return views
     let unused = unusedCores
@@ -51,7 +51,7 @@
    * gone. Returns one that is newly chosen.
    */
   private choose(
-    { part, shape }: Need,
+    { shard: part, shape }: MachineDemand,
     views: ReadonlyArray<MachineView>,
     unused: number,
   ): MachineView | null {
--- a/packages/controller/src/engine.ts
+++ b/packages/controller/src/engine.ts
@@ -1,24 +1,28 @@
 import type { JobState, Placement } from "@sorreltally/jobs"
+import type { TaskCounts } from "@sorreltally/peers"
 import { type Entry, keys } from "@sorreltally/state"
 import {
-  type Answer,
+  addMs,
   type Heartbeat,
   type JobId,
-  later,
   type MachineId,
-  type Moment,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
   type NodeName,
-  type PartName,
-  type RepeatedReport,
-  type Stamp,
+  type Respond,
+  type ShardName,
 } from "@sorreltally/wire"
-import { type Introduction, type MachineEntry, WorkerSession } from "@sorreltally/workers"
+import {
+  type MachineEntry,
+  type MachineHandoff,
+  type RepeatedHeartbeat,
+  WorkerSession,
+} from "@sorreltally/workers"
 import { Effect, Result } from "effect"
 import { BlockWriter } from "./blocks.ts"
 import type { EngineContext, PartView, Tenancy } from "./context.ts"
 import { Failures } from "./failures.ts"
-import type { TaskCounts } from "./job-progress.ts"
 import { JobRegistry } from "./job-registry.ts"
 import { Lending } from "./lending.ts"
 import { PartPlanning } from "./part-planning.ts"
@@ -48,19 +52,28 @@
   private readonly rentals: Rentals
   private readonly planning: PartPlanning
   private readonly workers: WorkerExchange
-  private lookedAt: Moment = NEVER
+  private lookedAt: MonotonicTime = NEVER
   ready = false
   private over = false
   private endListening: Array<() => void> = []
 
   constructor(
-    readonly part: PartName,
-    readonly epoch: Stamp,
+    readonly part: ShardName,
+    readonly epoch: ModRevision,
     readonly ctx: EngineContext,
   ) {
     const { state, membership, book, time } = ctx
     const active = () => this.ready && this.active
-    this.blocks = new BlockWriter(part, epoch, membership.parts, state, membership, book, time.moment, active)
+    this.blocks = new BlockWriter(
+      part,
+      epoch,
+      membership.parts,
+      state,
+      membership,
+      book,
+      time.monotonicNow,
+      active,
+    )
     this.registry = new JobRegistry(part, epoch, ctx, active, {
       durable: (placements) => this.placed(placements),
       arrived: (request) => this.planning.arrived(request),
@@ -151,7 +164,7 @@
         yield* Effect.sleep(200)
       }
       if (this.over) return
-      const now = this.ctx.time.moment()
+      const now = this.ctx.time.monotonicNow()
       for (const entry of book.all()) this.machineChanged(entry.id, entry)
       this.registry.restore(entries)
       for (const job of this.jobs.values()) {
@@ -188,18 +201,18 @@
       return
     }
     if (session !== undefined) return session.update(entry)
-    const type = this.ctx.fleet.catalog()?.get(entry.build)
+    const type = this.ctx.fleet.catalog()?.get(entry.machineType)
     if (type === undefined) return
-    const now = this.ctx.time.moment()
+    const now = this.ctx.time.monotonicNow()
     const { lease_s, report_s } = this.ctx.platform.facts.workers
     const fresh = this.rentals.isOurs(id)
     const times = { leaseS: lease_s, reportS: report_s }
     this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
-    const age = Math.max(0, this.ctx.time.wall() - entry.rented)
+    const age = Math.max(0, this.ctx.time.wallNow() - entry.rentedAt)
     const holder = this.rentals.takeHolder(id)
     this.tenancies.set(id, {
       holder: holder !== null && this.jobs.has(holder) ? holder : null,
-      rentedAt: later(now, -age),
+      rentedAt: addMs(now, -age),
       knownSince: now,
       returning: false,
       closing: false,
@@ -218,11 +231,11 @@
 
   // --- workers --------------------------------------------------------------
 
-  report(body: Heartbeat, via: NodeName | null, answer: Answer): void {
+  report(body: Heartbeat, via: NodeName | null, answer: Respond): void {
     this.workers.report(body, via, answer)
   }
   /** The whole of a report that repeats the last word of its machine; null: that was another one. */
-  repeated(repeat: RepeatedReport): Heartbeat | null {
+  repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
     return this.machines.get(repeat.machineId)?.repeated(repeat) ?? null
   }
 
@@ -245,9 +258,9 @@
       for (;;) {
         yield* this.planSignal.wait(TICK_MS)
         if (this.over) return
-        const began = this.ctx.time.moment()
+        const began = this.ctx.time.monotonicNow()
         if (this.active) {
-          const look = began >= later(this.lookedAt, LOOK_MS)
+          const look = began >= addMs(this.lookedAt, LOOK_MS)
           if (look) {
             this.lookedAt = began
             this.checkLeases()
@@ -258,14 +271,14 @@
         }
         this.workers.answerReady()
         // Reports, grants and health checks must not wait for plans.
-        const tookMs = this.ctx.time.moment() - began
+        const tookMs = this.ctx.time.monotonicNow() - began
         yield* Effect.sleep(Math.max(PLAN_SPACING_MS, PLAN_REST * tookMs))
       }
     })
   }
 
   private checkLeases(): void {
-    const now = this.ctx.time.moment()
+    const now = this.ctx.time.monotonicNow()
     for (const session of this.machines.values()) {
       if ((!session.up && session.placements.size === 0) || !session.leaseOver(now)) continue
       const tasks = session.placements.size
@@ -280,12 +293,12 @@
 
   /** A machine about to be taken back: whatever can save does so in time, the rest runs on until the end. */
   private checkWarnings(): void {
-    const now = this.ctx.time.moment()
+    const now = this.ctx.time.monotonicNow()
     for (const session of this.machines.values()) {
       if (session.warningUntil === null) continue
       const leftS = (session.warningUntil - now) / 1000
       for (const placement of session.placements.values()) {
-        const { snapshot_s, flush_s } = placement.job.request
+        const { checkpointIntervalS: snapshot_s, checkpointSaveS: flush_s } = placement.job.request
         if (placement.stop !== null || snapshot_s === 0) continue
         // Reports, and the stop itself, need a moment too.
         if (leftS >= flush_s + 3) continue
@@ -296,13 +309,13 @@
   }
 
   /** The former owner tells us of a machine that is now ours. */
-  introduced(id: MachineId, by: Introduction): void {
-    this.machines.get(id)?.introduced(by, this.ctx.time.moment())
+  introduced(id: MachineId, by: MachineHandoff): void {
+    this.machines.get(id)?.introduced(by, this.ctx.time.monotonicNow())
     this.planSignal.notify()
   }
 
   /** Tasks for display. */
   *counts(): Iterable<TaskCounts> {
-    for (const job of this.jobs.values()) yield [job.id, job.done, job.running]
+    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
   }
 }
--- a/packages/controller/src/estimates.ts
+++ b/packages/controller/src/estimates.ts
@@ -1,4 +1,4 @@
-import type { JobRequest, LaneName } from "@sorreltally/wire"
+import type { JobClassName, JobSpec } from "@sorreltally/wire"
 
 /** Weight of the newest finished task; about the last thirty count. */
 const NEWEST = 0.06
@@ -10,15 +10,15 @@
  * task by task, and on some days all in one direction.
  */
 export class Estimates {
-  private readonly lanes = new Map<LaneName, { log: number; seen: number }>()
+  private readonly lanes = new Map<JobClassName, { log: number; seen: number }>()
 
-  learn(request: JobRequest, tookS: number): void {
-    const ratio = Math.log(Math.max(0.05, Math.min(20, tookS / request.expected_s)))
-    const lane = this.lanes.get(request.lane) ?? { log: 0, seen: 0 }
+  learn(request: JobSpec, tookS: number): void {
+    const ratio = Math.log(Math.max(0.05, Math.min(20, tookS / request.estimatedRunS)))
+    const lane = this.lanes.get(request.jobClass) ?? { log: 0, seen: 0 }
     const weight = Math.max(NEWEST, 1 / (lane.seen + FIRST_WEIGHT))
-    this.lanes.set(request.lane, { log: lane.log + weight * (ratio - lane.log), seen: lane.seen + 1 })
+    this.lanes.set(request.jobClass, { log: lane.log + weight * (ratio - lane.log), seen: lane.seen + 1 })
   }
-  executionS(request: JobRequest): number {
-    return request.expected_s * Math.exp(this.lanes.get(request.lane)?.log ?? 0)
+  executionS(request: JobSpec): number {
+    return request.estimatedRunS * Math.exp(this.lanes.get(request.jobClass)?.log ?? 0)
   }
 }
--- a/packages/controller/src/failures.ts
+++ b/packages/controller/src/failures.ts
@@ -4,7 +4,7 @@
  * failed where, and who succeeded elsewhere since, tells them apart.
  */
 import type { JobState } from "@sorreltally/jobs"
-import { type JobId, later, type MachineId, type Moment } from "@sorreltally/wire"
+import { addMs, type JobId, type MachineId, type MonotonicTime } from "@sorreltally/wire"
 
 /** A job that failed on this many machines, and succeeded on none since, probably has a mistake. */
 const SUSPECT_AFTER_MACHINES = 2
@@ -22,7 +22,7 @@
 
 interface JobFailures {
   /** Where it failed since one of its tasks last succeeded, and when it last did so there. */
-  readonly machines: Map<MachineId, Moment>
+  readonly machines: Map<MachineId, MonotonicTime>
   count: number
 }
 
@@ -33,8 +33,8 @@
   private readonly provenElsewhere = new Map<MachineId, Set<JobId>>()
 
   /** A task of the job failed by itself. Returns how long the job has to pause. */
-  failed(job: JobId, machine: MachineId, now: Moment): number {
-    const failures = this.byJob.get(job) ?? { machines: new Map<MachineId, Moment>(), count: 0 }
+  failed(job: JobId, machine: MachineId, now: MonotonicTime): number {
+    const failures = this.byJob.get(job) ?? { machines: new Map<MachineId, MonotonicTime>(), count: 0 }
     this.byJob.set(job, failures)
     failures.machines.set(machine, now)
     failures.count++
@@ -63,10 +63,10 @@
   }
 
   /** Machines on which the job failed a moment ago, unless it is suspected itself. */
-  avoidedBy(job: JobId, now: Moment): ReadonlySet<MachineId> {
+  avoidedBy(job: JobId, now: MonotonicTime): ReadonlySet<MachineId> {
     const failures = this.byJob.get(job)
     if (failures === undefined || this.isSuspect(job)) return NO_MACHINES
-    const recent = [...failures.machines].filter(([, at]) => now < later(at, AVOID_MS))
+    const recent = [...failures.machines].filter(([, at]) => now < addMs(at, AVOID_MS))
     return new Set(recent.map(([machine]) => machine))
   }
 
@@ -74,7 +74,7 @@
    * Queued tasks that machines, quota and rentals may be asked for. Guards against a
    * job with a mistake for whose whole queue machines are rented again and again.
    */
-  startable(job: JobState, now: Moment): number {
+  startable(job: JobState, now: MonotonicTime): number {
     if (!this.isSuspect(job.id)) return job.queued
     if (job.notBefore !== null && now < job.notBefore) return 0
     return Math.min(job.queued, Math.max(0, PROBES - job.placements.size))
--- a/packages/controller/src/fleet.ts
+++ b/packages/controller/src/fleet.ts
@@ -1,15 +1,16 @@
 import { type CloudClient, LIST_PAGE } from "@sorreltally/cloud"
 import type { Mirror } from "@sorreltally/membership"
+import type { ListedMachineState } from "@sorreltally/peers"
 import type { Hireable } from "@sorreltally/planner"
-import { type CatalogRecord, keys, type StateClient } from "@sorreltally/state"
+import { type CatalogRecord, keys, put, type StoreClient } from "@sorreltally/state"
 import {
+  addMs,
   type ListedMachine,
-  later,
   type MachineId,
   type MachineType,
-  type Moment,
+  type MachineTypeName,
+  type MonotonicTime,
   NEVER,
-  type TypeName,
   type ZoneName,
 } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
@@ -19,7 +20,7 @@
 const ASK_AGAIN_RATE = 0.25
 /** A kind refused again and again is left alone for at most this many times as long as at first. */
 const MOST_PATIENCE = 2
-const kindOf = (type: TypeName, zone: ZoneName, spot: boolean) => `${type}|${zone}|${spot}`
+const kindOf = (type: MachineTypeName, zone: ZoneName, spot: boolean) => `${type}|${zone}|${spot}`
 const CATALOG_EVERY_MS = 30_000
 /** Whoever lists looks this often whether a list is due, the others whether it is for them to list. */
 const LOOK_MS = 300
@@ -27,32 +28,29 @@
 /** Share of the cloud's calls that lists may use. */
 const LIST_RATE = 0.25
 
-/** What every node is told of a listed machine. */
-export type Listed = Pick<ListedMachine, "id" | "status" | "site">
-
 /**
  * What this node knows of the cloud: the types, what was refused lately, and
  * the last list of machines. The list lags; see `listedAt`.
  */
 export class Fleet {
-  private types = new Map<TypeName, MachineType>()
-  private catalogAt: Moment = NEVER
-  private readonly refused = new Map<string, { readonly until: Moment; readonly times: number }>()
+  private types = new Map<MachineTypeName, MachineType>()
+  private catalogAt: MonotonicTime = NEVER
+  private readonly refused = new Map<string, { readonly until: MonotonicTime; readonly times: number }>()
   private readonly asked = new Map<string, number>()
-  listed: ReadonlyMap<MachineId, Listed> = new Map()
+  listed: ReadonlyMap<MachineId, ListedMachineState> = new Map()
   /** The last list that this node asked for itself. */
   listedHere: ReadonlyArray<ListedMachine> = []
   private readonly inZone = new Map<ZoneName, number>()
   readonly everListed = new Set<MachineId>()
   /** When the last list was asked for. */
-  listedAt: Moment = NEVER
+  listedAt: MonotonicTime = NEVER
   private catalogStored = false
 
   constructor(
     private readonly cloud: CloudClient,
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     private readonly mirror: Mirror,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     private readonly refusalMemoryS: number,
     private readonly rps: number,
     /** Does this node list machines, or is it told what another one listed? */
@@ -66,26 +64,26 @@
     return Math.max(1_000, (1000 * pages) / (LIST_RATE * this.rps))
   }
   /** A list, asked for at that moment, by us or by the node that told us. */
-  take(list: ReadonlyArray<Listed>, asked: Moment): void {
+  take(list: ReadonlyArray<ListedMachineState>, asked: MonotonicTime): void {
     this.listed = new Map(list.map((m) => [m.id, m]))
     this.inZone.clear()
     for (const m of list) {
       if (!this.everListed.has(m.id)) remember(this.everListed, m.id)
-      this.inZone.set(m.site, (this.inZone.get(m.site) ?? 0) + 1)
+      this.inZone.set(m.zone, (this.inZone.get(m.zone) ?? 0) + 1)
     }
     this.listedAt = asked
   }
 
   /** Null while the machine types aren't known. */
-  catalog(): ReadonlyMap<TypeName, MachineType> | null {
+  catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
     if (this.types.size > 0) return this.types
-    const stored = this.mirror.get<CatalogRecord>(keys.catalog)
+    const stored = this.mirror.get(keys.catalog)
     if (stored === null) return null
-    this.setTypes(stored.v.builds)
+    this.setTypes(stored.value.machineTypes)
     return this.types
   }
-  private setTypes(builds: ReadonlyArray<MachineType>): void {
-    this.types = new Map(builds.map((t) => [t.name, t]))
+  private setTypes(machineTypes: ReadonlyArray<MachineType>): void {
+    this.types = new Map(machineTypes.map((t) => [t.name, t]))
   }
 
   /**
@@ -93,21 +91,21 @@
    * the operators let refusals be remembered, it is asked as soon as the
    * cloud's rate allows it for all kinds: room that opens is taken by others.
    */
-  refuse(type: TypeName, zone: ZoneName, spot: boolean): void {
+  refuse(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
     const kind = kindOf(type, zone, spot)
     const times = (this.refused.get(kind)?.times ?? 0) + 1
     let kinds = 0
-    for (const { sites } of this.types.values()) kinds += 2 * sites.length
+    for (const { zones: sites } of this.types.values()) kinds += 2 * sites.length
     const roundS = Math.min(this.refusalMemoryS, kinds / (ASK_AGAIN_RATE * this.rps))
     const pauseS = roundS * Math.min(MOST_PATIENCE, 1.5 ** (times - 1))
-    this.refused.set(kind, { until: later(this.now(), pauseS * 1000), times })
+    this.refused.set(kind, { until: addMs(this.now(), pauseS * 1000), times })
   }
   /** There was room a moment ago, or one of its machines went back: it is worth asking. */
-  granted(type: TypeName, zone: ZoneName, spot: boolean): void {
+  granted(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
     this.refused.delete(kindOf(type, zone, spot))
   }
   /** Counts the requests under way of each kind; returns how to end one, which may be called again. */
-  asking(type: TypeName, zone: ZoneName, spot: boolean): () => void {
+  asking(type: MachineTypeName, zone: ZoneName, spot: boolean): () => void {
     const kind = kindOf(type, zone, spot)
     this.asked.set(kind, (this.asked.get(kind) ?? 0) + 1)
     let open = true
@@ -116,7 +114,7 @@
       open = false
     }
   }
-  isRefused(type: TypeName, zone: ZoneName, spot: boolean): boolean {
+  isRefused(type: MachineTypeName, zone: ZoneName, spot: boolean): boolean {
     return this.now() < (this.refused.get(kindOf(type, zone, spot))?.until ?? NEVER)
   }
 
@@ -124,12 +122,12 @@
   market(): ReadonlyArray<Hireable> {
     const out: Array<Hireable> = []
     for (const type of this.types.values()) {
-      for (const zone of type.sites) {
+      for (const zone of type.zones) {
         for (const spot of [true, false]) {
           const kind = kindOf(type.name, zone, spot)
-          if (spot && type.spot_price >= type.hourly) continue
+          if (spot && type.spotPrice >= type.onDemandPrice) continue
           if (this.isRefused(type.name, zone, spot)) continue
-          const price = spot ? type.spot_price : type.hourly
+          const price = spot ? type.spotPrice : type.onDemandPrice
           out.push({
             type,
             zone,
@@ -147,8 +145,8 @@
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.now() >= later(this.catalogAt, CATALOG_EVERY_MS)) yield* this.readCatalog()
-        if (this.lists() && this.now() >= later(this.listedAt, this.pollMs)) {
+        if (this.now() >= addMs(this.catalogAt, CATALOG_EVERY_MS)) yield* this.readCatalog()
+        if (this.lists() && this.now() >= addMs(this.listedAt, this.pollMs)) {
           const asked = this.now()
           const list = yield* Effect.result(this.cloud.list)
           if (Result.isSuccess(list)) {
@@ -170,9 +168,9 @@
       this.catalogAt = this.now()
       // Kept so that a node that starts while the cloud is away knows the types.
       if (!this.catalogStored && this.lists() && this.mirror.get(keys.catalog) === null) {
-        const record: CatalogRecord = { builds: read.success }
-        const when = [{ path: keys.catalog, stamp: this.mirror.stamp(keys.catalog) }]
-        const stored = yield* Effect.result(this.state.multi(when, [{ set: keys.catalog, v: record }], 3))
+        const record: CatalogRecord = { machineTypes: read.success }
+        const when = [{ key: keys.catalog, modRevision: this.mirror.modRevision(keys.catalog) }]
+        const stored = yield* Effect.result(this.state.compareAndSwap(when, [put(keys.catalog, record)], 3))
         this.catalogStored = Result.isSuccess(stored)
       }
     })
--- a/packages/controller/src/held.ts
+++ b/packages/controller/src/held.ts
@@ -1,4 +1,4 @@
-import { type Answer, later, type Moment, type Outgoing } from "@sorreltally/wire"
+import { addMs, type MonotonicTime, type OutgoingResponse, type Respond } from "@sorreltally/wire"
 import type { WorkerSession } from "@sorreltally/workers"
 
 /** A report is answered after this long whatever it waits for: its worker waits 4 s. */
@@ -10,18 +10,18 @@
  * first one up.
  */
 export class HeldReports {
-  private readonly held = new Map<WorkerSession, { readonly since: Moment; readonly done: Answer }>()
+  private readonly held = new Map<WorkerSession, { readonly since: MonotonicTime; readonly done: Respond }>()
 
   constructor(
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     /** Made when it is sent: what was so when the report came may not be so any more. */
-    private readonly answer: (session: WorkerSession) => Outgoing,
+    private readonly answer: (session: WorkerSession) => OutgoingResponse,
   ) {}
 
   has(session: WorkerSession): boolean {
     return this.held.has(session)
   }
-  hold(session: WorkerSession, done: Answer): void {
+  hold(session: WorkerSession, done: Respond): void {
     this.held.set(session, { since: this.now(), done })
   }
   answerNow(session: WorkerSession): void {
@@ -29,19 +29,19 @@
   }
   /** Those that wait for nothing any more, or for long enough. */
   answerReady(): void {
-    const waitedEnough = later(this.now(), -MOST_HELD_MS)
+    const waitedEnough = addMs(this.now(), -MOST_HELD_MS)
     for (const [session, { since }] of this.held) {
       let writing = false
       for (const placement of session.placements.values()) writing ||= !placement.durable
       if (!writing || since < waitedEnough) this.answerNow(session)
     }
   }
-  letGo(session: WorkerSession, answer: Outgoing): void {
+  letGo(session: WorkerSession, answer: OutgoingResponse): void {
     const held = this.held.get(session)
     this.held.delete(session)
     held?.done(answer)
   }
-  letAllGo(answer: Outgoing): void {
+  letAllGo(answer: OutgoingResponse): void {
     for (const session of this.held.keys()) this.letGo(session, answer)
   }
 }
--- a/packages/controller/src/job-book.ts
+++ b/packages/controller/src/job-book.ts
@@ -2,28 +2,27 @@
 import type { Mirror } from "@sorreltally/membership"
 import {
   ENDS_PAGES,
-  type EndsPage,
   type Entry,
+  type FinalStates,
   type FinalStatus,
   JOB_PAGES,
   type JobPage,
   type JobRecord,
   keys,
+  type StoreKey,
 } from "@sorreltally/state"
-import type { JobId, Stamp } from "@sorreltally/wire"
+import type { JobId, ModRevision } from "@sorreltally/wire"
 
 /** A job that isn't over, and the page that holds it. */
 export interface LiveJob {
   readonly id: JobId
   readonly record: JobRecord
-  readonly page: string
-  readonly stamp: Stamp
+  readonly page: StoreKey<JobPage>
+  readonly modRevision: ModRevision
 }
 /** One page of a bucket, as this node's mirror has it. */
-export interface PageEntry {
-  readonly path: string
-  readonly v: JobPage
-  readonly stamp: Stamp
+export interface PageEntry extends Entry<JobPage> {
+  readonly key: StoreKey<JobPage>
 }
 /** Null: the job is over. */
 export type JobListener = (id: JobId, job: LiveJob | null) => void
@@ -58,7 +57,7 @@
     return this.onRecord.has(id)
   }
   /** The page that holds its record. */
-  pageOf(id: JobId): string | null {
+  pageOf(id: JobId): StoreKey<JobPage> | null {
     return this.onRecord.get(id)?.page ?? null
   }
   /** How an ends page says that it ended. */
@@ -70,16 +69,16 @@
     const pages: Array<PageEntry> = []
     for (;;) {
       const path = keys.jobPage(bucket, pages.length)
-      const entry = this.mirror.get<JobPage>(path)
+      const entry = this.mirror.get(path)
       if (entry === null) return pages
-      pages.push({ path, ...entry })
+      pages.push(entry as PageEntry)
     }
   }
   /** Its final state, as ends pages or the pages of its bucket tell it. */
   finalOf(id: JobId, pages: ReadonlyArray<PageEntry>): FinalStatus | null {
     const end = this.endOf(id)
     if (end !== null) return end
-    for (const { v } of pages) {
+    for (const { value: v } of pages) {
       const final = finalIn(v, id)
       if (final !== null) return final
     }
@@ -87,13 +86,13 @@
   }
 
   private pageChanged(path: string, entry: Entry | null): void {
-    const page = entry === null ? EMPTY_PAGE : (entry.v as JobPage)
+    const page = entry === null ? EMPTY_PAGE : (entry.value as JobPage)
     const before = this.inPage.get(path) ?? []
-    const now = page.jobs.map((job) => job.request.id)
+    const now = page.jobs.map((job) => job.spec.id)
     this.inPage.set(path, now)
     for (const record of page.jobs) {
-      const { id } = record.request
-      const job: LiveJob = { id, record, page: path, stamp: entry!.stamp }
+      const { id } = record.spec
+      const job: LiveJob = { id, record, page: path as StoreKey<JobPage>, modRevision: entry!.modRevision }
       this.onRecord.set(id, job)
       if (!this.ends.has(id)) this.tell(id, job)
     }
@@ -105,11 +104,11 @@
     }
   }
   private endsChanged(path: string, entry: Entry | null): void {
-    const page: EndsPage = entry === null ? EMPTY_PAGE : (entry.v as EndsPage)
+    const page: FinalStates = entry === null ? EMPTY_PAGE : (entry.value as FinalStates)
     const before = this.inEndsPage.get(path) ?? []
     const now: Array<JobId> = []
     for (const digits of page.done) now.push(this.endKnown(idOf(digits), "done"))
-    for (const digits of page.withdrawn) now.push(this.endKnown(idOf(digits), "withdrawn"))
+    for (const digits of page.cancelled) now.push(this.endKnown(idOf(digits), "cancelled"))
     this.inEndsPage.set(path, now)
     // An ends page names a job until no job page holds its record.
     const left = new Set(now)
--- a/packages/controller/src/job-ends.ts
+++ b/packages/controller/src/job-ends.ts
@@ -1,15 +1,18 @@
 import { digitsOf, finalStateBytes, idOf, type JobState } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import { byLoad } from "@sorreltally/pacing"
+import { interpolateByLoad } from "@sorreltally/pacing"
+import type { JobEnd } from "@sorreltally/peers"
 import {
   type Condition,
-  type EndsPage,
-  type FinalStatus,
+  type FinalStates,
+  type JobPage,
   keys,
-  type StateClient,
-  type StateTrouble,
+  put,
+  type StoreClient,
+  type StoreError,
+  type StoreKey,
 } from "@sorreltally/state"
-import { type JobId, later, type Moment, NEVER, type PartName, type Stamp } from "@sorreltally/wire"
+import { addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import { pageConditions } from "./commits.ts"
 import type { JobBook } from "./job-book.ts"
@@ -29,30 +32,26 @@
 /** Besides those on job pages: on the part and on the ends page. */
 const OWN_CONDITIONS = 2
 
-export interface JobEnd {
-  readonly id: JobId
-  readonly status: FinalStatus
-}
 export interface JobEndsEvents {
   /** These jobs are over, durably. */
   readonly ended: (ends: ReadonlyArray<JobEnd>) => void
   /** Writes a page of the job table anew without the jobs that are over. */
-  readonly fold: (page: string) => Effect.Effect<void, StateTrouble>
+  readonly fold: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
 
 /** An ends page in the making. */
 interface Draft {
-  readonly path: string
-  readonly before: Stamp
-  readonly page: EndsPage
+  readonly path: StoreKey<FinalStates>
+  readonly before: ModRevision
+  readonly page: FinalStates
   /** Its done jobs: the write is conditioned on their pages, lest one is cancelled meanwhile. */
   readonly done: ReadonlySet<JobState>
   readonly jobs: ReadonlyArray<JobState>
 }
 interface Room {
-  readonly path: string
+  readonly path: StoreKey<FinalStates>
   readonly done: Array<string>
-  readonly withdrawn: Array<string>
+  readonly cancelled: Array<string>
   bytes: number
 }
 
@@ -66,20 +65,20 @@
   private readonly signal = new Signal()
   /** The ends pages hold more than before. */
   private readonly grew = new Signal()
-  private wroteAt: Moment = NEVER
+  private wroteAt: MonotonicTime = NEVER
   private readonly pageBytes: number
 
   constructor(
-    private readonly part: PartName,
-    private readonly epoch: Stamp,
-    private readonly state: StateClient,
+    private readonly part: ShardName,
+    private readonly epoch: ModRevision,
+    private readonly state: StoreClient,
     private readonly membership: Pick<Membership, "mirror" | "freshness">,
     private readonly book: JobBook,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
     private readonly events: JobEndsEvents,
   ) {
-    this.pageBytes = Math.min(state.limits.value_kb * 1024, MOST_PAGE_BYTES) - FRAME_BYTES
+    this.pageBytes = Math.min(state.limits.valueKb * 1024, MOST_PAGE_BYTES) - FRAME_BYTES
   }
 
   /** Nothing is left to do for the job but to write its end down. */
@@ -104,10 +103,10 @@
 
   private write() {
     return Effect.gen({ self: this }, function* () {
-      const spacingMs = byLoad(this.state.load(), CALM_SPACING_MS, BUSY_SPACING_MS)
-      const pauseMs = later(this.wroteAt, spacingMs) - this.now()
+      const spacingMs = interpolateByLoad(this.state.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
+      const pauseMs = addMs(this.wroteAt, spacingMs) - this.now()
       if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.state.room(1, 2)
+      yield* this.state.awaitWriteCapacity(1, 2)
       this.wroteAt = this.now()
       // What a watch or a hint has told of since is over already.
       for (const job of this.waiting) if (job.over) this.waiting.delete(job)
@@ -115,14 +114,14 @@
       if (draft === null) return yield* Effect.sleep(PAUSE_MS)
       const { path, before, page } = draft
       const when: Array<Condition> = [
-        { path: keys.part(this.part), stamp: this.epoch },
-        { path, stamp: before },
+        { key: keys.shard(this.part), modRevision: this.epoch },
+        { key: path, modRevision: before },
         ...pageConditions(draft.done),
       ]
-      const written = yield* Effect.result(this.state.multi(when, [{ set: path, v: page }], "paid"))
+      const written = yield* Effect.result(this.state.compareAndSwap(when, [put(path, page)], "reserved"))
       const { mirror, freshness } = this.membership
       if (Result.isSuccess(written) && written.success.ok) {
-        mirror.hint({ path, v: page, stamp: written.success.epoch })
+        mirror.hint({ key: path, value: page, modRevision: written.success.revision })
         this.grew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
@@ -151,14 +150,14 @@
     const room = this.rooms().reduce((a, b) => (b.bytes < a.bytes ? b : a))
     const done = new Set<JobState>()
     const jobs: Array<JobState> = []
-    const most = 4 * this.state.limits.txn_ops - OWN_CONDITIONS
+    const most = 4 * this.state.limits.maxOperations - OWN_CONDITIONS
     for (const job of this.waiting) {
       const digits = digitsOf(job.id)
       if (room.bytes + finalStateBytes(digits) > this.pageBytes) break
       if (!job.withdrawn && done.size >= most) continue
       room.bytes += finalStateBytes(digits)
       jobs.push(job)
-      if (job.withdrawn) room.withdrawn.push(digits)
+      if (job.withdrawn) room.cancelled.push(digits)
       else {
         room.done.push(digits)
         done.add(job)
@@ -166,20 +165,20 @@
     }
     if (jobs.length === 0) return null
     const { path } = room
-    const page: EndsPage = { done: room.done, withdrawn: room.withdrawn }
-    return { path, before: this.membership.mirror.stamp(path), page, done, jobs }
+    const page: FinalStates = { done: room.done, cancelled: room.cancelled }
+    return { path, before: this.membership.mirror.modRevision(path), page, done, jobs }
   }
   /** The part's ends pages, as far as they are still needed. */
   private rooms(): ReadonlyArray<Room> {
     // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
     const needed = (digits: string) => this.book.isOnRecord(idOf(digits))
     return endsPages(this.part, this.state.limits).map((path) => {
-      const page = this.membership.mirror.get<EndsPage>(path)?.v
+      const page = this.membership.mirror.get(path)?.value
       const done = (page?.done ?? []).filter(needed)
-      const withdrawn = (page?.withdrawn ?? []).filter(needed)
+      const cancelled = (page?.cancelled ?? []).filter(needed)
       let bytes = 0
-      for (const digits of [...done, ...withdrawn]) bytes += finalStateBytes(digits)
-      return { path, done, withdrawn, bytes }
+      for (const digits of [...done, ...cancelled]) bytes += finalStateBytes(digits)
+      return { path, done, cancelled, bytes }
     })
   }
 
@@ -197,16 +196,16 @@
     )
   }
   /** A job page to be freed of its jobs that are over; null while there is room enough. */
-  private toFold(): string | null {
+  private toFold(): StoreKey<JobPage> | null {
     const rooms = this.rooms()
     const bytes = rooms.reduce((sum, room) => sum + room.bytes, 0)
     if (bytes < CROWDED * rooms.length * this.pageBytes) return null
-    const counts = new Map<string, number>()
-    for (const digits of rooms.flatMap(({ done, withdrawn }) => [...done, ...withdrawn])) {
+    const counts = new Map<StoreKey<JobPage>, number>()
+    for (const digits of rooms.flatMap(({ done, cancelled }) => [...done, ...cancelled])) {
       const page = this.book.pageOf(idOf(digits))
       if (page !== null) counts.set(page, (counts.get(page) ?? 0) + 1)
     }
-    let fullest: string | null = null
+    let fullest: StoreKey<JobPage> | null = null
     for (const [page, count] of counts) {
       if (fullest === null || count > counts.get(fullest)!) fullest = page
     }
--- a/packages/controller/src/job-progress.ts
+++ b/packages/controller/src/job-progress.ts
@@ -1,29 +1,19 @@
 /** How far jobs are, and how they ended, as every node can tell its users. */
-import type { PeerChannel } from "@sorreltally/peers"
+import type { JobEnd, JobProgressMessage, PeerChannel, TaskCounts } from "@sorreltally/peers"
 import type { FinalStatus } from "@sorreltally/state"
 import type { JobId } from "@sorreltally/wire"
 import { Effect } from "effect"
-import type { JobEnd } from "./job-ends.ts"
 
 /** Owners tell the others how far their jobs are this often: it is for display only. */
 const TELL_EVERY_MS = 2_000
 /** Final answers kept in memory. */
 const REMEMBERED = 20_000
 
-/** A job's tasks that are done and that run, for display. */
-export type TaskCounts = readonly [job: JobId, done: number, running: number]
-
-/** What a node tells the others of its parts' jobs. */
-export interface ProgressMessage {
-  readonly counts: ReadonlyArray<TaskCounts>
-  readonly ends: ReadonlyArray<readonly [JobId, FinalStatus]>
-}
-
 /** Counts of tasks of all nodes' jobs, and final answers, which hold for good once they are durable. */
 export class JobProgress {
   private readonly shown = new Map<JobId, { readonly done: number; readonly running: number }>()
   private readonly finals = new Map<JobId, FinalStatus>()
-  private endsToTell: Array<readonly [JobId, FinalStatus]> = []
+  private endsToTell: Array<JobEnd> = []
 
   constructor(
     private readonly peers: PeerChannel,
@@ -50,13 +40,13 @@
   ended(ends: ReadonlyArray<JobEnd>): void {
     for (const { id, status } of ends) {
       this.remember(id, status)
-      this.endsToTell.push([id, status])
+      this.endsToTell.push({ id, status })
     }
   }
   /** What another node told. */
-  received({ counts, ends }: ProgressMessage): void {
-    for (const [id, done, running] of counts) this.shown.set(id, { done, running })
-    for (const [id, status] of ends) this.remember(id, status)
+  received({ counts, ends }: JobProgressMessage): void {
+    for (const { jobId, done, running } of counts) this.shown.set(jobId, { done, running })
+    for (const { id, status } of ends) this.remember(id, status)
   }
 
   /** Tells the other nodes what is new. */
@@ -67,17 +57,17 @@
         const counts = this.takeNewCounts()
         const ends = this.endsToTell
         this.endsToTell = []
-        if (counts.length > 0 || ends.length > 0) this.peers.tell("counts", { counts, ends })
+        if (counts.length > 0 || ends.length > 0) this.peers.send({ kind: "jobProgress", counts, ends })
       }),
     ),
   )
   private takeNewCounts(): ReadonlyArray<TaskCounts> {
     const changed: Array<TaskCounts> = []
     for (const count of this.ownCounts()) {
-      const [id, done, running] = count
-      const shown = this.shown.get(id)
+      const { jobId, done, running } = count
+      const shown = this.shown.get(jobId)
       if (shown !== undefined && shown.done === done && shown.running === running) continue
-      this.shown.set(id, { done, running })
+      this.shown.set(jobId, { done, running })
       changed.push(count)
     }
     return changed
--- a/packages/controller/src/job-registry.ts
+++ b/packages/controller/src/job-registry.ts
@@ -1,13 +1,13 @@
 import { JobState, type Placement } from "@sorreltally/jobs"
 import { partOf } from "@sorreltally/membership"
-import type { Entry, SlotRecord } from "@sorreltally/state"
+import type { Entry, PlacementRecord } from "@sorreltally/state"
 import {
   type JobId,
-  type JobRequest,
+  type JobSpec,
   type MachineId,
-  type Moment,
-  type PartName,
-  type Stamp,
+  type ModRevision,
+  type MonotonicTime,
+  type ShardName,
   splitTaskId,
   type TaskId,
 } from "@sorreltally/wire"
@@ -20,7 +20,7 @@
 export interface JobRegistryEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
-  readonly arrived: (request: JobRequest) => void
+  readonly arrived: (request: JobSpec) => void
   /** There may be something to plan. */
   readonly changed: () => void
   /** The task is off this machine, or never got there. */
@@ -38,22 +38,22 @@
   readonly jobs = new Map<JobId, JobState>()
   private readonly commits: Commits
   private readonly ends: JobEnds
-  private readonly now: () => Moment
+  private readonly now: () => MonotonicTime
 
   constructor(
-    private readonly part: PartName,
-    epoch: Stamp,
+    private readonly part: ShardName,
+    epoch: ModRevision,
     private readonly ctx: EngineContext,
     active: () => boolean,
     private readonly events: JobRegistryEvents,
   ) {
     const { state, membership, time, jobBook } = ctx
-    this.now = time.moment
-    this.commits = new Commits(part, epoch, state, membership, time.moment, active, {
+    this.now = time.monotonicNow
+    this.commits = new Commits(part, epoch, state, membership, time.monotonicNow, active, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(part, epoch, state, membership, jobBook, time.moment, active, {
+    this.ends = new JobEnds(part, epoch, state, membership, jobBook, time.monotonicNow, active, {
       ended: (ends) => ctx.ended(ends),
       fold: (page) => ctx.foldJobs(page),
     })
@@ -71,9 +71,9 @@
     for (const job of this.ctx.jobBook.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
-    for (const { path, v, stamp } of slots) {
+    for (const { key: path, value: v, modRevision: stamp } of slots) {
       const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.commits.ledger.restore(slot, stamp, v as SlotRecord, jobOf, now)
+      this.commits.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)
     }
   }
 
@@ -89,19 +89,19 @@
       if (known !== undefined) this.forget(known)
       return
     }
-    const { record, page, stamp } = entry
-    if (partOf(id, record.request.due_s != null, this.ctx.nodes) !== this.part) return
+    const { record, page, modRevision: stamp } = entry
+    if (partOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.part) return
     if (known === undefined) {
       const job = new JobState(id, record, page, stamp)
       this.jobs.set(id, job)
-      this.events.arrived(record.request)
+      this.events.arrived(record.spec)
       // During a take-over its placements aren't read yet: a cancelled job would seem to have none.
       if (this.events.ready() && job.ended) this.settle(job)
       this.events.changed()
       return
     }
     if (stamp > known.stamp) known.stamp = stamp
-    if (record.withdrawn === true && !known.withdrawn) this.withdraw(known)
+    if (record.cancelled && !known.withdrawn) this.withdraw(known)
   }
 
   /** A task of the job finished or was cleared, or the job was cancelled. */
--- a/packages/controller/src/job-table.ts
+++ b/packages/controller/src/job-table.ts
@@ -2,27 +2,29 @@
   addJob,
   archiveFinals,
   bucketOf,
+  cancelJob,
   EMPTY_PAGE,
   finalIn,
   fitsValue,
   foldEnds,
-  withdrawJob,
 } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
 import {
-  type ArchivePage,
-  type Change,
   type Condition,
   type Entry,
+  type FinalStates,
   type FinalStatus,
   type JobPage,
   type JobRecord,
   keys,
-  type StateClient,
-  type StateLimits,
-  StateTrouble,
+  type Operation,
+  put,
+  type StoreClient,
+  StoreError,
+  type StoreKey,
+  type StoreLimits,
 } from "@sorreltally/state"
-import { ABSENT, type JobId, type JobRequest, type PartName } from "@sorreltally/wire"
+import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/wire"
 import { Effect } from "effect"
 import type { JobBook, PageEntry } from "./job-book.ts"
 
@@ -30,8 +32,8 @@
  * The keys of a part's ends pages: together they hold the ends that wait to be
  * folded into job pages. A cancellation is conditioned on all of them.
  */
-export const endsPages = (part: PartName, limits: StateLimits): ReadonlyArray<string> => {
-  const conditions = CONDITIONS_A_CHANGE * limits.txn_ops - 1
+export const endsPages = (part: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
+  const conditions = CONDITIONS_A_CHANGE * limits.maxOperations - 1
   return Array.from({ length: Math.min(ENDS_PAGES_A_PART, conditions) }, (_, n) => keys.endsPage(part, n))
 }
 const ENDS_PAGES_A_PART = 4
@@ -41,6 +43,12 @@
 /** What a write that can't be made is answered with: a state service would say the same. */
 const TOO_LARGE = 413
 
+/** A job page as it is to be, and the operations that make it so. */
+interface PageWrites {
+  readonly page: JobPage
+  readonly operations: ReadonlyArray<Operation>
+}
+
 /** What is known of a job. */
 export type JobLookup =
   | { readonly kind: "live"; readonly record: JobRecord }
@@ -51,11 +59,11 @@
 
 export interface JobTableEvents {
   /** A page was written: the owner of this job should know before the watch tells it. */
-  readonly changed: (entry: Entry, request: JobRequest) => Effect.Effect<void>
+  readonly changed: (entry: Entry, request: JobSpec) => Effect.Effect<void>
   /** Final answers known already; they hold for good. */
   readonly remembered: (id: JobId) => FinalStatus | null
   readonly remember: (id: JobId, status: FinalStatus) => void
-  readonly partOf: (request: JobRequest) => PartName
+  readonly partOf: (request: JobSpec) => ShardName
 }
 
 /**
@@ -65,7 +73,7 @@
  */
 export class JobTable {
   constructor(
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     private readonly membership: Pick<Membership, "freshness" | "mirror">,
     private readonly book: JobBook,
     private readonly events: JobTableEvents,
@@ -76,7 +84,7 @@
    * from its page's records to an ends page, to its page's final states, to
    * the archive; looked up in this order, none accepted before is missed.
    */
-  find(id: JobId): Effect.Effect<JobLookup, StateTrouble> {
+  find(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const known = this.events.remembered(id)
       if (known !== null) return { kind: "final", status: known } as const
@@ -88,9 +96,9 @@
   }
 
   /** Conditioned on every page of the bucket: nobody else can accept the same id meanwhile. */
-  accept(record: JobRecord): Effect.Effect<Acceptance, StateTrouble> {
+  accept(record: JobRecord): Effect.Effect<Acceptance, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const { request } = record
+      const { spec: request } = record
       for (;;) {
         // The mirror may lag here: the conditions fail if it does.
         const pages = this.book.pages(bucketOf(request.id))
@@ -98,12 +106,15 @@
         if (seen.kind !== "none") return yield* this.find(request.id)
         const target = this.pageFor(record, pages)
         if (target === null) return yield* Effect.fail(tooLarge)
-        const when: Array<Condition> = pages.map(({ path, stamp }) => ({ path, stamp }))
-        when.push({ path: keys.jobPage(bucketOf(request.id), pages.length), stamp: ABSENT })
-        const apply = this.changes(target.path, target.page)
-        const made = yield* this.state.multi(when, apply, 1)
+        const when: Array<Condition> = pages.map(({ key: path, modRevision: stamp }) => ({
+          key: path,
+          modRevision: stamp,
+        }))
+        when.push({ key: keys.jobPage(bucketOf(request.id), pages.length), modRevision: ABSENT })
+        const { page: written, operations } = this.writesOf(target.key, target.page)
+        const made = yield* this.state.compareAndSwap(when, operations, 1)
         if (made.ok) {
-          const entry = { path: target.path, v: written(apply), stamp: made.epoch }
+          const entry = { key: target.key, value: written, modRevision: made.revision }
           yield* this.events.changed(entry, request)
           return { kind: "accepted" } as const
         }
@@ -116,46 +127,50 @@
    * Conditioned on the ends pages of the job's part too: once any node may
    * have told that the job is done, it can't be cancelled any more.
    */
-  cancel(id: JobId): Effect.Effect<JobLookup, StateTrouble> {
+  cancel(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
         const found = yield* this.find(id)
-        if (found.kind !== "live" || found.record.withdrawn === true) return found
+        if (found.kind !== "live" || found.record.cancelled) return found
         const job = this.book.get(id)
-        const page = this.book.pages(bucketOf(id)).find(({ path }) => path === job?.page)
+        const page = this.book.pages(bucketOf(id)).find(({ key: path }) => path === job?.page)
         if (page === undefined) continue
-        const { request } = found.record
-        const when: Array<Condition> = [{ path: page.path, stamp: page.stamp }]
+        const { spec: request } = found.record
+        const when: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
         when.push(...this.endsConditions(this.events.partOf(request)))
-        const apply = this.changes(page.path, withdrawJob(this.folded(page), id))
-        const done = yield* this.state.multi(when, apply, 1)
+        const { page: written, operations } = this.writesOf(page.key, cancelJob(this.folded(page), id))
+        const done = yield* this.state.compareAndSwap(when, operations, 1)
         if (!done.ok) continue
-        const entry = { path: page.path, v: written(apply), stamp: done.epoch }
+        const entry = { key: page.key, value: written, modRevision: done.revision }
         yield* this.events.changed(entry, request)
-        return { kind: "live", record: { ...found.record, withdrawn: true } } as const
+        return { kind: "live", record: { ...found.record, cancelled: true } } as const
       }
     })
   }
 
   /** Writes a page anew without the jobs that are over. */
-  fold(path: string): Effect.Effect<void, StateTrouble> {
+  fold(path: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const page = this.pageAt(path)
       if (page === null) return
-      const apply = this.changes(path, this.folded(page))
-      const done = yield* this.state.multi([{ path, stamp: page.stamp }], apply, 3)
+      const { page: written, operations } = this.writesOf(path, this.folded(page))
+      const done = yield* this.state.compareAndSwap(
+        [{ key: path, modRevision: page.modRevision }],
+        operations,
+        3,
+      )
       if (!done.ok) return yield* this.membership.freshness.since
-      this.membership.mirror.hint({ path, v: written(apply), stamp: done.epoch })
+      this.membership.mirror.hint({ key: path, value: written, modRevision: done.revision })
     })
   }
 
   private pageAt(path: string): PageEntry | null {
     const bucket = Number(path.slice(path.lastIndexOf("/") + 1, path.lastIndexOf(".")))
-    return this.book.pages(bucket).find((page) => page.path === path) ?? null
+    return this.book.pages(bucket).find((page) => page.key === path) ?? null
   }
   /** What the mirror says, and for jobs long over the archive. */
-  private look(id: JobId): Effect.Effect<JobLookup, StateTrouble> {
-    return Effect.suspend((): Effect.Effect<JobLookup, StateTrouble> => {
+  private look(id: JobId): Effect.Effect<JobLookup, StoreError> {
+    return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
       const pages = this.book.pages(bucket)
       const status = this.book.finalOf(id, pages)
@@ -163,54 +178,55 @@
       const live = this.book.get(id)
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
       // Read after the pages were: what has left them by then is found there.
-      if (pages.every(({ v }) => v.archived === 0)) return Effect.succeed({ kind: "none" })
+      if (pages.every(({ value }) => value.archivedPages === 0)) return Effect.succeed({ kind: "none" })
       return this.lookInArchive(bucket, id)
     })
   }
-  private lookInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StateTrouble> {
+  private lookInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.map(this.state.list(keys.archive(bucket)), ({ items }) => {
-      for (const { v } of items) {
-        const status = finalIn(v as ArchivePage, id)
+      for (const { value: v } of items) {
+        const status = finalIn(v as FinalStates, id)
         if (status !== null) return { kind: "final", status }
       }
       return { kind: "none" }
     })
   }
 
-  private folded({ v }: PageEntry): JobPage {
+  private folded({ value: v }: PageEntry): JobPage {
     return foldEnds(v, (id) => this.book.endOf(id))
   }
   /** The first page of a bucket with room for the job; null when not even an empty one has. */
   private pageFor(
     record: JobRecord,
     pages: ReadonlyArray<PageEntry>,
-  ): { readonly path: string; readonly page: JobPage } | null {
-    const { value_kb } = this.state.limits
+  ): { readonly key: StoreKey<JobPage>; readonly page: JobPage } | null {
+    const { valueKb } = this.state.limits
     for (const entry of pages) {
       const page = addJob(this.folded(entry), record)
-      if (fitsValue(page, value_kb)) return { path: entry.path, page }
+      const key = entry.key as StoreKey<JobPage>
+      if (fitsValue(key, page, valueKb)) return { key, page }
     }
+    const key = keys.jobPage(bucketOf(record.spec.id), pages.length)
     const page = addJob(EMPTY_PAGE, record)
-    if (!fitsValue(page, value_kb)) return null
-    return { path: keys.jobPage(bucketOf(record.request.id), pages.length), page }
+    return fitsValue(key, page, valueKb) ? { key, page } : null
   }
   /** The page's write, and with it that of final states which leave it. */
-  private changes(path: string, next: JobPage): ReadonlyArray<Change & { readonly set: string }> {
-    if (this.state.limits.txn_ops < ARCHIVING_CHANGES) return [{ set: path, v: next }]
-    const { page, archived } = archiveFinals(next, this.state.limits.value_kb)
-    if (archived === null) return [{ set: path, v: page }]
-    const [bucket, number] = path.slice(path.lastIndexOf("/") + 1).split(".")
-    const archivePath = keys.archivePage(Number(bucket), Number(number), next.archived)
-    return [
-      { set: path, v: page },
-      { set: archivePath, v: archived },
-    ]
+  private writesOf(key: StoreKey<JobPage>, next: JobPage): PageWrites {
+    const { maxOperations, valueKb } = this.state.limits
+    if (maxOperations < ARCHIVING_CHANGES) return { page: next, operations: [put(key, next)] }
+    const { page, archived } = archiveFinals(next, valueKb)
+    if (archived === null) return { page, operations: [put(key, page)] }
+    const [bucket, number] = key.slice(key.lastIndexOf("/") + 1).split(".")
+    const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivedPages)
+    return { page, operations: [put(key, page), put(archiveKey, archived)] }
   }
-  private endsConditions(part: PartName): ReadonlyArray<Condition> {
+  private endsConditions(part: ShardName): ReadonlyArray<Condition> {
     const { mirror } = this.membership
-    return endsPages(part, this.state.limits).map((path) => ({ path, stamp: mirror.stamp(path) }))
+    return endsPages(part, this.state.limits).map((path) => ({
+      key: path,
+      modRevision: mirror.modRevision(path),
+    }))
   }
 }
 
-const tooLarge = new StateTrouble({ outcome: "refused", status: TOO_LARGE })
-const written = (apply: ReadonlyArray<Change>): unknown => (apply[0] as { readonly v: unknown }).v
+const tooLarge = new StoreError({ operation: "compareAndSwap", outcome: "refused", status: TOO_LARGE })
--- a/packages/controller/src/lending.ts
+++ b/packages/controller/src/lending.ts
@@ -1,5 +1,5 @@
-import { type Need, slotsIn } from "@sorreltally/planner"
-import { later, type Moment, type PartName, type TaskId } from "@sorreltally/wire"
+import { type MachineDemand, slotsIn } from "@sorreltally/planner"
+import { addMs, type MonotonicTime, type ShardName, type TaskId } from "@sorreltally/wire"
 import type { WorkerSession } from "@sorreltally/workers"
 import type { BlockWriter } from "./blocks.ts"
 import type { PartView } from "./context.ts"
@@ -9,9 +9,9 @@
 
 /** Task slots of a machine that was lent a moment ago. */
 interface Loan {
-  readonly to: PartName
+  readonly to: ShardName
   readonly slots: number
-  readonly until: Moment
+  readonly until: MonotonicTime
 }
 
 /** Hands one part's empty machines to other parts. */
@@ -25,15 +25,15 @@
   ) {}
 
   /** Slots lent to each part so lately that its need may not show them yet. */
-  lentLately(now: Moment): ReadonlyMap<PartName, number> {
+  lentLately(now: MonotonicTime): ReadonlyMap<ShardName, number> {
     while (this.loans[0] !== undefined && this.loans[0].until < now) this.loans.shift()
-    const slotsByPart = new Map<PartName, number>()
+    const slotsByPart = new Map<ShardName, number>()
     for (const { to, slots } of this.loans) slotsByPart.set(to, (slotsByPart.get(to) ?? 0) + slots)
     return slotsByPart
   }
 
   /** Hands an empty machine over, in one durable step that also raises its token. */
-  lend(session: WorkerSession, to: PartName, needs: ReadonlyArray<Need>): void {
+  lend(session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>): void {
     const { id } = session
     const { ctx } = this.of
     const tenancy = this.of.tenancies.get(id)
@@ -42,12 +42,12 @@
     if (ctx.membership.owner(to) === null) return
     tenancy.moving = true
     tenancy.holder = null
-    const shape = needs.find((n) => n.part === to)?.shape
+    const shape = needs.find((n) => n.shard === to)?.shape
     if (shape !== undefined) {
-      const until = later(ctx.time.moment(), LOAN_COUNTS_MS)
+      const until = addMs(ctx.time.monotonicNow(), LOAN_COUNTS_MS)
       this.loans.push({ to, slots: slotsIn(shape, session.type), until })
     }
-    const introduction = session.introduction(ctx.time.moment())
+    const introduction = session.introduction(ctx.time.monotonicNow())
     this.blocks.edit(id, { kind: "move", to }, (moved) => {
       tenancy.moving = false
       if (!moved) return
--- a/packages/controller/src/machine-needs.ts
+++ b/packages/controller/src/machine-needs.ts
@@ -2,26 +2,29 @@
 import {
   isStarved,
   type JobView,
-  type Need,
+  type MachineDemand,
   STARVED_RANK,
   shapeOf,
   tasksToBegin,
   type Unplaced,
 } from "@sorreltally/planner"
-import type { PartName } from "@sorreltally/wire"
+import type { ShardName } from "@sorreltally/wire"
 
 /** The most urgent needs are told, and the kinds of machine that most jobs that waited too long wait for. */
 const NEEDS_TOLD = 4
 const STARVED_TOLD = 2
 
-export const machineNeeds = (part: PartName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<Need> => [
+export const machineNeeds = (
+  part: ShardName,
+  unplaced: ReadonlyArray<Unplaced>,
+): ReadonlyArray<MachineDemand> => [
   ...starvedNeeds(part, unplaced),
   ...unplaced
     .filter(({ tasks }) => tasks > 0)
     .slice(0, NEEDS_TOLD)
     .map(
-      ({ job, tasks, pressing }): Need => ({
-        part,
+      ({ job, tasks, pressing }): MachineDemand => ({
+        shard: part,
         shape: shapeOf(job.request),
         rank: job.rank,
         tasks,
@@ -36,7 +39,7 @@
  * and more urgent work, or as urgent: for some of their tasks machines are lent
  * before any other work. Jobs that fit the same machines ask together.
  */
-const starvedNeeds = (part: PartName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<Need> => {
+const starvedNeeds = (part: ShardName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<MachineDemand> => {
   const byKind = new Map<string, { readonly first: JobView; tasks: number; since: number }>()
   for (const { job, tasks } of unplaced) {
     if (tasks === 0 || !isStarved(job)) continue
@@ -50,7 +53,7 @@
     .sort((a, b) => b.tasks - a.tasks)
     .slice(0, STARVED_TOLD)
     .map(({ first, tasks, since }) => ({
-      part,
+      shard: part,
       shape: shapeOf(first.request),
       rank: STARVED_RANK,
       tasks,
@@ -60,6 +63,13 @@
 }
 
 const machinesOf = ({ request }: JobView): string => {
-  const { cores, accelerators, mem_gb, builds, site, loaners } = request
+  const {
+    cores,
+    accelerators,
+    memGb: mem_gb,
+    machineTypes: builds,
+    zone: site,
+    spotAllowed: loaners,
+  } = request
   return JSON.stringify([cores, accelerators, mem_gb, builds ?? null, site ?? null, loaners])
 }
--- a/packages/controller/src/node-loads.ts
+++ b/packages/controller/src/node-loads.ts
@@ -1,7 +1,7 @@
 /** What the controllers tell each other of themselves: whether they can act, and how much they do. */
-import type { PeerChannel } from "@sorreltally/peers"
-import type { StateClient } from "@sorreltally/state"
-import { later, type Moment, type NodeName, type Timekeeper } from "@sorreltally/wire"
+import type { NodeLoad, PeerChannel } from "@sorreltally/peers"
+import type { StoreClient } from "@sorreltally/state"
+import { addMs, type Clocks, type MonotonicTime, type NodeName } from "@sorreltally/wire"
 import { Effect } from "effect"
 
 const TELL_EVERY_MS = 1_000
@@ -13,19 +13,8 @@
 const MUCH_REPORTS = 0.2
 const TOLD_LAST_MS = 5_000
 
-/** One node, as it says itself. */
-export interface NodeLoad {
-  /** It can act for its parts and answer users. */
-  readonly well: boolean
-  /** Changes of the state service that it makes a second. */
-  readonly changes: number
-  /** Reports of workers that come to it a second. */
-  readonly reports: number
-  /** It has more workers than it should answer alone: their reports are handed on to it by the others. */
-  readonly sharesReports: boolean
-}
 interface ToldLoad extends NodeLoad {
-  readonly at: Moment
+  readonly at: MonotonicTime
 }
 
 export class NodeLoads {
@@ -35,8 +24,8 @@
 
   constructor(
     private readonly peers: PeerChannel,
-    private readonly time: Timekeeper,
-    private readonly state: Pick<StateClient, "othersUse">,
+    private readonly time: Clocks,
+    private readonly state: Pick<StoreClient, "setPeerWriteRate">,
     private readonly own: () => NodeLoad,
   ) {}
 
@@ -53,36 +42,37 @@
     if (!this.isNews(load) && ++this.untold < TELL_AGAIN) return
     this.said = load
     this.untold = 0
-    this.peers.tell("load", load)
+    this.peers.send({ kind: "nodeLoad", load })
   }
   private isNews(load: NodeLoad): boolean {
     const { said } = this
     return (
       said === null ||
-      said.well !== load.well ||
-      said.sharesReports !== load.sharesReports ||
-      Math.abs(said.changes - load.changes) > MUCH_CHANGE ||
-      Math.abs(said.reports - load.reports) > 1 + MUCH_REPORTS * said.reports
+      said.healthy !== load.healthy ||
+      said.sharesHeartbeats !== load.sharesHeartbeats ||
+      Math.abs(said.writesPerSecond - load.writesPerSecond) > MUCH_CHANGE ||
+      Math.abs(said.heartbeatsPerSecond - load.heartbeatsPerSecond) >
+        1 + MUCH_REPORTS * said.heartbeatsPerSecond
     )
   }
   received(node: NodeName, load: NodeLoad): void {
-    this.loads.set(node, { ...load, at: this.time.moment() })
+    this.loads.set(node, { ...load, at: this.time.monotonicNow() })
     let changes = 0
-    for (const [, other] of this.fresh()) changes += other.changes
-    this.state.othersUse(changes)
+    for (const [, other] of this.fresh()) changes += other.writesPerSecond
+    this.state.setPeerWriteRate(changes)
   }
   private *fresh(): Iterable<readonly [NodeName, NodeLoad]> {
-    const oldest = later(this.time.moment(), -TOLD_LAST_MS)
+    const oldest = addMs(this.time.monotonicNow(), -TOLD_LAST_MS)
     for (const [node, load] of this.loads) if (load.at > oldest) yield [node, load]
   }
 
   sharesReports(node: NodeName): boolean {
-    return this.loads.get(node)?.sharesReports === true
+    return this.loads.get(node)?.sharesHeartbeats === true
   }
   /** Can others act? Null: none of them is heard. */
   othersWell(): boolean | null {
     let heard = false
-    for (const [node, { well }] of this.fresh()) {
+    for (const [node, { healthy: well }] of this.fresh()) {
       if (!this.peers.hears(node)) continue
       if (well) return true
       heard = true
@@ -92,7 +82,10 @@
   /** Nodes that can take reports of others' workers, and how many reports come to them a second. */
   takers(): ReadonlyMap<NodeName, number> {
     const takers = new Map<NodeName, number>()
-    for (const [node, { well, reports, sharesReports }] of this.fresh())
+    for (const [
+      node,
+      { healthy: well, heartbeatsPerSecond: reports, sharesHeartbeats: sharesReports },
+    ] of this.fresh())
       if (well && !sharesReports && this.peers.hears(node)) takers.set(node, reports)
     return takers
   }
--- a/packages/controller/src/part-planning.ts
+++ b/packages/controller/src/part-planning.ts
@@ -7,27 +7,27 @@
   type Load,
   lend,
   lendableTo,
+  type MachineDemand,
   type MachineView,
-  type Need,
   type Plan,
   plan,
-  type QuotaNeed,
+  type QuotaDemand,
   type Reserve,
   STARVED_RANK,
   type TeamRoom,
 } from "@sorreltally/planner"
 import {
   type Attempt,
+  addMs,
   type JobId,
-  type JobRequest,
-  later,
+  type JobSpec,
   type MachineId,
-  type Moment,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
-  type Stamp,
+  priorityRank,
   type TeamName,
   taskId,
-  urgencyRank,
 } from "@sorreltally/wire"
 import { Arrivals } from "./arrivals.ts"
 import type { PartView } from "./context.ts"
@@ -52,7 +52,7 @@
 /** What the plans need of their part beyond its state. */
 export interface PartPlanningHost {
   readonly part: PartView
-  readonly epoch: Stamp
+  readonly epoch: ModRevision
   readonly registry: JobRegistry
   readonly lending: Lending
   readonly rentals: () => Rentals
@@ -73,10 +73,10 @@
   private readonly draining = new Draining()
   private readonly arrivals = new Arrivals()
   private reserveRank = Number.NEGATIVE_INFINITY
-  private steadyWantedAt: Moment = NEVER
+  private steadyWantedAt: MonotonicTime = NEVER
   private attempts = 0
-  private lately: { readonly at: Moment; readonly load: Load } | null = null
-  private statusAt: Moment = NEVER
+  private lately: { readonly at: MonotonicTime; readonly load: Load } | null = null
+  private statusAt: MonotonicTime = NEVER
   /** The last plan left work without room. */
   workWaits = false
   /** Empty machines that the last plan found no use for. */
@@ -90,39 +90,47 @@
     const { part, epoch, changed } = host
     const { platform, membership, state, time } = part.ctx
     const { mirror } = membership
-    this.shares = new Shares(part.part, epoch, platform.facts.teams, mirror, state, time.moment, changed)
+    this.shares = new Shares(
+      part.part,
+      epoch,
+      platform.facts.teams,
+      mirror,
+      state,
+      time.monotonicNow,
+      changed,
+    )
   }
 
   /** A job came: jobs like it may need room sooner than a machine boots. */
-  arrived(request: JobRequest): void {
+  arrived(request: JobSpec): void {
     const { part } = this.host
-    const within = startTargets(part, request.lane, request.expected_s)[0] ?? null
+    const within = startTargets(part, request.jobClass, request.estimatedRunS)[0] ?? null
     let soonestBoot = Number.POSITIVE_INFINITY
     for (const type of part.ctx.fleet.catalog()?.values() ?? [])
-      soonestBoot = Math.min(soonestBoot, type.startup_s)
+      soonestBoot = Math.min(soonestBoot, type.bootS)
     if (within === null || within >= soonestBoot) return
-    this.arrivals.learn(request.pieces * request.cores, request.bundle, part.ctx.time.moment())
-    this.reserveRank = Math.max(this.reserveRank, urgencyRank[request.urgency])
+    this.arrivals.learn(request.taskCount * request.cores, request.image, part.ctx.time.monotonicNow())
+    this.reserveRank = Math.max(this.reserveRank, priorityRank[request.priority])
   }
   reserve(): Reserve {
     return {
       rank: this.reserveRank,
-      cores: this.arrivals.reserveCores(this.host.part.ctx.time.moment()),
+      cores: this.arrivals.reserveCores(this.host.part.ctx.time.monotonicNow()),
       images: this.arrivals.images(),
     }
   }
   /** Some work needed machines that spot couldn't give, not long ago. */
   steadyWanted(): boolean {
-    return this.host.part.ctx.time.moment() < later(this.steadyWantedAt, STEADY_LINGERS_MS)
+    return this.host.part.ctx.time.monotonicNow() < addMs(this.steadyWantedAt, STEADY_LINGERS_MS)
   }
 
   /** `makesRoom`: running tasks of lower rank may be stopped this time. */
   planOnce(makesRoom: boolean): void {
     const { part } = this.host
     const { ctx } = part
-    const now = ctx.time.moment()
+    const now = ctx.time.monotonicNow()
     const used = teamUse(part)
-    const { needs, quotas, claims } = ctx.wants(part.part)
+    const { machines: needs, quotas, claims } = ctx.wants(part.part)
     const unused = unusedCores(part, used)
     this.adjustShares(used, quotas, unused)
     const teams = this.teamRooms(used, claims)
@@ -160,7 +168,7 @@
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
     ctx.publish(part.part, {
-      needs: machineNeeds(part.part, decided.unplaced),
+      machines: machineNeeds(part.part, decided.unplaced),
       quotas: quotaNeeds(part, jobs, teams.startable, used, unused).filter(
         ({ team }) => !this.shares.yields(team),
       ),
@@ -188,7 +196,7 @@
   }
   private adjustShares(
     used: ReadonlyMap<TeamName, TeamRoom>,
-    quotas: ReadonlyArray<QuotaNeed>,
+    quotas: ReadonlyArray<QuotaDemand>,
     unused: number,
   ): void {
     const { part } = this.host
@@ -197,7 +205,7 @@
     )
     for (const change of changes) part.ctx.fork(change)
   }
-  private lendAll(lent: Iterable<Lent>, needs: ReadonlyArray<Need>): void {
+  private lendAll(lent: Iterable<Lent>, needs: ReadonlyArray<MachineDemand>): void {
     const { part, lending } = this.host
     for (const { machine, to } of lent) {
       const session = part.machines.get(machine)
@@ -206,13 +214,18 @@
   }
 
   /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
-  private load(now: Moment): Load {
-    if (this.lately === null || now > later(this.lately.at, LOAD_EVERY_MS))
+  private load(now: MonotonicTime): Load {
+    if (this.lately === null || now > addMs(this.lately.at, LOAD_EVERY_MS))
       this.lately = { at: now, load: loadOf(this.host.part, now) }
     return this.lately.load
   }
 
-  private makeRoom(decided: Plan, needs: ReadonlyArray<Need>, share: number, now: Moment): void {
+  private makeRoom(
+    decided: Plan,
+    needs: ReadonlyArray<MachineDemand>,
+    share: number,
+    now: MonotonicTime,
+  ): void {
     if (decided.unplaced.length === 0 && !needs.some((n) => n.pressing > 0)) return
     const { part, lending, tell } = this.host
     const views: ReadonlyArray<MachineView> = machineViews(part, now, this.reserve(), true)
@@ -231,7 +244,7 @@
     return all === 0 ? 1 : Math.min(1, machines.size / all)
   }
 
-  private carryOut(decided: Plan, now: Moment): void {
+  private carryOut(decided: Plan, now: MonotonicTime): void {
     const { part, rentals } = this.host
     for (const { job: id, machine } of decided.placements) {
       const job = part.jobs.get(id)
@@ -252,7 +265,7 @@
   }
 
   /** Places the job's next queued task. */
-  private place(job: JobState, machine: MachineId, now: Moment): void {
+  private place(job: JobState, machine: MachineId, now: MonotonicTime): void {
     const { part, epoch, registry } = this.host
     const session = part.machines.get(machine)
     if (session === undefined || session.tenure === null) return
@@ -277,12 +290,12 @@
     job.place(placement)
     session.hold(placement)
     registry.place(placement)
-    this.shares.started(job.request.owner)
+    this.shares.started(job.request.team)
   }
 
   /** Once in a while, for those on call: how much room this part has and what waits for it. */
-  private logStatus(now: Moment): void {
-    if (now < later(this.statusAt, STATUS_EVERY_MS)) return
+  private logStatus(now: MonotonicTime): void {
+    if (now < addMs(this.statusAt, STATUS_EVERY_MS)) return
     this.statusAt = now
     const { part, registry } = this.host
     const states: Record<string, number> = {}
--- a/packages/controller/src/part-wants.ts
+++ b/packages/controller/src/part-wants.ts
@@ -1,49 +1,44 @@
 /** What parts lack of machines and quota, as their owners tell one another. */
-import type { Need, QuotaNeed, TeamClaim, Wants } from "@sorreltally/planner"
-import { later, type Moment, type PartName, type Timekeeper } from "@sorreltally/wire"
+import type { MachineDemand, QuotaDemand, ShardDemand, TeamClaim } from "@sorreltally/planner"
+import { addMs, type Clocks, type MonotonicTime, type ShardName } from "@sorreltally/wire"
 
 /** What was told longer ago no longer counts: its owner may have gone. */
-const WANTS_LAST_MS = 3_500
-export const NO_WANTS: Wants = { needs: [], quotas: [], claims: [] }
-
-export interface ToldWants {
-  readonly part: PartName
-  readonly wants: Wants
-}
+const DEMAND_VALID_MS = 3_500
+export const NO_DEMAND: ShardDemand = { machines: [], quotas: [], claims: [] }
 
 /** What a change of a part's wants is news of. */
-export type WantsChange = "none" | "claims" | "needs"
+export type DemandChange = "none" | "claims" | "needs"
 
-export class PartWants {
-  private readonly byPart = new Map<PartName, { readonly wants: Wants; readonly at: Moment }>()
+export class DemandRegistry {
+  private readonly byPart = new Map<ShardName, { readonly wants: ShardDemand; readonly at: MonotonicTime }>()
 
-  constructor(private readonly time: Timekeeper) {}
+  constructor(private readonly time: Clocks) {}
 
-  of(part: PartName): Wants {
-    return this.byPart.get(part)?.wants ?? NO_WANTS
+  of(part: ShardName): ShardDemand {
+    return this.byPart.get(part)?.wants ?? NO_DEMAND
   }
   /** All that the other parts told lately. */
-  ofOthers(except: PartName): Wants {
-    const oldest = later(this.time.moment(), -WANTS_LAST_MS)
-    const needs: Array<Need> = []
-    const quotas: Array<QuotaNeed> = []
+  ofOthers(except: ShardName): ShardDemand {
+    const oldest = addMs(this.time.monotonicNow(), -DEMAND_VALID_MS)
+    const needs: Array<MachineDemand> = []
+    const quotas: Array<QuotaDemand> = []
     const claims: Array<TeamClaim> = []
     for (const [part, { wants, at }] of this.byPart) {
       if (part === except || at <= oldest) continue
-      needs.push(...wants.needs)
+      needs.push(...wants.machines)
       quotas.push(...wants.quotas)
       claims.push(...wants.claims)
     }
-    return { needs, quotas, claims }
+    return { machines: needs, quotas, claims }
   }
-  set(part: PartName, wants: Wants): void {
-    this.byPart.set(part, { wants, at: this.time.moment() })
+  set(part: ShardName, wants: ShardDemand): void {
+    this.byPart.set(part, { wants, at: this.time.monotonicNow() })
   }
   /** The same, and what is new about it. */
-  change(part: PartName, wants: Wants): WantsChange {
+  change(part: ShardName, wants: ShardDemand): DemandChange {
     const before = this.of(part)
     this.set(part, wants)
-    const lacks = ({ needs, quotas }: Wants) => JSON.stringify({ needs, quotas })
+    const lacks = ({ machines: needs, quotas }: ShardDemand) => JSON.stringify({ needs, quotas })
     if (lacks(before) !== lacks(wants)) return "needs"
     return JSON.stringify(before.claims) === JSON.stringify(wants.claims) ? "none" : "claims"
   }
--- a/packages/controller/src/preempt.ts
+++ b/packages/controller/src/preempt.ts
@@ -3,20 +3,20 @@
   allowed,
   choosePreemptions,
   hasWaitedTooLong,
+  type MachineDemand,
   type MachineView,
   minus,
-  type Need,
   type Plan,
   shapeOf,
   slotsIn,
   type Victim,
 } from "@sorreltally/planner"
 import {
-  later,
+  addMs,
   type MachineId,
-  type Moment,
-  type PartName,
-  urgencyRank,
+  type MonotonicTime,
+  priorityRank,
+  type ShardName,
   type WallTime,
 } from "@sorreltally/wire"
 import type { PartView } from "./context.ts"
@@ -30,25 +30,25 @@
  * Guards against a job that waited too long, is placed ahead of all other work
  * and stopped for it at once, again and again.
  */
-const isFirstOfStarved = ({ job, runningSince }: Placement, wall: WallTime, now: Moment): boolean =>
+const isFirstOfStarved = ({ job, runningSince }: Placement, wall: WallTime, now: MonotonicTime): boolean =>
   job.done === 0 &&
   hasWaitedTooLong((wall - job.submitted) / 1000) &&
-  (runningSince === null || now < later(runningSince, FIRST_RUNS_MS))
+  (runningSince === null || now < addMs(runningSince, FIRST_RUNS_MS))
 
 /** Stops work of lower rank where work of higher rank would otherwise come too late. */
 export const preempt = (
   part: PartView,
   decided: Plan,
-  needs: ReadonlyArray<Need>,
+  needs: ReadonlyArray<MachineDemand>,
   share: number,
-  lentLately: ReadonlyMap<PartName, number>,
+  lentLately: ReadonlyMap<ShardName, number>,
   views: ReadonlyArray<MachineView>,
-  now: Moment,
+  now: MonotonicTime,
   stoppedOn: (machine: MachineId) => void,
 ): void => {
-  const foreign = needs.filter((n) => n.pressing > 0 && !n.shape.together && !n.shape.scatter)
+  const foreign = needs.filter((n) => n.pressing > 0 && !n.shape.singleZone && !n.shape.spreadZones)
   const own = decided.unplaced
-    .filter(({ job }) => !job.request.together && !job.request.scatter)
+    .filter(({ job }) => !job.request.singleZone && !job.request.spreadZones)
     .slice(0, MOST_JOBS)
   const highest = Math.max(...foreign.map((n) => n.rank), ...own.map(({ job }) => job.rank))
   if (foreign.length === 0 && own.length === 0) return
@@ -63,9 +63,9 @@
         free = minus(free, request, -1)
         continue
       }
-      if (urgencyRank[request.urgency] >= highest) continue
-      if (isFirstOfStarved(placement, part.ctx.time.wall(), now)) continue
-      const saves = request.snapshot_s > 0
+      if (priorityRank[request.priority] >= highest) continue
+      if (isFirstOfStarved(placement, part.ctx.time.wallNow(), now)) continue
+      const saves = request.checkpointIntervalS > 0
       const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
       const on = victims.get(view.id) ?? []
       victims.set(view.id, on)
@@ -73,9 +73,9 @@
         placement,
         machine: view.id,
         shape: shapeOf(request),
-        rank: urgencyRank[request.urgency],
-        lossCoreS: (saves ? Math.min(ranS, request.flush_s) : ranS) * request.cores,
-        savesS: saves ? request.flush_s : 0,
+        rank: priorityRank[request.priority],
+        lossCoreS: (saves ? Math.min(ranS, request.checkpointSaveS) : ranS) * request.cores,
+        savesS: saves ? request.checkpointSaveS : 0,
       })
     }
     return { ...view, free, busyTasks }
@@ -131,7 +131,7 @@
     }
   }
   for (const need of foreign) {
-    let missing = Math.ceil(need.pressing * share) - (lentLately.get(need.part) ?? 0)
+    let missing = Math.ceil(need.pressing * share) - (lentLately.get(need.shard) ?? 0)
     for (const view of soon) {
       if (view.state === "up" && view.busyTasks === 0 && allowed(need.shape, view)) {
         missing -= slotsIn(need.shape, view.type)
--- a/packages/controller/src/quota-needs.ts
+++ b/packages/controller/src/quota-needs.ts
@@ -7,7 +7,7 @@
   goesFirst,
   isStarved,
   type JobView,
-  type QuotaNeed,
+  type QuotaDemand,
   STARVED_RANK,
   slotsIn,
   type TeamClaim,
@@ -15,22 +15,22 @@
   tasksToBegin,
 } from "@sorreltally/planner"
 import { isLimited, type Team } from "@sorreltally/settings"
-import { type JobRequest, type TeamName, urgencyRank } from "@sorreltally/wire"
+import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/wire"
 import type { PartView } from "./context.ts"
 import { SUSPECT_RANK } from "./failures.ts"
 import type { Amount, ShareNeed } from "./shares.ts"
 
 /** Tasks of a job that so many cores hold, whatever else they need. */
-const slotsInCores = (request: JobRequest, cores: number): number =>
-  slotsIn(request, { cores, accelerators: Number.POSITIVE_INFINITY, mem_gb: Number.POSITIVE_INFINITY })
+const slotsInCores = (request: JobSpec, cores: number): number =>
+  slotsIn(request, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
 
 /** What a team's limit leaves a part beyond what its own tasks use, however much other parts give up. */
 const reachable = ({ cpus_max, gpus_max }: Team, use: TeamRoom): TeamRoom => ({
   cores: cpus_max - use.cores,
   accelerators: gpus_max - use.accelerators,
 })
-const tasksWithin = (request: JobRequest, room: TeamRoom): number =>
-  slotsIn(request, { ...room, mem_gb: Number.POSITIVE_INFINITY })
+const tasksWithin = (request: JobSpec, room: TeamRoom): number =>
+  slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
 
 /** Cores of our machines, up or coming, on which no task is placed. */
 export const unusedCores = (part: PartView, used: ReadonlyMap<TeamName, TeamRoom>): number => {
@@ -48,15 +48,15 @@
   teams: ReadonlyMap<TeamName, TeamRoom>,
   used: ReadonlyMap<TeamName, TeamRoom>,
   unused: number,
-): ReadonlyArray<QuotaNeed> => {
+): ReadonlyArray<QuotaDemand> => {
   const beyondUse = new Map<TeamName, TeamRoom>()
   for (const team of part.ctx.platform.facts.teams)
     beyondUse.set(team.name, reachable(team, used.get(team.name) ?? NOTHING))
-  const out = new Map<TeamName, QuotaNeed>()
+  const out = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
     const { id, request, queued } = job
-    const room = teams.get(request.owner)
-    const attainable = beyondUse.get(request.owner)
+    const room = teams.get(request.team)
+    const attainable = beyondUse.get(request.team)
     if (room === undefined || attainable === undefined) continue
     // Guards against other parts that wait for ours to start tasks which no quota of theirs could make room for.
     const wanting = Math.min(queued, slotsInCores(request, unused), tasksWithin(request, attainable))
@@ -66,9 +66,9 @@
     const starved = isStarved(job) && startable < Math.min(wanting, tasksToBegin(job))
     const rank = starved ? STARVED_RANK : job.rank
     const since = part.jobs.get(id)?.submitted ?? 0
-    const need: QuotaNeed = { part: part.part, team: request.owner, rank, since }
-    const before = out.get(request.owner)
-    if (before === undefined || goesFirst(need, before)) out.set(request.owner, need)
+    const need: QuotaDemand = { shard: part.part, team: request.team, rank, since }
+    const before = out.get(request.team)
+    if (before === undefined || goesFirst(need, before)) out.set(request.team, need)
   }
   return [...out.values()]
 }
@@ -91,7 +91,7 @@
     const use = used.get(name) ?? NOTHING
     const more = planned.get(name) ?? NOTHING
     claims.push({
-      part: part.part,
+      shard: part.part,
       team: name,
       cpus: inSteps(use.cores + more.cores, cpus_max),
       gpus: inSteps(use.accelerators + more.accelerators, gpus_max),
@@ -122,34 +122,34 @@
   part: PartView,
   team: Team,
   use: TeamRoom,
-  quotas: ReadonlyArray<QuotaNeed>,
+  quotas: ReadonlyArray<QuotaDemand>,
   unused: number,
 ): ShareNeed => {
-  const wall = part.ctx.time.wall()
-  const now = part.ctx.time.moment()
+  const wall = part.ctx.time.wallNow()
+  const now = part.ctx.time.monotonicNow()
   const demand = new Demand()
   const starved = new Demand()
   const attainable = reachable(team, use)
   let left = unused
-  let smallest: JobRequest | null = null
+  let smallest: JobSpec | null = null
   for (const job of part.jobs.values()) {
     const { request } = job
     const queued = part.failures.startable(job, now)
-    if (request.owner !== team.name || job.withdrawn || queued === 0) continue
+    if (request.team !== team.name || job.withdrawn || queued === 0) continue
     if (tasksWithin(request, attainable) === 0) continue
     // Beyond what machines have room for, a share would only lie idle, and be asked back.
     const tasks = Math.min(queued, slotsInCores(request, left))
     if (tasks === 0) continue
     left -= tasks * request.cores
     const suspect = part.failures.isSuspect(job.id)
-    demand.add(job, tasks, suspect ? SUSPECT_RANK : urgencyRank[request.urgency])
+    demand.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[request.priority])
     const waiting = { unbegun: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
     if (smallest === null || request.cores < smallest.cores) smallest = request
   }
   const asking = quotas.filter((q) => q.team === team.name)
   const others = (of: Demand) =>
-    asking.some((q) => goesFirst(q, { part: part.part, team: team.name, rank: of.rank, since: of.since }))
+    asking.some((q) => goesFirst(q, { shard: part.part, team: team.name, rank: of.rank, since: of.since }))
   const need = (of: Demand, asked: ShareNeed["asked"]): ShareNeed => ({
     used: amountOf(use),
     wanted: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
--- a/packages/controller/src/relays.ts
+++ b/packages/controller/src/relays.ts
@@ -1,45 +1,44 @@
-/** Reports that came to another node than their machine's owner: handed on to it, and answered with its word. */
-import type { PeerChannel } from "@sorreltally/peers"
+/** Heartbeats that came to another node than their machine's owner: forwarded to it, and answered with its reply. */
 import {
-  type Answer,
+  type ForwardedHeartbeats,
+  type ForwardedReplies,
+  type ForwardedReply,
+  HEARTBEAT_BYTES,
+  HEARTBEAT_TASK_BYTES,
+  isRepeat,
+  type PeerChannel,
+  SEND_WHOLE,
+} from "@sorreltally/peers"
+import {
+  addMs,
+  type Clocks,
   encodeRedirect,
   type Heartbeat,
-  later,
   type MachineId,
-  type Moment,
+  type MonotonicTime,
   NEVER,
   type NodeName,
-  type Outgoing,
-  PACKED_REPORT_BYTES,
-  PACKED_TASK_BYTES,
-  packRepeat,
-  packReport,
-  type RelayedAnswers,
-  type RelayedReports,
-  type RepeatedReport,
-  repeats,
-  SEND_WHOLE,
-  type Timekeeper,
-  unpackRepeat,
-  unpackReport,
-  type WireHeartbeatReply,
+  type OutgoingResponse,
+  type Respond,
 } from "@sorreltally/wire"
+import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import { Effect } from "effect"
 import { type ForLife, Outbox, ofLife } from "./outbox.ts"
 
-/** A worker answers nobody for 4 s; what is relayed has to be back before that. */
-const RELAY_TIMEOUT_MS = 2_500
-const LOOK_EVERY_MS = 250
+/** A worker waits 4 s for an answer; what is forwarded has to be back before that. */
+const REPLY_TIMEOUT_MS = 2_500
+const TIMEOUT_CHECK_MS = 250
 /** Messages older than this are not carried out: whoever sent them has given up. */
-const TOO_OLD_MS = 4_000
+const MAX_AGE_MS = 4_000
 /** What comes within this time goes in one message. */
 const GATHER_MS = 20
-/** Well below the longest message between controllers, answers with a command a task included. */
+/** Well below the longest message between controllers, replies with a command a task included. */
 const BATCH_BYTES = 256 * 1024
-const sizeOf = (report: Heartbeat): number => PACKED_REPORT_BYTES + PACKED_TASK_BYTES * report.tasks.length
 /** A worker that we sent to its owner and that is back this soon could not reach it. */
 const BACK_SOON_MS = 20_000
-const RELAY_FOR_MS = 30_000
+const FORWARD_FOR_MS = 30_000
+
+const sizeOf = ({ tasks }: Heartbeat): number => HEARTBEAT_BYTES + HEARTBEAT_TASK_BYTES * tasks.length
 
 /** Guards against messages that are refused as too long where machines have many tasks each. */
 export const takeBatch = <A>(items: Array<A>, bytesOf: (item: A) => number): Array<A> => {
@@ -53,166 +52,167 @@
   return items.splice(0, count)
 }
 
-/** A worker's report that waits for its owner's word. */
+/** A worker's heartbeat that waits for its owner's reply. */
 interface Waiting {
-  readonly report: Heartbeat
+  readonly heartbeat: Heartbeat
   readonly owner: NodeName
-  readonly until: Moment
-  readonly answer: Answer
+  readonly until: MonotonicTime
+  readonly respond: Respond
 }
-/** The last report of a machine that its owner answered through this node. */
+/** The last heartbeat of a machine that its owner answered through this node. */
 interface Answered {
-  readonly report: Heartbeat
+  readonly heartbeat: Heartbeat
   readonly owner: NodeName
 }
-const LATER: Outgoing = { status: 503, body: {} }
+/** A heartbeat about to be forwarded. */
+interface Outgoing {
+  readonly id: number
+  readonly heartbeat: Heartbeat
+  /** Its owner lacks the one that it may repeat. */
+  readonly whole: boolean
+}
+const UNAVAILABLE: OutgoingResponse = { status: 503, body: {} }
+
+/** What the forwarding of heartbeats needs of its node. */
+export interface HeartbeatForwarderOptions {
+  readonly peers: PeerChannel
+  readonly clocks: Clocks
+  /** By how much the nodes' times of day may differ. */
+  readonly clockSkewMs: number
+  readonly fork: (effect: Effect.Effect<unknown>) => void
+}
 
 /**
- * Workers that reach this node and not their machine's owner, or whose owner shares its reports among
- * all nodes. Nothing is ever answered 200 but by the owner, for this very report.
+ * Workers that reach this node and not their machine's owner, or whose owner shares its heartbeats among
+ * all nodes. Nothing is ever answered 200 but by the owner, for this very heartbeat.
  */
-export class Relays {
-  private readonly sentAway = new Map<MachineId, Moment>()
-  private readonly relayUntil = new Map<MachineId, Moment>()
+export class HeartbeatForwarder {
+  private readonly redirectedAt = new Map<MachineId, MonotonicTime>()
+  private readonly forwardUntil = new Map<MachineId, MonotonicTime>()
   private readonly waiting = new Map<number, Waiting>()
   private readonly answered = new Map<MachineId, Answered>()
-  private readonly reports: Outbox<{
-    readonly n: number
-    readonly report: Heartbeat
-    readonly whole: boolean
-  }>
-  private readonly answers: Outbox<ForLife<RelayedAnswers["answers"][number]>>
-  /** Lives of the nodes whose reports we answer. */
+  private readonly heartbeats: Outbox<Outgoing>
+  private readonly replies: Outbox<ForLife<ForwardedReply>>
+  /** Lives of the nodes whose heartbeats we answer. */
   private readonly lives = new Map<NodeName, number>()
   private readonly life: number
   private count = 0
-  private looking = false
+  private checkingTimeouts = false
 
-  constructor(
-    private readonly peers: PeerChannel,
-    private readonly time: Timekeeper,
-    private readonly clocksOffMs: number,
-    private readonly fork: (effect: Effect.Effect<unknown>) => void,
-  ) {
-    this.life = Math.floor(time.wall())
-    this.reports = new Outbox(GATHER_MS, (to, items) => this.sendReports(to, items), fork)
-    const sendAnswers = (
-      to: NodeName,
-      answers: ReadonlyArray<ForLife<RelayedAnswers["answers"][number]>>,
-    ) => {
-      const life = this.lives.get(to) ?? 0
-      const letter: RelayedAnswers = { life, answers: ofLife(answers, life) }
-      this.peers.tell("answers", letter, to)
+  constructor(private readonly options: HeartbeatForwarderOptions) {
+    const { clocks, peers, fork } = options
+    this.life = Math.floor(clocks.wallNow())
+    this.heartbeats = new Outbox(GATHER_MS, (to, items) => this.sendHeartbeats(to, items), fork)
+    const sendReplies = (to: NodeName, replies: ReadonlyArray<ForLife<ForwardedReply>>) => {
+      const recipientLife = this.lives.get(to) ?? 0
+      peers.send({ kind: "heartbeatReplies", recipientLife, replies: ofLife(replies, recipientLife) }, to)
     }
-    this.answers = new Outbox(GATHER_MS, sendAnswers, fork)
+    this.replies = new Outbox(GATHER_MS, sendReplies, fork)
   }
 
-  /** A report of a machine whose owner has its workers report to it alone. */
-  passOn(report: Heartbeat, owner: NodeName, answer: Answer): void {
-    const now = this.time.moment()
-    const relaying = now < (this.relayUntil.get(report.machineId) ?? NEVER)
-    const back = now < later(this.sentAway.get(report.machineId) ?? NEVER, BACK_SOON_MS)
-    if (!relaying && !back) {
-      this.sentAway.set(report.machineId, now)
-      return answer({ status: 421, body: encodeRedirect(owner) })
+  /** A heartbeat of a machine whose owner has its workers report to it alone: redirected, or forwarded if that failed. */
+  redirect(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
+    const { machineId } = heartbeat
+    const now = this.options.clocks.monotonicNow()
+    const forwarding = now < (this.forwardUntil.get(machineId) ?? NEVER)
+    const back = now < addMs(this.redirectedAt.get(machineId) ?? NEVER, BACK_SOON_MS)
+    if (!forwarding && !back) {
+      this.redirectedAt.set(machineId, now)
+      return respond({ status: 421, body: encodeRedirect(owner) })
     }
-    if (!relaying) {
-      this.sentAway.delete(report.machineId)
-      this.relayUntil.set(report.machineId, later(now, RELAY_FOR_MS))
+    if (!forwarding) {
+      this.redirectedAt.delete(machineId)
+      this.forwardUntil.set(machineId, addMs(now, FORWARD_FOR_MS))
     }
-    this.relay(report, owner, answer)
+    this.forward(heartbeat, owner, respond)
   }
-  /** A report of a machine whose owner shares its workers' reports among the nodes. */
-  relay(report: Heartbeat, owner: NodeName, answer: Answer): void {
-    const n = ++this.count
-    this.waiting.set(n, { report, owner, answer, until: later(this.time.moment(), RELAY_TIMEOUT_MS) })
-    this.reports.put(owner, { n, report, whole: false })
-    if (this.looking) return
-    this.looking = true
-    this.fork(this.giveUpLate())
+  /** A heartbeat of a machine whose owner shares its workers' heartbeats among the nodes. */
+  forward(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
+    const { clocks, fork } = this.options
+    const id = ++this.count
+    const until = addMs(clocks.monotonicNow(), REPLY_TIMEOUT_MS)
+    this.waiting.set(id, { heartbeat, owner, respond, until })
+    this.heartbeats.put(owner, { id, heartbeat, whole: false })
+    if (this.checkingTimeouts) return
+    this.checkingTimeouts = true
+    fork(this.checkTimeouts())
   }
-  /** Ends when no report waits. */
-  private giveUpLate() {
+  /** Ends when no heartbeat waits. */
+  private checkTimeouts() {
     return Effect.gen({ self: this }, function* () {
       while (this.waiting.size > 0) {
-        yield* Effect.sleep(LOOK_EVERY_MS)
-        const now = this.time.moment()
-        for (const [n, { until, answer }] of this.waiting) {
+        yield* Effect.sleep(TIMEOUT_CHECK_MS)
+        const now = this.options.clocks.monotonicNow()
+        for (const [id, { until, respond }] of this.waiting) {
           if (now < until) break
-          this.waiting.delete(n)
-          answer(LATER)
+          this.waiting.delete(id)
+          respond(UNAVAILABLE)
         }
       }
-      this.looking = false
+      this.checkingTimeouts = false
     })
   }
 
-  private sendReports(
-    owner: NodeName,
-    items: Array<{ readonly n: number; readonly report: Heartbeat; readonly whole: boolean }>,
-  ): void {
+  private sendHeartbeats(owner: NodeName, items: Array<Outgoing>): void {
+    const { clocks, peers } = this.options
     while (items.length > 0) {
-      const reports: Array<RelayedReports["reports"][number]> = []
-      const repeated: Array<RelayedReports["repeats"][number]> = []
-      for (const { n, report, whole } of takeBatch(items, ({ report }) => sizeOf(report))) {
-        const before = whole ? undefined : this.answered.get(report.machineId)
-        if (before !== undefined && before.owner === owner && repeats(report, before.report))
-          repeated.push([n, packRepeat(report, before.report.sequence)])
-        else reports.push([n, packReport(report)])
+      const heartbeats: Array<ForwardedHeartbeats["heartbeats"][number]> = []
+      const repeats: Array<ForwardedHeartbeats["repeats"][number]> = []
+      for (const { id, heartbeat, whole } of takeBatch(items, ({ heartbeat }) => sizeOf(heartbeat))) {
+        const before = whole ? undefined : this.answered.get(heartbeat.machineId)
+        if (before !== undefined && before.owner === owner && isRepeat(heartbeat, before.heartbeat))
+          repeats.push({ id, repeat: { ...heartbeat, since: before.heartbeat.sequence } })
+        else heartbeats.push({ id, heartbeat })
       }
-      const letter: RelayedReports = { life: this.life, at: this.time.wall(), reports, repeats: repeated }
-      this.peers.tell("reports", letter, owner)
+      const sentAt = clocks.wallNow()
+      peers.send({ kind: "heartbeats", senderLife: this.life, sentAt, heartbeats, repeats }, owner)
     }
   }
-  /** The owner's answers to reports that we handed on. */
-  receivedAnswers({ life, answers }: RelayedAnswers): void {
-    // An answer meant for an earlier life of this process is nobody's.
-    if (life !== this.life) return
-    for (const [n, status, token, orders] of answers) {
-      const waiting = this.waiting.get(n)
+  /** The owner's replies to heartbeats that we forwarded. */
+  receivedReplies({ recipientLife, replies }: ForwardedReplies): void {
+    // A reply meant for an earlier life of this process is nobody's.
+    if (recipientLife !== this.life) return
+    for (const { id, status, body } of replies) {
+      const waiting = this.waiting.get(id)
       if (waiting === undefined) continue
-      const { report, owner } = waiting
+      const { heartbeat, owner } = waiting
       if (status === SEND_WHOLE) {
-        this.answered.delete(report.machineId)
-        this.reports.put(owner, { n, report, whole: true })
+        this.answered.delete(heartbeat.machineId)
+        this.heartbeats.put(owner, { id, heartbeat, whole: true })
         continue
       }
-      this.waiting.delete(n)
-      if (status === 200 && token !== null) {
-        this.answered.set(report.machineId, { report, owner })
-        waiting.answer({ status, body: { baton: token, orders } satisfies WireHeartbeatReply })
-      } else waiting.answer({ status, body: {} })
+      this.waiting.delete(id)
+      if (status === 200) this.answered.set(heartbeat.machineId, { heartbeat, owner })
+      waiting.respond({ status, body })
     }
   }
 
-  /** Reports of our machines that came to another node. What is too old isn't answered. */
-  receivedReports(
+  /** Heartbeats of our machines that came to another node. What is too old isn't answered. */
+  receivedHeartbeats(
     from: NodeName,
-    letter: RelayedReports,
-    take: (report: Heartbeat, answer: Answer) => void,
-    whole: (repeat: RepeatedReport) => Heartbeat | null,
+    { senderLife: life, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
+    take: (heartbeat: Heartbeat, respond: Respond) => void,
+    whole: (repeat: RepeatedHeartbeat) => Heartbeat | null,
   ): void {
-    if (this.time.wall() - letter.at > TOO_OLD_MS + 2 * this.clocksOffMs) return
-    const { life } = letter
+    const { clocks, clockSkewMs } = this.options
+    if (clocks.wallNow() - sentAt > MAX_AGE_MS + 2 * clockSkewMs) return
     this.lives.set(from, life)
-    const answerTo =
-      (n: number): Answer =>
-      ({ status, body }) => {
-        const { baton, orders } = body as Partial<WireHeartbeatReply>
-        this.answers.put(from, { life, item: [n, status, baton ?? null, orders ?? []] })
-      }
-    for (const [n, packed] of letter.reports) take(unpackReport(packed), answerTo(n))
-    for (const [n, packed] of letter.repeats) {
-      const report = whole(unpackRepeat(packed))
-      if (report === null) this.answers.put(from, { life, item: [n, SEND_WHOLE, null, []] })
-      else take(report, answerTo(n))
+    const respondTo =
+      (id: number): Respond =>
+      ({ status, body }) =>
+        this.replies.put(from, { life, item: { id, status, body: body as ForwardedReply["body"] } })
+    for (const { id, heartbeat } of heartbeats) take(heartbeat, respondTo(id))
+    for (const { id, repeat } of repeats) {
+      const heartbeat = whole(repeat)
+      if (heartbeat === null) this.replies.put(from, { life, item: { id, status: SEND_WHOLE, body: {} } })
+      else take(heartbeat, respondTo(id))
     }
   }
 
   /** Forgets machines that are gone. */
   forget(machine: MachineId): void {
-    this.sentAway.delete(machine)
-    this.relayUntil.delete(machine)
+    this.redirectedAt.delete(machine)
+    this.forwardUntil.delete(machine)
     this.answered.delete(machine)
   }
 }
--- a/packages/controller/src/rentals.ts
+++ b/packages/controller/src/rentals.ts
@@ -1,14 +1,21 @@
 import { DEADLINE } from "@sorreltally/membership"
-import { allowed, type Need, type PlannedHire, type Reserve, slotsIn, spareCores } from "@sorreltally/planner"
 import {
-  type HireName,
+  allowed,
+  type MachineDemand,
+  type PlannedHire,
+  type Reserve,
+  slotsIn,
+  spareCores,
+} from "@sorreltally/planner"
+import {
+  addMs,
   type JobId,
   type ListedMachine,
-  later,
   type MachineId,
-  type Moment,
+  type MonotonicTime,
   NEVER,
-  type PartName,
+  type RentalRequestId,
+  type ShardName,
 } from "@sorreltally/wire"
 import type { WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
@@ -41,7 +48,7 @@
   readonly changed: () => void
   /** The cloud's answer proves that the machine and all on it are gone. */
   readonly deleted: (session: WorkerSession) => void
-  readonly lend: (session: WorkerSession, to: PartName, needs: ReadonlyArray<Need>) => void
+  readonly lend: (session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>) => void
   readonly steadyWanted: () => boolean
   readonly reserve: () => Reserve
   /** Did the last plan find no use for this empty machine? */
@@ -52,7 +59,7 @@
 
 /** One part's dealings with the cloud: what it rents, adopts, and gives back. */
 export class Rentals {
-  readonly hiring = new Map<HireName, PlannedHire>()
+  readonly hiring = new Map<RentalRequestId, PlannedHire>()
   private readonly recording = new Set<MachineId>()
   private readonly holderOf = new Map<MachineId, NonNullable<PlannedHire["holder"]>>()
   private readonly leaving = new Map<MachineId, WorkerSession>()
@@ -97,16 +104,16 @@
     ctx.fork(Effect.ensuring(this.carryOut(name, hire, answered), settled))
   }
 
-  private carryOut(name: HireName, { hireable, count, holder }: PlannedHire, answered: () => void) {
+  private carryOut(name: RentalRequestId, { hireable, count, holder }: PlannedHire, answered: () => void) {
     return Effect.gen({ self: this }, function* () {
       const { ctx } = this.of
       const { type, zone, spot } = hireable
-      const request = { hire: name, build: type.name, site: zone, loaners: spot, how_many: count }
+      const request = { requestId: name, machineType: type.name, zone, spot, count }
       // The same name until it is answered: a lost answer then rents nothing twice.
       for (let tries = 0; tries < 20 && !this.over(); tries++) {
-        const rented = ctx.time.wall()
+        const rented = ctx.time.wallNow()
         const stillWanted = () => !this.over() && !ctx.fleet.isRefused(type.name, zone, spot)
-        const answer = yield* Effect.result(ctx.cloud.hire(request, stillWanted))
+        const answer = yield* Effect.result(ctx.cloud.rent(request, stillWanted))
         if (Result.isFailure(answer)) {
           if (answer.failure.status === 400) return
           yield* Effect.sleep(400)
@@ -128,8 +135,8 @@
         // Until they are on record they count as coming by this request.
         this.hiring.set(name, { hireable, count: got.length, holder })
         yield* Effect.callback<void>((resume) => {
-          const block = { build: type.name, site: zone, loaners: spot, rented, ids: got }
-          this.blocks.add(block, false, () => resume(Effect.void))
+          const machines = { machineType: type.name, zone, spot, rentedAt: rented, ids: got }
+          this.blocks.add(machines, false, () => resume(Effect.void))
         })
         for (const id of got) this.recording.delete(id)
         return
@@ -145,26 +152,25 @@
         !this.recording.has(m.id) &&
         book.get(m.id) === undefined &&
         !book.gone.has(m.id) &&
-        (m.held_s >= ADOPT_AFTER_S || m.status === "running")
+        (m.ageS >= ADOPT_AFTER_S || m.status === "running")
       if (!fleet.listedHere.some(unknown)) return
       const fresh = yield* Effect.result(membership.freshness.since)
       if (Result.isFailure(fresh)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const listed of fleet.listedHere) {
         if (!unknown(listed)) continue
-        const { build, site, loaners } = listed
-        const group = originFor(ADOPTED, { build, site, loaners })
+        const group = originFor(ADOPTED, listed)
         const of = groups.get(group)
         if (of === undefined) groups.set(group, [listed])
         else of.push(listed)
       }
       for (const group of groups.values()) {
-        const { build, site, loaners, held_s } = group[0]!
+        const { machineType, zone, spot, ageS } = group[0]!
         const ids = group.map((m) => m.id)
         for (const id of ids) this.recording.add(id)
-        log.info("machines adopted", { count: ids.length, build, site, loaners, first: ids[0] })
-        const rented = time.wall() - held_s * 1000
-        this.blocks.add({ build, site, loaners, rented, ids }, true, () => {
+        log.info("machines adopted", { count: ids.length, machineType, zone, spot, first: ids[0] })
+        const rentedAt = time.wallNow() - ageS * 1000
+        this.blocks.add({ machineType, zone, spot, rentedAt, ids }, true, () => {
           for (const id of ids) this.recording.delete(id)
         })
       }
@@ -201,7 +207,7 @@
         for (const session of batch) {
           this.leaving.delete(session.id)
           // Whether we gave it back or the cloud took it: its place is free now.
-          const { build, site, loaners } = session.entry
+          const { machineType: build, zone: site, spot: loaners } = session.entry
           this.of.ctx.fleet.granted(build, site, loaners)
           this.events.deleted(session)
           this.blocks.edit(session.id, { kind: "remove" })
@@ -226,15 +232,15 @@
   /** Which machines are gone, broken or of no use any more? */
   private check(): void {
     const { of } = this
-    const now = of.ctx.time.moment()
-    const { needs } = of.ctx.wants(of.part)
+    const now = of.ctx.time.monotonicNow()
+    const { machines: needs } = of.ctx.wants(of.part)
     const windowMs = of.ctx.operators.provisioning["window-s"] * 1000
     let spotUp = false
-    for (const m of of.machines.values()) spotUp ||= m.entry.loaners && m.up
+    for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
     const wanted = this.queuedShapes()
     // Another part would rent a dear one of its own in its place.
     const wantedBy = ({ type, entry }: WorkerSession) => {
-      const kind = { type, zone: entry.site, spot: entry.loaners }
+      const kind = { type, zone: entry.zone, spot: entry.spot }
       return needs.some((n) => n.pressing > 0 && allowed(n.shape, kind))
     }
     const due: Array<WorkerSession> = []
@@ -254,7 +260,7 @@
         if (tenancy.closing && session.placements.size === 0) this.giveBack(session, "closed")
         continue
       }
-      if (!session.entry.loaners && spotUp && !this.events.steadyWanted() && !wantedBy(session))
+      if (!session.entry.spot && spotUp && !this.events.steadyWanted() && !wantedBy(session))
         tenancy.closing = true
       if (session.placements.size > 0 || tenancy.holder !== null) continue
       if (wanted.some((request) => slotsIn(request, session.type) > 0)) continue
@@ -274,21 +280,21 @@
         spare -= view.free.cores
       }
       // Of no use here: another part may still want it before the cloud gets it back.
-      const { site, loaners } = session.entry
+      const { zone: site, spot: loaners } = session.entry
       const shape = { type: session.type, zone: site, spot: loaners }
       const closing = of.tenancies.get(session.id)!.closing
       const need = closing ? undefined : needs.find((n) => allowed(n.shape, shape))
       if (need === undefined) this.giveBack(session, "window over")
-      else this.events.lend(session, need.part, needs)
+      else this.events.lend(session, need.shard, needs)
     }
   }
 
-  private brokenBy(session: WorkerSession, rentedAt: Moment, now: Moment): string | null {
+  private brokenBy(session: WorkerSession, rentedAt: MonotonicTime, now: MonotonicTime): string | null {
     const { fleet, platform } = this.of.ctx
     const lagMs = platform.facts.cloud.list_lag_s * 1000
     const listed = fleet.listed.get(session.id)
     const heldMs = now - rentedAt
-    const listIsNew = fleet.listedAt > later(now, -3 * lagMs - 4_000 - fleet.pollMs)
+    const listIsNew = fleet.listedAt > addMs(now, -3 * lagMs - 4_000 - fleet.pollMs)
     // Gone by the list and silent: asking for its deletion proves it gone, which the list alone does not.
     if (listed === undefined && listIsNew && session.silentMs(now) > 4_000) {
       const shouldBeListed = fleet.everListed.has(session.id) || heldMs > 4 * lagMs + 2_000 + fleet.pollMs
@@ -301,12 +307,12 @@
     const overdueMs = REPORT_OVERDUE * 1000 * platform.facts.workers.report_s
     if (warningUntil !== null && now > warningUntil && session.silentMs(now) > overdueMs) return "taken back"
     // A new owner hasn't heard machines that are long up either: the list has to say that it still boots.
-    const overdue = heldMs > session.type.startup_s * NEVER_BOOTED * 1000
+    const overdue = heldMs > session.type.bootS * NEVER_BOOTED * 1000
     if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && listIsNew)
       return "never came up"
     if (
       session.receivesNothingSince !== null &&
-      now > later(session.receivesNothingSince, RECEIVES_NOTHING_MS)
+      now > addMs(session.receivesNothingSince, RECEIVES_NOTHING_MS)
     )
       return "hears nothing"
     return null
@@ -315,7 +321,7 @@
   /** What of the queued work that no limit holds back an idle machine could take. */
   private queuedShapes() {
     const heldBack = this.events.heldBack()
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     const shapes = []
     for (const job of this.of.jobs.values())
       if (this.of.failures.startable(job, now) > 0 && !job.withdrawn && !heldBack.has(job.id))
--- a/packages/controller/src/report-sharing.ts
+++ b/packages/controller/src/report-sharing.ts
@@ -1,5 +1,12 @@
 /** Which node a worker should report to where one owner has too many workers to answer alone. */
-import { later, type MachineId, type Moment, NEVER, type NodeName, type Timekeeper } from "@sorreltally/wire"
+import {
+  addMs,
+  type Clocks,
+  type MachineId,
+  type MonotonicTime,
+  NEVER,
+  type NodeName,
+} from "@sorreltally/wire"
 
 /**
  * Reports a second that an owner answers itself, for each core that it has. At some 0.25 ms of processor
@@ -23,14 +30,14 @@
 /** A rate of events a second that follows them with some delay. */
 class Rate {
   private perSecond = 0
-  private at: Moment = NEVER
+  private at: MonotonicTime = NEVER
   constructor(private readonly overMs: number) {}
 
-  add(events: number, now: Moment): void {
+  add(events: number, now: MonotonicTime): void {
     this.perSecond = this.read(now) + (1000 * events) / this.overMs
     this.at = now
   }
-  read(now: Moment): number {
+  read(now: MonotonicTime): number {
     return this.at === NEVER ? 0 : this.perSecond * Math.exp(-(now - this.at) / this.overMs)
   }
 }
@@ -43,14 +50,14 @@
   private readonly received: Rate
   private shares = false
   /** Workers that we sent elsewhere, and those that came back and stay for a while. */
-  private readonly sentAway = new Map<MachineId, Moment>()
-  private readonly keptUntil = new Map<MachineId, Moment>()
+  private readonly sentAway = new Map<MachineId, MonotonicTime>()
+  private readonly keptUntil = new Map<MachineId, MonotonicTime>()
   /** Reports that we sent to a node since it last told its own. */
   private readonly sentTo = new Map<NodeName, { told: number; more: number }>()
   private due = 0
 
   constructor(
-    private readonly time: Timekeeper,
+    private readonly time: Clocks,
     private readonly cores: number,
     private readonly reportS: number,
     /** Nodes that can take others' workers, and their reports a second. */
@@ -61,10 +68,10 @@
 
   /** A worker's report came to this node. */
   came(): void {
-    this.received.add(1, this.time.moment())
+    this.received.add(1, this.time.monotonicNow())
   }
   get reportsPerSecond(): number {
-    return this.received.read(this.time.moment())
+    return this.received.read(this.time.monotonicNow())
   }
   /** This node owns so many machines; does it share their reports? */
   owns(machines: number): boolean {
@@ -92,13 +99,13 @@
     return this.sendAway(machine)
   }
   private sendAway(machine: MachineId): NodeName | null {
-    const now = this.time.moment()
+    const now = this.time.monotonicNow()
     if (now < (this.keptUntil.get(machine) ?? NEVER)) return null
     const sent = this.sentAway.get(machine)
     this.sentAway.delete(machine)
     this.keptUntil.delete(machine)
-    if (sent !== undefined && now < later(sent, BACK_SOON_MS)) {
-      this.keptUntil.set(machine, later(now, KEEP_FOR_MS))
+    if (sent !== undefined && now < addMs(sent, BACK_SOON_MS)) {
+      this.keptUntil.set(machine, addMs(now, KEEP_FOR_MS))
       return null
     }
     const to = this.leastLoaded()
