--- a/packages/controller/src/shares.ts
+++ b/packages/controller/src/shares.ts
@@ -1,14 +1,14 @@
 import type { Mirror } from "@sorreltally/membership"
 import { EPSILON, type TeamClaim } from "@sorreltally/planner"
 import { isLimited, NO_LIMIT, type Team } from "@sorreltally/settings"
-import { keys, type QuotaRecord, type StateClient } from "@sorreltally/state"
+import { keys, put, type QuotaRecord, type StoreClient } from "@sorreltally/state"
 import {
   ABSENT,
-  later,
-  type Moment,
+  addMs,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
-  type PartName,
-  type Stamp,
+  type ShardName,
   type TeamName,
 } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
@@ -68,20 +68,20 @@
 export class Shares {
   private readonly ceiling = new Map<TeamName, Amount>()
   private readonly busy = new Set<TeamName>()
-  private readonly idleSince = new Map<TeamName, Moment>()
-  private readonly surplusSince = new Map<TeamName, Moment>()
-  private readonly lastStart = new Map<TeamName, Moment>()
-  private readonly yieldsUntil = new Map<TeamName, Moment>()
-  private readonly leftSince = new Map<TeamName, Moment>()
-  private readonly leftoverUntil = new Map<TeamName, Moment>()
+  private readonly idleSince = new Map<TeamName, MonotonicTime>()
+  private readonly surplusSince = new Map<TeamName, MonotonicTime>()
+  private readonly lastStart = new Map<TeamName, MonotonicTime>()
+  private readonly yieldsUntil = new Map<TeamName, MonotonicTime>()
+  private readonly leftSince = new Map<TeamName, MonotonicTime>()
+  private readonly leftoverUntil = new Map<TeamName, MonotonicTime>()
 
   constructor(
-    private readonly part: PartName,
-    private readonly epoch: Stamp,
+    private readonly part: ShardName,
+    private readonly epoch: ModRevision,
     private readonly teams: ReadonlyArray<Team>,
     private readonly mirror: Mirror,
-    private readonly state: StateClient,
-    private readonly now: () => Moment,
+    private readonly state: StoreClient,
+    private readonly now: () => MonotonicTime,
     private readonly changed: () => void,
   ) {}
 
@@ -94,7 +94,7 @@
     }
   }
   private sharedOut(team: TeamName): Amount {
-    const stored = this.mirror.get<QuotaRecord>(keys.quota(team))?.v.shares[this.part] ?? NONE
+    const stored = this.mirror.get(keys.quota(team))?.value.shares[this.part] ?? NONE
     const ceiling = this.ceiling.get(team)
     return ceiling === undefined ? stored : least(stored, ceiling)
   }
@@ -108,9 +108,9 @@
    */
   beyond(team: Team, used: Amount, claims: ReadonlyArray<TeamClaim>): Amount {
     const theirs = new Map<string, Amount>(
-      Object.entries(this.mirror.get<QuotaRecord>(keys.quota(team.name))?.v.shares ?? {}),
+      Object.entries(this.mirror.get(keys.quota(team.name))?.value.shares ?? {}),
     )
-    for (const { part, team: of, cpus, gpus } of claims)
+    for (const { shard: part, team: of, cpus, gpus } of claims)
       if (of === team.name) theirs.set(part, { cpus, gpus })
     theirs.delete(this.part)
     let others = NONE
@@ -197,7 +197,7 @@
   /** What of the limit no part has. */
   private unshared(team: Team, limit: Amount): Amount {
     let free = limit
-    for (const share of Object.values(this.mirror.get<QuotaRecord>(keys.quota(team.name))?.v.shares ?? {}))
+    for (const share of Object.values(this.mirror.get(keys.quota(team.name))?.value.shares ?? {}))
       free = minus(free, share)
     return free
   }
@@ -206,10 +206,15 @@
    * Guards against a part that goes first by its rank and takes the quota back again and
    * again for tasks that none of its machines fits, while others wait for ever.
    */
-  private notePointlessHold(team: TeamName, since: Moment, held: Amount, smallestTask: Amount | null): void {
+  private notePointlessHold(
+    team: TeamName,
+    since: MonotonicTime,
+    held: Amount,
+    smallestTask: Amount | null,
+  ): void {
     const startedNothing = (this.lastStart.get(team) ?? NEVER) < since
     if (startedNothing && smallestTask !== null && holds(held, smallestTask))
-      this.yieldsUntil.set(team, later(this.now(), YIELD_MS))
+      this.yieldsUntil.set(team, addMs(this.now(), YIELD_MS))
   }
 
   /**
@@ -231,7 +236,7 @@
     this.leftSince.set(team, since)
     if (this.now() - since <= LEFT_MS) return null
     this.leftSince.delete(team)
-    this.leftoverUntil.set(team, later(this.now(), LEFTOVER_KEPT_MS))
+    this.leftoverUntil.set(team, addMs(this.now(), LEFTOVER_KEPT_MS))
     return { cpus: share.cpus + smallestTask.cpus, gpus: share.gpus + smallestTask.gpus }
   }
 
@@ -268,31 +273,31 @@
   /** Returns once the change is in the mirror, or surely never will be carried out. */
   private settle(team: TeamName, next: Amount) {
     const path = keys.quota(team)
-    const part = keys.part(this.part)
-    const stored = this.mirror.get<QuotaRecord>(path)
-    const before = this.mirror.stamp(path)
-    const record: QuotaRecord = { shares: { ...(stored?.v.shares ?? {}), [this.part]: next } }
+    const part = keys.shard(this.part)
+    const stored = this.mirror.get(path)
+    const before = this.mirror.modRevision(path)
+    const record: QuotaRecord = { shares: { ...(stored?.value.shares ?? {}), [this.part]: next } }
     const when = [
-      { path, stamp: before },
-      { path: part, stamp: this.epoch },
+      { key: path, modRevision: before },
+      { key: part, modRevision: this.epoch },
     ]
     return Effect.gen({ self: this }, function* () {
       let unanswered = false
       for (;;) {
         // At once: without quota nothing can be rented or started, and these are few.
-        const done = yield* Effect.result(this.state.multi(when, [{ set: path, v: record }], 1))
+        const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 1))
         if (Result.isSuccess(done) && done.success.ok) {
-          this.mirror.hint({ path, v: record, stamp: done.success.epoch })
+          this.mirror.hint({ key: path, value: record, modRevision: done.success.revision })
           return
         }
         // Another part's owner has our part: its epoch fences all that we sent.
-        if (Result.isSuccess(done) && !done.success.ok && done.success.failed.includes(part)) return
+        if (Result.isSuccess(done) && !done.success.ok && done.success.failedKeys.includes(part)) return
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
         unanswered ||= Result.isFailure(done) && done.failure.outcome === "unknown"
         const read = yield* Effect.result(this.state.get(path))
         if (Result.isSuccess(read) && read.success !== null) this.mirror.hint(read.success)
         // While the record is as it was, the lost change may still come.
-        const moved = Result.isSuccess(read) && (read.success?.stamp ?? ABSENT) !== before
+        const moved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== before
         yield* Effect.sleep(RETRY_MS)
         if (!unanswered || moved) return
       }
--- a/packages/controller/src/views.ts
+++ b/packages/controller/src/views.ts
@@ -10,13 +10,13 @@
   type TeamRoom,
 } from "@sorreltally/planner"
 import {
-  type JobRequest,
-  later,
+  addMs,
+  type JobSpec,
   type MachineId,
-  type Moment,
+  type MonotonicTime,
   NEVER,
+  priorityRank,
   type TeamName,
-  urgencyRank,
   type ZoneName,
 } from "@sorreltally/wire"
 import type { PartView } from "./context.ts"
@@ -31,7 +31,7 @@
   const used = new Map<TeamName, TeamRoom>()
   for (const team of part.ctx.platform.facts.teams) used.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of part.jobs.values()) {
-    const u = used.get(job.request.owner)
+    const u = used.get(job.request.team)
     if (u === undefined) continue
     u.cores += job.request.cores * job.placements.size
     u.accelerators += job.request.accelerators * job.placements.size
@@ -43,7 +43,7 @@
 const HORIZON_S = 600
 
 /** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
-export const loadOf = (part: PartView, now: Moment): Load => {
+export const loadOf = (part: PartView, now: MonotonicTime): Load => {
   let cores = 0
   for (const { id, type } of part.machines.values())
     if (!part.tenancies.get(id)!.returning) cores += type.cores
@@ -61,32 +61,32 @@
   return { cores, ending }
 }
 
-export const jobViews = (part: PartView, now: Moment): ReadonlyArray<JobView> => {
-  const wall = part.ctx.time.wall()
+export const jobViews = (part: PartView, now: MonotonicTime): ReadonlyArray<JobView> => {
+  const wall = part.ctx.time.wallNow()
   const ahead = new Map<TeamName, number>()
   const views: Array<JobView> = []
   const bySubmission = [...part.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
     if (job.withdrawn || job.complete) continue
     const { request } = job
-    const team = part.ctx.platform.facts.teams.find((t) => t.name === request.owner)
+    const team = part.ctx.platform.facts.teams.find((t) => t.name === request.team)
     const suspect = part.failures.isSuspect(job.id)
-    const demand = (ahead.get(request.owner) ?? 0) + (job.pieces - job.done) * request.cores
+    const demand = (ahead.get(request.team) ?? 0) + (job.pieces - job.done) * request.cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
-    if (!suspect) ahead.set(request.owner, demand)
+    if (!suspect) ahead.set(request.team, demand)
     const ageS = Math.max(0, (wall - job.submitted) / 1000)
     const executionS = part.ctx.estimates.executionS(request)
     const zones = new Map<ZoneName, number>()
-    if (request.together || request.scatter) {
+    if (request.singleZone || request.spreadZones) {
       for (const placement of job.placements.values()) {
-        const zone = part.machines.get(placement.machine)?.entry.site
+        const zone = part.machines.get(placement.machine)?.entry.zone
         if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1)
       }
     }
     views.push({
       id: job.id,
       request,
-      rank: suspect ? SUSPECT_RANK : urgencyRank[request.urgency],
+      rank: suspect ? SUSPECT_RANK : priorityRank[request.priority],
       queued: part.failures.startable(job, now),
       running: job.placements.size - job.leaving,
       zones,
@@ -94,7 +94,7 @@
       ageS,
       submitted: job.submitted,
       executionS,
-      startWithinS: nextTarget(startTargets(part, request.lane, executionS), ageS, 0),
+      startWithinS: nextTarget(startTargets(part, request.jobClass, executionS), ageS, 0),
       unbegun: job.unbegun && !suspect,
       withinGuarantee: !suspect && team !== undefined && demand <= team.cpus,
       mayStart: job.notBefore === null || now >= job.notBefore,
@@ -116,12 +116,13 @@
 }
 
 /** A deadline that is missed may still have aims at a multiple of it. */
-const timeLeft = (part: PartView, request: JobRequest, ageS: number, executionS: number): number | null => {
-  if (request.due_s == null) return null
-  const due = request.due_s
+const timeLeft = (part: PartView, request: JobSpec, ageS: number, executionS: number): number | null => {
+  if (request.deadlineS == null) return null
+  const due = request.deadlineS
   const targets = [due]
   for (const { kind, class: of, times } of part.ctx.platform.facts.objectives)
-    if (kind === "deadline" && of === request.lane && times != null && times > 1) targets.push(due * times)
+    if (kind === "deadline" && of === request.jobClass && times != null && times > 1)
+      targets.push(due * times)
   const target = nextTarget(
     targets.sort((a, b) => a - b),
     ageS,
@@ -132,7 +133,7 @@
 
 export const machineViews = (
   part: PartView,
-  now: Moment,
+  now: MonotonicTime,
   reserve: Reserve,
   /** Also those in the pool without any room: nothing can be placed there, or given back. */
   full: boolean,
@@ -151,14 +152,14 @@
             ? "closing"
             : "up"
           : session.lastHeard === NEVER &&
-              (bootingS < type.startup_s * OVERDUE_BOOT || now < later(tenancy.knownSince, FIRST_REPORTS_MS))
+              (bootingS < type.bootS * OVERDUE_BOOT || now < addMs(tenancy.knownSince, FIRST_REPORTS_MS))
             ? "coming"
             : "away"
     views.push({
       id: session.id,
       type,
-      zone: entry.site,
-      spot: entry.loaners,
+      zone: entry.zone,
+      spot: entry.spot,
       free: session.free,
       busyTasks: session.placements.size,
       images: session.images,
--- a/packages/controller/src/worker-exchange.ts
+++ b/packages/controller/src/worker-exchange.ts
@@ -1,16 +1,16 @@
 import type { JobState } from "@sorreltally/jobs"
+import { NOT_SENT } from "@sorreltally/peers"
 import { cancellationBudget } from "@sorreltally/settings"
 import {
-  type Answer,
+  addMs,
   decodeHeartbeat,
   encodeHeartbeatReply,
   type Heartbeat,
-  later,
   type MachineId,
-  type Moment,
-  NOT_SENT,
+  type MonotonicTime,
   type NodeName,
-  type Outgoing,
+  type OutgoingResponse,
+  type Respond,
 } from "@sorreltally/wire"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
@@ -24,7 +24,7 @@
 const ORDERS_BACKOFF_MS = 4_000
 const FIRST_PAUSE_MS = 250
 const LONGEST_PAUSE_MS = 30_000
-const NOT_OURS: Outgoing = { status: 503, body: {} }
+const NOT_OURS: OutgoingResponse = { status: 503, body: {} }
 
 /** What the exchange with the workers needs of its part. */
 export interface WorkerExchangeHost {
@@ -58,7 +58,7 @@
     const { time, platform, operators } = of.ctx
     const budget = cancellationBudget(platform.facts.workers, operators.membership)
     this.renewableMs = Math.max(0, budget.cancelMs - budget.worstCaseMs)
-    this.held = new HeldReports(time.moment, (session) => this.answer(session))
+    this.held = new HeldReports(time.monotonicNow, (session) => this.answer(session))
   }
 
   /**
@@ -68,7 +68,7 @@
    * what then starts goes along, where a command of its own would cost both
    * ends a request more. A worker says nothing new for half a second anyway.
    */
-  report(body: Heartbeat, via: NodeName | null, answer: Answer): void {
+  report(body: Heartbeat, via: NodeName | null, answer: Respond): void {
     const before = this.roomChanges
     const session = this.heard(body)
     if (session === null) return answer(NOT_OURS)
@@ -83,7 +83,7 @@
   private heard(body: Heartbeat): WorkerSession | null {
     const session = this.of.machines.get(body.machineId)
     if (!this.of.mayAct() || session === undefined) return null
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     const begins = !session.up
     const outcomes = session.observe(body, "heartbeat", now)
     if (outcomes === null) {
@@ -97,10 +97,10 @@
     if (begins) this.roomChanged()
     return session
   }
-  private answer(session: WorkerSession): Outgoing {
+  private answer(session: WorkerSession): OutgoingResponse {
     // While its report was held, the machine may have gone, or our right to speak.
     if (!this.of.mayAct() || this.of.machines.get(session.id) !== session) return NOT_OURS
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     if (this.leaseMustEnd(session, now)) {
       this.afterBody(session)
       return NOT_OURS
@@ -118,9 +118,9 @@
    * as long as the worker's session and token stand. If the token can't be
    * raised, the lease must not be renewed beyond what `cancel_s` leaves.
    */
-  private leaseMustEnd(session: WorkerSession, now: Moment): boolean {
+  private leaseMustEnd(session: WorkerSession, now: MonotonicTime): boolean {
     const since = session.cancelledStartMayCome()
-    return since !== null && now > later(since, this.renewableMs)
+    return since !== null && now > addMs(since, this.renewableMs)
   }
 
   /** What `/inspect` answers is no late copy. */
@@ -142,9 +142,9 @@
         if (decoded === null || Result.isFailure(decoded) || this.of.machines.get(session.id) !== session)
           return
         if (decoded.success.machineId !== session.id) return
-        const outcomes = session.observe(decoded.success, "direct", time.moment())
+        const outcomes = session.observe(decoded.success, "direct", time.monotonicNow())
         if (outcomes !== null) this.apply(session, outcomes)
-        else if (session.restarted(decoded.success, since, time.moment()))
+        else if (session.restarted(decoded.success, since, time.monotonicNow()))
           this.of.ctx.log.info("worker began anew", {
             machine: session.id,
             tenure: decoded.success.agentEpoch,
@@ -168,7 +168,7 @@
   /** Carries over to the jobs what a body, or the end of a lease, says of their tasks. */
   apply(session: WorkerSession, outcomes: ReadonlyArray<Outcome>): void {
     if (outcomes.length === 0) return
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     let roomChanged = false
     for (const outcome of outcomes) {
       const { placement } = outcome
@@ -177,9 +177,9 @@
         job.began(placement, now)
         this.of.ctx.log.debug("task runs", {
           task: placement.task,
-          lane: job.request.lane,
+          lane: job.request.jobClass,
           machine: session.id,
-          waitedS: (this.of.ctx.time.wall() - job.submitted) / 1000,
+          waitedS: (this.of.ctx.time.wallNow() - job.submitted) / 1000,
           fetchedS: (now - placement.placedAt) / 1000,
         })
         continue
@@ -195,7 +195,7 @@
       } else {
         job.clear(placement)
         const pauseMs = this.pauseAfter(outcome.cause, job, session, now)
-        if (pauseMs > 0) job.notBefore = later(now, pauseMs)
+        if (pauseMs > 0) job.notBefore = addMs(now, pauseMs)
         this.of.ctx.log.debug("task cleared", {
           task: placement.task,
           machine: session.id,
@@ -207,14 +207,14 @@
     if (roomChanged) this.roomChanged()
   }
   /** How long a job has to pause after a task of it left its machine unfinished. */
-  private pauseAfter(cause: string, job: JobState, session: WorkerSession, now: Moment): number {
+  private pauseAfter(cause: string, job: JobState, session: WorkerSession, now: MonotonicTime): number {
     if (cause === "error") return this.failed(job, session, now)
     if (cause !== "insufficientResources" && cause !== "unknown") return 0
     // A start that is refused again and again is tried ever less often.
     job.refusals++
     return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(7, job.refusals))
   }
-  private failed(job: JobState, session: WorkerSession, now: Moment): number {
+  private failed(job: JobState, session: WorkerSession, now: MonotonicTime): number {
     const { failures, ctx } = this.of
     const suspectBefore = failures.isSuspect(job.id)
     const pauseMs = failures.failed(job.id, session.id, now)
@@ -230,7 +230,7 @@
   /** Sends what can't wait for the next report straight to the workers. */
   pushOrders(): void {
     if (!this.of.isEntitled()) return
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     for (const session of this.toTell) {
       // Whoever has to wait is told with the next answer, or when a command has been answered.
       this.mustWait = this.of.ctx.commands.full
@@ -263,7 +263,7 @@
 
   private sendOrders(session: WorkerSession) {
     return Effect.suspend(() => {
-      const now = this.of.ctx.time.moment()
+      const now = this.of.ctx.time.monotonicNow()
       const { address, tenure, token } = session
       if (session.ordersInFlight || address === null || tenure === null || !this.of.isEntitled())
         return Effect.void
@@ -271,18 +271,18 @@
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.sending(commands, now)
       const batch = { fencingToken: token, agentEpoch: tenure, commands }
-      return Effect.map(this.of.ctx.commandRelay.send(address, batch, session.via), (reply) => {
-        const sure = reply.status === 200 || reply.status === 409 || reply.status === NOT_SENT
+      return Effect.map(this.of.ctx.commandForwarder.send(address, batch, session.via), (outcome) => {
+        const sure = outcome.status === 200 || outcome.status === 409 || outcome.status === NOT_SENT
         session.sent(commands, token, sure)
         if (this.of.isOver() || this.of.machines.get(session.id) !== session) return
-        this.replied(session, reply.heartbeat)
+        this.replied(session, outcome.heartbeat)
       })
     })
   }
   private replied(session: WorkerSession, heartbeat: Heartbeat | null): void {
-    const now = this.of.ctx.time.moment()
+    const now = this.of.ctx.time.monotonicNow()
     if (heartbeat === null) {
-      session.ordersBadUntil = later(now, ORDERS_BACKOFF_MS)
+      session.ordersBadUntil = addMs(now, ORDERS_BACKOFF_MS)
       return
     }
     const outcomes = session.observe(heartbeat, "direct", now)
--- a/packages/controller/test/blocks-overtaken.test.ts
+++ b/packages/controller/test/blocks-overtaken.test.ts
@@ -1,52 +1,58 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { type Membership, Mirror } from "@sorreltally/membership"
-import { type BlockRecord, type Change, keys, type StateClient, StateTrouble } from "@sorreltally/state"
-import type { MachineId, PartName, Stamp, Token } from "@sorreltally/wire"
+import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/state"
+import type {
+  FencingToken,
+  MachineId,
+  MachineTypeName,
+  ModRevision,
+  ShardName,
+  ZoneName,
+} from "@sorreltally/wire"
 import { Effect, Fiber } from "effect"
 import { BlockWriter } from "../src/blocks.ts"
 import { FleetBook } from "../src/book.ts"
 
-const ours = "part-0" as PartName
-const other = "part-1" as PartName
+const ours = "part-0" as ShardName
+const other = "part-1" as ShardName
 const machine = "i-000001" as MachineId
-const path = keys.block("part-0~small~a~spot", 1)
-const block = (part: PartName, token: number): BlockRecord =>
-  ({
-    build: "small",
-    site: "a",
-    loaners: true,
-    rented: 0,
-    at: { [part]: [[machine, token as Token, 0]] },
-  }) as unknown as BlockRecord
+const path = keys.machineBlock("part-0~small~a~spot", 1)
+const block = (shard: ShardName, token: number): MachineBlock => ({
+  machineType: "small" as MachineTypeName,
+  zone: "a" as ZoneName,
+  spot: true,
+  rentedAt: 0,
+  machines: [{ machineId: machine, shard, token: token as FencingToken, rentedAfterS: 0 }],
+})
 
 /** One machine of ours on record, and a state service that carries out what it doesn't answer. */
 const fixture = () => {
   const mirror = new Mirror()
   const book = new FleetBook(mirror)
-  const writes: Array<BlockRecord> = []
+  const writes: Array<MachineBlock> = []
   let stamp = 10
-  const wrote = (v: BlockRecord) => mirror.hint({ path, v, stamp: ++stamp as Stamp })
+  const wrote = (v: MachineBlock) => mirror.hint({ key: path, value: v, modRevision: ++stamp as ModRevision })
   wrote(block(ours, 0))
   /** What happens before the writer gives up waiting for its answer. */
   let beforeGivenUp: (() => void) | null = null
   const state = {
-    limits: { write_rps: 60, value_kb: 4, txn_ops: 8 },
-    room: () => Effect.void,
-    multi: (_: unknown, [change]: ReadonlyArray<Change & { readonly v: BlockRecord }>) =>
+    limits: { writesPerSecond: 60, valueKb: 4, maxOperations: 8 },
+    awaitWriteCapacity: () => Effect.void,
+    compareAndSwap: (_: unknown, [change]: ReadonlyArray<Operation & { readonly value: MachineBlock }>) =>
       Effect.suspend(() => {
-        writes.push(change!.v)
-        wrote(change!.v)
-        if (beforeGivenUp === null) return Effect.succeed({ ok: true, epoch: stamp as Stamp })
+        writes.push(change!.value)
+        wrote(change!.value)
+        if (beforeGivenUp === null) return Effect.succeed({ ok: true, revision: stamp as ModRevision })
         beforeGivenUp()
         beforeGivenUp = null
-        return Effect.fail(new StateTrouble({ outcome: "unknown", status: 0 }))
+        return Effect.fail(new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }))
       }),
-  } as unknown as StateClient
+  } as unknown as StoreClient
   const membership = { mirror, freshness: { since: Effect.void } } as unknown as Membership
   const writer = new BlockWriter(
     ours,
-    5 as Stamp,
+    5 as ModRevision,
     [ours, other],
     state,
     membership,
@@ -91,5 +97,5 @@
   writer.edit(machine, { kind: "move", to: other })
   await running(writer, () => settled(() => removed !== null))
   assert.equal(removed, true)
-  assert.deepEqual(writes.at(-1)?.at, {})
+  assert.deepEqual(writes.at(-1)?.machines, [])
 })
--- a/packages/controller/test/blocks.test.ts
+++ b/packages/controller/test/blocks.test.ts
@@ -1,43 +1,48 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { Mirror } from "@sorreltally/membership"
-import { type BlockRecord, type Change, keys, type StateClient, StateTrouble } from "@sorreltally/state"
-import type { MachineId, PartName, Stamp, Token, TypeName, ZoneName } from "@sorreltally/wire"
+import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/state"
+import type {
+  FencingToken,
+  MachineId,
+  MachineTypeName,
+  ModRevision,
+  ShardName,
+  ZoneName,
+} from "@sorreltally/wire"
 import { Effect, Fiber } from "effect"
 import { BlockWriter, type Edit } from "../src/blocks.ts"
 import { FleetBook, originFor } from "../src/book.ts"
 
-const ours = "part-0" as PartName
-const theirs = "part-1" as PartName
+const ours = "part-0" as ShardName
+const theirs = "part-1" as ShardName
 const machine = "i-000001" as MachineId
-const EPOCH = 5 as Stamp
-const path = keys.block(
-  originFor(ours, { build: "small" as TypeName, site: "a" as ZoneName, loaners: true }),
-  1,
-)
+const EPOCH = 5 as ModRevision
+const kind = { machineType: "small" as MachineTypeName, zone: "a" as ZoneName, spot: true }
+const path = keys.machineBlock(originFor(ours, kind), 1)
 
 /** One machine in one block; the first write is carried out as asked, its answer is lost. */
 class Fixture {
   private readonly mirror = new Mirror()
   private revision = 10
-  readonly written: Array<BlockRecord["at"]> = []
+  readonly written: Array<MachineBlock["machines"]> = []
   readonly writer: BlockWriter
   /** What happens to the block between our first write and our next look. */
-  constructor(private readonly meanwhile: ReadonlyArray<PartName>) {
+  constructor(private readonly meanwhile: ReadonlyArray<ShardName>) {
     const book = new FleetBook(this.mirror)
     this.put(ours, 7)
     const state = {
-      limits: { write_rps: 100, value_kb: 4, txn_ops: 8 },
-      room: () => Effect.void,
-      multi: (_: unknown, apply: ReadonlyArray<Change>) =>
+      limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
+      awaitWriteCapacity: () => Effect.void,
+      compareAndSwap: (_: unknown, apply: ReadonlyArray<Operation>) =>
         Effect.suspend(() => {
           const [change] = apply
-          this.written.push((change as { readonly v: BlockRecord }).v.at)
+          this.written.push((change as { readonly value: MachineBlock }).value.machines)
           return this.written.length === 1
-            ? Effect.fail(new StateTrouble({ outcome: "unknown", status: 0 }))
+            ? Effect.fail(new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }))
             : Effect.never
         }),
-    } as unknown as StateClient
+    } as unknown as StoreClient
     const since = Effect.sync(() => {
       for (const [i, part] of this.meanwhile.entries()) this.put(part, 8 + i)
     })
@@ -53,10 +58,10 @@
       () => true,
     )
   }
-  private put(part: PartName, token: number): void {
-    const at = { [part]: [[machine, token as Token, 0]] } as unknown as BlockRecord["at"]
-    const v = { build: "small" as TypeName, site: "a" as ZoneName, loaners: true, rented: 0, at }
-    this.mirror.hint({ path, v, stamp: ++this.revision as Stamp })
+  private put(part: ShardName, token: number): void {
+    const machines = [{ machineId: machine, shard: part, token: token as FencingToken, rentedAfterS: 0 }]
+    const value: MachineBlock = { ...kind, rentedAt: 0, machines }
+    this.mirror.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
   }
   /** What an edit was settled as; null: it is still open after a while. */
   async settle(edit: Edit): Promise<boolean | null> {
--- a/packages/controller/test/commits.test.ts
+++ b/packages/controller/test/commits.test.ts
@@ -2,19 +2,27 @@
 import { test } from "node:test"
 import { JobState, type Placement } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import type { JobRecord, StateClient } from "@sorreltally/state"
-import type { Attempt, JobId, MachineId, Moment, PartName, Stamp, Tenure } from "@sorreltally/wire"
+import { type JobRecord, keys, type PlacementRecord, type StoreClient } from "@sorreltally/state"
+import type {
+  AgentEpoch,
+  Attempt,
+  JobId,
+  MachineId,
+  ModRevision,
+  MonotonicTime,
+  ShardName,
+} from "@sorreltally/wire"
 import { taskId } from "@sorreltally/wire"
 import { Effect, Fiber } from "effect"
 import { Commits } from "../src/commits.ts"
 
 const PIECES = 80
-const request = { id: "run-000001", pieces: PIECES, cores: 1, accelerators: 0, mem_gb: 1, bundle: "img" }
+const request = { id: "run-000001", taskCount: PIECES, cores: 1, accelerators: 0, memGb: 1, image: "img" }
 const job = new JobState(
   "run-000001" as JobId,
-  { request, submitted: 0 } as unknown as JobRecord,
-  "s/job/1.0",
-  1 as Stamp,
+  { spec: request, submittedAt: 0, cancelled: false } as unknown as JobRecord,
+  keys.jobPage(1, 0),
+  1 as ModRevision,
 )
 const place = (index: number): Placement => {
   const placement: Placement = {
@@ -22,12 +30,12 @@
     index,
     task: taskId(job.id, index),
     machine: `i-${index}` as MachineId,
-    tenure: 1 as Tenure,
+    tenure: 1 as AgentEpoch,
     attempt: (index + 1) as Attempt,
     durable: false,
     inherited: false,
     stop: null,
-    placedAt: 0 as Moment,
+    placedAt: 0 as MonotonicTime,
     runningSince: null,
     unheard: 0,
   }
@@ -38,26 +46,26 @@
 test("a write that fails takes back only what was new in it, not what it repeated of older slots", async () => {
   let stamp = 10
   let refuses = false
-  const writes: Array<{ readonly s: ReadonlyArray<ReadonlyArray<unknown>> }> = []
+  const writes: Array<PlacementRecord> = []
   const state = {
-    limits: { value_kb: 8, txn_ops: 8, write_rps: 100_000, rps: 100_000 },
-    room: () => Effect.void,
-    load: () => 0,
+    limits: { valueKb: 8, maxOperations: 8, writesPerSecond: 100_000 },
+    awaitWriteCapacity: () => Effect.void,
+    writeLoad: () => 0,
     get: () => Effect.succeed(null),
-    multi: (_: unknown, apply: ReadonlyArray<{ readonly v: (typeof writes)[number] }>) =>
+    compareAndSwap: (_: unknown, apply: ReadonlyArray<{ readonly value: PlacementRecord }>) =>
       Effect.sync(() => {
-        writes.push(apply[0]!.v)
-        return refuses ? { ok: false, failed: ["s/job/1.0"] } : { ok: true, epoch: ++stamp }
+        writes.push(apply[0]!.value)
+        return refuses ? { ok: false, failedKeys: [keys.jobPage(1, 0)] } : { ok: true, revision: ++stamp }
       }),
-  } as unknown as StateClient
+  } as unknown as StoreClient
   const membership = { freshness: { since: Effect.void }, mirror: {} } as unknown as Membership
   const unwanted: Array<Placement> = []
   const commits = new Commits(
-    "deadline" as PartName,
-    5 as Stamp,
+    "deadline" as ShardName,
+    5 as ModRevision,
     state,
     membership,
-    () => performance.now() as Moment,
+    () => performance.now() as MonotonicTime,
     () => true,
     { durable: () => {}, unwanted: (p) => unwanted.push(p) },
   )
@@ -75,12 +83,13 @@
     await until(() => placement.durable)
   }
   refuses = true
-  for (const placement of running) job.stop(placement, { why: "preempted", leewayS: 0, since: 0 as Moment })
+  for (const placement of running)
+    job.stop(placement, { why: "preempted", leewayS: 0, since: 0 as MonotonicTime })
   const before = writes.length
   commits.place(place(49))
   await until(() => writes.length > before + 1)
   await Effect.runPromise(Fiber.interrupt(fiber))
-  assert.ok(writes.at(-1)!.s[0]!.length > 5, "the write repeats older placements")
+  assert.ok(writes.at(-1)!.placed[0]!.tasks.length > 1, "the write repeats older placements")
   // Guards against ran_twice: these tasks may run, whatever became of the write.
   assert.deepEqual(unwanted, [])
 })
--- a/packages/controller/test/draining.test.ts
+++ b/packages/controller/test/draining.test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { type MachineView, type Need, STARVED_RANK } from "@sorreltally/planner"
+import { type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
 import type { MachineId, MachineType, ZoneName } from "@sorreltally/wire"
 import { Draining } from "../src/draining.ts"
 
-const type = { name: "m", cores: 8, accelerators: 0, mem_gb: 32 } as unknown as MachineType
+const type = { name: "m", cores: 8, accelerators: 0, memGb: 32 } as unknown as MachineType
 const machine = (id: string, busyTasks: number, more: Partial<MachineView> = {}): MachineView => ({
   id: id as MachineId,
   type,
   zone: "a" as ZoneName,
   spot: true,
-  free: { cores: 8 - 2 * busyTasks, accelerators: 0, mem_gb: 32 },
+  free: { cores: 8 - 2 * busyTasks, accelerators: 0, memGb: 32 },
   busyTasks,
   images: new Set(),
   reserved: false,
@@ -18,15 +18,15 @@
   holder: null,
   ...more,
 })
-const need = (part: string, rank: number): Need =>
+const need = (shard: string, rank: number): MachineDemand =>
   ({
-    part,
+    shard,
     rank,
     tasks: 4,
     pressing: 0,
     since: 0,
-    shape: { cores: 2, accelerators: 0, mem_gb: 1, loaners: true },
-  }) as unknown as Need
+    shape: { cores: 2, accelerators: 0, memGb: 1, spotAllowed: true },
+  }) as unknown as MachineDemand
 const drained = (views: ReadonlyArray<MachineView>): ReadonlyArray<string> =>
   views.filter(({ state }) => state === "closing").map(({ id }) => id)
 
--- a/packages/controller/test/failures.test.ts
+++ b/packages/controller/test/failures.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { JobState, type Placement } from "@sorreltally/jobs"
-import type { JobRecord } from "@sorreltally/state"
-import type { JobId, MachineId, Moment, Stamp } from "@sorreltally/wire"
+import { type JobRecord, keys } from "@sorreltally/state"
+import type { JobId, MachineId, ModRevision, MonotonicTime } from "@sorreltally/wire"
 import { Failures } from "../src/failures.ts"
 
 const [red, blue] = ["run-000001" as JobId, "run-000002" as JobId]
@@ -11,7 +11,7 @@
   MachineId,
   MachineId,
 ]
-const at = (seconds: number) => (seconds * 1000) as Moment
+const at = (seconds: number) => (seconds * 1000) as MonotonicTime
 
 test("a job that fails on one machine leaves that machine alone for a while, and doesn't pause", () => {
   const failures = new Failures()
@@ -24,8 +24,12 @@
 
 test("a job that fails on several machines is tried one task at a time, at growing pauses", () => {
   const failures = new Failures()
-  const record = { request: { id: red, pieces: 60 }, submitted: 0 } as unknown as JobRecord
-  const job = new JobState(red, record, "s/job/0.0", 1 as Stamp)
+  const record = {
+    spec: { id: red, taskCount: 60 },
+    submittedAt: 0,
+    cancelled: false,
+  } as unknown as JobRecord
+  const job = new JobState(red, record, keys.jobPage(0, 0), 1 as ModRevision)
   assert.equal(failures.startable(job, at(0)), 60)
   failures.failed(red, one, at(0))
   const pauses = Array.from({ length: 9 }, () => failures.failed(red, two, at(1)))
--- a/packages/controller/test/job-ends.test.ts
+++ b/packages/controller/test/job-ends.test.ts
@@ -2,41 +2,49 @@
 import { test } from "node:test"
 import { JobState } from "@sorreltally/jobs"
 import { Mirror } from "@sorreltally/membership"
-import { type Change, type Condition, type JobRecord, keys, type StateClient } from "@sorreltally/state"
-import type { JobId, Moment, PartName, Revision, Stamp } from "@sorreltally/wire"
+import type { JobEnd } from "@sorreltally/peers"
+import {
+  type Condition,
+  encodeRecord,
+  type JobRecord,
+  keys,
+  type Operation,
+  type StoreClient,
+} from "@sorreltally/state"
+import type { JobId, ModRevision, MonotonicTime, Revision, ShardName } from "@sorreltally/wire"
 import { Effect, Fiber } from "effect"
 import { JobBook } from "../src/job-book.ts"
-import { type JobEnd, JobEnds } from "../src/job-ends.ts"
+import { JobEnds } from "../src/job-ends.ts"
 import { JobTable } from "../src/job-table.ts"
 
-const PART = "deadline" as PartName
+const PART = "deadline" as ShardName
 const JOBS = 400
-const EPOCH = 1 as Stamp
+const EPOCH = 1 as ModRevision
 
 test("ends of many jobs go together; where nobody else folds them into their pages, the owner does", async () => {
-  const stored = new Map<string, { readonly v: unknown; readonly stamp: Stamp }>()
-  stored.set(keys.part(PART), { v: {}, stamp: EPOCH })
+  const stored = new Map<string, { readonly value: unknown; readonly modRevision: ModRevision }>()
+  stored.set(keys.shard(PART), { value: {}, modRevision: EPOCH })
   let revision = 1
   const puts = { ends: 0, pages: 0 }
   const state = {
-    limits: { value_kb: 1, txn_ops: 8, write_rps: 1e6, rps: 1e6 },
-    room: () => Effect.void,
-    load: () => 0,
-    multi: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Change & { set: string; v: unknown }>) =>
+    limits: { valueKb: 1, maxOperations: 8, writesPerSecond: 1e6 },
+    awaitWriteCapacity: () => Effect.void,
+    writeLoad: () => 0,
+    compareAndSwap: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Operation & { kind: "put" }>) =>
       Effect.sync(() => {
-        const failed = when.filter((c) => (stored.get(c.path)?.stamp ?? 0) !== c.stamp)
-        if (failed.length > 0) return { ok: false, failed: failed.map((c) => c.path) }
-        const stamp = ++revision as Stamp
+        const failed = when.filter((c) => (stored.get(c.key)?.modRevision ?? 0) !== c.modRevision)
+        if (failed.length > 0) return { ok: false, failedKeys: failed.map((c) => c.key) }
+        const modRevision = ++revision as ModRevision
         for (const change of apply) {
-          stored.set(change.set, { v: change.v, stamp })
-          puts[change.set.startsWith("s/ends/") ? "ends" : "pages"]++
-          assert.ok(JSON.stringify(change.v).length <= 1024)
+          stored.set(change.key, { value: change.value, modRevision })
+          puts[change.key.startsWith("s/ends/") ? "ends" : "pages"]++
+          assert.ok(JSON.stringify(encodeRecord(change.key, change.value)).length <= 1024)
         }
-        return { ok: true, epoch: stamp }
+        return { ok: true, revision: modRevision }
       }),
-  } as unknown as StateClient
+  } as unknown as StoreClient
   const mirror = new Mirror()
-  const items = () => [...stored].map(([path, entry]) => ({ path, ...entry }))
+  const items = () => [...stored].map(([key, entry]) => ({ key, ...entry }))
   const freshness = { since: Effect.sync(() => mirror.reload(items(), revision as Revision)) } as never
   const book = new JobBook(mirror)
   const table = new JobTable(state, { mirror, freshness }, book, {
@@ -46,24 +54,24 @@
     partOf: () => PART,
   })
   for (let n = 0; n < JOBS; n++) {
-    const request = { id: `run-${String(n).padStart(6, "0")}`, pieces: 1, due_s: 9 }
-    await Effect.runPromise(table.accept({ request, submitted: 0 } as unknown as JobRecord))
+    const spec = { id: `run-${String(n).padStart(6, "0")}`, taskCount: 1, deadlineS: 9 }
+    await Effect.runPromise(table.accept({ spec, submittedAt: 0, cancelled: false } as unknown as JobRecord))
   }
   puts.pages = 0
   let nowMs = 0
   const clock = () => {
     nowMs += 1_000
-    return nowMs as Moment
+    return nowMs as MonotonicTime
   }
   const told: Array<JobEnd> = []
   const ends = new JobEnds(PART, EPOCH, state, { mirror, freshness }, book, clock, () => true, {
     ended: (some) => told.push(...some),
     fold: (page) => table.fold(page),
   })
-  for (const { id, record, page, stamp } of [...book.live()]) {
+  for (const { id, record, page, modRevision: stamp } of [...book.live()]) {
     const job = new JobState(id, record, page, stamp)
     book.listen((changed, entry) => {
-      if (changed === id && entry !== null) job.stamp = entry.stamp
+      if (changed === id && entry !== null) job.stamp = entry.modRevision
     })
     job.finish(0)
     ends.add(job)
--- a/packages/controller/test/job-table.test.ts
+++ b/packages/controller/test/job-table.test.ts
@@ -2,49 +2,62 @@
 import { test } from "node:test"
 import { bucketOf, digitsOf } from "@sorreltally/jobs"
 import { Mirror } from "@sorreltally/membership"
-import { type Change, type Condition, type JobRecord, keys, type StateClient } from "@sorreltally/state"
-import type { JobId, PartName, Revision, Stamp } from "@sorreltally/wire"
+import {
+  type Condition,
+  encodeRecord,
+  type JobRecord,
+  keys,
+  type Operation,
+  put,
+  type StoreClient,
+} from "@sorreltally/state"
+import type { JobId, ModRevision, Revision, ShardName } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { JobBook } from "../src/job-book.ts"
 import { type Acceptance, JobTable } from "../src/job-table.ts"
 
-const PART = "part-0" as PartName
-const limits = { value_kb: 2, txn_ops: 8, write_rps: 100, rps: 100 }
+const PART = "part-0" as ShardName
+const limits = { valueKb: 2, maxOperations: 8, writesPerSecond: 100 }
 
 /** The keys, and transactions that reach them late. */
 class Store {
-  readonly keys = new Map<string, { readonly v: unknown; readonly stamp: Stamp }>()
+  readonly keys = new Map<string, { readonly value: unknown; readonly modRevision: ModRevision }>()
   revision = 0
   /** Transactions from now on get no answer; what they asked for is kept. */
   holding = false
-  readonly held: Array<{ readonly when: ReadonlyArray<Condition>; readonly apply: ReadonlyArray<Change> }> =
-    []
+  readonly held: Array<{
+    readonly when: ReadonlyArray<Condition>
+    readonly apply: ReadonlyArray<Operation>
+  }> = []
 
-  multi(when: ReadonlyArray<Condition>, apply: ReadonlyArray<Change>) {
-    const failed = when.filter((c) => (this.keys.get(c.path)?.stamp ?? 0) !== c.stamp).map((c) => c.path)
-    if (failed.length > 0) return { ok: false, failed } as const
+  multi(when: ReadonlyArray<Condition>, apply: ReadonlyArray<Operation>) {
+    const failedKeys = when
+      .filter((c) => (this.keys.get(c.key)?.modRevision ?? 0) !== c.modRevision)
+      .map((c) => c.key)
+    if (failedKeys.length > 0) return { ok: false, failedKeys } as const
     this.revision++
-    const stamp = this.revision as Stamp
-    for (const change of apply) if ("set" in change) this.keys.set(change.set, { v: change.v, stamp })
-    return { ok: true, epoch: stamp } as const
+    const modRevision = this.revision as ModRevision
+    for (const change of apply)
+      if (change.kind === "put") this.keys.set(change.key, { value: change.value, modRevision })
+    return { ok: true, revision: modRevision } as const
   }
   readonly client = {
     limits,
-    multi: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Change>) =>
+    compareAndSwap: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Operation>) =>
       Effect.suspend(() => {
         if (!this.holding) return Effect.succeed(this.multi(when, apply))
         this.held.push({ when, apply })
         return Effect.never
       }),
     list: (prefix: string) =>
-      Effect.sync(() => ({ items: this.under(prefix), epoch: this.revision as Revision })),
-  } as unknown as StateClient
+      Effect.sync(() => ({ items: this.under(prefix), revision: this.revision as Revision })),
+  } as unknown as StoreClient
 
   under(prefix: string) {
     const all = [...this.keys]
       .filter(([path]) => path.startsWith(prefix))
       .sort(([a], [b]) => (a < b ? -1 : 1))
-    return all.map(([path, entry]) => ({ path, ...entry }))
+    return all.map(([key, entry]) => ({ key, ...entry }))
   }
 }
 
@@ -64,7 +77,11 @@
 }
 const run = <A>(effect: Effect.Effect<A, unknown>) => Effect.runPromise(effect as Effect.Effect<A>)
 const jobRecord = (id: string): JobRecord =>
-  ({ request: { id, lane: "l", owner: "o", pieces: 1, cores: 1, due_s: null }, submitted: 0 }) as never
+  ({
+    spec: { id, jobClass: "l", team: "o", taskCount: 1, cores: 1, deadlineS: null },
+    submittedAt: 0,
+    cancelled: false,
+  }) as never
 const idAt = (n: number) => `run-${String(n).padStart(6, "0")}` as JobId
 /** The first ids that fall into one bucket. */
 const sameBucket = (count: number): ReadonlyArray<JobId> => {
@@ -73,10 +90,10 @@
   return ids
 }
 /** Writes an end as the part's owner would. */
-const end = (store: Store, ids: ReadonlyArray<JobId>, withdrawn: ReadonlyArray<JobId> = []) =>
+const end = (store: Store, ids: ReadonlyArray<JobId>, cancelled: ReadonlyArray<JobId> = []) =>
   store.multi(
     [],
-    [{ set: keys.endsPage(PART, 0), v: { done: ids.map(digitsOf), withdrawn: withdrawn.map(digitsOf) } }],
+    [put(keys.endsPage(PART, 0), { done: ids.map(digitsOf), cancelled: cancelled.map(digitsOf) })],
   )
 
 test("two nodes that accept the same id at the same moment make one job", async () => {
@@ -113,13 +130,13 @@
   const id = idAt(7)
   await run(node.table.accept(jobRecord(id)))
   // The end becomes durable after the cancelling node has read the job as live.
-  const multi = store.client.multi
+  const { compareAndSwap } = store.client
   let first = true
   Object.assign(store.client, {
-    multi: (when: never, apply: never) => {
+    compareAndSwap: (when: never, apply: never) => {
       if (first) end(store, [id])
       first = false
-      return multi(when, apply, 1)
+      return compareAndSwap(when, apply, 1)
     },
   })
   assert.deepEqual(await run(node.table.cancel(id)), { kind: "final", status: "done" })
@@ -139,7 +156,7 @@
   }
   const page = keys.jobPage(bucketOf(unknown), 0)
   assert.ok(store.under(keys.archive(bucketOf(unknown))).length >= 2, "some are archived")
-  assert.ok(JSON.stringify(store.keys.get(page)!.v).length < limits.value_kb * 1024)
+  assert.ok(JSON.stringify(encodeRecord(page, store.keys.get(page)!.value)).length < limits.valueKb * 1024)
   const newcomer = nodeOf(store)
   for (const id of known) {
     assert.deepEqual(await run(newcomer.table.find(id)), { kind: "final", status: "done" }, id)
@@ -165,7 +182,7 @@
   const node = nodeOf(store)
   const id = idAt(3)
   const path = keys.jobPage(bucketOf(id), 0)
-  store.multi([], [{ set: path, v: { jobs: [jobRecord(id)], done: [], withdrawn: [], archived: 0 } }])
+  store.multi([], [put(path, { jobs: [jobRecord(id)], done: [], cancelled: [], archivedPages: 0 })])
   end(store, [id])
   node.refresh()
   assert.equal(node.book.get(id), null)
@@ -173,7 +190,7 @@
   node.book.listen((job, entry) => {
     if (entry !== null) revived.push(job)
   })
-  store.multi([], [{ set: path, v: { jobs: [], done: [digitsOf(id)], withdrawn: [], archived: 0 } }])
+  store.multi([], [put(path, { jobs: [], done: [digitsOf(id)], cancelled: [], archivedPages: 0 })])
   end(store, [])
   node.refresh()
   assert.deepEqual(revived, [])
--- a/packages/controller/test/quota-needs.test.ts
+++ b/packages/controller/test/quota-needs.test.ts
@@ -1,30 +1,30 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { JobState } from "@sorreltally/jobs"
-import { type JobView, type QuotaNeed, STARVED_RANK } from "@sorreltally/planner"
+import { type JobView, type QuotaDemand, STARVED_RANK } from "@sorreltally/planner"
 import type { Team } from "@sorreltally/settings"
-import type { JobRecord } from "@sorreltally/state"
-import type { JobId, JobRequest, PartName, Stamp, TeamName } from "@sorreltally/wire"
+import { type JobRecord, keys } from "@sorreltally/state"
+import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/wire"
 import type { PartView } from "../src/context.ts"
 import { Failures } from "../src/failures.ts"
 import { quotaNeeds, shareNeed, teamClaims } from "../src/quota-needs.ts"
 
 const red = "red" as TeamName
 const NOW = 1_000_000
-const job = (number: number, ageS: number, more: Partial<JobRequest> = {}): JobState => {
+const job = (number: number, ageS: number, more: Partial<JobSpec> = {}): JobState => {
   const id = `run-${String(number).padStart(6, "0")}` as JobId
   const request = {
     id,
-    pieces: 40,
+    taskCount: 40,
     cores: 4,
     accelerators: 0,
-    mem_gb: 1,
-    owner: red,
-    urgency: "standard",
+    memGb: 1,
+    team: red,
+    priority: "standard",
     ...more,
   }
-  const record = { request, submitted: NOW - ageS * 1000 } as unknown as JobRecord
-  return new JobState(id, record, "s/job/0.0", 1 as Stamp)
+  const record = { spec: request, submittedAt: NOW - ageS * 1000, cancelled: false } as unknown as JobRecord
+  return new JobState(id, record, keys.jobPage(0, 0), 1 as ModRevision)
 }
 const team = { name: red, cpus: 50, cpus_max: 320, gpus: 0, gpus_max: 0 } as unknown as Team
 const teams = [team]
@@ -33,9 +33,9 @@
     part: "part-0",
     jobs: new Map(jobs.map((j) => [j.id, j])),
     failures: new Failures(),
-    ctx: { time: { wall: () => NOW, moment: () => 0 }, platform: { facts: { teams } } },
+    ctx: { time: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { facts: { teams } } },
   }) as unknown as PartView
-const asks = (rank: number): QuotaNeed => ({ part: "deadline" as PartName, team: red, rank, since: 0 })
+const asks = (rank: number): QuotaDemand => ({ shard: "deadline" as ShardName, team: red, rank, since: 0 })
 const use = { cores: 20, accelerators: 0 }
 
 test("what a part wants of a limit is what its tasks use and what machines have room for", () => {
@@ -47,7 +47,7 @@
 })
 
 test("the more urgent part goes first, and so does the one whose work waits longer", () => {
-  const mine = part(job(1, 10, { urgency: "standard" }))
+  const mine = part(job(1, 10, { priority: "standard" }))
   assert.equal(shareNeed(mine, team, use, [asks(0)], 30).asked, "after")
   assert.equal(shareNeed(mine, team, use, [asks(3)], 30).asked, "first")
 })
@@ -78,7 +78,7 @@
   const views = [
     {
       id: "run-000001",
-      request: { owner: red, cores: 8, accelerators: 0, mem_gb: 1 },
+      request: { team: red, cores: 8, accelerators: 0, memGb: 1 },
       queued: 40,
       rank: 1,
       ageS: 10,
--- a/packages/controller/test/relays.test.ts
+++ b/packages/controller/test/relays.test.ts
@@ -1,20 +1,24 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { PeerChannel } from "@sorreltally/peers"
 import {
-  type Heartbeat,
-  type Moment,
-  type NodeName,
-  type Outgoing,
-  packReport,
-  type RelayedAnswers,
-  type RelayedReports,
-  type Timekeeper,
-  type Token,
-  type WallTime,
+  encodeMessage,
+  type ForwardedHeartbeats,
+  type ForwardedReplies,
+  type ForwardedReply,
+  type PeerChannel,
+  type PeerMessage,
+} from "@sorreltally/peers"
+import type {
+  Clocks,
+  Heartbeat,
+  MonotonicTime,
+  NodeName,
+  OutgoingResponse,
+  Respond,
+  WallTime,
 } from "@sorreltally/wire"
 import { Effect } from "effect"
-import { Relays } from "../src/relays.ts"
+import { HeartbeatForwarder } from "../src/relays.ts"
 
 const OWNER = "host-0" as NodeName
 const heartbeat = (sequence: number, phase = "running"): Heartbeat =>
@@ -30,139 +34,150 @@
     preemptionNoticeS: null,
     tasks: [{ taskId: "run-000001/0", attempt: 9, phase, exitReason: null, checkpointed: null }],
   }) as unknown as Heartbeat
+/** A reply as owners' replies are on the wire. */
+const acceptance = (fencingToken: number) =>
+  ({ baton: fencingToken, orders: [] }) as unknown as ForwardedReply["body"]
+/** A forwarded message with one heartbeat that repeats another, which its owner may lack. */
+const repeated = (id: number): ForwardedHeartbeats =>
+  ({
+    kind: "heartbeats",
+    senderLife: 5,
+    sentAt: 1_000_000,
+    heartbeats: [],
+    repeats: [{ id, repeat: { machineId: "i-1", agentEpoch: 1, sequence: 9, fencingToken: 7, since: 8 } }],
+  }) as unknown as ForwardedHeartbeats
 
-/** Sleeps end when the test says so; what is told is kept. */
+/** Sleeps end when the test says so; what is sent is kept. */
 const harness = () => {
   let wall = 1_000_000
-  const told: Array<{ readonly kind: string; readonly body: unknown }> = []
+  const sent: Array<PeerMessage> = []
   const asleep: Array<() => void> = []
-  const time: Timekeeper = { moment: () => wall as Moment, wall: () => wall as WallTime }
-  const peers = { tell: (kind: string, body: unknown) => told.push({ kind, body }) } as unknown as PeerChannel
+  const clocks: Clocks = { monotonicNow: () => wall as MonotonicTime, wallNow: () => wall as WallTime }
+  const peers = { send: (message: PeerMessage) => sent.push(message) } as unknown as PeerChannel
   const fork = (effect: Effect.Effect<unknown>) => {
     asleep.push(() => void Effect.runPromise(effect))
   }
-  const relays = new Relays(peers, time, 1_000, fork)
+  const forwarder = new HeartbeatForwarder({ peers, clocks, clockSkewMs: 1_000, fork })
   const settle = async () => {
     for (const wake of asleep.splice(0)) wake()
     await new Promise((resolve) => setTimeout(resolve, 40))
   }
-  const later = (ms: number) => {
+  const advance = (ms: number) => {
     wall += ms
   }
-  /** Reports that still wait are given up: their watcher would keep the test's process alive. */
+  /** Heartbeats that still wait are given up: their watcher would keep the test's process alive. */
   const end = async () => {
-    later(10_000)
+    advance(10_000)
     await settle()
   }
-  return { relays, told, settle, later, end }
+  return { forwarder, sent, settle, advance, end }
 }
-const answers = (to: RelayedReports, status: number): RelayedAnswers => ({
-  life: to.life,
-  answers: [...to.reports, ...to.repeats].map(([n]) => [n, status, 7 as Token, []]),
+const repliesTo = (message: ForwardedHeartbeats, status: number): ForwardedReplies => ({
+  kind: "heartbeatReplies",
+  recipientLife: message.senderLife,
+  replies: [...message.heartbeats, ...message.repeats].map(({ id }) => ({ id, status, body: acceptance(7) })),
 })
+const bodyOf = (message: PeerMessage | undefined): unknown =>
+  message === undefined ? undefined : encodeMessage(message).body
 
-test("a report goes whole at first, and as its counters while it repeats what its owner has answered", async () => {
-  const { relays, told, settle, end } = harness()
-  const answered: Array<Outgoing> = []
-  const hand = async (tick: number, status?: string): Promise<RelayedReports> => {
-    relays.relay(heartbeat(tick, status), OWNER, (outgoing) => answered.push(outgoing))
+test("a heartbeat goes whole at first, and as its counters while it repeats what its owner has answered", async () => {
+  const { forwarder, sent, settle, end } = harness()
+  const answered: Array<OutgoingResponse> = []
+  const forward = async (sequence: number, phase?: string): Promise<ForwardedHeartbeats> => {
+    forwarder.forward(heartbeat(sequence, phase), OWNER, (response) => answered.push(response))
     await settle()
-    return told.at(-1)!.body as RelayedReports
+    return sent.at(-1) as ForwardedHeartbeats
   }
-  const first = await hand(1)
-  assert.deepEqual([first.reports.length, first.repeats.length], [1, 0])
-  relays.receivedAnswers(answers(first, 200))
-  const second = await hand(2)
-  assert.deepEqual(second.repeats[0]?.[1], ["i-1", 1, 2, 7, 1])
-  relays.receivedAnswers(answers(second, 200))
-  const third = await hand(3, "exited")
-  assert.deepEqual([third.reports.length, third.repeats.length], [1, 0])
-  relays.receivedAnswers(answers(third, 503))
+  const first = await forward(1)
+  assert.deepEqual([first.heartbeats.length, first.repeats.length], [1, 0])
+  forwarder.receivedReplies(repliesTo(first, 200))
+  const second = await forward(2)
+  const { repeats } = bodyOf(second) as { readonly repeats: ReadonlyArray<ReadonlyArray<unknown>> }
+  assert.deepEqual(repeats[0]?.[1], ["i-1", 1, 2, 7, 1])
+  forwarder.receivedReplies(repliesTo(second, 200))
+  const third = await forward(3, "exited")
+  assert.deepEqual([third.heartbeats.length, third.repeats.length], [1, 0])
+  forwarder.receivedReplies(repliesTo(third, 503))
   assert.deepEqual(
     answered.map(({ status }) => status),
     [200, 200, 503],
   )
   // The owner has not taken the third one in: what repeats it goes whole.
-  assert.equal((await hand(4, "exited")).reports.length, 1)
+  assert.equal((await forward(4, "exited")).heartbeats.length, 1)
   await end()
   assert.equal(answered.at(-1)?.status, 503)
 })
 
-// Guards against answers for a report that an earlier process under this name handed on.
-test("an answer meant for another life of the node answers nobody", async () => {
-  const { relays, told, settle, end } = harness()
-  const answered: Array<Outgoing> = []
-  relays.relay(heartbeat(1), OWNER, (outgoing) => answered.push(outgoing))
+// Guards against replies for a heartbeat that an earlier process under this name forwarded.
+test("a reply meant for another life of the node answers nobody", async () => {
+  const { forwarder, sent, settle, end } = harness()
+  const answered: Array<OutgoingResponse> = []
+  forwarder.forward(heartbeat(1), OWNER, (response) => answered.push(response))
   await settle()
-  const letter = told[0]!.body as RelayedReports
-  relays.receivedAnswers({ ...answers(letter, 200), life: letter.life - 1 })
+  const message = sent[0] as ForwardedHeartbeats
+  const replies = repliesTo(message, 200)
+  forwarder.receivedReplies({ ...replies, recipientLife: message.senderLife - 1 })
   assert.equal(answered.length, 0)
-  relays.receivedAnswers(answers(letter, 200))
+  forwarder.receivedReplies(replies)
   assert.equal(answered.length, 1)
   await end()
 })
 
-test("an owner that lacks the report which is repeated asks for the whole, once", async () => {
+test("an owner that lacks the heartbeat which is repeated asks for the whole, once", async () => {
   const owner = harness()
-  const repeat: RelayedReports = {
-    life: 5,
-    at: 1_000_000,
-    reports: [],
-    repeats: [[3, ["i-1", 1, 9, 7, 8] as never]],
-  }
   const taken: Array<Heartbeat> = []
-  owner.relays.receivedReports(
+  owner.forwarder.receivedHeartbeats(
     OWNER,
-    repeat,
-    (body) => taken.push(body),
+    repeated(3),
+    (whole) => taken.push(whole),
     () => null,
   )
   await owner.settle()
   assert.equal(taken.length, 0)
-  assert.deepEqual(owner.told[0]?.body, { life: 5, answers: [[3, 0, null, []]] })
+  assert.deepEqual(bodyOf(owner.sent[0]), { life: 5, answers: [[3, 0, null, []]] })
 })
 
 // Guards against a held-up message whose workers have long given up, and reported to others.
-test("reports older than a worker waits are not taken in", () => {
-  const { relays, told, later } = harness()
-  const letter: RelayedReports = { life: 5, at: 1_000_000, reports: [], repeats: [] }
+test("heartbeats older than a worker waits are not taken in", () => {
+  const { forwarder, sent, advance } = harness()
   const asked: Array<unknown> = []
-  later(6_500)
-  relays.receivedReports(
+  advance(6_500)
+  forwarder.receivedHeartbeats(
     OWNER,
-    { ...letter, repeats: [[1, ["i-1", 1, 9, 7, 8] as never]] },
+    repeated(1),
     () => asked.push("taken"),
     () => {
       asked.push("looked for")
       return null
     },
   )
-  assert.deepEqual([asked, told], [[], []])
+  assert.deepEqual([asked, sent], [[], []])
 })
 
-// Guards against a held answer that reaches another machine's report: the node that asked ended, is back, and counts anew.
-test("an answer to an earlier life of a node is not sent to its present one", async () => {
+// Guards against a deferred reply that reaches another machine's heartbeat: the node that asked ended, is back, and counts anew.
+test("a reply to an earlier life of a node is not sent to its present one", async () => {
   const owner = harness()
-  const held: Array<(answer: Outgoing) => void> = []
-  const ask = (life: number): RelayedReports => ({
-    life,
-    at: 1_000_000,
-    reports: [[5, packReport(heartbeat(1))]],
+  const deferred: Array<Respond> = []
+  const forwardedIn = (life: number): ForwardedHeartbeats => ({
+    kind: "heartbeats",
+    senderLife: life,
+    sentAt: 1_000_000,
+    heartbeats: [{ id: 5, heartbeat: heartbeat(1) }],
     repeats: [],
   })
-  const hand = (life: number) =>
-    owner.relays.receivedReports(
+  const receive = (life: number) =>
+    owner.forwarder.receivedHeartbeats(
       OWNER,
-      ask(life),
-      (_, answer) => held.push(answer),
+      forwardedIn(life),
+      (_, respond) => deferred.push(respond),
       () => null,
     )
-  hand(1)
-  hand(2)
-  held[0]!({ status: 200, body: { baton: 7, orders: [] } })
+  receive(1)
+  receive(2)
+  deferred[0]!({ status: 200, body: acceptance(7) })
   await owner.settle()
-  assert.deepEqual(owner.told.at(-1)?.body, { life: 2, answers: [] })
-  held[1]!({ status: 200, body: { baton: 8, orders: [] } })
+  assert.deepEqual(bodyOf(owner.sent.at(-1)), { life: 2, answers: [] })
+  deferred[1]!({ status: 200, body: acceptance(8) })
   await owner.settle()
-  assert.deepEqual(owner.told.at(-1)?.body, { life: 2, answers: [[5, 200, 8, []]] })
+  assert.deepEqual(bodyOf(owner.sent.at(-1)), { life: 2, answers: [[5, 200, 8, []]] })
 })
--- a/packages/controller/test/report-sharing.test.ts
+++ b/packages/controller/test/report-sharing.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { MachineId, Moment, NodeName, Timekeeper, WallTime } from "@sorreltally/wire"
+import type { Clocks, MachineId, MonotonicTime, NodeName, WallTime } from "@sorreltally/wire"
 import { ReportSharing } from "../src/report-sharing.ts"
 
 const machine = (n: number) => `i-${n}` as MachineId
 const [one, two] = ["host-1" as NodeName, "host-2" as NodeName]
 const harness = (takers: ReadonlyMap<NodeName, number>) => {
   let now = 0
-  const time: Timekeeper = { moment: () => now as Moment, wall: () => now as WallTime }
+  const time: Clocks = { monotonicNow: () => now as MonotonicTime, wallNow: () => now as WallTime }
   const sharing = new ReportSharing(time, 0.1, 5, () => takers)
   return { sharing, wait: (ms: number) => (now += ms) }
 }
--- a/packages/controller/test/shares.test.ts
+++ b/packages/controller/test/shares.test.ts
@@ -2,43 +2,49 @@
 import { test } from "node:test"
 import { Mirror } from "@sorreltally/membership"
 import type { Team } from "@sorreltally/settings"
-import { keys, type QuotaRecord, type StateClient, StateTrouble, type TxnResult } from "@sorreltally/state"
-import type { Moment, PartName, Stamp, TeamName } from "@sorreltally/wire"
+import {
+  type CompareAndSwapResult,
+  keys,
+  type QuotaRecord,
+  type StoreClient,
+  StoreError,
+} from "@sorreltally/state"
+import type { ModRevision, MonotonicTime, ShardName, TeamName } from "@sorreltally/wire"
 import { Effect, type Fiber } from "effect"
 import { type ShareNeed, Shares } from "../src/shares.ts"
 
 const red = "red" as TeamName
 const team = { name: red, cpus: 50, cpus_max: 100, gpus: 0, gpus_max: 0 } as unknown as Team
-const ours = "part-0" as PartName
+const ours = "part-0" as ShardName
 const path = keys.quota(red)
 const cpus = (amount: number) => ({ cpus: amount, gpus: 0 })
 
 /** The shares of a record at a stamp, a clock, and a state service that answers as it is told to. */
 class Fixture {
-  now = 0 as Moment
-  answers: Array<TxnResult | StateTrouble> = []
+  now = 0 as MonotonicTime
+  answers: Array<CompareAndSwapResult | StoreError> = []
   readonly written: Array<QuotaRecord> = []
   readonly mirror = new Mirror()
-  stored: { v: QuotaRecord; stamp: number }
+  stored: { value: QuotaRecord; modRevision: number }
   readonly shares: Shares
 
   constructor(shares: Readonly<Record<string, number>>) {
     const record = Object.fromEntries(Object.entries(shares).map(([part, amount]) => [part, cpus(amount)]))
-    this.stored = { v: { shares: record } as QuotaRecord, stamp: 7 }
-    this.mirror.hint({ path, v: this.stored.v, stamp: 7 as Stamp })
+    this.stored = { value: { shares: record } as QuotaRecord, modRevision: 7 }
+    this.mirror.hint({ key: path, value: this.stored.value, modRevision: 7 as ModRevision })
     const state = {
-      get: () => Effect.sync(() => ({ path, ...this.stored })),
-      multi: (_: unknown, apply: ReadonlyArray<{ readonly v: QuotaRecord }>) =>
+      get: () => Effect.sync(() => ({ key: path, ...this.stored })),
+      compareAndSwap: (_: unknown, apply: ReadonlyArray<{ readonly value: QuotaRecord }>) =>
         Effect.suspend(() => {
-          this.written.push(apply[0]!.v)
+          this.written.push(apply[0]!.value)
           const answer = this.answers.shift()
           if (answer === undefined) return Effect.never
-          return answer instanceof StateTrouble ? Effect.fail(answer) : Effect.succeed(answer)
+          return answer instanceof StoreError ? Effect.fail(answer) : Effect.succeed(answer)
         }),
-    } as unknown as StateClient
+    } as unknown as StoreClient
     this.shares = new Shares(
       ours,
-      5 as Stamp,
+      5 as ModRevision,
       [team],
       this.mirror,
       state,
@@ -68,15 +74,15 @@
     assert.ok(so())
   }
 }
-const lost = new StateTrouble({ outcome: "unknown", status: 0 })
-const refused = new StateTrouble({ outcome: "refused", status: 503 })
+const lost = new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 })
+const refused = new StoreError({ operation: "compareAndSwap", outcome: "refused", status: 503 })
 
 test("a smaller share counts from the moment it is asked for, a larger one once it is written", async () => {
   const less = new Fixture({ [ours]: 40 })
   assert.ok(less.adjust({ uses: 8, wants: 8, asked: "first" }))
   assert.equal(less.share, 8)
   const more = new Fixture({ [ours]: 40 })
-  more.answers = [{ ok: true, epoch: 8 as Stamp }]
+  more.answers = [{ ok: true, revision: 8 as ModRevision }]
   assert.ok(more.adjust({ uses: 40, wants: 60 }))
   await more.until(() => more.share > 60)
 })
@@ -101,7 +107,7 @@
 
 test("a lost change whose part went to another owner is given up", async () => {
   const fixture = new Fixture({ [ours]: 40 })
-  fixture.answers = [lost, { ok: false, failed: [keys.part(ours)] }]
+  fixture.answers = [lost, { ok: false, failedKeys: [keys.shard(ours)] }]
   fixture.adjust({ uses: 8, wants: 8, asked: "first" })
   await fixture.until(() => fixture.share === 40)
   assert.equal(fixture.written.length, 2)
@@ -117,7 +123,7 @@
 
 test("what other parts say that they count on counts instead of their shares", () => {
   const { shares } = new Fixture({ [ours]: 10, "part-1": 30, "part-2": 30, "part-3": 30 })
-  const claim = (part: string, amount: number) => ({ part: part as PartName, team: red, ...cpus(amount) })
+  const claim = (part: string, amount: number) => ({ shard: part as ShardName, team: red, ...cpus(amount) })
   // 100 - (10 + 20 + 30 - 12.5) = 52.5: two parts leave some of their shares unused.
   assert.equal(shares.beyond(team, cpus(0), [claim("part-1", 10), claim("part-2", 20)]).cpus, 52.5)
   // A part that has rented beyond its share counts for that.
@@ -133,25 +139,25 @@
   const fixture = new Fixture({ [ours]: 40 })
   const need = { uses: 0, wants: 40, asked: "after" } as const
   assert.equal(fixture.adjust(need), null)
-  fixture.now = 6_001 as Moment
+  fixture.now = 6_001 as MonotonicTime
   assert.ok(fixture.adjust(need))
   assert.equal(fixture.share, 0)
   assert.ok(fixture.shares.yields(red))
-  fixture.now = 12_002 as Moment
+  fixture.now = 12_002 as MonotonicTime
   assert.ok(!fixture.shares.yields(red))
 })
 
 test("quota that is used, or too little for a task, is no quota held in vain", () => {
   const used = new Fixture({ [ours]: 40 })
   used.adjust({ uses: 0, wants: 40, asked: "after" })
-  used.now = 3_000 as Moment
+  used.now = 3_000 as MonotonicTime
   used.shares.started(red)
-  used.now = 6_001 as Moment
+  used.now = 6_001 as MonotonicTime
   assert.ok(used.adjust({ uses: 4, wants: 40, asked: "after" }))
   assert.ok(!used.shares.yields(red))
   const little = new Fixture({ [ours]: 40, "part-1": 60 })
   little.adjust({ uses: 38, wants: 60, asked: "after" })
-  little.now = 6_001 as Moment
+  little.now = 6_001 as MonotonicTime
   assert.ok(little.adjust({ uses: 38, wants: 60, asked: "after" }))
   assert.ok(!little.shares.yields(red))
 })
@@ -167,18 +173,18 @@
 // Guards against a remainder of a limit that the part which goes first waits to see grow, while nobody uses it.
 test("what whoever goes first leaves free for long lets one task of another part start", () => {
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
-  fixture.answers = [{ ok: true, epoch: 8 as Stamp }]
+  fixture.answers = [{ ok: true, revision: 8 as ModRevision }]
   const waits = { uses: 0, wants: 40, asked: "first" } as const
   assert.equal(fixture.adjust(waits), null)
-  fixture.now = 30_000 as Moment
+  fixture.now = 30_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
-  fixture.now = 30_001 as Moment
+  fixture.now = 30_001 as MonotonicTime
   assert.ok(fixture.adjust(waits))
   assert.deepEqual(fixture.written.at(-1)?.shares[ours], cpus(4))
   // It is kept until a task had time to start, and given back if none did.
-  fixture.now = 33_000 as Moment
+  fixture.now = 33_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
-  fixture.now = 33_001 as Moment
+  fixture.now = 33_001 as MonotonicTime
   assert.ok(fixture.adjust(waits))
   assert.deepEqual(fixture.written.at(-1)?.shares[ours], cpus(0))
 })
@@ -187,10 +193,18 @@
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
   const waits = { uses: 0, wants: 40, asked: "first" } as const
   fixture.adjust(waits)
-  fixture.mirror.hint({ path, v: { shares: { "part-1": cpus(98) } } as QuotaRecord, stamp: 8 as Stamp })
-  fixture.now = 20_000 as Moment
+  fixture.mirror.hint({
+    key: path,
+    value: { shares: { "part-1": cpus(98) } } as QuotaRecord,
+    modRevision: 8 as ModRevision,
+  })
+  fixture.now = 20_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
-  fixture.mirror.hint({ path, v: { shares: { "part-1": cpus(94) } } as QuotaRecord, stamp: 9 as Stamp })
-  fixture.now = 31_000 as Moment
+  fixture.mirror.hint({
+    key: path,
+    value: { shares: { "part-1": cpus(94) } } as QuotaRecord,
+    modRevision: 9 as ModRevision,
+  })
+  fixture.now = 31_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
 })
--- a/packages/daemon/src/http.ts
+++ b/packages/daemon/src/http.ts
@@ -1,16 +1,25 @@
 import { createServer, request as httpRequest, type Server } from "node:http"
 import type { Sizes } from "@sorreltally/settings"
-import type { Address, Answer, Call, Exchange, Incoming, Log, Outgoing, Reply } from "@sorreltally/wire"
-import { answeredInTime, hostAndPort, NoAnswer } from "@sorreltally/wire"
+import type {
+  Address,
+  HttpClient,
+  HttpRequest,
+  HttpResponse,
+  IncomingRequest,
+  Log,
+  OutgoingResponse,
+  Respond,
+} from "@sorreltally/wire"
+import { hostAndPort, NoResponseError, withTimeout } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { Accepted, ManyHosts, oneService } from "./connections.ts"
 
 /** `services` are asked much and often; all other addresses are machines. */
-export const httpExchange = (services: ReadonlyArray<Address>, sizes: Sizes): Exchange["Service"] => {
+export const httpExchange = (services: ReadonlyArray<Address>, sizes: Sizes): HttpClient["Service"] => {
   const agents = new Map(services.map((address) => [address, oneService(sizes.services)]))
   const machines = new ManyHosts(sizes.commands)
-  const once = (call: Call): Effect.Effect<Reply, NoAnswer> =>
-    Effect.callback<Reply, NoAnswer>((resume) => {
+  const once = (call: HttpRequest): Effect.Effect<HttpResponse, NoResponseError> =>
+    Effect.callback<HttpResponse, NoResponseError>((resume) => {
       const { host, port } = hostAndPort(call.address)
       const agent = agents.get(call.address) ?? machines
       const text = call.body === undefined ? undefined : JSON.stringify(call.body)
@@ -18,7 +27,7 @@
         text === undefined
           ? {}
           : { "content-type": "application/json", "content-length": String(Buffer.byteLength(text)) }
-      const fail = (cause: Error) => resume(Effect.fail(new NoAnswer({ reason: cause.message })))
+      const fail = (cause: Error) => resume(Effect.fail(new NoResponseError({ reason: cause.message })))
       const outgoing = httpRequest(
         { agent, host, port, method: call.method, path: call.path, headers },
         (incoming) => {
@@ -41,7 +50,7 @@
       outgoing.end(text)
       return Effect.sync(() => outgoing.destroy())
     })
-  return answeredInTime(once)
+  return withTimeout(once)
 }
 
 /** Serves one handler; the connection's housekeeping is all that happens here. */
@@ -49,7 +58,7 @@
   listen: Address,
   bodyLimit: number,
   mostConnections: number,
-  serve: (request: Incoming, answer: Answer) => void,
+  serve: (request: IncomingRequest, answer: Respond) => void,
   log: Log,
 ): Server => {
   const accepted = new Accepted(mostConnections)
@@ -58,7 +67,7 @@
     accepted.works(socket)
     const chunks: Array<Buffer> = []
     let size = 0
-    const answer = (outgoing: Outgoing) => {
+    const answer = (outgoing: OutgoingResponse) => {
       const text = JSON.stringify(outgoing.body)
       response.writeHead(outgoing.status, {
         "content-type": "application/json",
@@ -76,7 +85,7 @@
     incoming.on("end", () => {
       if (size > bodyLimit)
         return answer({ status: 400, body: { error: `a body has at most ${bodyLimit} bytes` } })
-      const request: Incoming = {
+      const request: IncomingRequest = {
         method: incoming.method ?? "GET",
         path: incoming.url ?? "/",
         body: Buffer.concat(chunks).toString("utf8"),
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -3,16 +3,16 @@
 import { makeController } from "@sorreltally/controller"
 import { type Links, makePeerChannel } from "@sorreltally/peers"
 import type { Operators, Platform } from "@sorreltally/settings"
-import { makeStateClient } from "@sorreltally/state"
+import { makeStoreClient } from "@sorreltally/state"
 import {
-  type Answer,
-  type Exchange,
-  type Incoming,
+  addMs,
+  type HttpClient,
+  type IncomingRequest,
   type Log,
-  later,
-  type Moment,
+  type MonotonicTime,
   NEVER,
-  timekeeper,
+  processClocks,
+  type Respond,
 } from "@sorreltally/wire"
 import { Effect, Exit } from "effect"
 
@@ -26,7 +26,7 @@
 
 export interface Node {
   /** Answers a request of a worker, a user or a health check, once. */
-  readonly serve: (request: Incoming, answer: Answer) => void
+  readonly serve: (request: IncomingRequest, answer: Respond) => void
   /** Runs until it is interrupted. */
   readonly run: Effect.Effect<void>
 }
@@ -37,21 +37,26 @@
   operators: Operators,
   links: Links,
   log: Log,
-): Effect.Effect<Node, never, Exchange> =>
+): Effect.Effect<Node, never, HttpClient> =>
   Effect.gen(function* () {
-    const time = yield* timekeeper
+    const time = yield* processClocks
     const { facts, outside, peers, node_name } = platform
     const nodes = [node_name, ...peers.map((p) => p.node_name)].sort()
-    const state = yield* makeStateClient(outside.state, facts.state, nodes.length)
+    const storeLimits = {
+      writesPerSecond: facts.state.write_rps,
+      valueKb: facts.state.value_kb,
+      maxOperations: facts.state.txn_ops,
+    }
+    const state = yield* makeStoreClient(outside.state, storeLimits, nodes.length)
     const cloud = yield* makeCloudClient(outside.cloud, facts.cloud, nodes.length)
     const others = peers.map((p) => p.node_name)
     const channel = yield* makePeerChannel(node_name, others, links, log)
     const controller = yield* makeController(platform, operators, nodes, state, cloud, channel, log)
-    let wellAt: Moment = NEVER
+    let wellAt: MonotonicTime = NEVER
     const ready = () => {
-      const now = time.moment()
+      const now = time.monotonicNow()
       if (controller.well()) wellAt = now
-      return now < later(wellAt, staysReadyMs(controller.othersWell()))
+      return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
     }
     const desk = {
       ready,
@@ -62,11 +67,11 @@
     }
     const api = new Api(platform, operators, desk, time)
     const context = yield* Effect.context<never>()
-    const failed = (request: Incoming, cause: unknown, answer: Answer) => {
+    const failed = (request: IncomingRequest, cause: unknown, answer: Respond) => {
       log.error("request failed", { path: request.path, cause: String(cause) })
       answer({ status: 503, body: { error: "internal error" } })
     }
-    const serve = (request: Incoming, answer: Answer): void => {
+    const serve = (request: IncomingRequest, answer: Respond): void => {
       if (request.path !== REPORT_PATH || request.method !== "POST") {
         Effect.runCallbackWith(context)(api.handle(request), {
           onExit: (exit) => (Exit.isSuccess(exit) ? answer(exit.value) : failed(request, exit.cause, answer)),
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -7,7 +7,7 @@
   type Platform,
   sizesOf,
 } from "@sorreltally/settings"
-import { BODY_LIMIT, Exchange, type Log } from "@sorreltally/wire"
+import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { httpExchange, serveHttp } from "./http.ts"
 import { makeNode } from "./node.ts"
@@ -17,10 +17,14 @@
   Effect.suspend(() => {
     const { state, cloud } = platform.outside
     const exchange = httpExchange([state, cloud], sizesOf(platform))
-    return Effect.provideService(serving(platform, operators, log), Exchange, exchange)
+    return Effect.provideService(serving(platform, operators, log), HttpClient, exchange)
   })
 
-const serving = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void, never, Exchange> =>
+const serving = (
+  platform: Platform,
+  operators: Operators,
+  log: Log,
+): Effect.Effect<void, never, HttpClient> =>
   Effect.gen(function* () {
     const links = openSockets(
       platform.back,
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -1,4 +1,11 @@
-import type { ArchivePage, FinalStates, FinalStatus, JobPage, JobRecord } from "@sorreltally/state"
+import {
+  encodeRecord,
+  type FinalStates,
+  type FinalStatus,
+  type JobPage,
+  type JobRecord,
+  type StoreKey,
+} from "@sorreltally/state"
 import { hashText, type JobId } from "@sorreltally/wire"
 
 /**
@@ -23,7 +30,7 @@
 const SPARE_BYTES = 64
 const ID_PREFIX = "run-"
 
-export const EMPTY_PAGE: JobPage = { jobs: [], done: [], withdrawn: [], archived: 0 }
+export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivedPages: 0 }
 
 export const bucketOf = (id: JobId): number => hashText(id) % BUCKETS
 export const digitsOf = (id: JobId): string => id.slice(ID_PREFIX.length)
@@ -34,45 +41,46 @@
 export const finalIn = (states: FinalStates, id: JobId): FinalStatus | null => {
   const digits = digitsOf(id)
   if (states.done.includes(digits)) return "done"
-  return states.withdrawn.includes(digits) ? "withdrawn" : null
+  return states.cancelled.includes(digits) ? "cancelled" : null
 }
 
 export const addJob = (page: JobPage, job: JobRecord): JobPage => ({ ...page, jobs: [...page.jobs, job] })
 
-export const withdrawJob = (page: JobPage, id: JobId): JobPage => ({
+export const cancelJob = (page: JobPage, id: JobId): JobPage => ({
   ...page,
-  jobs: page.jobs.map((job) => (job.request.id === id ? { ...job, withdrawn: true } : job)),
+  jobs: page.jobs.map((job) => (job.spec.id === id ? { ...job, cancelled: true } : job)),
 })
 
 /** Replaces the records of jobs that are over by their final states. */
 export const foldEnds = (page: JobPage, endOf: (id: JobId) => FinalStatus | null): JobPage => {
   const jobs: Array<JobRecord> = []
   const done = [...page.done]
-  const withdrawn = [...page.withdrawn]
+  const cancelled = [...page.cancelled]
   for (const job of page.jobs) {
-    const { id } = job.request
+    const { id } = job.spec
     const end = endOf(id)
     if (end === null) jobs.push(job)
     else if (end === "done") done.push(digitsOf(id))
-    else withdrawn.push(digitsOf(id))
+    else cancelled.push(digitsOf(id))
   }
-  return { ...page, jobs, done, withdrawn }
+  return { ...page, jobs, done, cancelled }
 }
 
 /** Moves the final states of a page that holds many of them to an archive page of their own. */
 export const archiveFinals = (
   page: JobPage,
   valueKb: number,
-): { readonly page: JobPage; readonly archived: ArchivePage | null } => {
-  const { done, withdrawn } = page
+): { readonly page: JobPage; readonly archived: FinalStates | null } => {
+  const { done, cancelled } = page
   let bytes = 0
-  for (const digits of [...done, ...withdrawn]) bytes += finalStateBytes(digits)
+  for (const digits of [...done, ...cancelled]) bytes += finalStateBytes(digits)
   if (bytes <= Math.min(ARCHIVE_BYTES, ARCHIVE_SHARE * valueKb * 1024)) return { page, archived: null }
   return {
-    page: { ...page, done: [], withdrawn: [], archived: page.archived + 1 },
-    archived: { done, withdrawn },
+    page: { ...page, done: [], cancelled: [], archivedPages: page.archivedPages + 1 },
+    archived: { done, cancelled },
   }
 }
 
-export const fitsValue = (value: unknown, valueKb: number): boolean =>
-  Buffer.byteLength(JSON.stringify(value)) <= valueKb * 1024 - SPARE_BYTES
+/** Is the page, as it is stored, small enough for one value? */
+export const fitsValue = (key: StoreKey<JobPage>, page: JobPage, valueKb: number): boolean =>
+  Buffer.byteLength(JSON.stringify(encodeRecord(key, page))) <= valueKb * 1024 - SPARE_BYTES
--- a/packages/jobs/src/job.ts
+++ b/packages/jobs/src/job.ts
@@ -1,13 +1,13 @@
-import type { JobRecord } from "@sorreltally/state"
+import type { JobPage, JobRecord, StoreKey } from "@sorreltally/state"
 import type {
+  AgentEpoch,
   Attempt,
   JobId,
-  JobRequest,
+  JobSpec,
   MachineId,
-  Moment,
-  Stamp,
+  ModRevision,
+  MonotonicTime,
   TaskId,
-  Tenure,
   WallTime,
 } from "@sorreltally/wire"
 
@@ -17,7 +17,7 @@
   readonly index: number
   readonly task: TaskId
   readonly machine: MachineId
-  readonly tenure: Tenure
+  readonly tenure: AgentEpoch
   readonly attempt: Attempt
   /** Only a durable placement may be started. */
   durable: boolean
@@ -28,9 +28,9 @@
    */
   readonly inherited: boolean
   /** Not null: the task is to leave the machine. */
-  stop: { readonly why: StopReason; readonly leewayS: number; readonly since: Moment } | null
-  readonly placedAt: Moment
-  runningSince: Moment | null
+  stop: { readonly why: StopReason; readonly leewayS: number; readonly since: MonotonicTime } | null
+  readonly placedAt: MonotonicTime
+  runningSince: MonotonicTime | null
   /** How often the worker was told to start it, and nothing came of it. */
   unheard: number
 }
@@ -38,7 +38,7 @@
 
 /** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
 export class JobState {
-  readonly request: JobRequest
+  readonly request: JobSpec
   readonly submitted: WallTime
   private readonly finished: Uint8Array
   private finishedCount = 0
@@ -49,7 +49,7 @@
   /** Finished tasks of which the state service doesn't know yet. */
   readonly unsaved = new Set<number>()
   /** When a failed or refused task may be tried again, and how often starts were refused since one succeeded. */
-  notBefore: Moment | null = null
+  notBefore: MonotonicTime | null = null
   refusals = 0
   withdrawn: boolean
   /** Its end is durable. */
@@ -62,17 +62,17 @@
     readonly id: JobId,
     record: JobRecord,
     /** The page of the job table that holds its record, and that page's last change. */
-    readonly page: string,
-    public stamp: Stamp,
+    readonly page: StoreKey<JobPage>,
+    public stamp: ModRevision,
   ) {
-    this.request = record.request
-    this.submitted = record.submitted as WallTime
-    this.withdrawn = record.withdrawn === true
-    this.finished = new Uint8Array(record.request.pieces)
+    this.request = record.spec
+    this.submitted = record.submittedAt as WallTime
+    this.withdrawn = record.cancelled
+    this.finished = new Uint8Array(record.spec.taskCount)
   }
 
   get pieces(): number {
-    return this.request.pieces
+    return this.request.taskCount
   }
   get done(): number {
     return this.finishedCount
@@ -113,7 +113,7 @@
   place(placement: Placement): void {
     this.placements.set(placement.index, placement)
   }
-  began(placement: Placement, now: Moment): void {
+  began(placement: Placement, now: MonotonicTime): void {
     placement.runningSince = now
     this.running++
   }
--- a/packages/jobs/src/ledger.ts
+++ b/packages/jobs/src/ledger.ts
@@ -1,5 +1,13 @@
-import type { SlotRecord } from "@sorreltally/state"
-import { ABSENT, type JobId, type MachineId, type Moment, type Stamp, taskId } from "@sorreltally/wire"
+import type { PlacedTask, PlacementRecord, TaskRun } from "@sorreltally/state"
+import {
+  ABSENT,
+  type Attempt,
+  type JobId,
+  type MachineId,
+  type ModRevision,
+  type MonotonicTime,
+  taskId,
+} from "@sorreltally/wire"
 import type { JobState, Placement } from "./job.ts"
 
 /** What a slot says of one job's finished tasks. */
@@ -8,7 +16,7 @@
   readonly indexes: ReadonlyArray<number>
 }
 interface Slot {
-  readonly stamp: Stamp
+  readonly stamp: ModRevision
   readonly starts: ReadonlyArray<Placement>
   readonly finishes: ReadonlyArray<Finishes>
 }
@@ -17,8 +25,8 @@
 export interface Draft {
   readonly slot: number
   /** The slot as it was; the write is conditioned on it. */
-  readonly before: Stamp
-  readonly record: SlotRecord
+  readonly before: ModRevision
+  readonly record: PlacementRecord
   readonly starts: ReadonlyArray<Placement>
   /** Jobs of which it places tasks anew: the write is conditioned on their stamps. */
   readonly jobs: ReadonlySet<JobState>
@@ -46,7 +54,7 @@
  */
 export class Ledger {
   private readonly slots = new Map<number, Slot>()
-  private readonly free: Array<{ readonly slot: number; readonly stamp: Stamp }> = []
+  private readonly free: Array<{ readonly slot: number; readonly stamp: ModRevision }> = []
   private next = 0
   private looked = 0
   private writes = 0
@@ -65,7 +73,7 @@
     starts: Iterable<Placement>,
     finished: Iterable<JobState>,
     mostJobs: number,
-    epoch: Stamp,
+    epoch: ModRevision,
   ): Draft | null {
     const page = new Page(this.valueKb * 1024 - FRAME_BYTES)
     const jobs = new Set<JobState>()
@@ -85,58 +93,56 @@
     return { slot, before: stamp, record, starts: page.starts, jobs, finishes: page.finishes, merged }
   }
   /** The draft is durable. */
-  saved(draft: Draft, stamp: Stamp): void {
+  saved(draft: Draft, stamp: ModRevision): void {
     this.slots.set(draft.slot, { stamp, starts: draft.starts, finishes: draft.finishes })
     for (const placement of draft.starts) placement.durable = true
     for (const { job, indexes } of draft.finishes) for (const index of indexes) job.unsaved.delete(index)
     for (const slot of draft.merged) this.release(slot)
   }
   /** The draft surely never was and never will be written. */
-  dropped(draft: Draft, stamp: Stamp): void {
+  dropped(draft: Draft, stamp: ModRevision): void {
     this.free.push({ slot: draft.slot, stamp })
   }
 
   /** Takes over a slot that a former owner wrote. `jobOf` is null for jobs that are over. */
   restore(
     slot: number,
-    stamp: Stamp,
-    record: SlotRecord,
+    stamp: ModRevision,
+    record: PlacementRecord,
     jobOf: (id: JobId) => JobState | null,
-    now: Moment,
+    now: MonotonicTime,
   ): void {
     this.next = Math.max(this.next, slot + 1)
     const starts: Array<Placement> = []
     const finishes: Array<Finishes> = []
-    for (const [id, ...runs] of record.d) {
-      const job = jobOf(id as JobId)
+    for (const { jobId, runs } of record.finished) {
+      const job = jobOf(jobId)
       if (job === null) continue
       const indexes: Array<number> = []
-      for (let i = 0; i + 1 < runs.length; i += 2) {
-        const [first, count] = [runs[i] as number, runs[i + 1] as number]
+      for (const { first, count } of runs) {
         job.restoreFinished(first, count)
         for (let n = 0; n < count; n++) indexes.push(first + n)
       }
       finishes.push({ job, indexes })
     }
-    for (const [id, ...facts] of record.s) {
-      const job = jobOf(id as JobId)
+    for (const { jobId, tasks } of record.placed) {
+      const job = jobOf(jobId)
       if (job === null) continue
-      for (let i = 0; i + 3 < facts.length; i += 4) {
-        const [index, machine, tenure, attempt] = facts.slice(i, i + 4) as Array<number>
-        const placement = {
+      for (const { index, machine, agentEpoch, attemptOffset } of tasks) {
+        const placement: Placement = {
           job,
           index,
-          task: taskId(job.id, index!),
-          machine: record.m[machine!],
-          tenure,
-          attempt: record.a + attempt!,
+          task: taskId(job.id, index),
+          machine: record.machines[machine]!,
+          tenure: agentEpoch,
+          attempt: (record.firstAttempt + attemptOffset) as Attempt,
           durable: true,
           inherited: true,
           stop: null,
           placedAt: now,
           runningSince: null,
           unheard: 0,
-        } as Placement
+        }
         job.restorePlaced(placement)
         starts.push(placement)
       }
@@ -179,13 +185,13 @@
 const isDead = (slot: Slot): boolean =>
   !slot.finishes.some(({ job }) => !job.over) && !slot.starts.some(isCurrent)
 
-/** Runs of consecutive numbers, as first and count. */
-const runsOf = (indexes: ReadonlyArray<number>): ReadonlyArray<number> => {
-  const runs: Array<number> = []
+/** Runs of consecutive task indexes. */
+const runsOf = (indexes: ReadonlyArray<number>): ReadonlyArray<TaskRun> => {
+  const runs: Array<{ first: number; count: number }> = []
   for (const index of [...indexes].sort((a, b) => a - b)) {
-    const at = runs.length - 2
-    if (at >= 0 && runs[at]! + runs[at + 1]! === index) runs[at + 1]!++
-    else runs.push(index, 1)
+    const last = runs.at(-1)
+    if (last !== undefined && last.first + last.count === index) last.count++
+    else runs.push({ first: index, count: 1 })
   }
   return runs
 }
@@ -196,7 +202,7 @@
   readonly finishes: Array<Finishes> = []
   private readonly machines = new Map<MachineId, number>()
   private readonly placed = new Map<JobState, Array<Placement>>()
-  private readonly runs: Array<[JobId, ...Array<number>]> = []
+  private readonly runs: Array<PlacementRecord["finished"][number]> = []
 
   constructor(private room: number) {}
 
@@ -221,11 +227,11 @@
   }
   finish(job: JobState, indexes: ReadonlyArray<number>): boolean {
     const runs = runsOf(indexes)
-    const cost = JOB_BYTES + (RUN_BYTES * runs.length) / 2
+    const cost = JOB_BYTES + RUN_BYTES * runs.length
     if (cost > this.room) return this.finishSome(job, indexes)
     this.room -= cost
     this.finishes.push({ job, indexes })
-    this.runs.push([job.id, ...runs])
+    this.runs.push({ jobId: job.id, runs })
     return true
   }
   /** A job with more finished tasks than a record holds says so in several. */
@@ -237,22 +243,30 @@
   fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<Finishes>): boolean {
     let cost = 0
     for (const { machine } of starts) cost += START_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
-    for (const { indexes } of finishes) cost += JOB_BYTES + (RUN_BYTES * runsOf(indexes).length) / 2
+    for (const { indexes } of finishes) cost += JOB_BYTES + RUN_BYTES * runsOf(indexes).length
     return cost <= this.room
   }
-  record(epoch: Stamp, write: number): SlotRecord {
-    let base = Number.POSITIVE_INFINITY
-    for (const { attempt } of this.starts) base = Math.min(base, attempt)
-    if (this.starts.length === 0) base = 0
+  record(epoch: ModRevision, write: number): PlacementRecord {
+    let firstAttempt = Number.POSITIVE_INFINITY
+    for (const { attempt } of this.starts) firstAttempt = Math.min(firstAttempt, attempt)
+    if (this.starts.length === 0) firstAttempt = 0
     return {
-      w: [epoch, write],
-      a: base,
-      m: [...this.machines.keys()],
-      s: [...this.placed].map(([job, placements]) => [
-        job.id,
-        ...placements.flatMap((p) => [p.index, this.machines.get(p.machine)!, p.tenure, p.attempt - base]),
-      ]),
-      d: this.runs,
+      write: { epoch, number: write },
+      firstAttempt,
+      machines: [...this.machines.keys()],
+      placed: [...this.placed].map(([job, placements]) => ({
+        jobId: job.id,
+        tasks: placements.map((placement) => this.placedTask(placement, firstAttempt)),
+      })),
+      finished: this.runs,
+    }
+  }
+  private placedTask({ index, machine, tenure, attempt }: Placement, firstAttempt: number): PlacedTask {
+    return {
+      index,
+      machine: this.machines.get(machine)!,
+      agentEpoch: tenure,
+      attemptOffset: attempt - firstAttempt,
     }
   }
 }
--- a/packages/membership/src/freshness.ts
+++ b/packages/membership/src/freshness.ts
@@ -1,9 +1,9 @@
-import { MIRRORED, type StateClient, type StateTrouble } from "@sorreltally/state"
-import { later, type Moment, NEVER } from "@sorreltally/wire"
+import { MIRRORED, type StoreClient, type StoreError } from "@sorreltally/state"
+import { addMs, type MonotonicTime, NEVER } from "@sorreltally/wire"
 import { Deferred, Effect, Result } from "effect"
 import type { Mirror } from "./mirror.ts"
 
-type Waiter = Deferred.Deferred<void, StateTrouble>
+type Waiter = Deferred.Deferred<void, StoreError>
 
 /**
  * Makes sure that the mirror is not older than a question. One request to the
@@ -14,22 +14,22 @@
 export class Freshness {
   private waiting: Array<Waiter> = []
   private busy = false
-  private lastSent: Moment = NEVER
+  private lastSent: MonotonicTime = NEVER
 
   constructor(
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     private readonly mirror: Mirror,
     private readonly spacingMs: number,
     /** Told when the mirror has been brought up, and when that was asked for. */
-    private readonly broughtUp: (sent: Moment) => void,
-    private readonly now: () => Moment,
+    private readonly broughtUp: (sent: MonotonicTime) => void,
+    private readonly now: () => MonotonicTime,
     private readonly fork: (effect: Effect.Effect<unknown>) => void,
   ) {}
 
   /** Until the mirror holds all that was so when this was called. */
-  readonly since: Effect.Effect<void, StateTrouble> = Effect.suspend(() =>
+  readonly since: Effect.Effect<void, StoreError> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      const waiter = yield* Deferred.make<void, StateTrouble>()
+      const waiter = yield* Deferred.make<void, StoreError>()
       this.waiting.push(waiter)
       if (!this.busy) {
         this.busy = true
@@ -42,7 +42,7 @@
   private serve() {
     return Effect.gen({ self: this }, function* () {
       while (this.waiting.length > 0) {
-        const pauseMs = later(this.lastSent, this.spacingMs) - this.now()
+        const pauseMs = addMs(this.lastSent, this.spacingMs) - this.now()
         if (pauseMs > 0) yield* Effect.sleep(pauseMs)
         const asked = this.waiting
         this.waiting = []
@@ -57,12 +57,12 @@
       this.busy = false
     })
   }
-  private bringUp(): Effect.Effect<void, StateTrouble> {
+  private bringUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const news = yield* this.state.watch(MIRRORED, this.mirror.revision, 0)
-      if (news.kind === "news") return this.mirror.apply(news.changes, news.epoch)
-      const { items, epoch } = yield* this.state.list(MIRRORED)
-      this.mirror.reload(items, epoch)
+      if (news.kind === "events") return this.mirror.apply(news.events, news.revision)
+      const { items, revision } = yield* this.state.list(MIRRORED)
+      this.mirror.reload(items, revision)
     })
   }
 }
--- a/packages/membership/src/grant-keeper.ts
+++ b/packages/membership/src/grant-keeper.ts
@@ -1,14 +1,14 @@
-import { type Entry, keys, type LiveRecord, type StateClient } from "@sorreltally/state"
+import { type Entry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/state"
 import {
   ABSENT,
-  type GrantId,
+  addMs,
   type Incarnation,
+  type LeaseId,
   type Log,
-  later,
-  type Moment,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
   type NodeName,
-  type Stamp,
 } from "@sorreltally/wire"
 import { Effect, Random, Result } from "effect"
 
@@ -20,9 +20,9 @@
 /** One life of a controller under its name, and the grant that it lasts as long as. */
 export interface Standing {
   readonly incarnation: Incarnation
-  readonly grant: GrantId
+  readonly grant: LeaseId
   /** Revision of the live key, which goes when the grant ends. */
-  readonly liveStamp: Stamp
+  readonly liveStamp: ModRevision
 }
 
 /** Touches in a grant's ttl while all goes well; one or two may get lost. */
@@ -34,13 +34,13 @@
 /** Obtains the node's grant and live key, and renews them until the grant has ended. */
 export class GrantKeeper {
   private standing: Standing | null = null
-  private validUntil: Moment = NEVER
+  private validUntil: MonotonicTime = NEVER
 
   constructor(
     private readonly self: NodeName,
     private readonly times: GrantTimes,
-    private readonly state: StateClient,
-    private readonly now: () => Moment,
+    private readonly state: StoreClient,
+    private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {}
 
@@ -48,32 +48,35 @@
     return this.standing
   }
   /** Whether the grant surely lives. */
-  holds(now: Moment): boolean {
+  holds(now: MonotonicTime): boolean {
     return this.standing !== null && now < this.validUntil
   }
 
   /** Returns the live key as written. `items` is what a read has just found. */
   join(items: ReadonlyArray<Entry>) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.live(this.self)
-      const former = items.find((item) => item.path === path)
+      const path = keys.node(this.self)
+      const former = items.find((item) => item.key === path)
       if (former !== undefined) {
         // Whoever held this name is dead, for we run under it now. Ending its
         // grant frees its parts at once instead of when the grant runs out;
         // what it still has under way is fenced by the parts' new epochs.
-        yield* this.state.revoke((former.v as LiveRecord).grant)
+        yield* this.state.revokeLease((former.value as NodeRecord).leaseId)
       }
       const incarnation = yield* this.newIncarnation()
       const asked = this.now()
-      const grant = yield* this.state.grant(this.times.grantTtlMs)
-      const record: LiveRecord = { incarnation, grant }
-      const set = { set: path, v: record, permit: grant }
+      const grant = yield* this.state.grantLease(this.times.grantTtlMs)
+      const record: NodeRecord = { incarnation, leaseId: grant }
       // A copy of this that is carried out late finds the key there, or the grant ended.
-      const won = yield* this.state.multi([{ path, stamp: ABSENT }], [set], 0)
+      const won = yield* this.state.compareAndSwap(
+        [{ key: path, modRevision: ABSENT }],
+        [put(path, record, grant)],
+        0,
+      )
       if (!won.ok) return yield* Effect.fail("the former grant still stands" as const)
-      this.standing = { incarnation, grant, liveStamp: won.epoch }
+      this.standing = { incarnation, grant, liveStamp: won.revision }
       this.extend(asked)
-      return { path, v: record, stamp: won.epoch }
+      return { key: path, value: record, modRevision: won.revision }
     })
   }
   private newIncarnation() {
@@ -99,7 +102,7 @@
         yield* Effect.sleep(pauseMs)
         if (this.standing === null) return
         const sent = this.now()
-        const touched = yield* Effect.result(this.state.touch(this.standing.grant, timeoutMs))
+        const touched = yield* Effect.result(this.state.keepAlive(this.standing.grant, timeoutMs))
         if (Result.isFailure(touched)) {
           this.log.debug("touch failed", { status: touched.failure.status })
           pauseMs = grantTtlMs / RETRIES_PER_TTL
@@ -116,7 +119,7 @@
    * the state service then gives the grant its full time again, but who was out of
    * touch may have missed cancellations meanwhile.
    */
-  private extend(sent: Moment): void {
-    this.validUntil = later(sent, this.times.grantTtlMs - this.times.grantMarginMs)
+  private extend(sent: MonotonicTime): void {
+    this.validUntil = addMs(sent, this.times.grantTtlMs - this.times.grantMarginMs)
   }
 }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,5 +1,5 @@
-import { MIRRORED, type StateClient } from "@sorreltally/state"
-import type { Incarnation, Log, Moment, NodeName, PartName } from "@sorreltally/wire"
+import { MIRRORED, type StoreClient } from "@sorreltally/state"
+import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import { Freshness } from "./freshness.ts"
 import { GrantKeeper, type GrantTimes } from "./grant-keeper.ts"
@@ -33,7 +33,7 @@
  */
 export class Membership {
   readonly mirror = new Mirror()
-  readonly parts: ReadonlyArray<PartName>
+  readonly parts: ReadonlyArray<ShardName>
   /** For answers that must not be older than their question. */
   readonly freshness: Freshness
   private readonly grant: GrantKeeper
@@ -42,9 +42,9 @@
 
   constructor(
     settings: MembershipSettings,
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     host: Host,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     private readonly log: Log,
     fork: (effect: Effect.Effect<unknown>) => void,
   ) {
@@ -56,7 +56,7 @@
     const spacingMs = watchSpacingMs(nodes.length, settings.stateRps)
     this.grant = new GrantKeeper(self, settings, state, now, log)
     this.watch = new MirrorWatch(state, mirror, spacingMs, watchFreshMs, host.busy, now)
-    const broughtUp = (sent: Moment) => this.watch.broughtUpTo(sent)
+    const broughtUp = (sent: MonotonicTime) => this.watch.broughtUpTo(sent)
     this.freshness = new Freshness(state, mirror, spacingMs, broughtUp, now, fork)
     const entitled = () => this.entitled()
     this.ownership = new PartOwnership(
@@ -81,11 +81,11 @@
   incarnation(): Incarnation | null {
     return this.grant.current?.incarnation ?? null
   }
-  owner(part: PartName): NodeName | null {
+  owner(part: ShardName): NodeName | null {
     return this.ownership.owner(part)
   }
   /** An owner can't go on: the part starts over under a new epoch. */
-  disown(part: PartName): void {
+  disown(part: ShardName): void {
     this.ownership.disown(part, "its engine failed")
   }
 
@@ -105,12 +105,12 @@
     return Effect.gen({ self: this }, function* () {
       // Obtaining the grant takes time: the mirror is as fresh as its read, not as the grant.
       const listed = this.now()
-      const { items, epoch } = yield* this.state.list(MIRRORED)
+      const { items, revision } = yield* this.state.list(MIRRORED)
       const live = yield* this.grant.join(items)
-      this.mirror.reload(items, epoch)
+      this.mirror.reload(items, revision)
       this.mirror.hint(live)
       this.watch.broughtUpTo(listed)
-      this.log.info("joined", { incarnation: live.v.incarnation, revision: epoch })
+      this.log.info("joined", { incarnation: live.value.incarnation, revision })
     })
   }
 }
--- a/packages/membership/src/mirror-watch.ts
+++ b/packages/membership/src/mirror-watch.ts
@@ -1,5 +1,5 @@
-import { MIRRORED, type StateClient } from "@sorreltally/state"
-import { later, type Moment, NEVER } from "@sorreltally/wire"
+import { MIRRORED, type StoreClient } from "@sorreltally/state"
+import { addMs, type MonotonicTime, NEVER } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import type { Mirror } from "./mirror.ts"
 
@@ -24,10 +24,10 @@
 
 /** Keeps the mirror up to date, and knows until when it counts as fresh. */
 export class MirrorWatch {
-  private freshUntil: Moment = NEVER
+  private freshUntil: MonotonicTime = NEVER
 
   constructor(
-    private readonly state: StateClient,
+    private readonly state: StoreClient,
     private readonly mirror: Mirror,
     private readonly spacingMs: number,
     /**
@@ -37,18 +37,18 @@
     private readonly freshMs: number,
     /** It has work, and should hear of changes as soon as can be. */
     private readonly busy: () => boolean,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
   ) {}
 
-  isFresh(now: Moment): boolean {
+  isFresh(now: MonotonicTime): boolean {
     return now < this.freshUntil
   }
   /**
    * The mirror holds all that was so when a request was sent. What became
    * durable after the sending may be missing, however late the answer came.
    */
-  broughtUpTo(sent: Moment): void {
-    this.freshUntil = Math.max(this.freshUntil, later(sent, this.freshMs)) as Moment
+  broughtUpTo(sent: MonotonicTime): void {
+    this.freshUntil = Math.max(this.freshUntil, addMs(sent, this.freshMs)) as MonotonicTime
   }
 
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
@@ -62,8 +62,8 @@
           this.state.watch(MIRRORED, revision, Math.floor(blockMs), Math.floor(answerMs)),
         )
         if (Result.isFailure(news)) return yield* Effect.sleep(RETRY_MS)
-        if (news.success.kind === "too-old") return yield* this.readAll()
-        this.mirror.apply(news.success.changes, news.success.epoch)
+        if (news.success.kind === "compacted") return yield* this.readAll()
+        this.mirror.apply(news.success.events, news.success.revision)
         this.broughtUpTo(sent)
         // Every change wakes every node's watch: what comes in one go costs one request.
         yield* Effect.sleep(this.pauseMs())
@@ -78,7 +78,7 @@
     return Effect.gen({ self: this }, function* () {
       const read = yield* Effect.result(this.state.list(MIRRORED))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
-      this.mirror.reload(read.success.items, read.success.epoch)
+      this.mirror.reload(read.success.items, read.success.revision)
     })
   }
 }
--- a/packages/membership/src/mirror.ts
+++ b/packages/membership/src/mirror.ts
@@ -1,11 +1,8 @@
-import type { Entry, NewsItem } from "@sorreltally/state"
-import { ABSENT, type Revision, type Stamp } from "@sorreltally/wire"
+import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/state"
+import { ABSENT, type ModRevision, type Revision } from "@sorreltally/wire"
 
 export type MirrorListener = (path: string, entry: Entry | null) => void
 
-/** Keys of one kind share the path up to its second slash: `s/job/`, `s/part/`, … */
-const familyOf = (path: string): string => path.slice(0, path.indexOf("/", 2) + 1)
-
 /**
  * This node's copy of the mirrored keys. It holds at least every change up to
  * `revision`: whoever has made sure that this is recent enough (see `Freshness`)
@@ -18,15 +15,18 @@
    * Keys that a transaction of ours deleted before the watch has told of it.
    * Guards against a slow watch that brings the key's last change back.
    */
-  private readonly buried = new Map<string, Stamp>()
+  private readonly buried = new Map<string, ModRevision>()
   revision = 0 as Revision
 
-  get<V>(path: string): { readonly v: V; readonly stamp: Stamp } | null {
-    const entry = this.families.get(familyOf(path))?.get(path)
-    return entry === undefined ? null : (entry as { v: V; stamp: Stamp })
+  get<A>(key: StoreKey<A>): Entry<A> | null {
+    return (this.find(key) ?? null) as Entry<A> | null
+  }
+  private find(key: string): Entry | undefined {
+    return this.families.get(familyOf(key))?.get(key)
   }
-  stamp(path: string): Stamp {
-    return this.get(path)?.stamp ?? ABSENT
+  /** The revision that last wrote the key. */
+  modRevision(key: string): ModRevision {
+    return this.find(key)?.modRevision ?? ABSENT
   }
   /** Every key of one family. */
   under(family: string): Iterable<Entry> {
@@ -46,22 +46,22 @@
    */
   reload(items: ReadonlyArray<Entry>, revision: Revision): void {
     if (revision < this.revision) return
-    const found = new Set(items.map((i) => i.path))
+    const found = new Set(items.map((i) => i.key))
     for (const family of this.families.values()) {
       for (const entry of [...family.values()]) {
-        if (!found.has(entry.path) && entry.stamp <= (revision as number)) this.drop(entry.path)
+        if (!found.has(entry.key) && entry.modRevision <= (revision as number)) this.drop(entry.key)
       }
     }
-    for (const item of items) if (this.isNews(item.path, item.stamp)) this.keep(item)
+    for (const item of items) if (this.isNews(item.key, item.modRevision)) this.keep(item)
     this.reach(revision)
   }
-  apply(changes: ReadonlyArray<NewsItem>, revision: Revision): void {
+  apply(changes: ReadonlyArray<WatchEvent>, revision: Revision): void {
     for (const change of changes) {
       // The mirror holds everything up to its revision: an older change is old news.
-      if (change.stamp <= (this.revision as number)) continue
-      if (!change.gone) {
-        if (this.isNews(change.path, change.stamp)) this.keep(change)
-      } else if (this.stamp(change.path) < change.stamp) this.drop(change.path)
+      if (change.modRevision <= (this.revision as number)) continue
+      if (!change.deleted) {
+        if (this.isNews(change.key, change.modRevision)) this.keep(change)
+      } else if (this.modRevision(change.key) < change.modRevision) this.drop(change.key)
     }
     this.reach(revision)
   }
@@ -71,32 +71,33 @@
    * key may have been deleted since.
    */
   hint(entry: Entry): void {
-    if (entry.stamp > (this.revision as number) && this.isNews(entry.path, entry.stamp)) this.keep(entry)
+    if (entry.modRevision > (this.revision as number) && this.isNews(entry.key, entry.modRevision))
+      this.keep(entry)
   }
   /** A transaction of ours deleted the key. */
-  bury(path: string, stamp: Stamp): void {
+  bury(path: string, stamp: ModRevision): void {
     if (stamp <= (this.revision as number)) return
     this.buried.set(path, stamp)
-    if (this.stamp(path) < stamp) this.drop(path)
+    if (this.modRevision(path) < stamp) this.drop(path)
   }
 
-  private isNews(path: string, stamp: Stamp): boolean {
-    return this.stamp(path) < stamp && (this.buried.get(path) ?? ABSENT) < stamp
+  private isNews(path: string, stamp: ModRevision): boolean {
+    return this.modRevision(path) < stamp && (this.buried.get(path) ?? ABSENT) < stamp
   }
   private reach(revision: Revision): void {
     if (revision > this.revision) this.revision = revision
     for (const [path, stamp] of this.buried) if (stamp <= (this.revision as number)) this.buried.delete(path)
   }
-  private keep({ path, v, stamp }: Entry): void {
-    const name = familyOf(path)
+  private keep({ key, value, modRevision }: Entry): void {
+    const name = familyOf(key)
     let family = this.families.get(name)
     if (family === undefined) {
       family = new Map()
       this.families.set(name, family)
     }
-    const entry = { path, v, stamp }
-    family.set(path, entry)
-    for (const listener of this.listeners.get(name) ?? []) listener(path, entry)
+    const entry = { key, value, modRevision }
+    family.set(key, entry)
+    for (const listener of this.listeners.get(name) ?? []) listener(key, entry)
   }
   private drop(path: string): void {
     const name = familyOf(path)
--- a/packages/membership/src/part-ownership.ts
+++ b/packages/membership/src/part-ownership.ts
@@ -1,13 +1,13 @@
-import { keys, type LiveRecord, type PartRecord, type StateClient } from "@sorreltally/state"
+import { keys, put, type ShardRecord, type StoreClient } from "@sorreltally/state"
 import {
+  addMs,
   type Incarnation,
   type Log,
-  later,
-  type Moment,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
   type NodeName,
-  type PartName,
-  type Stamp,
+  type ShardName,
 } from "@sorreltally/wire"
 import { Effect, Result } from "effect"
 import type { GrantKeeper } from "./grant-keeper.ts"
@@ -16,8 +16,8 @@
 
 /** What the rest of the controller does when a part comes or goes. Both are synchronous. */
 export interface PartListener {
-  readonly gained: (part: PartName, epoch: Stamp) => void
-  readonly lost: (part: PartName) => void
+  readonly gained: (part: ShardName, epoch: ModRevision) => void
+  readonly lost: (part: ShardName) => void
 }
 
 /** How long a part that never had an owner waits for the node it is meant for. */
@@ -33,7 +33,7 @@
 
 interface AliveSince {
   readonly incarnation: Incarnation | null
-  readonly at: Moment
+  readonly at: MonotonicTime
 }
 
 /**
@@ -41,63 +41,63 @@
  * without an owner, and hand-backs to nodes that have returned.
  */
 export class PartOwnership {
-  private readonly owned = new Map<PartName, Stamp>()
+  private readonly owned = new Map<ShardName, ModRevision>()
   /** The last epoch under which this process owned a part. */
-  private readonly lastEpoch = new Map<PartName, Stamp>()
+  private readonly lastEpoch = new Map<ShardName, ModRevision>()
   private readonly aliveSince = new Map<NodeName, AliveSince>()
-  private readonly orphanSince = new Map<PartName, Moment>()
-  private handedBackAt: Moment = NEVER
+  private readonly orphanSince = new Map<ShardName, MonotonicTime>()
+  private handedBackAt: MonotonicTime = NEVER
 
   constructor(
     private readonly self: NodeName,
     private readonly nodes: ReadonlyArray<NodeName>,
-    private readonly parts: ReadonlyArray<PartName>,
-    private readonly state: StateClient,
+    private readonly parts: ReadonlyArray<ShardName>,
+    private readonly state: StoreClient,
     private readonly mirror: Mirror,
     private readonly grant: GrantKeeper,
     private readonly entitled: () => boolean,
     private readonly listener: PartListener,
-    private readonly now: () => Moment,
+    private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {
     this.mirror.listen("s/part/", (path, entry) => {
-      const part = path.slice("s/part/".length) as PartName
+      const part = path.slice("s/part/".length) as ShardName
       const epoch = this.owned.get(part)
-      if (epoch !== undefined && entry !== null && entry.stamp > epoch) this.drop(part, "taken over")
+      if (epoch !== undefined && entry !== null && entry.modRevision > epoch) this.drop(part, "taken over")
     })
   }
 
   /** The owner on record, if it is still the process that took the part over. */
-  owner(part: PartName): NodeName | null {
-    const record = this.mirror.get<PartRecord>(keys.part(part))
-    if (record === null || record.v.owner === null) return null
-    return this.incarnationOf(record.v.owner) === record.v.incarnation ? record.v.owner : null
+  owner(part: ShardName): NodeName | null {
+    const record = this.mirror.get(keys.shard(part))
+    if (record === null || record.value.owner === null) return null
+    return this.incarnationOf(record.value.owner) === record.value.incarnation ? record.value.owner : null
   }
   private alive(): ReadonlySet<NodeName> {
     return new Set(this.nodes.filter((node) => this.incarnationOf(node) !== null))
   }
   private incarnationOf(node: NodeName): Incarnation | null {
-    return this.mirror.get<LiveRecord>(keys.live(node))?.v.incarnation ?? null
+    return this.mirror.get(keys.node(node))?.value.incarnation ?? null
   }
 
-  disown(part: PartName, why: string): void {
+  disown(part: ShardName, why: string): void {
     if (this.owned.has(part)) this.drop(part, why)
   }
   dropAll(why: string): void {
     for (const part of [...this.owned.keys()]) this.drop(part, why)
   }
-  private drop(part: PartName, why: string): void {
+  private drop(part: ShardName, why: string): void {
     this.owned.delete(part)
     this.log.info("part lost", { part, why })
     this.listener.lost(part)
   }
-  private gain(part: PartName, epoch: Stamp, from: NodeName | null): void {
+  private gain(part: ShardName, epoch: ModRevision, from: NodeName | null): void {
     // A former ownership of ours may still have writes under way that only a
     // new epoch fences, and its attempts and write numbers would be used twice.
     const former = this.lastEpoch.get(part)
     if (former !== undefined && epoch <= former) return
     // Our answer was late, and somebody else is the owner by now.
-    if (this.mirror.stamp(keys.part(part)) > epoch) return
+    if (this.mirror.modRevision(keys.shard(part)) > epoch) return
     this.owned.set(part, epoch)
     this.lastEpoch.set(part, epoch)
     this.log.info("part taken", { part, epoch, from })
@@ -128,7 +128,7 @@
     return Effect.gen({ self: this }, function* () {
       const now = this.now()
       this.noteWhoIsAlive(now)
-      if (now < later(this.handedBackAt, HAND_BACK_SPACING_MS)) return
+      if (now < addMs(this.handedBackAt, HAND_BACK_SPACING_MS)) return
       for (const [part, epoch] of this.owned) {
         const home = this.returnedHomeOf(part, now)
         if (home === null) continue
@@ -140,7 +140,7 @@
       }
     })
   }
-  private noteWhoIsAlive(now: Moment): void {
+  private noteWhoIsAlive(now: MonotonicTime): void {
     for (const node of this.nodes) {
       const incarnation = this.incarnationOf(node)
       const known = this.aliveSince.get(node)
@@ -149,31 +149,31 @@
     }
   }
   /** The node that the part is meant for, if that isn't this one and has been back for long enough. */
-  private returnedHomeOf(part: PartName, now: Moment): NodeName | null {
+  private returnedHomeOf(part: ShardName, now: MonotonicTime): NodeName | null {
     // The leader stays where it is: its move would be felt by every deadline.
     if (part === DEADLINE) return null
     const home = homeOf(part, this.nodes)
     if (home === null || home === this.self) return null
     const since = this.aliveSince.get(home)
     if (since === undefined || since.incarnation === null) return null
-    return now < later(since.at, BACK_FOR_MS) ? null : home
+    return now < addMs(since.at, BACK_FOR_MS) ? null : home
   }
   /** Conditioned on our epoch: carried out late, after somebody took the part over, it does nothing. */
-  private release(part: PartName, epoch: Stamp) {
+  private release(part: ShardName, epoch: ModRevision) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.part(part)
-      const record: PartRecord = { owner: null, incarnation: null }
+      const path = keys.shard(part)
+      const record: ShardRecord = { owner: null, incarnation: null }
       const done = yield* Effect.result(
-        this.state.multi([{ path, stamp: epoch }], [{ set: path, v: record }], 0),
+        this.state.compareAndSwap([{ key: path, modRevision: epoch }], [put(path, record)], 0),
       )
       if (Result.isSuccess(done) && done.success.ok)
-        this.mirror.hint({ path, v: record, stamp: done.success.epoch })
+        this.mirror.hint({ key: path, value: record, modRevision: done.success.revision })
     })
   }
 
   // --- take-overs -------------------------------------------------------------
 
-  private wants(part: PartName): boolean {
+  private wants(part: ShardName): boolean {
     if (this.owned.has(part)) return false
     const owner = this.owner(part)
     // Ours by the record yet not owned: we disowned it, and need a new epoch.
@@ -190,47 +190,47 @@
    * Others wait a little, so that the preferred owner usually meets no rival;
    * a part that nobody ever owned waits for its home to start.
    */
-  private patienceMs(part: PartName): number {
-    const unborn = this.mirror.get(keys.part(part)) === null && homeOf(part, this.nodes) !== this.self
+  private patienceMs(part: ShardName): number {
+    const unborn = this.mirror.get(keys.shard(part)) === null && homeOf(part, this.nodes) !== this.self
     if (unborn) return FIRST_START_MS
     if (preferredOwner(part, this.nodes, this.alive()) === this.self) return 0
     return RIVAL_WAIT_MS + RIVAL_RANK_MS * this.nodes.indexOf(this.self)
   }
 
-  private takeOver(part: PartName) {
+  private takeOver(part: ShardName) {
     return Effect.gen({ self: this }, function* () {
       const standing = this.grant.current
       if (standing === null) return
-      const path = keys.part(part)
-      const record: PartRecord = { owner: this.self, incarnation: standing.incarnation }
-      const from = this.mirror.get<PartRecord>(path)?.v.owner ?? null
+      const path = keys.shard(part)
+      const record: ShardRecord = { owner: this.self, incarnation: standing.incarnation }
+      const from = this.mirror.get(path)?.value.owner ?? null
       // The former owner's live key must be gone and our own must stand: a late
       // copy of this transaction changes nothing.
       const when = [
-        { path, stamp: this.mirror.stamp(path) },
-        { path: keys.live(this.self), stamp: standing.liveStamp },
+        { key: path, modRevision: this.mirror.modRevision(path) },
+        { key: keys.node(this.self), modRevision: standing.liveStamp },
       ]
       if (from !== null && from !== this.self)
-        when.push({ path: keys.live(from), stamp: this.mirror.stamp(keys.live(from)) })
-      const won = yield* Effect.result(this.state.multi(when, [{ set: path, v: record }], 0))
+        when.push({ key: keys.node(from), modRevision: this.mirror.modRevision(keys.node(from)) })
+      const won = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 0))
       if (Result.isFailure(won) || !won.success.ok) return yield* this.lookWhoOwns(part, from)
-      this.mirror.hint({ path, v: record, stamp: won.success.epoch })
-      this.gain(part, won.success.epoch, from)
+      this.mirror.hint({ key: path, value: record, modRevision: won.success.revision })
+      this.gain(part, won.success.revision, from)
     })
   }
   /**
    * Lost the race, or don't know. If we did win without hearing of it, the
    * record says so; if it says nothing new, the next attempt gives a clean epoch.
    */
-  private lookWhoOwns(part: PartName, from: NodeName | null) {
+  private lookWhoOwns(part: ShardName, from: NodeName | null) {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.state.get(keys.part(part)))
+      const read = yield* Effect.result(this.state.get(keys.shard(part)))
       if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_MS)
       const seen = read.success
       this.mirror.hint(seen)
-      const { owner, incarnation } = seen.v as PartRecord
+      const { owner, incarnation } = seen.value as ShardRecord
       const ours = owner === this.self && incarnation === this.grant.current?.incarnation
-      if (ours && !this.owned.has(part)) this.gain(part, seen.stamp, from)
+      if (ours && !this.owned.has(part)) this.gain(part, seen.modRevision, from)
     })
   }
 }
--- a/packages/membership/src/parts.ts
+++ b/packages/membership/src/parts.ts
@@ -1,19 +1,19 @@
-import { hashText, type JobId, type NodeName, type PartName } from "@sorreltally/wire"
+import { hashText, type JobId, type NodeName, type ShardName } from "@sorreltally/wire"
 
 /** Its owner is the leader. */
-export const DEADLINE = "deadline" as PartName
-export const partAt = (index: number): PartName => `part-${index}` as PartName
+export const DEADLINE = "deadline" as ShardName
+export const partAt = (index: number): ShardName => `part-${index}` as ShardName
 
-export const allParts = (nodes: ReadonlyArray<NodeName>): ReadonlyArray<PartName> => [
+export const allParts = (nodes: ReadonlyArray<NodeName>): ReadonlyArray<ShardName> => [
   DEADLINE,
   ...nodes.map((_, index) => partAt(index)),
 ]
 
-export const partOf = (job: JobId, hasDeadline: boolean, nodes: number): PartName =>
+export const partOf = (job: JobId, hasDeadline: boolean, nodes: number): ShardName =>
   hasDeadline ? DEADLINE : partAt(hashText(job) % nodes)
 
 /** The node that a part is meant for while all are alive. */
-export const homeOf = (part: PartName, nodes: ReadonlyArray<NodeName>): NodeName | null =>
+export const homeOf = (part: ShardName, nodes: ReadonlyArray<NodeName>): NodeName | null =>
   (part === DEADLINE ? nodes[0] : nodes[Number(part.slice("part-".length))]) ?? null
 
 /**
@@ -21,7 +21,7 @@
  * one picked by the part's name, so that a dead node's parts are spread.
  */
 export const preferredOwner = (
-  part: PartName,
+  part: ShardName,
   nodes: ReadonlyArray<NodeName>,
   alive: ReadonlySet<NodeName>,
 ): NodeName | null => {
--- a/packages/pacing/src/index.ts
+++ b/packages/pacing/src/index.ts
@@ -1,142 +1,174 @@
-import { later, type Moment } from "@sorreltally/wire"
+/**
+ * Rate limits that all controllers share without a coordinator: each node takes what it needs and
+ * backs off when the service rejects a request (adaptive, AIMD).
+ */
+import { addMs, type MonotonicTime } from "@sorreltally/wire"
 import { Effect } from "effect"
 
-/** What goes first when requests have to queue; the meaning of each is the caller's. */
-export type Haste = 0 | 1 | 2 | 3
+/** Lower goes first when requests have to queue; the meaning of each is the caller's. */
+export type RequestPriority = 0 | 1 | 2 | 3
 
-/** What is this hasty doesn't queue: it goes at once, and what is less hasty pays for it. */
-const AT_ONCE: Haste = 1
+/** Requests of this priority or a lower number don't queue: they go at once, at the expense of the others. */
+const IMMEDIATE: RequestPriority = 1
 
-interface Turn {
+interface WaitingRequest {
   readonly cost: number
-  readonly haste: Haste
+  readonly priority: RequestPriority
 }
 
-/** Each second in which more is wanted than allowed, a node tries this much more of the shared limit. */
-const GROWTH = 0.15
-const SHRINK = 0.75
-/** Refusals this close together are one: requests sent before the first was heard. */
-const ONE_REFUSAL_MS = 300
-const LONGEST_NAP_MS = 200
-/** Use is averaged over about this time. */
-const USAGE_MS = 2_000
-/** What all nodes together try to use: the rest is for whoever comes unexpectedly. */
+/** Share of the limit by which a node raises its rate each second in which requests wait. */
+const RATE_INCREASE = 0.15
+/** Factor by which it lowers its rate after a rejection. */
+const RATE_DECREASE = 0.75
+/** Rejections this close together are one: requests sent before the first was heard. */
+const SAME_REJECTION_MS = 300
+const MIN_PAUSE_MS = 5
+const MAX_PAUSE_MS = 200
+/** Pause of a request that isn't the first of the queue. */
+const QUEUED_PAUSE_MS = 10
+/** Usage is averaged over about this time. */
+const USAGE_WINDOW_MS = 2_000
+/** Share of the limit that all nodes together try to use: the rest is for whoever comes unexpectedly. */
 const HEADROOM = 0.92
+/** A node starts with this many times an even share. */
+const INITIAL_EVEN_SHARES = 1.5
+/** A node may use this much of an even share, whatever the others report. */
+const GUARANTEED_EVEN_SHARE = 0.6
+/** Rejections lower a node's rate no further than to this much of an even share. */
+const MIN_EVEN_SHARE = 0.5
+/** Tokens missing because of rounding. */
+const EPSILON = 1e-9
 
-/** From the first share of a limit on, batching counts more than delay; from the second on, most. */
+/** Load up to which delay counts more than batching, and from which on batching counts most. */
 const CALM_LOAD = 0.35
 const BUSY_LOAD = 0.5
-/** A value between one for a calm service and one for a busy one, by how much of its limit is taken. */
-export const byLoad = (load: number, calm: number, busy: number): number => {
+/** A value between one for a calm service and one for a busy one, by the share of its limit that is used. */
+export const interpolateByLoad = (load: number, calm: number, busy: number): number => {
   const share = Math.min(1, Math.max(0, (load - CALM_LOAD) / (BUSY_LOAD - CALM_LOAD)))
   return calm + share * (busy - calm)
 }
 
+/** A service's limit, and how many controllers share it. */
+export interface SharedRateLimitOptions {
+  /** Requests, or other units of cost, a second of all nodes together. */
+  readonly limit: number
+  readonly nodes: number
+  /** Cost that may go at once after a pause. */
+  readonly burst: number
+  readonly now: () => MonotonicTime
+}
+
 /**
  * A limit on requests a second that all controllers share. Their needs are
  * uneven and nobody deals the limit out: each node takes what it needs, a
- * little more as time goes by, and yields when the service says 429.
+ * little more as time goes by, and backs off when the service answers 429.
  */
-export class SharedPace {
+export class SharedRateLimit {
+  private readonly limit: number
+  private readonly nodes: number
+  private readonly burst: number
+  private readonly now: () => MonotonicTime
   private rate: number
   private tokens: number
-  private last: Moment
-  private refusedAt: Moment
-  private used = 0
-  private usedAt: Moment
-  private othersUse = 0
-  private readonly waiting: Array<Turn> = []
+  private refilledAt: MonotonicTime
+  private rejectedAt: MonotonicTime
+  private usagePerSecond = 0
+  private usageAt: MonotonicTime
+  private peerUsage = 0
+  private readonly waiting: Array<WaitingRequest> = []
 
-  constructor(
-    private readonly limit: number,
-    private readonly nodes: number,
-    private readonly burst: number,
-    private readonly now: () => Moment,
-  ) {
-    this.rate = Math.min(limit, (1.5 * limit) / nodes)
+  constructor({ limit, nodes, burst, now }: SharedRateLimitOptions) {
+    this.limit = limit
+    this.nodes = nodes
+    this.burst = burst
+    this.now = now
+    this.rate = Math.min(limit, (INITIAL_EVEN_SHARES * limit) / nodes)
     this.tokens = burst
-    this.last = now()
-    this.usedAt = this.last
-    this.refusedAt = later(this.last, -ONE_REFUSAL_MS)
+    this.refilledAt = now()
+    this.usageAt = this.refilledAt
+    this.rejectedAt = addMs(this.refilledAt, -SAME_REJECTION_MS)
   }
 
-  /** What this node takes a second, of late. */
+  /** What this node used a second, of late. */
   get usage(): number {
-    this.fade(this.now())
-    return this.used
+    this.decayUsage(this.now())
+    return this.usagePerSecond
   }
-  /** Share of the limit that all nodes together take, as far as this one has heard. */
+  /** Share of the limit that all nodes together use, as far as this one has heard. */
   get load(): number {
-    return (this.usage + this.othersUse) / this.limit
+    return (this.usage + this.peerUsage) / this.limit
   }
-  /** What the other nodes say that they take together: the rest is ours. */
-  others(perSecond: number): void {
-    this.othersUse = perSecond
-    this.rate = Math.min(this.rate, this.most)
+  /** Takes in what the other nodes report that they use together: the rest is ours. */
+  setPeerUsage(perSecond: number): void {
+    this.peerUsage = perSecond
+    this.rate = Math.min(this.rate, this.maxRate)
   }
-  /** Never less than a part of an even share, whatever the others say. */
-  private get most(): number {
-    return Math.max((0.6 * this.limit) / this.nodes, HEADROOM * this.limit - this.othersUse)
+  private get maxRate(): number {
+    return Math.max((GUARANTEED_EVEN_SHARE * this.limit) / this.nodes, HEADROOM * this.limit - this.peerUsage)
   }
-  private spend(cost: number): void {
-    this.fade(this.now())
-    this.used += (1000 * cost) / USAGE_MS
+  private recordUsage(cost: number): void {
+    this.decayUsage(this.now())
+    this.usagePerSecond += (1000 * cost) / USAGE_WINDOW_MS
   }
-  private fade(now: Moment): void {
-    this.used *= Math.exp(-(now - this.usedAt) / USAGE_MS)
-    this.usedAt = now
+  private decayUsage(now: MonotonicTime): void {
+    this.usagePerSecond *= Math.exp(-(now - this.usageAt) / USAGE_WINDOW_MS)
+    this.usageAt = now
   }
 
-  take(cost: number, haste: Haste): Effect.Effect<void> {
-    return Effect.suspend(() => {
-      if (haste <= AT_ONCE) {
-        this.refill(this.now())
-        this.tokens = Math.max(-this.burst, this.tokens - cost)
-        this.spend(cost)
-        return Effect.void
-      }
-      const turn: Turn = { cost, haste }
-      const behind = this.waiting.findIndex((t) => t.haste > haste)
-      this.waiting.splice(behind < 0 ? this.waiting.length : behind, 0, turn)
-      const leave = Effect.sync(() => {
-        const at = this.waiting.indexOf(turn)
-        if (at >= 0) this.waiting.splice(at, 1)
-      })
-      const step: Effect.Effect<void> = Effect.suspend(() => {
-        const napMs = this.napMs(turn)
-        if (napMs > 0) return Effect.andThen(Effect.sleep(napMs), step)
-        this.waiting.shift()
-        this.tokens -= cost
-        this.spend(cost)
-        return Effect.void
-      })
-      return Effect.onInterrupt(step, () => leave)
+  /** Waits until a request of this cost may be sent. Interrupted, it leaves the queue. */
+  acquire(cost: number, priority: RequestPriority): Effect.Effect<void> {
+    return Effect.suspend(() =>
+      priority <= IMMEDIATE ? this.spendAtOnce(cost) : this.queue({ cost, priority }),
+    )
+  }
+  private spendAtOnce(cost: number): Effect.Effect<void> {
+    this.refill(this.now())
+    this.tokens = Math.max(-this.burst, this.tokens - cost)
+    this.recordUsage(cost)
+    return Effect.void
+  }
+  private queue(request: WaitingRequest): Effect.Effect<void> {
+    const behind = this.waiting.findIndex(({ priority }) => priority > request.priority)
+    this.waiting.splice(behind < 0 ? this.waiting.length : behind, 0, request)
+    const leave = Effect.sync(() => {
+      const at = this.waiting.indexOf(request)
+      if (at >= 0) this.waiting.splice(at, 1)
+    })
+    const step: Effect.Effect<void> = Effect.suspend(() => {
+      const pauseMs = this.pauseMs(request)
+      if (pauseMs > 0) return Effect.andThen(Effect.sleep(pauseMs), step)
+      this.waiting.shift()
+      this.tokens -= request.cost
+      this.recordUsage(request.cost)
+      return Effect.void
     })
+    return Effect.onInterrupt(step, () => leave)
   }
 
-  /** The service said 429: others use more than we thought. */
-  refused(): void {
+  /** The service answered 429: others use more than we thought. */
+  rejected(): void {
     const now = this.now()
     this.refill(now)
     this.tokens = Math.min(this.tokens, 0)
-    if (now < later(this.refusedAt, ONE_REFUSAL_MS)) return
-    this.refusedAt = now
-    this.rate = Math.max((0.5 * this.limit) / this.nodes, this.rate * SHRINK)
+    if (now < addMs(this.rejectedAt, SAME_REJECTION_MS)) return
+    this.rejectedAt = now
+    this.rate = Math.max((MIN_EVEN_SHARE * this.limit) / this.nodes, this.rate * RATE_DECREASE)
   }
 
-  private napMs(turn: Turn): number {
+  private pauseMs(request: WaitingRequest): number {
     this.refill(this.now())
     // What costs more than a full bucket goes when the bucket is full.
-    const missing = Math.min(turn.cost, this.burst) - this.tokens
-    const first = this.waiting[0] === turn
-    if (first && missing <= 1e-9) return 0
-    return Math.max(5, Math.min(LONGEST_NAP_MS, first ? (missing / this.rate) * 1000 : 10))
+    const missing = Math.min(request.cost, this.burst) - this.tokens
+    const first = this.waiting[0] === request
+    if (first && missing <= EPSILON) return 0
+    const wanted = first ? (missing / this.rate) * 1000 : QUEUED_PAUSE_MS
+    return Math.max(MIN_PAUSE_MS, Math.min(MAX_PAUSE_MS, wanted))
   }
-  private refill(now: Moment): void {
-    const passedS = (now - this.last) / 1000
-    this.last = now
+  private refill(now: MonotonicTime): void {
+    const elapsedS = (now - this.refilledAt) / 1000
+    this.refilledAt = now
     if (this.waiting.length > 0)
-      this.rate = Math.min(this.most, this.rate + GROWTH * this.limit * Math.min(1, passedS))
-    this.tokens = Math.min(this.burst, this.tokens + passedS * this.rate)
+      this.rate = Math.min(this.maxRate, this.rate + RATE_INCREASE * this.limit * Math.min(1, elapsedS))
+    this.tokens = Math.min(this.burst, this.tokens + elapsedS * this.rate)
   }
 }
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -1,8 +1,9 @@
 /** Messages between controllers: told and not answered, directly or through a third node. */
-import type { Log, Moment, NodeName } from "@sorreltally/wire"
-import { later, NEVER, timekeeper } from "@sorreltally/wire"
+import type { Log, MonotonicTime, NodeName } from "@sorreltally/wire"
+import { addMs, NEVER, processClocks } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { pack, unpack } from "msgpackr"
+import { decodeMessage, type EncodedMessage, encodeMessage, type PeerMessage } from "./codec.ts"
 
 /** Carries frames to other controllers; may lose them, or deliver them minutes late. */
 export interface Links {
@@ -19,21 +20,21 @@
       readonly receives: ReadonlyArray<NodeName>
       readonly hears: ReadonlyArray<NodeName>
     }
-  | Letter
-interface Letter {
+  | MessageFrame
+/** A message on its way; the recipient decodes its body, a node that only passes it on does not. */
+interface MessageFrame extends EncodedMessage {
   readonly t: "tell"
   readonly from: NodeName
   readonly to: NodeName
-  readonly kind: string
-  readonly body: unknown
 }
 
-export type PeerHandler = (kind: string, body: unknown, from: NodeName) => void
+/** Takes in a message from another controller. */
+export type PeerHandler = (message: PeerMessage, from: NodeName) => void
 
 export interface PeerChannel {
   readonly nodes: ReadonlyArray<NodeName>
-  /** Without an answer, and without knowing whether it arrives; to all others if none is named. */
-  readonly tell: (kind: string, body: unknown, to?: NodeName) => void
+  /** Sends without an answer, and without knowing whether it arrives; to all others if none is named. */
+  readonly send: (message: PeerMessage, to?: NodeName) => void
   /** True when the node was heard within the last few seconds, directly. */
   readonly hears: (node: NodeName) => boolean
   /** The same, or some node that is heard says that it hears it. */
@@ -58,27 +59,28 @@
   log: Log,
 ): Effect.Effect<PeerChannel> =>
   Effect.gen(function* () {
-    const time = yield* timekeeper
-    const received = new Map<NodeName, Moment>()
-    const heard = new Map<NodeName, Moment>()
+    const time = yield* processClocks
+    const received = new Map<NodeName, MonotonicTime>()
+    const heard = new Map<NodeName, MonotonicTime>()
     const theyHear = new Map<NodeName, ReadonlyArray<NodeName>>()
     let handler: PeerHandler | null = null
 
-    const lately = (at: Moment | undefined) => time.moment() < later(at ?? NEVER, HEARD_MS)
+    const lately = (at: MonotonicTime | undefined) => time.monotonicNow() < addMs(at ?? NEVER, HEARD_MS)
     const hears = (node: NodeName) => lately(heard.get(node))
     const receives = (node: NodeName) => lately(received.get(node))
-    const thirdTo = (node: NodeName): NodeName | undefined =>
+    const relayTo = (node: NodeName): NodeName | undefined =>
       others.find((n) => n !== node && hears(n) && theyHear.get(n)?.includes(node) === true)
     const emit = (via: NodeName, frame: Frame) => links.send(via, pack(frame))
     const ping = (nodes: ReadonlyArray<NodeName>) => {
       const told = { receives: others.filter(receives), hears: others.filter(hears) }
       for (const to of nodes) emit(to, { t: "ping", from: self, to, ...told })
     }
-    const post = (letter: Letter) =>
-      emit(hears(letter.to) ? letter.to : (thirdTo(letter.to) ?? letter.to), letter)
-    const hand = ({ kind, body, from }: Letter) => {
+    const post = (frame: MessageFrame) =>
+      emit(hears(frame.to) ? frame.to : (relayTo(frame.to) ?? frame.to), frame)
+    const deliver = ({ kind, body, from }: MessageFrame) => {
       try {
-        handler?.(kind, body, from)
+        const message = decodeMessage({ kind, body })
+        if (message !== null) handler?.(message, from)
       } catch (cause) {
         log.error("message failed", { kind, from, cause: String((cause as Error).stack ?? cause) })
       }
@@ -91,11 +93,11 @@
         if (frame.t !== "ping" && hears(frame.to)) emit(frame.to, frame)
         return
       }
-      if (frame.t !== "ping") return hand(frame)
+      if (frame.t !== "ping") return deliver(frame)
       theyHear.set(frame.from, frame.hears)
-      if (frame.receives.includes(self)) heard.set(frame.from, time.moment())
+      if (frame.receives.includes(self)) heard.set(frame.from, time.monotonicNow())
       const news = !receives(frame.from)
-      received.set(frame.from, time.moment())
+      received.set(frame.from, time.monotonicNow())
       // The next round would do, but a node that is back should be of use at once.
       if (news) ping([frame.from])
     })
@@ -103,8 +105,9 @@
     return {
       nodes: others,
       hears,
-      reaches: (node) => hears(node) || thirdTo(node) !== undefined,
-      tell: (kind, body, to) => {
+      reaches: (node) => hears(node) || relayTo(node) !== undefined,
+      send: (message, to) => {
+        const { kind, body } = encodeMessage(message)
         for (const node of to === undefined ? others : [to])
           post({ t: "tell", from: self, to: node, kind, body })
       },
--- a/packages/planner/src/lend.ts
+++ b/packages/planner/src/lend.ts
@@ -1,4 +1,4 @@
-import type { MachineId, PartName, TeamName } from "@sorreltally/wire"
+import type { MachineId, ShardName, TeamName } from "@sorreltally/wire"
 import {
   allowed,
   fits,
@@ -13,8 +13,8 @@
 import { isStarved, STARVED_RANK } from "./overdue.ts"
 
 /** Queued tasks that a part has no room for, as it tells the other parts. */
-export interface Need {
-  readonly part: PartName
+export interface MachineDemand {
+  readonly shard: ShardName
   readonly shape: TaskShape
   readonly rank: number
   readonly tasks: number
@@ -25,8 +25,8 @@
 }
 
 /** More of a team's limit than its share, as a part tells the other parts. */
-export interface QuotaNeed {
-  readonly part: PartName
+export interface QuotaDemand {
+  readonly shard: ShardName
   readonly team: TeamName
   readonly rank: number
   /** When the oldest job that lacks it was submitted, by the time of day. */
@@ -35,44 +35,44 @@
 
 /** What a part counts on of a team's limit: what its tasks use, and what it has or rents machines for. */
 export interface TeamClaim {
-  readonly part: PartName
+  readonly shard: ShardName
   readonly team: TeamName
   readonly cpus: number
   readonly gpus: number
 }
 
 /** Every two parts agree which of them goes first. */
-export const goesFirst = (a: QuotaNeed, b: QuotaNeed): boolean =>
-  a.rank !== b.rank ? a.rank > b.rank : a.since !== b.since ? a.since < b.since : a.part < b.part
+export const goesFirst = (a: QuotaDemand, b: QuotaDemand): boolean =>
+  a.rank !== b.rank ? a.rank > b.rank : a.since !== b.since ? a.since < b.since : a.shard < b.shard
 /** All that a part tells the others. */
-export interface Wants {
-  readonly needs: ReadonlyArray<Need>
-  readonly quotas: ReadonlyArray<QuotaNeed>
+export interface ShardDemand {
+  readonly machines: ReadonlyArray<MachineDemand>
+  readonly quotas: ReadonlyArray<QuotaDemand>
   readonly claims: ReadonlyArray<TeamClaim>
 }
 
 export interface Lent {
   readonly machine: MachineId
-  readonly to: PartName
+  readonly to: ShardName
 }
 
 /** How urgent work is, compared across parts. */
-type Standing = Pick<Need, "rank" | "since">
+type WorkUrgency = Pick<MachineDemand, "rank" | "since">
 
 /**
  * Does the need go before our own work? Guards against machines that go from
  * part to part without ever being used, each of which has starved jobs: of
  * those the oldest goes first, whichever part it belongs to.
  */
-const outranks = (need: Standing, own: Standing): boolean =>
+const outranks = (need: WorkUrgency, own: WorkUrgency): boolean =>
   need.rank > own.rank || (need.rank === STARVED_RANK && own.rank === STARVED_RANK && need.since < own.since)
 
 type KindOfMachine = Pick<MachineView, "type" | "zone" | "spot">
 const kindName = ({ type, zone, spot }: KindOfMachine): string => `${type.name}|${zone}|${spot}`
 
 /** The most urgent of our own queued work that this kind of machine could serve. */
-const ownStanding = (jobs: ReadonlyArray<JobView>, machine: KindOfMachine): Standing => {
-  let most: Standing = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
+const mostUrgentOwnWork = (jobs: ReadonlyArray<JobView>, machine: KindOfMachine): WorkUrgency => {
+  let most: WorkUrgency = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
   for (const job of jobs) {
     if (job.queued === 0 || !job.mayStart || !allowed(job.request, machine)) continue
     const rank = isStarved(job) ? STARVED_RANK : job.rank
@@ -83,13 +83,13 @@
 }
 
 /** The same for many machines: of a few kinds, each of which is looked at once. */
-const ownStandings = (jobs: ReadonlyArray<JobView>): ((machine: KindOfMachine) => Standing) => {
-  const byKind = new Map<string, Standing>()
+const urgencyByMachineKind = (jobs: ReadonlyArray<JobView>): ((machine: KindOfMachine) => WorkUrgency) => {
+  const byKind = new Map<string, WorkUrgency>()
   return (machine) => {
     const kind = kindName(machine)
     const known = byKind.get(kind)
     if (known !== undefined) return known
-    const standing = ownStanding(jobs, machine)
+    const standing = mostUrgentOwnWork(jobs, machine)
     byKind.set(kind, standing)
     return standing
   }
@@ -97,15 +97,15 @@
 
 /** Those needs to which some machine of ours would be lent once it is empty. */
 export const lendableTo = (
-  needs: ReadonlyArray<Need>,
+  needs: ReadonlyArray<MachineDemand>,
   jobs: ReadonlyArray<JobView>,
   machines: ReadonlyArray<MachineView>,
-): ReadonlyArray<Need> => {
+): ReadonlyArray<MachineDemand> => {
   if (needs.length === 0) return needs
   const kinds = new Map<string, KindOfMachine>()
   for (const machine of machines) kinds.set(kindName(machine), machine)
-  const standingOn = ownStandings(jobs)
-  const serves = (need: Need, kind: KindOfMachine) =>
+  const standingOn = urgencyByMachineKind(jobs)
+  const serves = (need: MachineDemand, kind: KindOfMachine) =>
     allowed(need.shape, kind) && outranks(need, standingOn(kind))
   return needs.filter((need) => [...kinds.values()].some((kind) => serves(need, kind)))
 }
@@ -119,20 +119,20 @@
 export const lend = (
   machines: ReadonlyArray<MachineView>,
   jobs: ReadonlyArray<JobView>,
-  needs: ReadonlyArray<Need>,
+  needs: ReadonlyArray<MachineDemand>,
   share: number,
   /** Slots lent to a part so lately that its need can't show them yet. */
-  lentLately: ReadonlyMap<PartName, number>,
+  lentLately: ReadonlyMap<ShardName, number>,
   reserve: Reserve,
 ): ReadonlyArray<Lent> => {
   const empty = new Set(machines.filter((m) => m.state === "up" && m.busyTasks === 0))
   const out: Array<Lent> = []
   if (needs.length === 0 || empty.size === 0) return out
   let spare = spareCores(machines, reserve)
-  const standingOn = ownStandings(jobs)
+  const standingOn = urgencyByMachineKind(jobs)
   for (const need of [...needs].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
-    let left = Math.ceil(need.tasks * share) - (lentLately.get(need.part) ?? 0)
-    const cached = (m: MachineView) => Number(m.images.has(need.shape.bundle))
+    let left = Math.ceil(need.tasks * share) - (lentLately.get(need.shard) ?? 0)
+    const cached = (m: MachineView) => Number(m.images.has(need.shape.image))
     for (const machine of [...empty].sort((a, b) => cached(b) - cached(a))) {
       if (left <= 0) break
       if (!allowed(need.shape, machine) || !outranks(need, standingOn(machine))) continue
@@ -141,7 +141,7 @@
         spare -= machine.free.cores
       }
       empty.delete(machine)
-      out.push({ machine: machine.id, to: need.part })
+      out.push({ machine: machine.id, to: need.shard })
       left -= slotsIn(need.shape, machine.type)
     }
   }
@@ -186,7 +186,7 @@
   for (const machine of machines) {
     if (machine.state !== "up" || !allowed(shape, machine)) continue
     const here = victimsOn(machine.id).filter((v) => v.rank < rank)
-    const cached = machine.images.has(shape.bundle)
+    const cached = machine.images.has(shape.image)
     if (here.length === 0 || (wholly && here.length < machine.busyTasks)) continue
     if (wholly) {
       const loss = here.reduce((sum, v) => sum + v.lossCoreS, 0)
@@ -201,7 +201,7 @@
       room = {
         cores: room.cores + victim.shape.cores,
         accelerators: room.accelerators + victim.shape.accelerators,
-        mem_gb: room.mem_gb + victim.shape.mem_gb,
+        memGb: room.memGb + victim.shape.memGb,
       }
       stop.push(victim)
       const gained = slotsIn(shape, room) - before
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -9,11 +9,11 @@
 
 /** How many tasks of the job a team's room holds; memory isn't limited by team. */
 export const tasksWithin = ({ request }: JobView, room: TeamRoom): number =>
-  slotsIn(request, { ...room, mem_gb: Number.POSITIVE_INFINITY })
+  slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
 
 /** How many more tasks the job's team may start. */
 export const roomOf = (job: JobView, teams: Snapshot["teams"]): number => {
-  const room = teams.get(job.request.owner)
+  const room = teams.get(job.request.team)
   return room === undefined ? 0 : tasksWithin(job, room)
 }
 
@@ -27,12 +27,12 @@
 
   /** How many more tasks the job's team may use. */
   tasksLeft(job: JobView): number {
-    const room = this.teams.get(job.request.owner)
+    const room = this.teams.get(job.request.team)
     return room === undefined ? 0 : tasksWithin(job, room)
   }
 
   take({ request }: JobView, tasks: number): void {
-    const room = this.teams.get(request.owner)
+    const room = this.teams.get(request.team)
     if (room === undefined) return
     room.cores -= request.cores * tasks
     room.accelerators -= request.accelerators * tasks
--- a/packages/planner/src/model.ts
+++ b/packages/planner/src/model.ts
@@ -1,12 +1,4 @@
-import type {
-  ImageName,
-  JobId,
-  JobRequest,
-  MachineId,
-  MachineType,
-  TeamName,
-  ZoneName,
-} from "@sorreltally/wire"
+import type { ImageName, JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/wire"
 import type { Load } from "./order.ts"
 
 /** The images that a machine has; a set, or anything else that can tell. */
@@ -17,24 +9,32 @@
 export interface Room {
   readonly cores: number
   readonly accelerators: number
-  readonly mem_gb: number
+  readonly memGb: number
 }
 
 /** What of a job decides where its tasks fit. */
 export type TaskShape = Pick<
-  JobRequest,
-  "cores" | "accelerators" | "mem_gb" | "builds" | "site" | "loaners" | "together" | "scatter" | "bundle"
+  JobSpec,
+  | "cores"
+  | "accelerators"
+  | "memGb"
+  | "machineTypes"
+  | "zone"
+  | "spotAllowed"
+  | "singleZone"
+  | "spreadZones"
+  | "image"
 >
-export const shapeOf = (request: JobRequest): TaskShape => ({
+export const shapeOf = (request: JobSpec): TaskShape => ({
   cores: request.cores,
   accelerators: request.accelerators,
-  mem_gb: request.mem_gb,
-  builds: request.builds ?? null,
-  site: request.site ?? null,
-  loaners: request.loaners,
-  together: request.together,
-  scatter: request.scatter,
-  bundle: request.bundle,
+  memGb: request.memGb,
+  machineTypes: request.machineTypes ?? null,
+  zone: request.zone ?? null,
+  spotAllowed: request.spotAllowed,
+  singleZone: request.singleZone,
+  spreadZones: request.spreadZones,
+  image: request.image,
 })
 
 /** A machine as the planner sees it; `free` counts every task that isn't surely off it. */
@@ -59,7 +59,7 @@
 
 export interface JobView {
   readonly id: JobId
-  readonly request: JobRequest
+  readonly request: JobSpec
   readonly rank: number
   readonly queued: number
   readonly running: number
@@ -181,12 +181,12 @@
 export const fits = (request: Pick<TaskShape, keyof Room>, room: Room): boolean =>
   request.cores <= room.cores + EPSILON &&
   request.accelerators <= room.accelerators + EPSILON &&
-  request.mem_gb <= room.mem_gb + EPSILON
+  request.memGb <= room.memGb + EPSILON
 
-export const minus = (room: Room, request: JobRequest, times = 1): Room => ({
+export const minus = (room: Room, request: JobSpec, times = 1): Room => ({
   cores: room.cores - request.cores * times,
   accelerators: room.accelerators - request.accelerators * times,
-  mem_gb: room.mem_gb - request.mem_gb * times,
+  memGb: room.memGb - request.memGb * times,
 })
 
 /** How many tasks of a job a room holds. */
@@ -195,7 +195,7 @@
   const slots = Math.min(
     per(request.cores, room.cores),
     per(request.accelerators, room.accelerators),
-    per(request.mem_gb, room.mem_gb),
+    per(request.memGb, room.memGb),
   )
   return Math.max(0, Math.floor(slots))
 }
@@ -205,20 +205,20 @@
   request: TaskShape,
   kind: { readonly type: MachineType; readonly zone: ZoneName; readonly spot: boolean },
 ): boolean =>
-  (!kind.spot || request.loaners) &&
-  (request.builds == null || request.builds.includes(kind.type.name)) &&
-  (request.site == null || request.site === kind.zone) &&
+  (!kind.spot || request.spotAllowed) &&
+  (request.machineTypes == null || request.machineTypes.includes(kind.type.name)) &&
+  (request.zone == null || request.zone === kind.zone) &&
   fits(request, kind.type)
 
 /** How many more tasks of a job may be put into a zone, given where its others may be. */
 export const zoneAllowance = (
-  request: JobRequest,
+  request: JobSpec,
   zones: ReadonlyMap<ZoneName, number>,
   zone: ZoneName,
 ): number => {
-  if (request.together) {
+  if (request.singleZone) {
     for (const [other, count] of zones) if (count > 0 && other !== zone) return 0
   }
-  if (request.scatter) return Math.ceil(request.pieces / 2) - (zones.get(zone) ?? 0)
+  if (request.spreadZones) return Math.ceil(request.taskCount / 2) - (zones.get(zone) ?? 0)
   return Number.POSITIVE_INFINITY
 }
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -73,7 +73,7 @@
   if (cores <= 0) return
   let ahead = 0
   const alike = new Map<string, number>()
-  for (const { job } of keyed) alike.set(job.request.lane, (alike.get(job.request.lane) ?? 0) + 1)
+  for (const { job } of keyed) alike.set(job.request.jobClass, (alike.get(job.request.jobClass) ?? 0) + 1)
   let rank: number | null = null
   let kept: Array<{ readonly of: Keyed; readonly work: number; readonly cost: number }> = []
   for (const of of keyed) {
@@ -84,7 +84,7 @@
     const work = job.queued * job.request.cores * job.executionS
     ahead += work
     if (job.timeLeftS === null || job.withinGuarantee) continue
-    kept.push({ of, work, cost: work * (alike.get(job.request.lane) ?? 1) })
+    kept.push({ of, work, cost: work * (alike.get(job.request.jobClass) ?? 1) })
     while (kept.length > 0 && ahead / cores + job.executionS > job.timeLeftS) {
       let dearest = 0
       for (const [i, { cost }] of kept.entries()) if (cost > kept[dearest]!.cost) dearest = i
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -33,7 +33,7 @@
   zones: ReadonlyMap<ZoneName, number>,
   kinds: ReadonlyArray<Kind>,
 ): ZoneName | null => {
-  if (!job.request.together || zones.size > 0) return null
+  if (!job.request.singleZone || zones.size > 0) return null
   const room = new Map<ZoneName, number>()
   for (const kind of kinds) {
     let slots = room.get(kind.zone) ?? 0
@@ -57,7 +57,7 @@
   placements: Array<PlannedPlacement>,
 ): number => {
   const { request } = job
-  const team = snapshot.teams.get(request.owner)
+  const team = snapshot.teams.get(request.team)
   let left = Math.min(most, roomOf(job, snapshot.teams))
   if (team === undefined || left <= 0) return 0
   const below = job.rank < snapshot.reserve.rank
@@ -68,7 +68,7 @@
     if (only !== null && kind.zone !== only) continue
     for (const slot of kind.slots) {
       if (!fits(request, slot.free) || job.avoids.has(slot.machine.id)) continue
-      if (cached && !slot.machine.images.has(request.bundle)) continue
+      if (cached && !slot.machine.images.has(request.image)) continue
       const kept = below && slot.reserved
       if (kept && floor.spare < request.cores) continue
       const lendable = snapshot.othersWait && slot.machine.busyTasks === 0
@@ -100,9 +100,9 @@
 
 /** The image counts most: a fetch is time that the task, and the room it takes, only wait. Then tight packing. */
 const suitability = (job: JobView, { machine, free }: Slot): number => {
-  const fetchS = machine.images.has(job.request.bundle)
+  const fetchS = machine.images.has(job.request.image)
     ? 0
-    : job.request.image_gb / Math.max(EPSILON, machine.type.pull_gb_per_s)
+    : job.request.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
   const leftover = (free.cores - job.request.cores) / Math.max(EPSILON, machine.type.cores)
   const mine = machine.holder === job.id ? 1 : 0
   // Steady machines fill last, so that they empty first and can be given back.
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -74,7 +74,7 @@
  * they have to be: until then spot may open again, or another part lend.
  */
 export const steadyHelps = (job: JobView, late: number, deploymentS: number): boolean => {
-  if (!job.request.loaners) return true
+  if (!job.request.spotAllowed) return true
   if (late === 0) return false
   if (job.timeLeftS === null) {
     return (job.startWithinS ?? 2 * deploymentS) - job.ageS < 1.5 * deploymentS
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -24,14 +24,14 @@
 /** Money for a second of one task's work on a machine that first has to boot. */
 const costOfWork = (job: JobView, missing: number, type: MachineType, price: number): number => {
   const slots = Math.max(1, Math.min(missing, slotsIn(job.request, type)))
-  return (price * (type.startup_s + job.executionS)) / (slots * job.executionS)
+  return (price * (type.bootS + job.executionS)) / (slots * job.executionS)
 }
 /** What that costs at best, whether such machines can be had now or not. */
 const cheapestWork = (job: JobView, missing: number, snapshot: Snapshot): number => {
   let cheapest = Number.POSITIVE_INFINITY
   for (const type of snapshot.types) {
     if (!fits(job.request, type)) continue
-    const price = job.request.loaners ? Math.min(type.spot_price, type.hourly) : type.hourly
+    const price = job.request.spotAllowed ? Math.min(type.spotPrice, type.onDemandPrice) : type.onDemandPrice
     cheapest = Math.min(cheapest, costOfWork(job, missing, type, price))
   }
   return cheapest
@@ -56,7 +56,7 @@
   for (const option of snapshot.market) {
     if (!allowed(job.request, option) || zoneAllowance(job.request, job.zones, option.zone) <= 0) continue
     const work = costOfWork(job, missing, option.type, option.price)
-    if (!option.spot && (!steadyToo || (job.request.loaners && work > dearest))) continue
+    if (!option.spot && (!steadyToo || (job.request.spotAllowed && work > dearest))) continue
     options.push({ option, cost: work + (option.spot ? 0 : STEADY_LAST) })
   }
   options.sort((a, b) =>
--- a/packages/planner/src/slots.ts
+++ b/packages/planner/src/slots.ts
@@ -1,5 +1,5 @@
 /** Free room on machines, as a plan fills it. */
-import { type JobRequest, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/wire"
+import { type JobSpec, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/wire"
 import { EPSILON, type MachineView, type Room, slotsIn } from "./model.ts"
 
 export interface Slot {
@@ -25,7 +25,7 @@
 export const hasRoom = ({ free, tasksLeft }: Slot): boolean => free.cores > EPSILON && tasksLeft > 0
 
 /** How many tasks of a job can still be placed there. */
-export const tasksOn = (request: JobRequest, { free, tasksLeft }: Slot): number =>
+export const tasksOn = (request: JobSpec, { free, tasksLeft }: Slot): number =>
   Math.min(slotsIn(request, free), Math.max(0, tasksLeft))
 
 /** Machines alike in all that decides whether a job may run there. */
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/lend.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobRequest, MachineId, MachineType, PartName, ZoneName } from "@sorreltally/wire"
-import { lend, lendableTo, type Need } from "../src/lend.ts"
+import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/wire"
+import { lend, lendableTo, type MachineDemand } from "../src/lend.ts"
 import type { JobView, MachineView, TaskShape } from "../src/model.ts"
 import { STARVED_RANK } from "../src/overdue.ts"
 
-const type = { name: "m", cores: 8, accelerators: 0, mem_gb: 64, pull_gb_per_s: 1 } as unknown as MachineType
+const type = { name: "m", cores: 8, accelerators: 0, memGb: 64, imagePullGbPerS: 1 } as unknown as MachineType
 const machine: MachineView = {
   id: "i-000001" as MachineId,
   type,
@@ -18,14 +18,14 @@
   state: "up",
   holder: null,
 }
-const shape = { cores: 4, accelerators: 0, mem_gb: 1, loaners: true, bundle: "img" } as unknown as TaskShape
+const shape = { cores: 4, accelerators: 0, memGb: 1, spotAllowed: true, image: "img" } as unknown as TaskShape
 const HIGH = 2
 const STARVED_AGE_S = 200
 
 /** A job of ours of which nothing began, submitted at that time of day. */
 const ours = (submitted: number, ageS: number): JobView => ({
   id: "run-000001" as JobId,
-  request: { ...shape, pieces: 4 } as unknown as JobRequest,
+  request: { ...shape, taskCount: 4 } as unknown as JobSpec,
   rank: HIGH,
   queued: 4,
   running: 0,
@@ -40,15 +40,15 @@
   mayStart: true,
   avoids: new Set(),
 })
-const need = (rank: number, since: number): Need => ({
-  part: "part-1" as PartName,
+const need = (rank: number, since: number): MachineDemand => ({
+  shard: "part-1" as ShardName,
   shape,
   rank,
   tasks: 1,
   pressing: 0,
   since,
 })
-const lent = (jobs: ReadonlyArray<JobView>, of: Need): number =>
+const lent = (jobs: ReadonlyArray<JobView>, of: MachineDemand): number =>
   lend([machine], jobs, [of], 1, new Map(), { rank: 0, cores: 0, images: new Set() }).length
 
 test("a machine is lent to more urgent work, and to any where there is none of ours", () => {
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test"
 import {
   type JobId,
-  type JobRequest,
+  type JobSpec,
   MAX_TASKS_ON_MACHINE,
   type MachineId,
   type MachineType,
@@ -16,11 +16,11 @@
   name: "m",
   cores: 16,
   accelerators: 0,
-  mem_gb: 64,
-  pull_gb_per_s: 1,
-  startup_s: 40,
-  hourly: 4,
-  spot_price: 1,
+  memGb: 64,
+  imagePullGbPerS: 1,
+  bootS: 40,
+  onDemandPrice: 4,
+  spotPrice: 1,
 } as unknown as MachineType
 const machine = (id: string, more: Partial<MachineView> = {}): MachineView => ({
   id: id as MachineId,
@@ -35,19 +35,19 @@
   holder: null,
   ...more,
 })
-const job = (number: number, owner: string, more: Partial<JobView> = {}): JobView => ({
+const job = (number: number, team: string, more: Partial<JobView> = {}): JobView => ({
   id: `run-${String(number).padStart(6, "0")}` as JobId,
   request: {
     cores: 4,
     accelerators: 0,
-    mem_gb: 1,
-    pieces: 40,
-    owner,
-    lane: "bulk",
-    loaners: true,
-    image_gb: 1,
-    bundle: "img",
-  } as unknown as JobRequest,
+    memGb: 1,
+    taskCount: 40,
+    team,
+    jobClass: "bulk",
+    spotAllowed: true,
+    imageGb: 1,
+    image: "img",
+  } as unknown as JobSpec,
   rank: 1,
   queued: 40,
   running: 0,
@@ -135,12 +135,12 @@
   assert.deepEqual([...decided.holders], [["i-3", null]])
   assert.deepEqual([...plan(snapshot(jobs, machines, { red: 64 })).idle], [])
   // Nor is a machine of use to a job that mayn't run there.
-  const elsewhere = job(1, "red", { request: { ...jobs[0]!.request, site: "b" as ZoneName } })
+  const elsewhere = job(1, "red", { request: { ...jobs[0]!.request, zone: "b" as ZoneName } })
   assert.deepEqual([...plan(snapshot([elsewhere], [machine("i-1")], { red: 64 })).idle], ["i-1"])
 })
 
 test("what the market can't give one job stays for the others of its team", () => {
-  const elsewhere = job(1, "red", { request: { ...job(1, "red").request, site: "b" as ZoneName } })
+  const elsewhere = job(1, "red", { request: { ...job(1, "red").request, zone: "b" as ZoneName } })
   assert.equal(rented(snapshot([elsewhere, job(2, "red"), job(3, "red")], [], { red: 64 })), 4)
 })
 
@@ -155,7 +155,7 @@
 test("a machine takes only as many tiny tasks as its report can hold", () => {
   const tiny = job(1, "red", {
     queued: 5_000,
-    request: { ...job(1, "red").request, cores: 0.01, mem_gb: 0.001, pieces: 5_000 },
+    request: { ...job(1, "red").request, cores: 0.01, memGb: 0.001, taskCount: 5_000 },
   })
   const shares = { red: 200 }
   const placed = plan(snapshot([tiny], [machine("i-1"), machine("i-2", { busyTasks: 290 })], shares, shares))
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobRequest } from "@sorreltally/wire"
+import type { JobId, JobSpec } from "@sorreltally/wire"
 import type { JobView } from "../src/model.ts"
 import { inOrder, nextTarget } from "../src/order.ts"
 
 const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView => ({
   id: id as JobId,
-  request: { cores: 4 } as JobRequest,
+  request: { cores: 4 } as JobSpec,
   rank: 1,
   queued,
   running: 0,
@@ -40,7 +40,7 @@
 })
 
 test("a job counts the more the fewer there are of its class", () => {
-  const of = (lane: string) => ({ request: { cores: 4, lane } as JobRequest })
+  const of = (jobClass: string) => ({ request: { cores: 4, jobClass } as JobSpec })
   const jobs = [job("rare", 12, 30, of("rare")), ...["a", "b", "c"].map((id) => job(id, 8, 32, of("common")))]
   // 12 and 3 times 8 s of work on 40 cores: two of the common jobs wait, though smaller.
   assert.deepEqual(order(jobs, idle(40)), ["rare", "c", "a", "b"])
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -1,10 +1,16 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobRequest, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/wire"
+import type { JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/wire"
 import type { JobView, MachineView, Snapshot } from "../src/model.ts"
 import { plan } from "../src/plan.ts"
 
-const type = { name: "m", cores: 16, accelerators: 0, mem_gb: 64, pull_gb_per_s: 1 } as unknown as MachineType
+const type = {
+  name: "m",
+  cores: 16,
+  accelerators: 0,
+  memGb: 64,
+  imagePullGbPerS: 1,
+} as unknown as MachineType
 const machine = (id: string, zone: string): MachineView => ({
   id: id as MachineId,
   type,
@@ -20,14 +26,14 @@
 const request = {
   cores: 1,
   accelerators: 0,
-  mem_gb: 1,
-  pieces: 12,
-  owner: "red",
-  lane: "bulk",
-  loaners: true,
-  image_gb: 1,
-  bundle: "img",
-} as unknown as JobRequest
+  memGb: 1,
+  taskCount: 12,
+  team: "red",
+  jobClass: "bulk",
+  spotAllowed: true,
+  imageGb: 1,
+  image: "img",
+} as unknown as JobSpec
 const job = (more: Partial<JobView>): JobView => ({
   id: "run-000001" as JobId,
   request,
@@ -69,10 +75,10 @@
 
 test("a job that waited long and goes first with some of its tasks stays scattered, and together", () => {
   const machines = [machine("i-1", "a"), machine("i-2", "b")]
-  const scatter = { ...request, scatter: true }
+  const scatter = { ...request, spreadZones: true }
   assert.deepEqual(byMachine([job({ ageS: 200, request: scatter })], machines), { "i-1": 6, "i-2": 6 })
   assert.deepEqual(byMachine([job({ ageS: 200, request: scatter })], machines.slice(1)), { "i-2": 6 })
-  const together = { ...request, together: true, cores: 2 }
+  const together = { ...request, singleZone: true, cores: 2 }
   assert.deepEqual(byMachine([job({ ageS: 200, request: together })], machines), { "i-1": 8 })
 })
 
@@ -87,7 +93,7 @@
 test("while other parts wait for machines, none that they could borrow is begun for one task", () => {
   const half = { ...machine("i-1", "a"), busyTasks: 1, free: { ...type, cores: 8 } }
   const cached = { ...machine("i-2", "a"), images: new Set(["img"]) } as MachineView
-  const small = job({ queued: 4, request: { ...request, image_gb: 4 } })
+  const small = job({ queued: 4, request: { ...request, imageGb: 4 } })
   const on = (othersWait: boolean) =>
     new Set(
       plan({ ...snapshot([small], [half, cached]), othersWait }).placements.map((p) => p.machine as string),
@@ -99,7 +105,7 @@
 // Guards against fetching on each other's machines, and against letting pressing work wait for it.
 test("a job that can wait leaves a machine to one whose image is there; a pressing one doesn't", () => {
   const cached = { ...machine("i-1", "a"), free: { ...type, cores: 1 }, images: new Set(["theirs"]) }
-  const theirs = { ...request, bundle: "theirs" } as unknown as JobRequest
+  const theirs = { ...request, image: "theirs" } as unknown as JobSpec
   const placed = (first: Partial<JobView>) =>
     plan(
       snapshot(
--- a/packages/state/src/client.ts
+++ b/packages/state/src/client.ts
@@ -1,221 +1,300 @@
-import { type Haste, SharedPace } from "@sorreltally/pacing"
+/**
+ * Client of the state service: a key-value store with compare-and-swap transactions, leases and watches
+ * (protocol, "Controller nodes -> state service"). Values are records, see `records.ts`.
+ */
+import { type RequestPriority, SharedRateLimit } from "@sorreltally/pacing"
 import {
   type Address,
-  Exchange,
-  type GrantId,
-  type NoAnswer,
-  type Reply,
+  HttpClient,
+  type HttpResponse,
+  type LeaseId,
+  type ModRevision,
+  type NoResponseError,
+  processClocks,
   type Revision,
-  type Stamp,
-  timekeeper,
 } from "@sorreltally/wire"
 import { Data, Effect } from "effect"
+import { decodeRecord, encodeRecord, type StoreKey } from "./records.ts"
 
-/**
- * The state service didn't do what was asked. `unknown` means that it may have
- * been done, or may be done at any later time; otherwise it was not done.
- */
-export class StateTrouble extends Data.TaggedError("StateTrouble")<{
+/** What was asked of the store. */
+export type StoreOperation =
+  | "get"
+  | "list"
+  | "compareAndSwap"
+  | "grantLease"
+  | "keepAlive"
+  | "revokeLease"
+  | "watch"
+
+/** The store did not do what was asked of it. */
+export class StoreError extends Data.TaggedError("StoreError")<{
+  readonly operation: StoreOperation
+  /** `unknown`: it may have been done, or may be done at any later time; `refused`: it was not done. */
   readonly outcome: "refused" | "unknown"
+  /** HTTP status; 0 without a response. */
   readonly status: number
 }> {}
 
-export interface Entry {
-  readonly path: string
-  readonly v: unknown
-  readonly stamp: Stamp
+/** A record, its key, and the revision that wrote it. */
+export interface Entry<A = unknown> {
+  readonly key: string
+  readonly value: A
+  readonly modRevision: ModRevision
 }
+/** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
 export interface Condition {
-  readonly path: string
-  readonly stamp: Stamp
+  readonly key: string
+  readonly modRevision: ModRevision
 }
-export type Change =
-  | { readonly set: string; readonly v: unknown; readonly permit?: GrantId }
-  | { readonly delete: string }
-export type TxnResult =
-  | { readonly ok: true; readonly epoch: Stamp }
-  | { readonly ok: false; readonly failed: ReadonlyArray<string> }
-export type News =
-  | { readonly kind: "news"; readonly epoch: Revision; readonly changes: ReadonlyArray<NewsItem> }
-  | { readonly kind: "too-old" }
-export type NewsItem = {
-  readonly path: string
-  readonly v: unknown
-  readonly stamp: Stamp
-  readonly gone: boolean
+/** A change of one key. A record put without a lease stays until it is deleted. */
+export type Operation =
+  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly leaseId?: LeaseId }
+  | { readonly kind: "delete"; readonly key: string }
+
+/** Writes a record under its key. */
+export const put = <A>(
+  key: StoreKey<A>,
+  value: A,
+  leaseId?: LeaseId,
+): Operation & { readonly kind: "put" } =>
+  leaseId === undefined ? { kind: "put", key, value } : { kind: "put", key, value, leaseId }
+/** Deletes a key. */
+export const remove = (key: string): Operation => ({ kind: "delete", key })
+
+/** Not `ok`: some conditions did not hold, and nothing was changed. */
+export type CompareAndSwapResult =
+  | { readonly ok: true; readonly revision: ModRevision }
+  | { readonly ok: false; readonly failedKeys: ReadonlyArray<string> }
+
+/** `compacted`: the store no longer knows all changes since then; the keys have to be listed again. */
+export type WatchResult =
+  | { readonly kind: "events"; readonly revision: Revision; readonly events: ReadonlyArray<WatchEvent> }
+  | { readonly kind: "compacted" }
+/** One change of a watched key; the value of a deleted key means nothing. */
+export interface WatchEvent extends Entry {
+  readonly deleted: boolean
 }
 
-export interface StateLimits {
-  readonly write_rps: number
-  readonly value_kb: number
-  readonly txn_ops: number
+/** Limits of the store for all controllers together. */
+export interface StoreLimits {
+  readonly writesPerSecond: number
+  readonly valueKb: number
+  /** Changes in one transaction. */
+  readonly maxOperations: number
 }
 
-export interface StateClient {
-  readonly get: (path: string, timeoutMs?: number) => Effect.Effect<Entry | null, StateTrouble>
-  /** Every key under a prefix; the revision is the one the first page was read at. */
+/** The store, as one controller uses it. */
+export interface StoreClient {
+  readonly get: <A>(key: StoreKey<A>, timeoutMs?: number) => Effect.Effect<Entry<A> | null, StoreError>
+  /** Every key under a prefix; the revision is the one that the first page was read at. */
   readonly list: (
     prefix: string,
-  ) => Effect.Effect<{ readonly items: ReadonlyArray<Entry>; readonly epoch: Revision }, StateTrouble>
-  /** Haste 0: grants and parts; 1: users and rentals; 2: placements and ends; 3: tidying. */
-  readonly multi: (
-    when: ReadonlyArray<Condition>,
-    apply: ReadonlyArray<Change>,
-    haste: Haste | "paid",
+  ) => Effect.Effect<{ readonly items: ReadonlyArray<Entry>; readonly revision: Revision }, StoreError>
+  /**
+   * Applies all operations, or none. Priority 0: leases and shards; 1: users and rentals;
+   * 2: placements and ends; 3: cleaning up; "reserved": its capacity was awaited before.
+   */
+  readonly compareAndSwap: (
+    conditions: ReadonlyArray<Condition>,
+    operations: ReadonlyArray<Operation>,
+    priority: RequestPriority | "reserved",
     timeoutMs?: number,
-  ) => Effect.Effect<TxnResult, StateTrouble>
-  /** Waits for the turn of that many changes; `multi` is then called as paid, with what is ready by then. */
-  readonly room: (changes: number, haste: Haste) => Effect.Effect<void>
-  readonly grant: (ttlMs: number) => Effect.Effect<GrantId, StateTrouble>
-  /** False: the grant has ended. */
-  readonly touch: (grant: GrantId, timeoutMs: number) => Effect.Effect<boolean, StateTrouble>
-  readonly revoke: (grant: GrantId) => Effect.Effect<void, StateTrouble>
-  /** Given up when no answer has come `answerMs` after the blocking time. */
+  ) => Effect.Effect<CompareAndSwapResult, StoreError>
+  /** Waits for capacity for that many operations, which are then sent as "reserved", with what is ready by then. */
+  readonly awaitWriteCapacity: (operations: number, priority: RequestPriority) => Effect.Effect<void>
+  readonly grantLease: (ttlMs: number) => Effect.Effect<LeaseId, StoreError>
+  /** False: the lease has expired. */
+  readonly keepAlive: (lease: LeaseId, timeoutMs: number) => Effect.Effect<boolean, StoreError>
+  /** Succeeds as well when the lease has expired before. */
+  readonly revokeLease: (lease: LeaseId) => Effect.Effect<void, StoreError>
+  /** Waits up to `blockMs` for a change; given up when no answer has come `answerMs` after that. */
   readonly watch: (
     prefix: string,
     after: Revision,
     blockMs: number,
     answerMs?: number,
-  ) => Effect.Effect<News, StateTrouble>
-  readonly limits: StateLimits
-  /** Changes a second that this node made of late; and what the others say of theirs. */
-  readonly usage: () => number
-  readonly othersUse: (perSecond: number) => void
-  /** Share of the limit on changes that all nodes together take. */
-  readonly load: () => number
+  ) => Effect.Effect<WatchResult, StoreError>
+  readonly limits: StoreLimits
+  /** Writes a second that this node made of late. */
+  readonly writeRate: () => number
+  /** Takes in how many writes a second the other nodes make together. */
+  readonly setPeerWriteRate: (perSecond: number) => void
+  /** Share of the limit on writes that all nodes together use. */
+  readonly writeLoad: () => number
+}
+
+interface WireEntry {
+  readonly path: string
+  readonly v: unknown
+  readonly stamp: ModRevision
+}
+interface WirePage {
+  readonly items: ReadonlyArray<WireEntry>
+  readonly more: boolean
+  readonly epoch: Revision
+}
+interface WireChange {
+  readonly set?: string
+  readonly delete?: string
+  readonly v?: unknown
+  readonly stamp: ModRevision
+}
+interface WireNews {
+  readonly epoch: Revision
+  readonly news: ReadonlyArray<WireChange>
 }
 
-const trouble = (reply: Reply) => new StateTrouble({ outcome: "refused", status: reply.status })
-const silence = (_: NoAnswer) => new StateTrouble({ outcome: "unknown", status: 0 })
+const decodeEntry = ({ path, v, stamp }: WireEntry): Entry => ({
+  key: path,
+  value: decodeRecord(path, v),
+  modRevision: stamp,
+})
+const decodeChange = (change: WireChange): WatchEvent => {
+  const { stamp: modRevision } = change
+  if (change.delete !== undefined) return { key: change.delete, value: null, modRevision, deleted: true }
+  const key = change.set!
+  return { key, value: decodeRecord(key, change.v), modRevision, deleted: false }
+}
+const encodeCondition = ({ key, modRevision }: Condition) => ({ path: key, stamp: modRevision })
+const encodeOperation = (operation: Operation) => {
+  if (operation.kind === "delete") return { delete: operation.key }
+  const { key, value, leaseId } = operation
+  const encoded = { set: key, v: encodeRecord(key, value) }
+  return leaseId === undefined ? encoded : { ...encoded, permit: leaseId }
+}
 
 const REQUEST_TIMEOUT_MS = 1_500
+const LIST_TIMEOUT_MS = 5_000
+const LIST_PAGE_ITEMS = 1_000
 const WATCH_ANSWER_MS = 2_000
-/** How often a transaction that came at a bad moment is sent again, and the pause before. */
-const MOST_TURNS = 5
-const TURN_MS = 70
+/** How often a transaction that exceeded the store's rate is sent again, and the pause before. */
+const MAX_RETRIES = 5
+const RETRY_PAUSE_MS = 70
 
-export const makeStateClient = (
+/** A client that shares the store's limits with `nodes` controllers. */
+export const makeStoreClient = (
   address: Address,
-  limits: StateLimits,
+  limits: StoreLimits,
   nodes: number,
-): Effect.Effect<StateClient, never, Exchange> =>
+): Effect.Effect<StoreClient, never, HttpClient> =>
   Effect.gen(function* () {
-    const exchange = yield* Exchange
-    const time = yield* timekeeper
-    const pace = new SharedPace(
-      limits.write_rps,
+    const httpClient = yield* HttpClient
+    const clocks = yield* processClocks
+    const rateLimit = new SharedRateLimit({
+      limit: limits.writesPerSecond,
       nodes,
-      Math.max(limits.txn_ops, limits.write_rps / 2),
-      time.moment,
-    )
+      burst: Math.max(limits.maxOperations, limits.writesPerSecond / 2),
+      now: clocks.monotonicNow,
+    })
 
     const call = (
+      operation: StoreOperation,
       method: "GET" | "POST" | "DELETE",
       path: string,
       body?: unknown,
       timeoutMs = REQUEST_TIMEOUT_MS,
-    ) => exchange.call({ address, method, path, body, timeoutMs }).pipe(Effect.mapError(silence))
-
-    const get: StateClient["get"] = (path, timeoutMs) =>
-      Effect.flatMap(call("GET", `/kv/${path}`, undefined, timeoutMs), (reply) =>
-        reply.status === 200
-          ? Effect.succeed(reply.body as Entry)
-          : reply.status === 404
-            ? Effect.succeed(null)
-            : Effect.fail(trouble(reply)),
-      )
+    ): Effect.Effect<HttpResponse, StoreError> =>
+      httpClient
+        .call({ address, method, path, body, timeoutMs })
+        .pipe(
+          Effect.mapError(
+            (_: NoResponseError) => new StoreError({ operation, outcome: "unknown", status: 0 }),
+          ),
+        )
+    const refused = (operation: StoreOperation, { status }: HttpResponse) =>
+      Effect.fail(new StoreError({ operation, outcome: "refused", status }))
 
-    const list: StateClient["list"] = (prefix) =>
+    const get = <A>(key: StoreKey<A>, timeoutMs?: number): Effect.Effect<Entry<A> | null, StoreError> =>
+      Effect.flatMap(call("get", "GET", `/kv/${key}`, undefined, timeoutMs), (response) => {
+        if (response.status === 200)
+          return Effect.succeed(decodeEntry(response.body as WireEntry) as Entry<A>)
+        return response.status === 404 ? Effect.succeed(null) : refused("get", response)
+      })
+
+    const readPage = (prefix: string, after: string) => {
+      const from = after === "" ? "" : `&after=${encodeURIComponent(after)}`
+      const path = `/kv?starts=${encodeURIComponent(prefix)}${from}&page=${LIST_PAGE_ITEMS}`
+      return Effect.flatMap(call("list", "GET", path, undefined, LIST_TIMEOUT_MS), (response) =>
+        response.status === 200 ? Effect.succeed(response.body as WirePage) : refused("list", response),
+      )
+    }
+    const list: StoreClient["list"] = (prefix) =>
       Effect.gen(function* () {
         const items: Array<Entry> = []
-        let epoch: Revision | null = null
+        let revision: Revision | null = null
         let after = ""
         for (;;) {
-          const from = after === "" ? "" : `&after=${encodeURIComponent(after)}`
-          const reply = yield* call(
-            "GET",
-            `/kv?starts=${encodeURIComponent(prefix)}${from}&page=1000`,
-            undefined,
-            5_000,
-          )
-          if (reply.status !== 200) return yield* Effect.fail(trouble(reply))
-          const page = reply.body as { items: Array<Entry>; more: boolean; epoch: Revision }
-          items.push(...page.items)
-          epoch ??= page.epoch
+          const page = yield* readPage(prefix, after)
+          for (const item of page.items) items.push(decodeEntry(item))
+          revision ??= page.epoch
           const last = page.items.at(-1)
-          if (!page.more || last === undefined) return { items, epoch }
+          if (!page.more || last === undefined) return { items, revision }
           after = last.path
         }
       })
 
-    const multi: StateClient["multi"] = (when, apply, haste, timeoutMs) =>
+    const compareAndSwap: StoreClient["compareAndSwap"] = (conditions, operations, priority, timeoutMs) =>
       Effect.gen(function* () {
-        for (let tries = 0; ; tries++) {
-          if (apply.length > 0 && (haste !== "paid" || tries > 0))
-            yield* pace.take(apply.length, haste === "paid" ? 2 : haste)
-          const reply = yield* call("POST", "/multi", { when, apply }, timeoutMs)
-          if (reply.status === 200)
-            return { ok: true, epoch: (reply.body as { epoch: Stamp }).epoch } as const
-          if (reply.status === 409)
-            return { ok: false, failed: (reply.body as { failed: Array<string> }).failed } as const
-          if (reply.status !== 429) return yield* Effect.fail(trouble(reply))
-          // Too many at this moment, and surely not carried out: it waits for its turn again.
-          pace.refused()
-          if (tries >= MOST_TURNS) return yield* Effect.fail(trouble(reply))
-          yield* Effect.sleep(TURN_MS * (tries + 1))
+        const body = { when: conditions.map(encodeCondition), apply: operations.map(encodeOperation) }
+        for (let retries = 0; ; retries++) {
+          if (operations.length > 0 && (priority !== "reserved" || retries > 0))
+            yield* rateLimit.acquire(operations.length, priority === "reserved" ? 2 : priority)
+          const response = yield* call("compareAndSwap", "POST", "/multi", body, timeoutMs)
+          if (response.status === 200)
+            return { ok: true, revision: (response.body as { epoch: ModRevision }).epoch } as const
+          if (response.status === 409)
+            return { ok: false, failedKeys: (response.body as { failed: Array<string> }).failed } as const
+          if (response.status !== 429) return yield* refused("compareAndSwap", response)
+          // Over the rate at this moment, and surely not carried out: it waits for capacity again.
+          rateLimit.rejected()
+          if (retries >= MAX_RETRIES) return yield* refused("compareAndSwap", response)
+          yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
         }
       })
 
+    const grantLease: StoreClient["grantLease"] = (ttlMs) =>
+      Effect.flatMap(call("grantLease", "POST", "/grants", { ttl_ms: ttlMs }), (response) =>
+        response.status === 200
+          ? Effect.succeed((response.body as { permit: LeaseId }).permit)
+          : refused("grantLease", response),
+      )
+
+    const keepAlive: StoreClient["keepAlive"] = (lease, timeoutMs) =>
+      Effect.flatMap(call("keepAlive", "POST", `/grants/${lease}/touch`, {}, timeoutMs), (response) => {
+        if (response.status === 200) return Effect.succeed(true)
+        return response.status === 404 ? Effect.succeed(false) : refused("keepAlive", response)
+      })
+
+    const revokeLease: StoreClient["revokeLease"] = (lease) =>
+      Effect.flatMap(call("revokeLease", "DELETE", `/grants/${lease}`), (response) =>
+        response.status === 200 || response.status === 404 ? Effect.void : refused("revokeLease", response),
+      )
+
+    const watch: StoreClient["watch"] = (prefix, after, blockMs, answerMs = WATCH_ANSWER_MS) => {
+      const path = `/watch?starts=${encodeURIComponent(prefix)}&after=${after}&block_ms=${blockMs}`
+      return Effect.flatMap(
+        call("watch", "GET", path, undefined, blockMs + answerMs),
+        (response): Effect.Effect<WatchResult, StoreError> => {
+          if (response.status === 410) return Effect.succeed({ kind: "compacted" })
+          if (response.status !== 200) return refused("watch", response)
+          const { epoch, news } = response.body as WireNews
+          return Effect.succeed({ kind: "events", revision: epoch, events: news.map(decodeChange) })
+        },
+      )
+    }
+
     return {
       get,
       list,
-      multi,
-      room: (changes, haste) => pace.take(changes, haste),
+      compareAndSwap,
+      awaitWriteCapacity: (operations, priority) => rateLimit.acquire(operations, priority),
+      grantLease,
+      keepAlive,
+      revokeLease,
+      watch,
       limits,
-      usage: () => pace.usage,
-      othersUse: (perSecond) => pace.others(perSecond),
-      load: () => pace.load,
-      grant: (ttlMs) =>
-        Effect.flatMap(call("POST", "/grants", { ttl_ms: ttlMs }), (reply) =>
-          reply.status === 200
-            ? Effect.succeed((reply.body as { permit: GrantId }).permit)
-            : Effect.fail(trouble(reply)),
-        ),
-      touch: (grant, timeoutMs) =>
-        Effect.flatMap(call("POST", `/grants/${grant}/touch`, {}, timeoutMs), (reply) =>
-          reply.status === 200
-            ? Effect.succeed(true)
-            : reply.status === 404
-              ? Effect.succeed(false)
-              : Effect.fail(trouble(reply)),
-        ),
-      revoke: (grant) =>
-        Effect.flatMap(call("DELETE", `/grants/${grant}`), (reply) =>
-          reply.status === 200 || reply.status === 404 ? Effect.void : Effect.fail(trouble(reply)),
-        ),
-      watch: (prefix, after, blockMs, answerMs = WATCH_ANSWER_MS) =>
-        Effect.flatMap(
-          call(
-            "GET",
-            `/watch?starts=${encodeURIComponent(prefix)}&after=${after}&block_ms=${blockMs}`,
-            undefined,
-            blockMs + answerMs,
-          ),
-          (reply): Effect.Effect<News, StateTrouble> => {
-            if (reply.status === 410) return Effect.succeed({ kind: "too-old" })
-            if (reply.status !== 200) return Effect.fail(trouble(reply))
-            const body = reply.body as { epoch: Revision; news: ReadonlyArray<Record<string, unknown>> }
-            const changes = body.news.map((n): NewsItem => {
-              const gone = typeof n["delete"] === "string"
-              return {
-                path: (gone ? n["delete"] : n["set"]) as string,
-                v: n["v"],
-                stamp: n["stamp"] as Stamp,
-                gone,
-              }
-            })
-            return Effect.succeed({ kind: "news", epoch: body.epoch, changes })
-          },
-        ),
+      writeRate: () => rateLimit.usage,
+      setPeerWriteRate: (perSecond) => rateLimit.setPeerUsage(perSecond),
+      writeLoad: () => rateLimit.load,
     }
   })
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,11 +1,11 @@
-import type { MachineType } from "@sorreltally/wire"
+import type { WireMachineType } from "@sorreltally/wire"
 import { Machine, type WorkerTimes } from "./machines.ts"
 import type { Net, Request } from "./net.ts"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
 
 export interface CloudSettings {
-  readonly types: ReadonlyArray<MachineType>
+  readonly types: ReadonlyArray<WireMachineType>
   /** Machines to be had of each type, zone and kind. */
   capacity: number
   readonly lagMs: number
@@ -114,7 +114,7 @@
     return { status: 200, body }
   }
 
-  rent(type: MachineType, zone: string, spot: boolean): Machine {
+  rent(type: WireMachineType, zone: string, spot: boolean): Machine {
     const id = `i-${String(++this.count).padStart(6, "0")}`
     const { nodes, times, neverBoots } = this.settings
     const machine = new Machine(
--- a/packages/testkit/src/machines.ts
+++ b/packages/testkit/src/machines.ts
@@ -1,4 +1,4 @@
-import type { JobRequest, MachineType, WireCommand, WireHeartbeat } from "@sorreltally/wire"
+import type { WireCommand, WireHeartbeat, WireJob, WireMachineType } from "@sorreltally/wire"
 import type { Net } from "./net.ts"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
@@ -57,7 +57,7 @@
 
   constructor(
     readonly id: string,
-    readonly type: MachineType,
+    readonly type: WireMachineType,
     readonly zone: string,
     readonly spot: boolean,
     private readonly sim: Sim,
@@ -327,7 +327,7 @@
     const pullS = this.images.has(request.bundle) ? 0 : request.image_gb / this.type.pull_gb_per_s
     task.callOff = this.sim.after(pullS * 1000, () => this.whenAwake(() => this.begin(task, request)))
   }
-  private begin(task: Task, request: JobRequest): void {
+  private begin(task: Task, request: WireJob): void {
     if (task.status !== "pulling" || this.gone) return
     this.images.add(request.bundle)
     task.status = "running"
--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/measure.ts
@@ -13,7 +13,7 @@
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
 import { teamFrom } from "@sorreltally/settings"
-import type { JobId, JobRequest, MachineType, NodeName, TeamName } from "@sorreltally/wire"
+import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/wire"
 import { Cloud } from "./cloud.ts"
 import { LoopbackNet } from "./loopback-net.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
@@ -124,7 +124,7 @@
 if (load === undefined) throw new Error(`--load is one of ${Object.keys(LOADS).join(", ")}`)
 mkdirSync(folder, { recursive: true })
 
-const machineType = (name: string, cores: number, hourly: number): MachineType =>
+const machineType = (name: string, cores: number, hourly: number): WireMachineType =>
   ({
     name,
     cores,
@@ -136,7 +136,7 @@
     spot_price: hourly / 5,
     startup_s: 6,
     sites: ZONES,
-  }) as unknown as MachineType
+  }) as unknown as WireMachineType
 const types = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
 const teams = ["red", "blue"].map((name) =>
   teamFrom({ name: name as TeamName, cpus: 5_000 * scale, cpus_max: 25_000 * scale }),
@@ -222,7 +222,7 @@
     snapshot_s: 0,
     flush_s: 0,
     due_s: kind.due,
-  } as unknown as JobRequest)
+  } as unknown as WireJob)
 }
 const keepSubmitting = (kind: LoadKind): void => {
   submit(kind)
--- a/packages/testkit/src/membership-troubles.ts
+++ b/packages/testkit/src/membership-troubles.ts
@@ -1,5 +1,5 @@
 import { DEADLINE, partOf } from "@sorreltally/membership"
-import type { JobId, NodeName, PartName } from "@sorreltally/wire"
+import type { JobId, NodeName, ShardName } from "@sorreltally/wire"
 import type { World } from "./world.ts"
 
 /** A cancelled job still has this much of its estimate to go, so that only a stop ends its tasks. */
@@ -37,8 +37,8 @@
   }
   private cancelAtHandOvers = { perChange: 0, until: 0 }
   private leaderEndedAt: number | null = null
-  private readonly changedAt = new Map<PartName, number>()
-  private readonly onRecord = new Map<PartName, PartOnRecord>()
+  private readonly changedAt = new Map<ShardName, number>()
+  private readonly onRecord = new Map<ShardName, PartOnRecord>()
 
   constructor(private readonly world: World) {
     world.state.listeners.push((path, value) => this.changed(path, value))
@@ -82,9 +82,9 @@
   private changed(path: string, value: unknown): void {
     if (path.startsWith("s/live/") && value !== null) this.count.joins++
     if (path.startsWith("s/part/") && value !== null)
-      this.partChanged(path.slice("s/part/".length) as PartName, value as PartOnRecord)
+      this.partChanged(path.slice("s/part/".length) as ShardName, value as PartOnRecord)
   }
-  private partChanged(part: PartName, record: PartOnRecord): void {
+  private partChanged(part: ShardName, record: PartOnRecord): void {
     const { sim } = this.world
     const former = this.onRecord.get(part) ?? { owner: null, incarnation: null }
     this.onRecord.set(part, record)
@@ -110,7 +110,7 @@
     this.leaderEndedAt = null
   }
   /** A part changes hands when its owner's grant has ended, or the owner has let it go: never before. */
-  private checkOneOwner(part: PartName, former: PartOnRecord, record: PartOnRecord): void {
+  private checkOneOwner(part: ShardName, former: PartOnRecord, record: PartOnRecord): void {
     const { rules, sim } = this.world
     if (former.owner === null || former.incarnation === record.incarnation) return
     if (!this.stands(former)) return
@@ -121,7 +121,7 @@
     )
   }
   /** The last that a controller logged of the part is that it has taken it. */
-  private hasTaken(node: NodeName, part: PartName): boolean {
+  private hasTaken(node: NodeName, part: ShardName): boolean {
     const { logged } = this.world
     for (let i = logged.length - 1; i >= 0; i--) {
       const line = logged[i]!
@@ -131,7 +131,7 @@
     }
     return false
   }
-  private partOf(job: string): PartName {
+  private partOf(job: string): ShardName {
     const hasDeadline = this.world.rules.submitted.get(job)?.due_s != null
     return partOf(job as JobId, hasDeadline, this.world.names.length)
   }
