--- a/packages/testkit/src/operations.ts
+++ b/packages/testkit/src/operations.ts
@@ -1,4 +1,4 @@
-import type { JobPage, SlotRecord } from "@sorreltally/state"
+import { decodeRecord, type JobPage, type PlacementRecord } from "@sorreltally/state"
 
 /** What a change in the state service is for. */
 export type Operation = "create" | "cancel" | "fold" | "end" | "start" | "finish" | "archive" | "other"
@@ -18,7 +18,8 @@
 
   /** `before` and `after`: the key's values; undefined: it doesn't exist. */
   note(path: string, before: unknown, after: unknown): void {
-    this.count[kindOf(path, before, after)]++
+    const record = (value: unknown) => (value === undefined ? undefined : decodeRecord(path, value))
+    this.count[kindOf(path, record(before), record(after))]++
   }
   /** All that jobs cost from their submission to their end. */
   get ofJobs(): number {
@@ -31,12 +32,12 @@
   if (path.startsWith("s/job/")) return pageChange(before as JobPage | undefined, after as JobPage)
   if (path.startsWith("s/ends/")) return "end"
   if (path.startsWith("final/")) return "archive"
-  if (path.startsWith("place/")) return (after as SlotRecord).s.length > 0 ? "start" : "finish"
+  if (path.startsWith("place/")) return (after as PlacementRecord).placed.length > 0 ? "start" : "finish"
   return "other"
 }
 const pageChange = (before: JobPage | undefined, after: JobPage): Operation => {
-  const known = new Map(before?.jobs.map((job) => [job.request.id, job]))
-  if (after.jobs.some((job) => !known.has(job.request.id))) return "create"
-  const cancelled = after.jobs.some((job) => job.withdrawn === true && !known.get(job.request.id)?.withdrawn)
+  const known = new Map(before?.jobs.map((job) => [job.spec.id, job]))
+  if (after.jobs.some((job) => !known.has(job.spec.id))) return "create"
+  const cancelled = after.jobs.some((job) => job.cancelled && !known.get(job.spec.id)?.cancelled)
   return cancelled ? "cancel" : "fold"
 }
--- a/packages/testkit/src/rules.ts
+++ b/packages/testkit/src/rules.ts
@@ -1,5 +1,5 @@
 import { isLimited, type Team } from "@sorreltally/settings"
-import type { JobRequest, MachineType } from "@sorreltally/wire"
+import type { WireJob, WireMachineType } from "@sorreltally/wire"
 import type { Sim } from "./sim.ts"
 import { UserRules } from "./user-rules.ts"
 
@@ -40,13 +40,13 @@
   constructor(
     private readonly sim: Sim,
     private readonly teams: ReadonlyArray<Team>,
-    private readonly types: ReadonlyArray<MachineType>,
+    private readonly types: ReadonlyArray<WireMachineType>,
     private readonly cancelS: number,
   ) {
     this.users = new UserRules(sim, (rule, what) => this.say(rule, what))
   }
 
-  get submitted(): ReadonlyMap<string, JobRequest> {
+  get submitted(): ReadonlyMap<string, WireJob> {
     return this.users.submitted
   }
 
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -1,4 +1,4 @@
-import type { JobId, JobRequest } from "@sorreltally/wire"
+import type { JobId, WireJob } from "@sorreltally/wire"
 import { type Form, parse } from "sexpr-plus"
 import { type Action, type Args, node, number } from "./actions.ts"
 import { type TroubleEffect, troubleEffects } from "./effects.ts"
@@ -28,7 +28,7 @@
 }
 
 /** Options of a job, written `name value`; the rest is as usual. */
-const jobFrom = (id: JobId, args: Args): JobRequest => {
+const jobFrom = (id: JobId, args: Args): WireJob => {
   const given = new Map<string, string>()
   for (let i = 0; i + 1 < args.length; i += 2) given.set(args[i]!, args[i + 1]!)
   const num = (name: string, or: number) => Number(given.get(name) ?? or)
@@ -54,7 +54,7 @@
     snapshot_s: num("snapshot", 0),
     flush_s: num("flush", 0),
     due_s: due === undefined ? null : Number(due),
-  } as unknown as JobRequest
+  } as unknown as WireJob
 }
 
 /** Entries of a scenario that take one number. */
--- a/packages/testkit/src/service-rules.ts
+++ b/packages/testkit/src/service-rules.ts
@@ -1,4 +1,4 @@
-import type { JobRequest } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/wire"
 import type { UserRules } from "./user-rules.ts"
 
 /** Of each class, the share of its jobs that counts as its largest, at least one. */
@@ -10,14 +10,14 @@
 }
 
 /** Jobs that count: nobody asked to cancel them. */
-const counted = (rules: UserRules): ReadonlyArray<JobRequest> =>
+const counted = (rules: UserRules): ReadonlyArray<WireJob> =>
   [...rules.submitted.values()].filter(({ id }) => !rules.askedToCancel.has(id))
 
 /** The largest jobs of each class, by their tasks' resources; all that tie with the smallest of them. */
 export const largestOfClasses = (rules: UserRules): ReadonlySet<string> => {
-  const classes = new Map<string, Array<JobRequest>>()
+  const classes = new Map<string, Array<WireJob>>()
   for (const job of counted(rules)) classes.set(job.lane, [...(classes.get(job.lane) ?? []), job])
-  const size = (job: JobRequest) => job.pieces * job.cores
+  const size = (job: WireJob) => job.pieces * job.cores
   const largest = new Set<string>()
   for (const jobs of classes.values()) {
     const sizes = jobs.map(size).sort((a, b) => b - a)
--- a/packages/testkit/src/user-rules.ts
+++ b/packages/testkit/src/user-rules.ts
@@ -1,4 +1,4 @@
-import type { JobRequest } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/wire"
 import type { Sim } from "./sim.ts"
 
 /** What a user asked of a job. */
@@ -21,7 +21,7 @@
 
 /** Checks what users are told of their jobs, across all nodes and by the millisecond. */
 export class UserRules {
-  readonly submitted = new Map<string, JobRequest>()
+  readonly submitted = new Map<string, WireJob>()
   readonly submittedAt = new Map<string, number>()
   readonly askedToCancel = new Set<string>()
   /** When a user first heard that the job is cancelled. */
@@ -40,7 +40,7 @@
   ) {}
 
   /** A user submits a job that can run. */
-  asksToRun(request: JobRequest): void {
+  asksToRun(request: WireJob): void {
     this.submitted.set(request.id, request)
     this.submittedAt.set(request.id, this.sim.now)
   }
--- a/packages/testkit/src/user-troubles.ts
+++ b/packages/testkit/src/user-troubles.ts
@@ -1,4 +1,4 @@
-import type { JobId, JobRequest, NodeName } from "@sorreltally/wire"
+import type { JobId, NodeName, WireJob } from "@sorreltally/wire"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
 import type { Refusal } from "./user-rules.ts"
@@ -186,7 +186,7 @@
 }
 type Odd = Record<string, unknown>
 const without =
-  (field: keyof JobRequest) =>
+  (field: keyof WireJob) =>
   (request: Odd): Odd => {
     const { [field]: _, ...rest } = request
     return rest
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,4 +1,4 @@
-import type { JobId, JobRequest, NodeName } from "@sorreltally/wire"
+import type { JobId, NodeName, WireJob } from "@sorreltally/wire"
 import type { Net } from "./net.ts"
 import type { Sim } from "./sim.ts"
 import type { Question, UserRules } from "./user-rules.ts"
@@ -43,7 +43,7 @@
     )
   }
 
-  submit(request: JobRequest): void {
+  submit(request: WireJob): void {
     this.rules.asksToRun(request)
     this.jobs.push(request.id)
     const attempt = () =>
--- a/packages/testkit/src/waiting-rule.ts
+++ b/packages/testkit/src/waiting-rule.ts
@@ -1,4 +1,4 @@
-import type { JobRequest } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/wire"
 import type { Cloud } from "./cloud.ts"
 import type { Machine } from "./machines.ts"
 import type { Rules } from "./rules.ts"
@@ -75,7 +75,7 @@
 
   private couldStart(
     job: string,
-    request: JobRequest,
+    request: WireJob,
     zones: ReadonlyMap<string, number>,
     rooms: ReadonlyArray<Room>,
     used: number,
@@ -90,7 +90,7 @@
 }
 
 const fits = (
-  request: JobRequest,
+  request: WireJob,
   zones: ReadonlyMap<string, number>,
   { machine, cores, mem }: Room,
 ): boolean => {
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -2,15 +2,15 @@
 import type { Links } from "@sorreltally/peers"
 import { defaultOperators, type Platform, teamFrom } from "@sorreltally/settings"
 import {
-  answeredInTime,
-  Exchange,
+  HttpClient,
+  type HttpResponse,
   type JobId,
   type Log,
-  type MachineType,
-  NoAnswer,
   type NodeName,
-  type Reply,
+  NoResponseError,
   type TeamName,
+  type WireMachineType,
+  withTimeout,
 } from "@sorreltally/wire"
 import { Effect, Exit, Random } from "effect"
 import { Cloud } from "./cloud.ts"
@@ -198,8 +198,8 @@
       },
     }
     let commands = 0
-    const exchange = answeredInTime((call) =>
-      Effect.callback<Reply, NoAnswer>((resume) => {
+    const exchange = withTimeout((call) =>
+      Effect.callback<HttpResponse, NoResponseError>((resume) => {
         const to = call.address.slice(0, call.address.lastIndexOf(":"))
         const request = { method: call.method, path: call.path, body: call.body }
         const command = call.path === "/orders"
@@ -208,7 +208,9 @@
           process.whenAwake(
             () =>
               resume(
-                answer === null ? Effect.fail(new NoAnswer({ reason: "reset" })) : Effect.succeed(answer),
+                answer === null
+                  ? Effect.fail(new NoResponseError({ reason: "reset" }))
+                  : Effect.succeed(answer),
               ),
             ANSWER_MS,
           )
@@ -229,9 +231,9 @@
     }
     const logs: Log = { error: log("error"), info: log("info"), debug: log("debug") }
     const seed = `${this.setup.seed}/${++this.births}`
-    const inside = <A>(effect: Effect.Effect<A, never, Exchange>): Effect.Effect<A> =>
-      process.provide(Effect.provideService(effect, Exchange, exchange))
-    const dress = <A>(effect: Effect.Effect<A, never, Exchange>) => Random.withSeed(inside(effect), seed)
+    const inside = <A>(effect: Effect.Effect<A, never, HttpClient>): Effect.Effect<A> =>
+      process.provide(Effect.provideService(effect, HttpClient, exchange))
+    const dress = <A>(effect: Effect.Effect<A, never, HttpClient>) => Random.withSeed(inside(effect), seed)
     const born = (node: Node) => {
       Effect.runCallback(dress(node.run))
       this.net.listen(name, (request, from, answer) => {
@@ -313,7 +315,7 @@
   spot_price: number,
   startup_s: number,
   sites: ReadonlyArray<string>,
-): MachineType =>
+): WireMachineType =>
   ({
     name,
     cores,
@@ -325,4 +327,4 @@
     spot_price,
     startup_s,
     sites,
-  }) as unknown as MachineType
+  }) as unknown as WireMachineType
--- a/packages/testkit/test/user-rules.test.ts
+++ b/packages/testkit/test/user-rules.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobRequest, MachineType } from "@sorreltally/wire"
+import type { WireJob, WireMachineType } from "@sorreltally/wire"
 import { Rules } from "../src/rules.ts"
 import { largestOfClasses, notBegunWithin, unserved } from "../src/service-rules.ts"
 import { Sim } from "../src/sim.ts"
@@ -13,11 +13,11 @@
 const harness = () => {
   const sim = new Sim(1)
   const teams = [{ name: "red", cpus: 8, cpus_max: 16, gpus: 0, gpus_max: 0 }]
-  const type = { name: "small", cores: 8 } as unknown as MachineType
+  const type = { name: "small", cores: 8 } as unknown as WireMachineType
   const rules = new Rules(sim, teams as never, [type], CANCEL_S)
   const users = rules.users
-  const submit = (id: string, fields: Partial<Record<keyof JobRequest, unknown>> = {}) =>
-    users.asksToRun({ id, lane: "bulk", owner: "red", pieces: 1, cores: 1, ...fields } as JobRequest)
+  const submit = (id: string, fields: Partial<Record<keyof WireJob, unknown>> = {}) =>
+    users.asksToRun({ id, lane: "bulk", owner: "red", pieces: 1, cores: 1, ...fields } as WireJob)
   const at = (ms: number, run: () => void) => sim.after(ms - sim.now, run)
   /** Rules broken so far, without times. */
   const broken = () => rules.broken.map((line) => line.replace(/ at .*?:/, ":"))
--- a/packages/testkit/test/waiting-rule.test.ts
+++ b/packages/testkit/test/waiting-rule.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobRequest, MachineType } from "@sorreltally/wire"
+import type { WireJob, WireMachineType } from "@sorreltally/wire"
 import { Cloud } from "../src/cloud.ts"
 import { Net } from "../src/net.ts"
 import { Rules } from "../src/rules.ts"
@@ -16,7 +16,7 @@
   pull_gb_per_s: 1,
   startup_s: 6,
   sites: ["a"],
-} as unknown as MachineType
+} as unknown as WireMachineType
 const usual = {
   id: "run-000001",
   lane: "bulk",
@@ -54,7 +54,7 @@
   })
   net.listen("host-0", (_request, _from, answer) => answer({ status: 200, body: { baton: 1, orders: [] } }))
   const machine = cloud.rent(type, "a", false)
-  const request = { ...usual, ...more } as unknown as JobRequest
+  const request = { ...usual, ...more } as unknown as WireJob
   rules.users.asksToRun(request)
   rules.users.answered(request.id, "submit", 201, "queued", 0)
   const waiting = new WaitingRule(sim, rules, cloud)
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,10 +1,11 @@
-import { Schema } from "effect"
-import { Address, type HireName, MachineId, TypeName, ZoneName } from "./ids.ts"
+/** Codec between controllers and the cloud (protocol, "Controller nodes -> cloud"). */
+import { Result, Schema } from "effect"
+import { Address, MachineId, MachineTypeName, type RentalRequestId, ZoneName } from "./ids.ts"
 
 const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
 
-export const MachineType = Schema.Struct({
-  name: TypeName,
+const WireMachineType = Schema.Struct({
+  name: MachineTypeName,
   cores: amount,
   accelerators: amount,
   mem_gb: amount,
@@ -15,27 +16,122 @@
   startup_s: amount,
   sites: Schema.Array(ZoneName),
 })
-export type MachineType = typeof MachineType.Type
-export const Catalog = Schema.Struct({ builds: Schema.Array(MachineType) })
-export type Catalog = typeof Catalog.Type
+/** A machine type as the catalog lists it, and as the catalog record stores it. */
+export type WireMachineType = typeof WireMachineType.Type
 
-export const ListedMachine = Schema.Struct({
+/** A type of machine that the cloud rents. Prices are per hour. */
+export interface MachineType {
+  readonly name: MachineTypeName
+  readonly cores: number
+  readonly accelerators: number
+  readonly memGb: number
+  readonly cacheGb: number
+  readonly imagePullGbPerS: number
+  readonly onDemandPrice: number
+  readonly spotPrice: number
+  readonly bootS: number
+  readonly zones: ReadonlyArray<ZoneName>
+}
+
+const WireListedMachine = Schema.Struct({
   id: MachineId,
   address: Schema.optionalKey(Schema.NullOr(Address)),
-  build: TypeName,
+  build: MachineTypeName,
   site: ZoneName,
   loaners: Schema.Boolean,
   status: Schema.String,
   held_s: amount,
 })
-export type ListedMachine = typeof ListedMachine.Type
-export const MachinePage = Schema.Struct({ hosts: Schema.Array(ListedMachine), more: Schema.Boolean })
-
-export interface HireRequest {
-  readonly hire: HireName
-  readonly build: TypeName
-  readonly site: ZoneName
-  readonly loaners: boolean
-  readonly how_many: number
+
+/** A machine as the cloud's list shows it; the list lags. */
+export interface ListedMachine {
+  readonly id: MachineId
+  readonly machineType: MachineTypeName
+  readonly zone: ZoneName
+  readonly spot: boolean
+  readonly status: string
+  readonly ageS: number
+}
+/** One page of the cloud's list of machines. */
+export interface MachinePage {
+  readonly machines: ReadonlyArray<ListedMachine>
+  readonly hasMore: boolean
 }
-export const HireAnswer = Schema.Struct({ hosts: Schema.Array(MachineId) })
+
+/** A request to rent machines; repeated under the same id, it rents nothing twice. */
+export interface RentalRequest {
+  readonly requestId: RentalRequestId
+  readonly machineType: MachineTypeName
+  readonly zone: ZoneName
+  readonly spot: boolean
+  readonly count: number
+}
+
+const WireCatalog = Schema.Struct({ builds: Schema.Array(WireMachineType) })
+const WireMachinePage = Schema.Struct({ hosts: Schema.Array(WireListedMachine), more: Schema.Boolean })
+const WireRental = Schema.Struct({ hosts: Schema.Array(MachineId) })
+const decodeWireCatalog = Schema.decodeUnknownResult(WireCatalog)
+const decodeWireMachinePage = Schema.decodeUnknownResult(WireMachinePage)
+const decodeWireRental = Schema.decodeUnknownResult(WireRental)
+
+/** The typed form of a machine type on the wire. */
+export const machineTypeFromWire = (wire: WireMachineType): MachineType => ({
+  name: wire.name,
+  cores: wire.cores,
+  accelerators: wire.accelerators,
+  memGb: wire.mem_gb,
+  cacheGb: wire.cache_gb,
+  imagePullGbPerS: wire.pull_gb_per_s,
+  onDemandPrice: wire.hourly,
+  spotPrice: wire.spot_price,
+  bootS: wire.startup_s,
+  zones: wire.sites,
+})
+/** The wire form of a machine type. */
+export const machineTypeToWire = (type: MachineType): WireMachineType => ({
+  name: type.name,
+  cores: type.cores,
+  accelerators: type.accelerators,
+  mem_gb: type.memGb,
+  cache_gb: type.cacheGb,
+  pull_gb_per_s: type.imagePullGbPerS,
+  hourly: type.onDemandPrice,
+  spot_price: type.spotPrice,
+  startup_s: type.bootS,
+  sites: type.zones,
+})
+
+/** Decodes the answer of `GET /catalog`. */
+export const decodeCatalog = (body: unknown) =>
+  Result.map(decodeWireCatalog(body), ({ builds }) => builds.map(machineTypeFromWire))
+
+/** Decodes the answer of `GET /machines`. */
+export const decodeMachinePage = (body: unknown) =>
+  Result.map(
+    decodeWireMachinePage(body),
+    ({ hosts, more }): MachinePage => ({
+      machines: hosts.map(({ id, build, site, loaners, status, held_s }) => ({
+        id,
+        machineType: build,
+        zone: site,
+        spot: loaners,
+        status,
+        ageS: held_s,
+      })),
+      hasMore: more,
+    }),
+  )
+
+/** The body of `POST /machines`. */
+export const encodeRentalRequest = ({ requestId, machineType, zone, spot, count }: RentalRequest) => ({
+  hire: requestId,
+  build: machineType,
+  site: zone,
+  loaners: spot,
+  how_many: count,
+})
+/** Decodes the answer of `POST /machines`: the machines that were rented. */
+export const decodeRental = (body: unknown) => Result.map(decodeWireRental(body), ({ hosts }) => hosts)
+
+/** The body of `POST /machines/delete`. */
+export const encodeDeletion = (machineIds: ReadonlyArray<MachineId>) => ({ hosts: machineIds })
--- a/packages/wire/src/times.ts
+++ b/packages/wire/src/times.ts
@@ -1,19 +1,19 @@
 import { Effect } from "effect"
-import type { Moment, WallTime } from "./ids.ts"
+import type { MonotonicTime, WallTime } from "./ids.ts"
 
 /** The two clocks of a process, readable from synchronous code. */
-export interface Timekeeper {
-  readonly moment: () => Moment
-  readonly wall: () => WallTime
+export interface Clocks {
+  readonly monotonicNow: () => MonotonicTime
+  readonly wallNow: () => WallTime
 }
 
-export const timekeeper: Effect.Effect<Timekeeper> = Effect.clockWith((clock) =>
+export const processClocks: Effect.Effect<Clocks> = Effect.clockWith((clock) =>
   Effect.succeed({
-    moment: () => (Number(clock.monotonicTimeNanosUnsafe()) / 1e6) as Moment,
-    wall: () => clock.currentTimeMillisUnsafe() as WallTime,
+    monotonicNow: () => (Number(clock.monotonicTimeNanosUnsafe()) / 1e6) as MonotonicTime,
+    wallNow: () => clock.currentTimeMillisUnsafe() as WallTime,
   }),
 )
 
-export const later = (moment: Moment, ms: number): Moment => (moment + ms) as Moment
+export const addMs = (moment: MonotonicTime, ms: number): MonotonicTime => (moment + ms) as MonotonicTime
 /** A moment before any other. */
-export const NEVER = Number.NEGATIVE_INFINITY as Moment
+export const NEVER = Number.NEGATIVE_INFINITY as MonotonicTime
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -4,14 +4,14 @@
  */
 import type {
   Address,
+  AgentEpoch,
   Attempt,
+  FencingToken,
   MachineId,
+  MachineTypeName,
   NodeName,
+  SequenceNumber,
   TaskId,
-  Tenure,
-  Tick,
-  Token,
-  TypeName,
   ZoneName,
 } from "./ids.ts"
 
@@ -55,14 +55,14 @@
 export interface Heartbeat {
   readonly machineId: MachineId
   readonly address: Address
-  readonly machineType: TypeName
+  readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
-  readonly agentEpoch: Tenure
+  readonly agentEpoch: AgentEpoch
   /** Counts the worker's messages; within an agent epoch the larger one is the newer message. */
-  readonly sequence: Tick
+  readonly sequence: SequenceNumber
   /** The highest fencing token that the worker has seen. */
-  readonly fencingToken: Token
+  readonly fencingToken: FencingToken
   /** Seconds until the cloud takes a spot machine away; null or absent without a notice. */
   readonly preemptionNoticeS?: number | null
   readonly tasks: ReadonlyArray<ReportedTask>
@@ -83,12 +83,12 @@
 
 /** The owner's reply to a heartbeat. */
 export interface HeartbeatReply {
-  readonly fencingToken: Token
+  readonly fencingToken: FencingToken
   readonly commands: ReadonlyArray<Command>
 }
 /** Commands sent straight to a worker; it executes none of them in another agent epoch. */
 export interface CommandBatch extends HeartbeatReply {
-  readonly agentEpoch: Tenure
+  readonly agentEpoch: AgentEpoch
 }
 
 // --- wire forms ---------------------------------------------------------------
@@ -105,12 +105,12 @@
 export interface WireHeartbeat {
   readonly host: MachineId
   readonly address: Address
-  readonly build: TypeName
+  readonly build: MachineTypeName
   readonly site: ZoneName
   readonly loaners: boolean
-  readonly tenure: Tenure
-  readonly tick: Tick
-  readonly baton: Token
+  readonly tenure: AgentEpoch
+  readonly tick: SequenceNumber
+  readonly baton: FencingToken
   readonly warning_s?: number | null
   readonly pieces: ReadonlyArray<WireTask>
 }
@@ -121,12 +121,12 @@
   | { readonly verb: "forget"; readonly piece: TaskId; readonly try: Attempt }
 /** The reply to a heartbeat on the wire. */
 export interface WireHeartbeatReply {
-  readonly baton: Token
+  readonly baton: FencingToken
   readonly orders: ReadonlyArray<WireCommand>
 }
 /** The body of `POST /orders`. */
 export interface WireCommandBatch extends WireHeartbeatReply {
-  readonly tenure: Tenure
+  readonly tenure: AgentEpoch
 }
 
 /** Wire statuses and causes that the code names differently; all others have the same name in both. */
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -1,13 +1,14 @@
 import type { Placement } from "@sorreltally/jobs"
+import type { MachineBlock, StoreKey } from "@sorreltally/state"
 import type {
   Address,
+  AgentEpoch,
+  FencingToken,
   ImageName,
   MachineId,
-  PartName,
-  Tenure,
-  Tick,
-  Token,
-  TypeName,
+  MachineTypeName,
+  SequenceNumber,
+  ShardName,
   WallTime,
   ZoneName,
 } from "@sorreltally/wire"
@@ -21,32 +22,42 @@
 export interface MachineEntry {
   readonly id: MachineId
   /** The record that it stands in. */
-  readonly block: string
-  readonly part: PartName
+  readonly block: StoreKey<MachineBlock>
+  readonly part: ShardName
   /** Every command to it carries at least this token. */
-  readonly token: Token
-  readonly build: TypeName
-  readonly site: ZoneName
-  readonly loaners: boolean
-  readonly rented: WallTime
+  readonly token: FencingToken
+  readonly machineType: MachineTypeName
+  readonly zone: ZoneName
+  readonly spot: boolean
+  readonly rentedAt: WallTime
 }
 
 /** Room on a machine that no task that may be there takes. */
 export interface FreeRoom {
   cores: number
   accelerators: number
-  mem_gb: number
+  memGb: number
 }
 
 /** Hearsay of a machine's former owner: good enough to send orders, no proof of anything. */
-export interface Introduction {
+export interface MachineHandoff {
   readonly address: Address
-  readonly tenure: Tenure
-  readonly tick: Tick
+  readonly agentEpoch: AgentEpoch
+  readonly sequence: SequenceNumber
   readonly silentMs: number
   readonly images: ReadonlyArray<readonly [ImageName, number]>
 }
 
+/** A heartbeat that differs by its counters alone from an earlier one of the same agent epoch. */
+export interface RepeatedHeartbeat {
+  readonly machineId: MachineId
+  readonly agentEpoch: AgentEpoch
+  readonly sequence: SequenceNumber
+  readonly fencingToken: FencingToken
+  /** The sequence number of the heartbeat that it repeats. */
+  readonly since: SequenceNumber
+}
+
 /** What a report or answer says about a placement. */
 export type Outcome =
   | { readonly kind: "done"; readonly placement: Placement }
--- a/packages/workers/src/orders.ts
+++ b/packages/workers/src/orders.ts
@@ -1,23 +1,23 @@
 import type { Placement } from "@sorreltally/jobs"
 import {
+  type AgentEpoch,
   type Command,
   MAX_COMMANDS,
-  type Moment,
+  type MonotonicTime,
   type ReportedTask,
   type TaskId,
-  type Tenure,
 } from "@sorreltally/wire"
 
 /** What decides which commands a worker needs. */
 export interface CommandInputs {
-  readonly agentEpoch: Tenure
+  readonly agentEpoch: AgentEpoch
   /** What the worker last showed. */
   readonly tasks: ReadonlyMap<TaskId, ReportedTask>
   /** What should be there. */
   readonly placements: ReadonlyMap<TaskId, Placement>
   /** May this exited task be removed from the worker's reports? */
   readonly mayPurge: (task: ReportedTask) => boolean
-  readonly now: Moment
+  readonly now: MonotonicTime
 }
 
 /** The commands that bring what a worker last showed to what should be there. */
--- a/packages/workers/src/session.ts
+++ b/packages/workers/src/session.ts
@@ -1,26 +1,32 @@
 import type { Placement } from "@sorreltally/jobs"
 import {
   type Address,
+  type AgentEpoch,
   type Attempt,
+  addMs,
   type Command,
+  type FencingToken,
   type Heartbeat,
   type ImageName,
-  later,
   type MachineId,
   type MachineType,
-  type Moment,
+  type ModRevision,
+  type MonotonicTime,
   NEVER,
   type NodeName,
-  type RepeatedReport,
   type ReportedTask,
-  type Stamp,
+  type SequenceNumber,
   type TaskId,
-  type Tenure,
-  type Tick,
-  type Token,
 } from "@sorreltally/wire"
 import { ImageCache } from "./image-cache.ts"
-import type { FreeRoom, Introduction, LeaseTimes, MachineEntry, Outcome } from "./model.ts"
+import type {
+  FreeRoom,
+  LeaseTimes,
+  MachineEntry,
+  MachineHandoff,
+  Outcome,
+  RepeatedHeartbeat,
+} from "./model.ts"
 import { commandsFor } from "./orders.ts"
 import { StartTracker } from "./start-tracker.ts"
 
@@ -41,29 +47,29 @@
  */
 export class WorkerSession {
   address: Address | null = null
-  tenure: Tenure | null = null
-  private tick = -1 as Tick
-  private seenToken = 0 as Token
-  lastHeard: Moment = NEVER
-  private lastAnswered: Moment
-  warningUntil: Moment | null = null
+  tenure: AgentEpoch | null = null
+  private tick = -1 as SequenceNumber
+  private seenToken = 0 as FencingToken
+  lastHeard: MonotonicTime = NEVER
+  private lastAnswered: MonotonicTime
+  warningUntil: MonotonicTime | null = null
   /** When a report came, not the answer to a command. */
-  private reportedAt: Moment = NEVER
+  private reportedAt: MonotonicTime = NEVER
   /** When a body came that is surely no late copy. */
-  private provenAt: Moment = NEVER
+  private provenAt: MonotonicTime = NEVER
   /**
    * Since when the worker seems not to hear us: it gets no work until it has
    * shown a token that we raised after this.
    */
-  receivesNothingSince: Moment | null = null
+  receivesNothingSince: MonotonicTime | null = null
   pieces = new Map<TaskId, ReportedTask>()
   /** Counter of the body that listed them; null: nothing of this session did. */
-  private piecesAt: Tick | null = null
+  private piecesAt: SequenceNumber | null = null
   readonly placements = new Map<TaskId, Placement>()
   readonly free: FreeRoom
   private readonly cache: ImageCache
   /** Tenures below this one have surely ended. */
-  private liveTenure = 0 as Tenure
+  private liveTenure = 0 as AgentEpoch
   private readonly starts = new StartTracker()
   /** The token was raised since the worker seems to receive nothing. */
   private raisedSince = false
@@ -72,23 +78,23 @@
   ordersInFlight = false
   /** The node through which its last report came; null: it came to the owner itself. */
   via: NodeName | null = null
-  ordersBadUntil: Moment = NEVER
+  ordersBadUntil: MonotonicTime = NEVER
 
   constructor(
     readonly id: MachineId,
     private recorded: MachineEntry,
     readonly type: MachineType,
-    private readonly epoch: Stamp,
+    private readonly epoch: ModRevision,
     private readonly times: LeaseTimes,
     /** Rented under this epoch: nothing that it says can be older than that. */
     private readonly fresh: boolean,
-    now: Moment,
+    now: MonotonicTime,
   ) {
     // A former owner may have answered a report just before we took over.
     this.lastAnswered = now
-    const { cores, accelerators, mem_gb } = type
-    this.free = { cores, accelerators, mem_gb }
-    this.cache = new ImageCache(type.cache_gb)
+    const { cores, accelerators, memGb: mem_gb } = type
+    this.free = { cores, accelerators, memGb: mem_gb }
+    this.cache = new ImageCache(type.cacheGb)
   }
 
   get entry(): MachineEntry {
@@ -97,8 +103,8 @@
   update(entry: MachineEntry): void {
     this.recorded = entry
   }
-  get token(): Token {
-    return Math.max(this.epoch, this.recorded.token) as Token
+  get token(): FencingToken {
+    return Math.max(this.epoch, this.recorded.token) as FencingToken
   }
   /** The worker has shown that it heard of our token: older commands are dead. */
   get confirmed(): boolean {
@@ -111,7 +117,7 @@
   get up(): boolean {
     return this.tenure !== null
   }
-  silentMs(now: Moment): number {
+  silentMs(now: MonotonicTime): number {
     return now - this.lastHeard
   }
 
@@ -128,14 +134,18 @@
   private take({ job }: Placement, times: number): void {
     this.free.cores -= times * job.request.cores
     this.free.accelerators -= times * job.request.accelerators
-    this.free.mem_gb -= times * job.request.mem_gb
+    this.free.memGb -= times * job.request.memGb
   }
 
   /**
    * Takes in a report, or the body of an `/orders` or `/inspect` answer.
    * Returns null for one that is older than what we know.
    */
-  observe(body: Heartbeat, source: "heartbeat" | "direct", now: Moment): ReadonlyArray<Outcome> | null {
+  observe(
+    body: Heartbeat,
+    source: "heartbeat" | "direct",
+    now: MonotonicTime,
+  ): ReadonlyArray<Outcome> | null {
     if (body.agentEpoch < this.liveTenure) return null
     if (this.tenure !== null) {
       if (body.agentEpoch < this.tenure) return null
@@ -150,7 +160,7 @@
       if (
         this.tenure !== null &&
         source === "heartbeat" &&
-        this.lastAnswered > later(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
+        this.lastAnswered > addMs(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
       )
         this.receivesNothingSince ??= now
       // A session's lease runs from its beginning, before any report of it was
@@ -172,7 +182,7 @@
       this.raisedSince = false
     }
     this.warningUntil =
-      typeof body.preemptionNoticeS === "number" ? later(now, body.preemptionNoticeS * 1000) : null
+      typeof body.preemptionNoticeS === "number" ? addMs(now, body.preemptionNoticeS * 1000) : null
     this.starts.tokenShown(body.fencingToken)
     this.pieces = new Map(body.tasks.map((task) => [task.taskId, task]))
     this.piecesAt = body.sequence
@@ -207,7 +217,7 @@
           this.clear(placement, reported.exitReason ?? "exited", outcomes)
         }
       } else if (reported.phase === "running" && placement.runningSince === null) {
-        this.cache.use(placement.job.request.bundle, placement.job.request.image_gb)
+        this.cache.use(placement.job.request.image, placement.job.request.imageGb)
         outcomes.push({ kind: "running", placement })
       }
     }
@@ -215,9 +225,9 @@
   }
 
   /** The report in full, if the last word of this machine was the report that it repeats. */
-  repeated({ machineId, agentEpoch, sequence, fencingToken, since }: RepeatedReport): Heartbeat | null {
+  repeated({ machineId, agentEpoch, sequence, fencingToken, since }: RepeatedHeartbeat): Heartbeat | null {
     if (this.address === null || this.tenure !== agentEpoch || this.piecesAt !== since) return null
-    const { build, site, loaners } = this.recorded
+    const { machineType: build, zone: site, spot: loaners } = this.recorded
     return {
       machineId,
       address: this.address,
@@ -233,9 +243,9 @@
   }
 
   /** Where this session stands; a body below it is old, or from a worker that began anew. */
-  standing(): { readonly tenure: Tenure; readonly tick: Tick } {
+  standing(): { readonly tenure: AgentEpoch; readonly tick: SequenceNumber } {
     return this.tenure === null
-      ? { tenure: this.liveTenure, tick: -1 as Tick }
+      ? { tenure: this.liveTenure, tick: -1 as SequenceNumber }
       : { tenure: this.tenure, tick: this.tick }
   }
   /**
@@ -244,7 +254,11 @@
    * has to show a raised token before its former tasks count as gone, since
    * commands to its former self may still be under way.
    */
-  restarted(body: Heartbeat, since: { readonly tenure: Tenure; readonly tick: Tick }, now: Moment): boolean {
+  restarted(
+    body: Heartbeat,
+    since: { readonly tenure: AgentEpoch; readonly tick: SequenceNumber },
+    now: MonotonicTime,
+  ): boolean {
     const below =
       body.agentEpoch < since.tenure || (body.agentEpoch === since.tenure && body.sequence < since.tick)
     if (!below) return false
@@ -265,7 +279,12 @@
   }
 
   /** No start of this attempt can still take effect, as far as the last body tells. */
-  private settled(task: TaskId, attempt: Attempt, source: "heartbeat" | "direct", now: Moment): boolean {
+  private settled(
+    task: TaskId,
+    attempt: Attempt,
+    source: "heartbeat" | "direct",
+    now: MonotonicTime,
+  ): boolean {
     const { token, confirmed, tick } = this
     return this.starts.isSettled(task, attempt, {
       token,
@@ -310,8 +329,8 @@
    * The worker's lease has ended when a full lease time has passed since we
    * last received a report that we answered: it was sent before that.
    */
-  leaseOver(now: Moment): boolean {
-    return now > later(this.lastAnswered, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
+  leaseOver(now: MonotonicTime): boolean {
+    return now > addMs(this.lastAnswered, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
   }
   /**
    * After `leaseOver`: whatever still comes from the ended tenure is old. A worker that began anew
@@ -321,7 +340,7 @@
   endTenure(): ReadonlyArray<Outcome> {
     let last = this.tenure ?? 0
     for (const placement of this.placements.values()) last = Math.max(last, placement.tenure)
-    this.liveTenure = (last + 1) as Tenure
+    this.liveTenure = (last + 1) as AgentEpoch
     this.tenure = null
     this.pieces.clear()
     this.piecesAt = null
@@ -333,8 +352,8 @@
     return outcomes
   }
   /** Heard recently enough, and surely hearing us, to be given work. */
-  usable(now: Moment): boolean {
-    const recently = later(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
+  usable(now: MonotonicTime): boolean {
+    const recently = addMs(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
     // A worker that reaches no controller still answers commands, and loses all at its lease:
     // only its reports show that it can keep what it is given.
     const reports = this.reportedAt > recently
@@ -350,24 +369,30 @@
     return true
   }
   /** What the machine's next owner wants to know, to use it before its next report. */
-  introduction(now: Moment): Introduction | null {
+  introduction(now: MonotonicTime): MachineHandoff | null {
     if (this.tenure === null || this.address === null || this.receivesNothingSince !== null) return null
     const { address, tenure, tick } = this
-    return { address, tenure, tick, silentMs: this.silentMs(now), images: [...this.images] }
+    return {
+      address,
+      agentEpoch: tenure,
+      sequence: tick,
+      silentMs: this.silentMs(now),
+      images: [...this.images],
+    }
   }
-  introduced(by: Introduction, now: Moment): void {
+  introduced(by: MachineHandoff, now: MonotonicTime): void {
     if (this.tenure !== null) return
     this.address = by.address
-    this.tenure = by.tenure
-    this.tick = by.tick
-    this.lastHeard = later(now, -by.silentMs)
+    this.tenure = by.agentEpoch
+    this.tick = by.sequence
+    this.lastHeard = addMs(now, -by.silentMs)
     this.provenAt = this.lastHeard
     this.reportedAt = this.lastHeard
     for (const [image, gb] of by.images) this.cache.use(image, gb)
   }
 
   /** What the worker should be told now, given what it last said. */
-  commands(now: Moment, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
+  commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
     const { tenure, pieces, placements } = this
     if (tenure === null) return []
     this.unforgettable = 0
@@ -376,7 +401,7 @@
     return commandsFor({ agentEpoch: tenure, tasks: pieces, placements, mayPurge, now })
   }
   /** Forgetting too early would let a late start, or a copy of one, run the task once more. */
-  private mayPurge({ taskId, attempt }: ReportedTask, now: Moment): boolean {
+  private mayPurge({ taskId, attempt }: ReportedTask, now: MonotonicTime): boolean {
     if (!this.starts.mayPurge(taskId, attempt, this.token, this.confirmed, now)) {
       if (this.starts.wasSentUnder(taskId, attempt, this.token)) this.unforgettable++
       return false
@@ -389,18 +414,18 @@
    * went out by `/orders`, without an answer, under a token that the worker still
    * accepts. Null: no such start is under way.
    */
-  cancelledStartMayCome(): Moment | null {
-    let since: Moment | null = null
+  cancelledStartMayCome(): MonotonicTime | null {
+    let since: MonotonicTime | null = null
     for (const { job, stop, tenure, task, attempt } of this.placements.values()) {
       if (!job.withdrawn || stop === null || tenure !== this.tenure) continue
       if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.pieces.get(task)?.attempt !== attempt)
-        since = since === null ? stop.since : (Math.min(since, stop.since) as Moment)
+        since = since === null ? stop.since : (Math.min(since, stop.since) as MonotonicTime)
     }
     return since
   }
 
   /** The answer to a report is about to be sent. */
-  answering(commands: ReadonlyArray<Command>, now: Moment): void {
+  answering(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.lastAnswered = now
     this.starts.dropOldAnswers(now)
     for (const { kind, taskId, attempt } of commands) {
@@ -411,13 +436,13 @@
     }
   }
   /** Commands are about to be sent to the worker's own address. */
-  sending(commands: ReadonlyArray<Command>, now: Moment): void {
+  sending(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.ordersInFlight = true
     for (const { kind, taskId, attempt } of commands)
       if (kind === "start") this.starts.sending(taskId, attempt, this.token, now)
   }
   /** They were answered, or given up. */
-  sent(commands: ReadonlyArray<Command>, token: Token, answered: boolean): void {
+  sent(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
     this.ordersInFlight = false
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -1,4 +1,11 @@
-import { type Attempt, later, type Moment, type TaskId, type Tick, type Token } from "@sorreltally/wire"
+import {
+  type Attempt,
+  addMs,
+  type FencingToken,
+  type MonotonicTime,
+  type SequenceNumber,
+  type TaskId,
+} from "@sorreltally/wire"
 
 /** A worker drops an answer to a report this long after sending it. */
 const ANSWER_LIFE_MS = 4_000
@@ -8,20 +15,20 @@
 /** What a body proves about the starts that were sent before it. */
 export interface Evidence {
   /** The token of our commands, and whether the worker has shown it. */
-  readonly token: Token
+  readonly token: FencingToken
   readonly confirmed: boolean
   /** Counter of the worker's last body, and whether that is a report. */
-  readonly tick: Tick
+  readonly tick: SequenceNumber
   readonly isReport: boolean
-  readonly now: Moment
+  readonly now: MonotonicTime
 }
 interface AnsweredStart {
-  readonly tick: Tick
-  readonly at: Moment
+  readonly tick: SequenceNumber
+  readonly at: MonotonicTime
 }
 interface DirectStart {
-  readonly token: Token
-  readonly at: Moment
+  readonly token: FencingToken
+  readonly at: MonotonicTime
 }
 
 const keyOf = (task: TaskId, attempt: Attempt): string => `${task}#${attempt}`
@@ -37,7 +44,7 @@
    * Token under which a start by `/orders` got no answer. It may be executed
    * minutes later, until the worker has seen a higher token.
    */
-  private unansweredToken: Token | null = null
+  private unansweredToken: FencingToken | null = null
   /** Starts by `/orders` without an answer, of tasks that the worker hasn't shown since. */
   private readonly unanswered = new Set<string>()
   /** Starts that went with the answer to a report. */
@@ -56,7 +63,7 @@
     this.inAnswers.clear()
   }
   /** The worker has shown this token: commands with a lower one are refused. */
-  tokenShown(token: Token): void {
+  tokenShown(token: FencingToken): void {
     if (this.unansweredToken === null || token <= this.unansweredToken) return
     this.unansweredToken = null
     this.unanswered.clear()
@@ -67,20 +74,20 @@
       if (!isKnown(key.slice(0, key.indexOf("#")) as TaskId)) this.direct.delete(key)
   }
 
-  inAnswer(task: TaskId, attempt: Attempt, tick: Tick, now: Moment): void {
+  inAnswer(task: TaskId, attempt: Attempt, tick: SequenceNumber, now: MonotonicTime): void {
     this.inAnswers.set(keyOf(task, attempt), { tick, at: now })
   }
   /** Answers that the worker has taken or dropped by now. */
-  dropOldAnswers(now: Moment): void {
+  dropOldAnswers(now: MonotonicTime): void {
     for (const [key, { at }] of this.inAnswers)
-      if (now > later(at, 2 * ANSWER_LIFE_MS)) this.inAnswers.delete(key)
+      if (now > addMs(at, 2 * ANSWER_LIFE_MS)) this.inAnswers.delete(key)
   }
-  sending(task: TaskId, attempt: Attempt, token: Token, now: Moment): void {
+  sending(task: TaskId, attempt: Attempt, token: FencingToken, now: MonotonicTime): void {
     const key = keyOf(task, attempt)
     this.inFlight.set(key, (this.inFlight.get(key) ?? 0) + 1)
     this.direct.set(key, { token, at: now })
   }
-  sent(task: TaskId, attempt: Attempt, token: Token, answered: boolean): void {
+  sent(task: TaskId, attempt: Attempt, token: FencingToken, answered: boolean): void {
     const key = keyOf(task, attempt)
     const left = (this.inFlight.get(key) ?? 1) - 1
     if (left === 0) this.inFlight.delete(key)
@@ -92,7 +99,7 @@
   }
 
   /** A start under the current token got no answer: nothing is sure until a higher one is shown. */
-  hasUnanswered(token: Token): boolean {
+  hasUnanswered(token: FencingToken): boolean {
     return this.unansweredToken !== null && this.unansweredToken === token
   }
   /** The worker shows this attempt: its start was carried out. */
@@ -105,7 +112,7 @@
     return this.inFlight.has(key) || this.unanswered.has(key)
   }
   /** A direct start of this attempt may still be on its way. */
-  mayBeUnderWay(task: TaskId, attempt: Attempt, token: Token): boolean {
+  mayBeUnderWay(task: TaskId, attempt: Attempt, token: FencingToken): boolean {
     return this.unansweredToken === token || this.inFlight.has(keyOf(task, attempt))
   }
   /** No start of this attempt can still take effect, as far as the evidence goes. */
@@ -118,7 +125,7 @@
     if (answered === undefined) return true
     // A worker has one report under way at a time, so a later report was made
     // after our answer arrived or was dropped.
-    return (isReport && tick > answered.tick) || now > later(answered.at, 2 * ANSWER_LIFE_MS)
+    return (isReport && tick > answered.tick) || now > addMs(answered.at, 2 * ANSWER_LIFE_MS)
   }
   /**
    * May an exited task be forgotten? A copy of `/orders` that was carried out
@@ -127,13 +134,19 @@
    * are dead once the worker has seen our token, and starts in an answer to a
    * report never come late.
    */
-  mayPurge(task: TaskId, attempt: Attempt, token: Token, confirmed: boolean, now: Moment): boolean {
+  mayPurge(
+    task: TaskId,
+    attempt: Attempt,
+    token: FencingToken,
+    confirmed: boolean,
+    now: MonotonicTime,
+  ): boolean {
     const sent = this.direct.get(keyOf(task, attempt))
     if (sent === undefined) return confirmed
-    return (confirmed && token > sent.token) || now > later(sent.at, COPIES_COME_MS)
+    return (confirmed && token > sent.token) || now > addMs(sent.at, COPIES_COME_MS)
   }
   /** Its direct start carried this token: it can't be forgotten before a higher one is shown. */
-  wasSentUnder(task: TaskId, attempt: Attempt, token: Token): boolean {
+  wasSentUnder(task: TaskId, attempt: Attempt, token: FencingToken): boolean {
     return this.direct.get(keyOf(task, attempt))?.token === token
   }
 }
--- a/packages/workers/test/orders.test.ts
+++ b/packages/workers/test/orders.test.ts
@@ -2,15 +2,15 @@
 import { test } from "node:test"
 import type { Placement } from "@sorreltally/jobs"
 import {
+  type AgentEpoch,
   BODY_LIMIT,
   encodeCommandBatch,
+  type FencingToken,
   MAX_COMMANDS,
   MAX_TASKS_ON_MACHINE,
-  type Moment,
+  type MonotonicTime,
   type ReportedTask,
   type TaskId,
-  type Tenure,
-  type Token,
 } from "@sorreltally/wire"
 import { commandsFor } from "../src/orders.ts"
 
@@ -33,17 +33,21 @@
   } as ReportedTask
   const tasks = new Map([done, orphan].map((task) => [task.taskId, task]))
   const commands = commandsFor({
-    agentEpoch: 1 as Tenure,
+    agentEpoch: 1 as AgentEpoch,
     tasks,
     placements,
     mayPurge: () => true,
-    now: 0 as Moment,
+    now: 0 as MonotonicTime,
   })
   assert.equal(commands.length, MAX_COMMANDS)
   assert.equal(commands[0]?.kind, "stop")
   assert.ok(
     JSON.stringify(
-      encodeCommandBatch({ fencingToken: LARGEST_ATTEMPT as Token, agentEpoch: 1 as Tenure, commands }),
+      encodeCommandBatch({
+        fencingToken: LARGEST_ATTEMPT as FencingToken,
+        agentEpoch: 1 as AgentEpoch,
+        commands,
+      }),
     ).length < BODY_LIMIT,
   )
 })
--- a/packages/workers/test/session.test.ts
+++ b/packages/workers/test/session.test.ts
@@ -1,27 +1,39 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { JobState, type Placement } from "@sorreltally/jobs"
-import type { JobRecord } from "@sorreltally/state"
+import { type JobRecord, keys } from "@sorreltally/state"
 import type {
   Attempt,
+  FencingToken,
   Heartbeat,
   JobId,
   MachineId,
   MachineType,
-  Moment,
-  RepeatedReport,
-  Stamp,
+  ModRevision,
+  MonotonicTime,
   TaskId,
-  Token,
 } from "@sorreltally/wire"
-import { type Introduction, type MachineEntry, WorkerSession } from "../src/index.ts"
+import {
+  type MachineEntry,
+  type MachineHandoff,
+  type RepeatedHeartbeat,
+  WorkerSession,
+} from "../src/index.ts"
 
-const at = (seconds: number) => (seconds * 1000) as Moment
+const at = (seconds: number) => (seconds * 1000) as MonotonicTime
 const EPOCH = 7
-const entry = { id: "i-1", block: "s/block/deadline.1", token: 3, loaners: true } as unknown as MachineEntry
-const type = { name: "g8", cores: 8, accelerators: 0, mem_gb: 32, cache_gb: 10 } as unknown as MachineType
+const entry = { id: "i-1", block: "s/block/deadline.1", token: 3, spot: true } as unknown as MachineEntry
+const type = { name: "g8", cores: 8, accelerators: 0, memGb: 32, cacheGb: 10 } as unknown as MachineType
 const session = (fresh = true) =>
-  new WorkerSession("i-1" as MachineId, entry, type, EPOCH as Stamp, { leaseS: 27, reportS: 3 }, fresh, at(0))
+  new WorkerSession(
+    "i-1" as MachineId,
+    entry,
+    type,
+    EPOCH as ModRevision,
+    { leaseS: 27, reportS: 3 },
+    fresh,
+    at(0),
+  )
 const heartbeat = (sequence: number, more: Partial<Record<keyof Heartbeat, unknown>> = {}): Heartbeat =>
   ({
     machineId: "i-1",
@@ -39,18 +51,18 @@
 const place = (on: WorkerSession): Placement => {
   const request = {
     id: "run-000001",
-    pieces: 1,
+    taskCount: 1,
     cores: 1,
     accelerators: 0,
-    mem_gb: 1,
-    bundle: "img",
-    image_gb: 1,
+    memGb: 1,
+    image: "img",
+    imageGb: 1,
   }
   const job = new JobState(
     "run-000001" as JobId,
-    { request, submitted: 0 } as unknown as JobRecord,
-    "s/job/1.0",
-    1 as Stamp,
+    { spec: request, submittedAt: 0, cancelled: false } as unknown as JobRecord,
+    keys.jobPage(1, 0),
+    1 as ModRevision,
   )
   const placement = {
     job,
@@ -106,7 +118,7 @@
   s.sent(start, s.token, false)
   assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(9)), [])
   assert.equal(s.needsHigherToken(), true)
-  s.update({ ...entry, token: 20 as Token })
+  s.update({ ...entry, token: 20 as FencingToken })
   assert.deepEqual(s.observe(heartbeat(4), "heartbeat", at(10)), [])
   const outcomes = s.observe(heartbeat(5, { fencingToken: 20 }), "heartbeat", at(11))
   assert.deepEqual(
@@ -221,7 +233,7 @@
   s.observe(heartbeat(2, { agentEpoch: 2 }), "heartbeat", at(2))
   assert.equal(s.usable(at(2)), false)
   assert.equal(s.needsHigherToken(), true)
-  s.update({ ...entry, token: 20 as Token })
+  s.update({ ...entry, token: 20 as FencingToken })
   s.tokenRaised()
   s.observe(heartbeat(3, { agentEpoch: 2 }), "heartbeat", at(3))
   assert.equal(s.usable(at(3)), false)
@@ -248,7 +260,7 @@
   assert.equal(s.observe(heartbeat(1), "heartbeat", at(9)), null)
   assert.equal(s.restarted(heartbeat(2), before, at(9)), true)
   assert.equal(s.usable(at(9)), false)
-  s.update({ ...entry, token: 20 as Token })
+  s.update({ ...entry, token: 20 as FencingToken })
   s.tokenRaised()
   assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(10)), [])
   const outcomes = s.observe(heartbeat(4, { fencingToken: 20 }), "heartbeat", at(11))
@@ -269,7 +281,7 @@
     const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason }]
     s.observe(heartbeat(2, { tasks }), "heartbeat", at(60))
     assert.deepEqual(s.commands(at(60), durable), [])
-    s.update({ ...entry, token: 20 as Token })
+    s.update({ ...entry, token: 20 as FencingToken })
     s.observe(heartbeat(3, { tasks, fencingToken: 20 }), "heartbeat", at(61))
     assert.deepEqual(
       s.commands(at(61), durable).map((o) => o.kind),
@@ -301,7 +313,7 @@
   s.observe(heartbeat(2, { tasks }), "heartbeat", at(30))
   s.commands(at(30), durable)
   assert.equal(s.needsHigherToken(), true)
-  s.update({ ...entry, token: 20 as Token })
+  s.update({ ...entry, token: 20 as FencingToken })
   s.observe(heartbeat(3, { tasks }), "heartbeat", at(31))
   s.commands(at(31), durable)
   assert.equal(s.needsHigherToken(), false)
@@ -310,12 +322,18 @@
 // Guards against a machine that was handed over and taken to show no task, because none was listed yet.
 test("a repeated report is known by the body that it repeats, seen by this very session", () => {
   const repeat = (sequence: number, since: number) =>
-    ({ machineId: "i-1", agentEpoch: 1, sequence, fencingToken: EPOCH, since }) as unknown as RepeatedReport
-  const tasks = [{ piece: "run-000001/0", try: 9, status: "exited", cause: "done" }]
+    ({
+      machineId: "i-1",
+      agentEpoch: 1,
+      sequence,
+      fencingToken: EPOCH,
+      since,
+    }) as unknown as RepeatedHeartbeat
+  const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason: "done" }]
   const on = session()
   assert.equal(on.repeated(repeat(5, 4)), null)
   on.introduced(
-    { address: "10.1.0.1:9000", tenure: 1, tick: 4, silentMs: 0, images: [] } as unknown as Introduction,
+    { address: "10.1.0.1:9000", agentEpoch: 1, sequence: 4, silentMs: 0, images: [] } as unknown as MachineHandoff,
     at(1),
   )
   assert.equal(on.repeated(repeat(5, 4)), null)
