--- a/packages/controller/src/blocks.ts
+++ b/packages/controller/src/blocks.ts
@@ -2,6 +2,7 @@
 import {
   type BlockMachine,
   type Condition,
+  groupByShard,
   keys,
   type MachineBlock,
   type Operation,
@@ -178,7 +179,13 @@
           const rentedAfterS = Math.round((since - rentedAt) / 1000)
           machines.push({ machineId, shard: this.part, token: 0 as FencingToken, rentedAfterS })
         }
-        const block: MachineBlock = { machineType, zone, spot, rentedAt, machines }
+        const block: MachineBlock = {
+          machineType,
+          zone,
+          spot,
+          rentedAt,
+          machines: groupByShard(machines),
+        }
         const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
         mirror.hint({ key: path, value: block, modRevision: done.success.revision })
@@ -251,7 +258,7 @@
         when.push({ key: path, modRevision })
         const block = mirror.get(path)!.value
         if (machines.size === 0 && !this.book.isLatest(path)) apply.push(remove(path))
-        else apply.push(put(path, { ...block, machines: [...machines.values()] }))
+        else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
       }
       const done = yield* Effect.result(this.state.compareAndSwap(when, apply, "reserved"))
       if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
--- a/packages/state/src/records.ts
+++ b/packages/state/src/records.ts
@@ -91,8 +91,19 @@
   readonly spot: boolean
   /** Time of day of the first rental in milliseconds, by the renter's clock. */
   readonly rentedAt: number
+  /** Grouped by shard, as they are stored; see `groupByShard`. */
   readonly machines: ReadonlyArray<BlockMachine>
 }
+/** The machines in the order in which a block stores them. */
+export const groupByShard = (machines: Iterable<BlockMachine>): ReadonlyArray<BlockMachine> => {
+  const groups = new Map<ShardName, Array<BlockMachine>>()
+  for (const machine of machines) {
+    const group = groups.get(machine.shard)
+    if (group === undefined) groups.set(machine.shard, [machine])
+    else group.push(machine)
+  }
+  return [...groups.values()].flat()
+}
 
 /** An accepted job. */
 export interface JobRecord {
--- a/packages/workers/test/session.test.ts
+++ b/packages/workers/test/session.test.ts
@@ -333,7 +333,13 @@
   const on = session()
   assert.equal(on.repeated(repeat(5, 4)), null)
   on.introduced(
-    { address: "10.1.0.1:9000", agentEpoch: 1, sequence: 4, silentMs: 0, images: [] } as unknown as MachineHandoff,
+    {
+      address: "10.1.0.1:9000",
+      agentEpoch: 1,
+      sequence: 4,
+      silentMs: 0,
+      images: [],
+    } as unknown as MachineHandoff,
     at(1),
   )
   assert.equal(on.repeated(repeat(5, 4)), null)
