--- a/packages/planner/src/model.ts
+++ b/packages/planner/src/model.ts
@@ -7,7 +7,6 @@
   TeamName,
   ZoneName,
 } from "@sorreltally/wire"
-import type { Load } from "./order.ts"
 
 /** The images that a machine has; a set, or anything else that can tell. */
 export interface Images {
@@ -120,6 +119,12 @@
   return spare
 }
 
+/** What there is to do the work with: cores, and those of the running tasks by the second in which they end. */
+export interface Load {
+  readonly cores: number
+  readonly ending: ReadonlyArray<number>
+}
+
 export interface Snapshot {
   readonly reserve: Reserve
   /** Other parts lack machines, and can borrow empty ones. */
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -1,14 +1,8 @@
-import type { JobView } from "./model.ts"
+import type { JobView, Load } from "./model.ts"
 
 /** Part of a run that has to fit into the time left for a job to count as in time: estimates are often half off. */
 export const REACH = 0.5
 
-/** What there is to do the work with: cores, and those of the running tasks by the second in which they end. */
-export interface Load {
-  readonly cores: number
-  readonly ending: ReadonlyArray<number>
-}
-
 /** The first of several times, in order, that can still be met at this age; the last one where none can. */
 export const nextTarget = (targets: ReadonlyArray<number>, ageS: number, neededS: number): number | null => {
   for (const target of targets) if (target - ageS > neededS) return target
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,5 +1,6 @@
 export * from "./cancellation-budget.ts"
 export * from "./operators.ts"
 export * from "./platform.ts"
+export * from "./platform-file.ts"
 export * from "./sizes.ts"
 export * from "./teams.ts"
--- a/packages/settings/src/operators.ts
+++ b/packages/settings/src/operators.ts
@@ -1,6 +1,6 @@
 import { Result } from "effect"
 import { type Form, parse } from "sexpr-plus"
-import { BadSettings } from "./platform.ts"
+import { BadSettings } from "./platform-file.ts"
 
 /** One setting: its default (null: derived from the platform's settings), its range and its meaning. */
 interface SettingRule<Default extends number | null = number | null> {
--- /dev/null
+++ b/packages/testkit/src/deployment.ts
@@ -0,0 +1,42 @@
+import type { NodeName } from "@sorreltally/wire"
+import type { Cloud } from "./cloud.ts"
+import type { Net } from "./net.ts"
+import type { Rules } from "./rules.ts"
+import type { Sim } from "./sim.ts"
+import type { StateService } from "./state.ts"
+import type { Users } from "./users.ts"
+
+export interface Setup {
+  readonly seed: number
+  readonly nodes: number
+  readonly zones: ReadonlyArray<string>
+  readonly capacity: number
+  readonly neverBoots: number
+  readonly teamMax: number
+  /** Requests and changes a second that the state service takes. */
+  readonly stateRps: number
+  readonly stateWrites: number
+  /** That a controller may have open. */
+  readonly sockets: number
+  /** Share of a core that a controller has, as its settings say. */
+  readonly cores: number
+  /** The share of a core that its work really has; null: its work takes no time. */
+  readonly processorShare: number | null
+  /** How often workers report, after how long unanswered they end, and how soon cancelled tasks are gone. */
+  readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
+}
+
+/** What of a simulated deployment its troubles act on, and those who look at it from outside see. */
+export interface Deployment {
+  readonly setup: Setup
+  readonly sim: Sim
+  readonly net: Net
+  readonly rules: Rules
+  readonly state: StateService
+  readonly cloud: Cloud
+  readonly users: Users
+  readonly names: ReadonlyArray<NodeName>
+  readonly logged: ReadonlyArray<string>
+  zoneOf(host: string): string | null
+  crash(name: NodeName, backAfterMs: number): void
+}
--- a/packages/testkit/src/effects.ts
+++ b/packages/testkit/src/effects.ts
@@ -1,4 +1,6 @@
-import type { World } from "./world.ts"
+import type { Deployment } from "./deployment.ts"
+import type { MembershipTroubles } from "./membership-troubles.ts"
+import type { UserTroubles } from "./user-troubles.ts"
 
 /**
  * What a trouble does to the deployment for some time. Random days place a
@@ -37,9 +39,16 @@
 /** A worker that was last answered longer ago than this has missed a report or two. */
 const SILENT_MS = 5_000
 
+/** What the effects are seen by, beside the deployment itself. */
+interface ObservedDeployment extends Deployment {
+  readonly userTroubles: UserTroubles
+  readonly membershipTroubles: MembershipTroubles
+  readonly lastReturnAt: number
+}
+
 /** Looks at a simulated deployment from outside: which effects there are at this moment. */
 export class EffectObserver {
-  constructor(private readonly world: World) {}
+  constructor(private readonly world: ObservedDeployment) {}
 
   has(effect: TroubleEffect): boolean {
     return this.checks[effect]()
--- a/packages/testkit/src/limit-meetings.ts
+++ b/packages/testkit/src/limit-meetings.ts
@@ -1,4 +1,4 @@
-import type { World } from "./world.ts"
+import type { Deployment } from "./deployment.ts"
 
 /** A new leader acts within some tens of milliseconds: what was so at the change has to be seen before. */
 const LEADER_LOOK_MS = 20
@@ -25,7 +25,7 @@
   private incarnation: string | null = null
   private cancelledAtEnd: ReadonlySet<string> | null = null
 
-  constructor(private readonly world: World) {
+  constructor(private readonly world: Deployment) {
     this.every(LEADER_LOOK_MS, () => this.lookAtLeader())
     this.every(OVERLOAD_LOOK_MS, () => {
       if (world.net.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
--- a/packages/testkit/src/membership-troubles.ts
+++ b/packages/testkit/src/membership-troubles.ts
@@ -1,6 +1,6 @@
 import { DEADLINE, partOf } from "@sorreltally/membership"
 import type { JobId, NodeName, PartName } from "@sorreltally/wire"
-import type { World } from "./world.ts"
+import type { Deployment } from "./deployment.ts"
 
 /** A cancelled job still has this much of its estimate to go, so that only a stop ends its tasks. */
 const LONG_TO_GO_S = 20
@@ -40,7 +40,7 @@
   private readonly changedAt = new Map<PartName, number>()
   private readonly onRecord = new Map<PartName, PartOnRecord>()
 
-  constructor(private readonly world: World) {
+  constructor(private readonly world: Deployment) {
     world.state.listeners.push((path, value) => this.changed(path, value))
     world.users.on.push((event, job) => {
       if (event === "cancelled") this.cancelled(job)
--- a/packages/testkit/src/processor.ts
+++ b/packages/testkit/src/processor.ts
@@ -1,26 +1,12 @@
 /** What a controller's work takes of its processor, for simulated nodes that have a share of one. */
-import type { Request } from "./net.ts"
 
 /** Milliseconds on a whole core; rounded up from what `npm run measure` shows for young processes. */
 const START_MS = 330
-const REPORT_MS = 0.25
-const USER_REQUEST_MS = 0.5
-const HEALTH_CHECK_MS = 0.15
-export const ANSWER_MS = 0.4
-const PEER_MESSAGE_MS = 0.1
-const PEER_KILOBYTE_MS = 0.05
 export const TIMER_MS = 0.03
 /** A collection of garbage comes after so many events, and nothing else happens meanwhile. */
 const EVENTS_A_COLLECTION = 400
 const COLLECTION_MS = 10
 
-/** What of a controller's work an event is. */
-export const requestMs = ({ path }: Request): number => {
-  if (path === "/v1/report") return REPORT_MS
-  return path === "/ready" ? HEALTH_CHECK_MS : USER_REQUEST_MS
-}
-export const peerMessageMs = (bytes: number): number => PEER_MESSAGE_MS + (PEER_KILOBYTE_MS * bytes) / 1024
-
 /**
  * One process's processor: events are handled one after the other, each for as long as its work takes at
  * the process's share of a core. Null is a processor on which nothing takes time.
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -1,13 +1,14 @@
 import type { JobId, JobRequest } from "@sorreltally/wire"
 import { type Form, parse } from "sexpr-plus"
 import { type Action, type Args, node, number } from "./actions.ts"
+import type { Setup } from "./deployment.ts"
 import { type TroubleEffect, troubleEffects } from "./effects.ts"
 import { epochsOwnedTwice } from "./epoch-rule.ts"
 import { limitActions } from "./limit-actions.ts"
 import { membershipActions } from "./membership-actions.ts"
 import { troubleActions } from "./trouble-actions.ts"
 import { HARMLESS, happened, userActions, userExpectations } from "./user-actions.ts"
-import { type Sending, type Setup, usualSetup, World } from "./world.ts"
+import { type Sending, usualSetup, World } from "./world.ts"
 
 /** A piece of source without which the scenario must fail. */
 export interface Guard {
--- a/packages/testkit/src/troubles.ts
+++ b/packages/testkit/src/troubles.ts
@@ -1,7 +1,7 @@
 import type { NodeName, OrdersRequest, Report } from "@sorreltally/wire"
+import type { Deployment } from "./deployment.ts"
 import type { Machine } from "./machines.ts"
 import type { CutMode, Departure, Request } from "./net.ts"
-import type { World } from "./world.ts"
 
 const PARTS = "s/part/"
 const BLOCKS = "s/block/"
@@ -33,7 +33,7 @@
   private readonly keptReports: Array<Departure> = []
   private readonly takenOverAt = new Map<string, number>()
 
-  constructor(private readonly world: World) {
+  constructor(private readonly world: Deployment) {
     world.state.listeners.push((path, value) => {
       if (!path.startsWith(PARTS)) return
       const { owner } = (value ?? {}) as { readonly owner?: string | null }
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -14,11 +14,11 @@
 } from "@sorreltally/wire"
 import { Effect, Exit, Random } from "effect"
 import { Cloud } from "./cloud.ts"
+import type { Deployment, Setup } from "./deployment.ts"
 import { type DrawnPair, EffectObserver } from "./effects.ts"
 import { LimitMeetings } from "./limit-meetings.ts"
 import { MembershipTroubles } from "./membership-troubles.ts"
 import { type Answer, Net, type Request } from "./net.ts"
-import { ANSWER_MS, peerMessageMs, requestMs } from "./processor.ts"
 import { Rules } from "./rules.ts"
 import { type Process, Sim } from "./sim.ts"
 import { StateService } from "./state.ts"
@@ -26,26 +26,8 @@
 import { UserTroubles } from "./user-troubles.ts"
 import { Users } from "./users.ts"
 import { WaitingRule } from "./waiting-rule.ts"
+import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
 
-export interface Setup {
-  readonly seed: number
-  readonly nodes: number
-  readonly zones: ReadonlyArray<string>
-  readonly capacity: number
-  readonly neverBoots: number
-  readonly teamMax: number
-  /** Requests and changes a second that the state service takes. */
-  readonly stateRps: number
-  readonly stateWrites: number
-  /** That a controller may have open. */
-  readonly sockets: number
-  /** Share of a core that a controller has, as its settings say. */
-  readonly cores: number
-  /** The share of a core that its work really has; null: its work takes no time. */
-  readonly processorShare: number | null
-  /** How often workers report, after how long unanswered they end, and how soon cancelled tasks are gone. */
-  readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
-}
 export const usualSetup: Setup = {
   seed: 1,
   nodes: 3,
@@ -71,7 +53,7 @@
 export type Sending = "answer" | "command" | "transaction" | "take-over" | "touch"
 
 /** A whole deployment: controllers, their surroundings, users, and the rules. */
-export class World {
+export class World implements Deployment {
   readonly sim: Sim
   readonly net: Net
   readonly rules: Rules
