--- /dev/null
+++ b/scripts/check-imports.mjs
@@ -0,0 +1,128 @@
+// Checks the imports of packages/*/src, types included: no circle between
+// files, no package beyond those that its own line below names, no path that
+// leaves its package. Prints what is wrong and exits 1.
+import { readdirSync, readFileSync } from "node:fs"
+import { dirname, join, relative, resolve } from "node:path"
+
+const root = resolve(import.meta.dirname, "..")
+const scope = "@sorreltally/"
+
+/** What each package may import of the others; a package stands below all that it imports. */
+const mayImport = {
+  wire: [],
+  pacing: ["wire"],
+  planner: ["wire"],
+  settings: ["wire"],
+  peers: ["wire"],
+  state: ["wire", "pacing"],
+  cloud: ["wire", "pacing"],
+  jobs: ["wire", "state"],
+  membership: ["wire", "state"],
+  workers: ["wire", "jobs"],
+  api: ["wire", "planner", "settings", "state"],
+  controller: [
+    "wire",
+    "pacing",
+    "planner",
+    "settings",
+    "peers",
+    "state",
+    "cloud",
+    "jobs",
+    "membership",
+    "workers",
+  ],
+  daemon: ["wire", "settings", "peers", "state", "cloud", "api", "controller"],
+  testkit: [
+    "wire",
+    "pacing",
+    "planner",
+    "settings",
+    "peers",
+    "state",
+    "cloud",
+    "jobs",
+    "membership",
+    "workers",
+    "api",
+    "controller",
+    "daemon",
+  ],
+}
+
+/** Holds the version that the command line tells, and belongs to no package. */
+const workspaceFile = join(root, "package.json")
+
+const faults = []
+const inside = (file, folder) => !relative(folder, file).startsWith("..")
+const shown = (file) => relative(root, file)
+
+const checkTable = () => {
+  const below = new Set()
+  for (const [name, others] of Object.entries(mayImport)) {
+    for (const other of others)
+      if (!below.has(other))
+        faults.push(`the table lets ${name} import ${other}, which doesn't stand above it`)
+    below.add(name)
+  }
+}
+
+const sourcesOf = (name) =>
+  readdirSync(join(root, "packages", name, "src"), { recursive: true, withFileTypes: true })
+    .filter((entry) => entry.isFile() && entry.name.endsWith(".ts"))
+    .map((entry) => join(entry.parentPath, entry.name))
+    .sort()
+
+// `import … from "x"`, `export … from "x"`, `import "x"` and `import("x")`; comments left out.
+const importsOf = (file) => {
+  const text = readFileSync(file, "utf8").replace(/\/\*[\s\S]*?\*\/|^\s*\/\/.*$/gm, "")
+  const statements =
+    /^\s*(?:import|export)\b[^"'`;=()]*?\bfrom\s*["']([^"']+)["']|^\s*import\s*["']([^"']+)["']|\bimport\(\s*["']([^"']+)["']/gm
+  return [...text.matchAll(statements)].map((found) => found[1] ?? found[2] ?? found[3])
+}
+
+/** The files of its own package that a file imports; what it may not import is noted. */
+const checkFile = (name, file) => {
+  const files = []
+  for (const target of importsOf(file)) {
+    if (target.startsWith(".")) {
+      const imported = resolve(dirname(file), target)
+      if (inside(imported, join(root, "packages", name))) files.push(imported)
+      else if (imported !== workspaceFile)
+        faults.push(`${shown(file)} imports ${target}, which leaves its package`)
+    } else if (target.startsWith(scope)) {
+      const other = target.slice(scope.length).split("/")[0]
+      if (!mayImport[name]?.includes(other))
+        faults.push(`${shown(file)} imports ${target}, which ${name} may not`)
+    }
+  }
+  return files
+}
+
+/** Each circle that a walk in depth closes is told once. */
+const checkCircles = (imports) => {
+  const done = new Set()
+  const path = []
+  const visit = (file) => {
+    const at = path.indexOf(file)
+    if (at >= 0) faults.push(`circle: ${[...path.slice(at), file].map(shown).join(" -> ")}`)
+    if (at >= 0 || done.has(file)) return
+    path.push(file)
+    for (const next of imports.get(file) ?? []) visit(next)
+    path.pop()
+    done.add(file)
+  }
+  for (const file of imports.keys()) visit(file)
+}
+
+checkTable()
+const imports = new Map()
+for (const name of readdirSync(join(root, "packages")).sort()) {
+  if (mayImport[name] === undefined)
+    faults.push(`packages/${name} isn't in the table of scripts/check-imports.mjs`)
+  for (const file of sourcesOf(name)) imports.set(file, checkFile(name, file))
+}
+checkCircles(imports)
+for (const fault of faults) console.error(fault)
+if (faults.length > 0) process.exit(1)
+console.log(`${imports.size} files: no circle, no import that may not be`)
