--- a/packages/cloud/src/index.ts
+++ b/packages/cloud/src/index.ts
@@ -14,12 +14,12 @@
 import { Data, Effect, Result, Schema } from "effect"
 
 /** `unknown`: the request may have been, or may yet be, carried out. */
-export class CloudTrouble extends Data.TaggedError("CloudTrouble")<{
+class CloudTrouble extends Data.TaggedError("CloudTrouble")<{
   readonly outcome: "refused" | "unknown"
   readonly status: number
 }> {}
 
-export type HireOutcome =
+type HireOutcome =
   | { readonly kind: "rented"; readonly machines: ReadonlyArray<MachineId> }
   | { readonly kind: "no-capacity" }
   /** Not wanted any more when its turn came. */
--- a/packages/controller/src/blocks.ts
+++ b/packages/controller/src/blocks.ts
@@ -41,7 +41,7 @@
 /** Machines that are gone can wait for others of their block. */
 const REMOVE_EVERY_MS = 1_500
 
-export const blockSize = (valueKb: number): number =>
+const blockSize = (valueKb: number): number =>
   Math.max(1, Math.floor((valueKb * 1024 - BLOCK_BYTES) / MACHINE_BYTES))
 
 /**
--- a/packages/controller/src/book.ts
+++ b/packages/controller/src/book.ts
@@ -3,7 +3,7 @@
 import type { MachineId, PartName, TypeName, WallTime, ZoneName } from "@sorreltally/wire"
 import type { MachineEntry } from "@sorreltally/workers"
 
-export const BLOCKS = "s/block/"
+const BLOCKS = "s/block/"
 /** Blocks of adopted machines are counted apart from those of every part. */
 export const ADOPTED = "adopted"
 
--- a/packages/controller/src/part-wants.ts
+++ b/packages/controller/src/part-wants.ts
@@ -4,7 +4,7 @@
 
 /** What was told longer ago no longer counts: its owner may have gone. */
 const WANTS_LAST_MS = 3_500
-export const NO_WANTS: Wants = { needs: [], quotas: [], claims: [] }
+const NO_WANTS: Wants = { needs: [], quotas: [], claims: [] }
 
 export interface ToldWants {
   readonly part: PartName
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -13,7 +13,7 @@
  * page holds: few enough to read at a start, many enough that a page mostly
  * holds a job or two, and writes of different jobs hardly ever meet.
  */
-export const BUCKETS = 512
+const BUCKETS = 512
 /** Final states beyond this many bytes, or this share of a value, leave the mirrored page for the archive. */
 const ARCHIVE_BYTES = 1_024
 const ARCHIVE_SHARE = 0.25
--- a/packages/jobs/src/job.ts
+++ b/packages/jobs/src/job.ts
@@ -34,7 +34,7 @@
   /** How often the worker was told to start it, and nothing came of it. */
   unheard: number
 }
-export type StopReason = "withdrawn" | "preempted" | "drain"
+type StopReason = "withdrawn" | "preempted" | "drain"
 
 /** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
 export class JobState {
--- a/packages/membership/src/parts.ts
+++ b/packages/membership/src/parts.ts
@@ -2,7 +2,7 @@
 
 /** Its owner is the leader. */
 export const DEADLINE = "deadline" as PartName
-export const partAt = (index: number): PartName => `part-${index}` as PartName
+const partAt = (index: number): PartName => `part-${index}` as PartName
 
 export const allParts = (nodes: ReadonlyArray<NodeName>): ReadonlyArray<PartName> => [
   DEADLINE,
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -28,7 +28,7 @@
   readonly body: unknown
 }
 
-export type PeerHandler = (kind: string, body: unknown, from: NodeName) => void
+type PeerHandler = (kind: string, body: unknown, from: NodeName) => void
 
 export interface PeerChannel {
   readonly nodes: ReadonlyArray<NodeName>
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -8,7 +8,7 @@
 import { type JobView, type Snapshot, slotsIn, type TeamRoom } from "./model.ts"
 
 /** How many tasks of the job a team's room holds; memory isn't limited by team. */
-export const tasksWithin = ({ request }: JobView, room: TeamRoom): number =>
+const tasksWithin = ({ request }: JobView, room: TeamRoom): number =>
   slotsIn(request, { ...room, mem_gb: Number.POSITIVE_INFINITY })
 
 /** How many more tasks the job's team may start. */
--- a/packages/settings/src/operators.ts
+++ b/packages/settings/src/operators.ts
@@ -21,7 +21,7 @@
  * Every setting that operators have, by section. The README lists these; a
  * name that isn't here is an error.
  */
-export const settingRules = {
+const settingRules = {
   provisioning: {
     "window-s": setting(30, 1, 86_400, "rented machines are held to the end of a window of this length"),
     "deployment-s": setting(40, 0, 3_600, "time from a rental until tasks can run"),
--- a/packages/settings/src/platform.ts
+++ b/packages/settings/src/platform.ts
@@ -5,14 +5,13 @@
 const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
 const positive = Schema.Finite.check(Schema.isGreaterThan(0))
 
-export const Objective = Schema.Struct({
+const Objective = Schema.Struct({
   kind: Schema.String,
   class: Schema.optionalKey(Schema.NullOr(Schema.String)),
   within_s: Schema.optionalKey(Schema.NullOr(amount)),
   share: Schema.optionalKey(Schema.NullOr(amount)),
   times: Schema.optionalKey(Schema.NullOr(amount)),
 })
-export type Objective = typeof Objective.Type
 
 /** The file that the platform hands over. Fields not listed here are ignored. */
 export const PlatformFile = Schema.Struct({
--- a/packages/state/src/client.ts
+++ b/packages/state/src/client.ts
@@ -35,7 +35,7 @@
 export type TxnResult =
   | { readonly ok: true; readonly epoch: Stamp }
   | { readonly ok: false; readonly failed: ReadonlyArray<string> }
-export type News =
+type News =
   | { readonly kind: "news"; readonly epoch: Revision; readonly changes: ReadonlyArray<NewsItem> }
   | { readonly kind: "too-old" }
 export type NewsItem = {
--- a/packages/testkit/src/coverage.ts
+++ b/packages/testkit/src/coverage.ts
@@ -1,5 +1,5 @@
 import { type DrawnPair, troubleEffects } from "./effects.ts"
-import { firstTroubles, secondTroubles } from "./random-day.ts"
+import { troubleNames } from "./random-day.ts"
 
 interface Count {
   drawn: number
@@ -31,8 +31,8 @@
 
   /** Pairs of a first and a second trouble that never met. */
   neverMet(): ReadonlyArray<string> {
-    return firstTroubles
-      .flatMap((first) => secondTroubles.map((second) => `${first} ${second}`))
+    return troubleNames
+      .flatMap((first) => troubleNames.map((second) => `${first} ${second}`))
       .filter((pair) => (this.pairs.get(pair)?.met ?? 0) === 0)
   }
 
@@ -41,15 +41,15 @@
     const cell = ({ met, drawn }: Count = { met: 0, drawn: 0 }) => (drawn === 0 ? "" : `${met}/${drawn}`)
     const row = (cells: ReadonlyArray<string>) => `| ${cells.join(" | ")} |`
     const rule = (columns: number) => row(Array.from({ length: columns }, () => "---"))
-    const byEffect = secondTroubles.map((second) =>
+    const byEffect = troubleNames.map((second) =>
       row([second, ...troubleEffects.map((effect) => cell(this.secondsByEffect.get(`${effect} ${second}`)))]),
     )
-    const byFirst = firstTroubles.map((first) => {
-      const met = secondTroubles.filter((second) => (this.pairs.get(`${first} ${second}`)?.met ?? 0) > 0)
-      return row([first, cell(this.firsts.get(first)), `${met.length} of ${secondTroubles.length}`])
+    const byFirst = troubleNames.map((first) => {
+      const met = troubleNames.filter((second) => (this.pairs.get(`${first} ${second}`)?.met ?? 0) > 0)
+      return row([first, cell(this.firsts.get(first)), `${met.length} of ${troubleNames.length}`])
     })
     const never = this.neverMet()
-    const square = firstTroubles.length * secondTroubles.length
+    const square = troubleNames.length * troubleNames.length
     return [
       `${this.total.met} of ${this.total.drawn} drawn pairs really met; ${square - never.length} of ${square} pairs of a first and a second trouble met at least once.`,
       "",
--- a/packages/testkit/src/index.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-export * from "./scenario.ts"
-export * from "./world.ts"
--- a/packages/testkit/src/occurrences.ts
+++ b/packages/testkit/src/occurrences.ts
@@ -1,5 +1,5 @@
 /** What is counted about machines and their messages. */
-export const MACHINE_EVENTS = [
+const MACHINE_EVENTS = [
   "cancellations confirmed while a controller is isolated",
   "commands carried out on resuming",
   "commands of a deposed leader refused",
--- a/packages/testkit/src/random-day.ts
+++ b/packages/testkit/src/random-day.ts
@@ -38,9 +38,8 @@
 const UNTIL_S = 700
 /** Users who cancel many jobs at once: drawn like a trouble, though nothing fails. */
 const CANCELLATIONS = "cancellations"
-/** What can be the first trouble of a pair: each has an effect that lasts. */
-export const firstTroubles: ReadonlyArray<string> = [...troubleKinds.map(({ name }) => name), CANCELLATIONS]
-export const secondTroubles = firstTroubles
+/** What can be the first or the second trouble of a pair: each has an effect that lasts. */
+export const troubleNames: ReadonlyArray<string> = [...troubleKinds.map(({ name }) => name), CANCELLATIONS]
 
 const usualDay: DaySettings = {
   nodes: 3,
@@ -92,9 +91,9 @@
  * comes up once in as many pairs as there are, and all pairs in their square.
  */
 const pairAt = (index: number): { readonly first: string; readonly second: string } => {
-  const round = Math.floor(index / firstTroubles.length)
-  const first = index % firstTroubles.length
-  return { first: firstTroubles[first]!, second: secondTroubles[(first + round) % secondTroubles.length]! }
+  const round = Math.floor(index / troubleNames.length)
+  const first = index % troubleNames.length
+  return { first: troubleNames[first]!, second: troubleNames[(first + round) % troubleNames.length]! }
 }
 
 /** Draws the days one after the other: users, then pairs of troubles, and now and then one that stands alone. */
@@ -118,7 +117,7 @@
     const { effect, fromS, toS } = luck.pick(windows)
     const secondS = atS + luck.between(fromS, toS)
     add(second, secondS, { first, effect, second })
-    if (luck.chance(0.3)) add(luck.pick(secondTroubles), secondS + luck.between(0, 10), null)
+    if (luck.chance(0.3)) add(luck.pick(troubleNames), secondS + luck.between(0, 10), null)
     atS = secondS + luck.between(5, 25)
   }
   return { seed, settings, users, troubles }
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -11,7 +11,7 @@
 import { type Sending, usualSetup, World } from "./world.ts"
 
 /** A piece of source without which the scenario must fail. */
-export interface Guard {
+interface Guard {
   readonly file: string
   readonly from: string
   readonly to: string
@@ -21,7 +21,7 @@
   readonly guards: ReadonlyArray<Guard>
   readonly run: () => Result
 }
-export interface Result {
+interface Result {
   readonly failures: ReadonlyArray<string>
   readonly world: World
 }
--- a/packages/testkit/src/sim.ts
+++ b/packages/testkit/src/sim.ts
@@ -175,7 +175,7 @@
   readonly whenAwake: (run: () => void, workMs?: number) => void
   readonly freeze: (ms: number) => void
 }
-export type Provide = <A, E, R>(effect: Effect.Effect<A, E, R>) => Effect.Effect<A, E, R>
+type Provide = <A, E, R>(effect: Effect.Effect<A, E, R>) => Effect.Effect<A, E, R>
 
 /** Any time of day will do. */
 const EPOCH_MS = 1_700_000_000_000
--- a/packages/testkit/src/trouble-kinds.ts
+++ b/packages/testkit/src/trouble-kinds.ts
@@ -19,7 +19,7 @@
   readonly processorShare: number | null
 }
 /** When an effect of a trouble is to be expected, in seconds after the trouble began. */
-export interface EffectWindow {
+interface EffectWindow {
   readonly effect: TroubleEffect
   readonly fromS: number
   readonly toS: number
--- a/packages/testkit/test/faults.test.ts
+++ b/packages/testkit/test/faults.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { troubleEffects } from "../src/effects.ts"
-import { drawDay, firstTroubles, pairsOf, scenarioOf, secondTroubles } from "../src/random-day.ts"
+import { drawDay, pairsOf, scenarioOf, troubleNames } from "../src/random-day.ts"
 import { readScenario } from "../src/scenario.ts"
 
 /** Other seeds are for sweeps: `npm run sweep`. */
@@ -27,14 +27,14 @@
 test("the days have every trouble as a first one", () => {
   const days = Array.from({ length: DAYS }, (_, i) => drawDay(i + 1))
   const firsts = new Set(days.flatMap(pairsOf).map(({ first }) => first))
-  assert.deepEqual([...firsts].sort(), [...firstTroubles].sort())
+  assert.deepEqual([...firsts].sort(), [...troubleNames].sort())
 })
 
 test("every pair and every effect comes up once the whole square of pairs is drawn", () => {
-  const days = firstTroubles.length * secondTroubles.length
+  const days = troubleNames.length * troubleNames.length
   const pairs = Array.from({ length: days }, (_, i) => drawDay(i + 1)).flatMap(pairsOf)
   const square = new Set(pairs.map(({ first, second }) => `${first} ${second}`))
-  assert.equal(square.size, firstTroubles.length * secondTroubles.length)
+  assert.equal(square.size, troubleNames.length * troubleNames.length)
   assert.deepEqual(new Set(pairs.map(({ effect }) => effect)), new Set(troubleEffects))
 })
 
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -36,7 +36,7 @@
 export type JobRequest = typeof JobRequest.Type
 export const decodeJobRequest = Schema.decodeUnknownResult(JobRequest)
 
-export type JobStatus = "queued" | "running" | "done" | "withdrawn"
+type JobStatus = "queued" | "running" | "done" | "withdrawn"
 export interface JobView {
   readonly id: JobId
   readonly status: JobStatus
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -15,7 +15,7 @@
 /** The protocol's limit on a body, and on a line of an answer to workers or users. */
 export const BODY_LIMIT = 64 * 1024
 /** Generous sizes in JSON of a task in a report, and of a command. */
-export const TASK_BYTES = 110
+const TASK_BYTES = 110
 const ORDER_BYTES = 100
 /** Commands in one message; the rest go with the next one. */
 export const MOST_ORDERS = Math.floor(BODY_LIMIT / ORDER_BYTES) - 1
