--- a/packages/settings/test/cancellation-budget.test.ts
+++ b/packages/settings/test/cancellation-budget.test.ts
@@ -13,12 +13,12 @@
 const withTtl = (ttl: number) => ({ ...derived, "grant-ttl-ms": ttl })
 
 test("usual settings leave room for the usual grant", () => {
-  for (const [lease_s, cancel_s] of [
+  for (const [leaseS, cancelS] of [
     [27, 47],
     [30, 50],
     [20, 28],
   ] as const) {
-    const budget = cancellationBudget({ lease_s, cancel_s }, derived)
+    const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
     assert.equal(budget.grantTtlMs, 6_000)
     assert.equal(budget.grantMarginMs, 400)
     assert.equal(budget.watchFreshMs, 6_000)
@@ -36,13 +36,13 @@
 })
 
 test("wherever any workable grant serves, the derived one does, on the slowest clocks", () => {
-  for (let lease_s = 1; lease_s <= 120; lease_s += 0.5) {
-    for (let spare_s = 1.9; spare_s <= 30; spare_s += 0.1) {
-      const cancel_s = lease_s + spare_s
-      const budget = cancellationBudget({ lease_s, cancel_s }, derived)
+  for (let leaseS = 1; leaseS <= 120; leaseS += 0.5) {
+    for (let spareS = 1.9; spareS <= 30; spareS += 0.1) {
+      const cancelS = leaseS + spareS
+      const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
       const entitlementMs = Math.max(budget.watchFreshMs, budget.grantTtlMs - budget.grantMarginMs)
-      const goneByMs = (entitlementMs + lease_s * 1000) * (1 + CLOCK_DRIFT)
-      assert.ok(goneByMs < cancel_s * 1000, `${lease_s}/${cancel_s}: ${goneByMs} ms`)
+      const goneByMs = (entitlementMs + leaseS * 1000) * (1 + CLOCK_DRIFT)
+      assert.ok(goneByMs < cancelS * 1000, `${leaseS}/${cancelS}: ${goneByMs} ms`)
       assert.equal(budgetHolds(budget), true)
       // The grant can't end on the service's clock before the margin has passed on ours.
       assert.ok(budget.grantMarginMs > budget.grantTtlMs * CLOCK_DRIFT)
@@ -51,8 +51,8 @@
 })
 
 test("settings of the platform that no grant can serve get the shortest workable one", () => {
-  for (const cancel_s of [5, 27, 28]) {
-    const times = { lease_s: 27, cancel_s }
+  for (const cancelS of [5, 27, 28]) {
+    const times = { lease_s: 27, cancel_s: cancelS }
     const budget = cancellationBudget(times, derived)
     assert.equal(budget.grantTtlMs, 1_500)
     assert.equal(budget.watchFreshMs, 1_500)
--- a/packages/state/src/client.ts
+++ b/packages/state/src/client.ts
@@ -206,11 +206,11 @@
             if (reply.status !== 200) return Effect.fail(trouble(reply))
             const body = reply.body as { epoch: Revision; news: ReadonlyArray<Record<string, unknown>> }
             const changes = body.news.map((n): NewsItem => {
-              const gone = typeof n["delete"] === "string"
+              const gone = typeof n.delete === "string"
               return {
-                path: (gone ? n["delete"] : n["set"]) as string,
-                v: n["v"],
-                stamp: n["stamp"] as Stamp,
+                path: (gone ? n.delete : n.set) as string,
+                v: n.v,
+                stamp: n.stamp as Stamp,
                 gone,
               }
             })
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -88,7 +88,7 @@
       const seen = [...this.history].reverse().find((h) => h.at <= asOf)
       const after = url.searchParams.get("after") ?? ""
       const page = Number(url.searchParams.get("page") ?? 500)
-      const rest = (seen?.hosts ?? []).filter((m) => String(m["id"]) > after)
+      const rest = (seen?.hosts ?? []).filter((m) => String(m.id) > after)
       return { status: 200, body: { hosts: rest.slice(0, page), more: rest.length > page } }
     }
     return this.hire(
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -89,7 +89,7 @@
   stream: (world, args) => {
     const [count, overS] = [number(args, 0, 10), number(args, 1, 10)]
     for (let i = 0; i < count; i++)
-      world.sim.after((i * overS * 1000) / count, () => actions["submit"]!(world, args.slice(2)))
+      world.sim.after((i * overS * 1000) / count, () => actions.submit!(world, args.slice(2)))
   },
   resubmit: (world, args) => world.users.resubmit(job(world, args)),
   cancel: (world, args) => world.users.cancel(job(world, args)),
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -287,21 +287,21 @@
 const machineType = (
   name: string,
   cores: number,
-  mem_gb: number,
+  memGb: number,
   hourly: number,
-  spot_price: number,
-  startup_s: number,
+  spotPrice: number,
+  startupS: number,
   sites: ReadonlyArray<string>,
 ): MachineType =>
   ({
     name,
     cores,
     accelerators: 0,
-    mem_gb,
+    mem_gb: memGb,
     cache_gb: 50,
     pull_gb_per_s: 1,
     hourly,
-    spot_price,
-    startup_s,
+    spot_price: spotPrice,
+    startup_s: startupS,
     sites,
   }) as unknown as MachineType
--- a/packages/wire/src/relay.ts
+++ b/packages/wire/src/relay.ts
@@ -86,7 +86,7 @@
   tenure,
   tick,
   baton,
-  warning_s,
+  warningS,
   tasks,
 ]: PackedReport): Report => ({
   host,
@@ -97,7 +97,7 @@
   tenure,
   tick,
   baton,
-  warning_s,
+  warning_s: warningS,
   pieces: tasks.map(([piece, attempt, status, cause, stored]) => ({
     piece,
     try: attempt,
