--- a/packages/controller/src/book.ts
+++ b/packages/controller/src/book.ts
@@ -1,9 +1,8 @@
 import type { Mirror } from "@sorreltally/membership"
-import { type Entry, keys, type MachineBlock, type StoreKey } from "@sorreltally/state"
+import { type Entry, keys, MACHINE_BLOCKS, type MachineBlock, type StoreKey } from "@sorreltally/state"
 import type { MachineId, MachineTypeName, ShardName, WallTime, ZoneName } from "@sorreltally/wire"
 import type { MachineEntry } from "@sorreltally/workers"
 
-export const BLOCKS = "s/block/"
 /** Blocks of adopted machines are counted apart from those of every part. */
 export const ADOPTED = "adopted"
 
@@ -29,7 +28,7 @@
 
 const originOf = (path: string): { readonly origin: string; readonly n: number } => {
   const dot = path.lastIndexOf(".")
-  return { origin: path.slice(BLOCKS.length, dot), n: Number(path.slice(dot + 1)) }
+  return { origin: path.slice(MACHINE_BLOCKS.length, dot), n: Number(path.slice(dot + 1)) }
 }
 
 /** Every machine on record, machine by machine: the blocks as this node's mirror has them. */
@@ -43,7 +42,7 @@
   readonly gone = new Set<MachineId>()
 
   constructor(mirror: Mirror) {
-    mirror.listen(BLOCKS, (path, entry) => this.changed(path, entry))
+    mirror.listen(MACHINE_BLOCKS, (path, entry) => this.changed(path, entry))
   }
 
   get(id: MachineId): MachineEntry | undefined {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -392,8 +392,8 @@
         this.peers.send({ kind: "jobChanged", page: entry }, owner)
     })
   }
-  private partOfJob({ id, deadlineS: due_s }: JobSpec): ShardName {
-    return partOf(id, due_s != null, this.nodes.length)
+  private partOfJob({ id, deadlineS: dueS }: JobSpec): ShardName {
+    return partOf(id, dueS != null, this.nodes.length)
   }
   /** Tasks done and running, for display. */
   counts(id: JobId): { readonly done: number; readonly running: number } {
--- a/packages/controller/src/engine.ts
+++ b/packages/controller/src/engine.ts
@@ -298,11 +298,11 @@
       if (session.warningUntil === null) continue
       const leftS = (session.warningUntil - now) / 1000
       for (const placement of session.placements.values()) {
-        const { checkpointIntervalS: snapshot_s, checkpointSaveS: flush_s } = placement.job.request
-        if (placement.stop !== null || snapshot_s === 0) continue
+        const { checkpointIntervalS: snapshotS, checkpointSaveS: flushS } = placement.job.request
+        if (placement.stop !== null || snapshotS === 0) continue
         // Reports, and the stop itself, need a moment too.
-        if (leftS >= flush_s + 3) continue
-        placement.job.stop(placement, { why: "drain", leewayS: Math.max(flush_s, leftS), since: now })
+        if (leftS >= flushS + 3) continue
+        placement.job.stop(placement, { why: "drain", leewayS: Math.max(flushS, leftS), since: now })
         this.workers.tell(session.id)
       }
     }
--- a/packages/controller/src/machine-needs.ts
+++ b/packages/controller/src/machine-needs.ts
@@ -63,13 +63,6 @@
 }
 
 const machinesOf = ({ request }: JobView): string => {
-  const {
-    cores,
-    accelerators,
-    memGb: mem_gb,
-    machineTypes: builds,
-    zone: site,
-    spotAllowed: loaners,
-  } = request
-  return JSON.stringify([cores, accelerators, mem_gb, builds ?? null, site ?? null, loaners])
+  const { cores, accelerators, memGb, machineTypes: builds, zone: site, spotAllowed: loaners } = request
+  return JSON.stringify([cores, accelerators, memGb, builds ?? null, site ?? null, loaners])
 }
--- a/packages/controller/src/part-wants.ts
+++ b/packages/controller/src/part-wants.ts
@@ -4,7 +4,7 @@
 
 /** What was told longer ago no longer counts: its owner may have gone. */
 const DEMAND_VALID_MS = 3_500
-export const NO_DEMAND: ShardDemand = { machines: [], quotas: [], claims: [] }
+const NO_DEMAND: ShardDemand = { machines: [], quotas: [], claims: [] }
 
 /** What a change of a part's wants is news of. */
 export type DemandChange = "none" | "claims" | "needs"
--- a/packages/membership/src/part-ownership.ts
+++ b/packages/membership/src/part-ownership.ts
@@ -1,4 +1,4 @@
-import { keys, put, type ShardRecord, type StoreClient } from "@sorreltally/state"
+import { keys, put, SHARDS, type ShardRecord, type StoreClient } from "@sorreltally/state"
 import {
   addMs,
   type Incarnation,
@@ -60,8 +60,8 @@
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {
-    this.mirror.listen("s/part/", (path, entry) => {
-      const part = path.slice("s/part/".length) as ShardName
+    this.mirror.listen(SHARDS, (path, entry) => {
+      const part = path.slice(SHARDS.length) as ShardName
       const epoch = this.owned.get(part)
       if (epoch !== undefined && entry !== null && entry.modRevision > epoch) this.drop(part, "taken over")
     })
--- a/packages/membership/src/parts.ts
+++ b/packages/membership/src/parts.ts
@@ -2,7 +2,7 @@
 
 /** Its owner is the leader. */
 export const DEADLINE = "deadline" as ShardName
-export const partAt = (index: number): ShardName => `part-${index}` as ShardName
+const partAt = (index: number): ShardName => `part-${index}` as ShardName
 
 export const allParts = (nodes: ReadonlyArray<NodeName>): ReadonlyArray<ShardName> => [
   DEADLINE,
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -1,6 +1,7 @@
 import type { JobId, WireJob } from "@sorreltally/wire"
 import { type Form, parse } from "sexpr-plus"
 import { type Action, type Args, node, number } from "./actions.ts"
+import type { Setup } from "./deployment.ts"
 import { type TroubleEffect, troubleEffects } from "./effects.ts"
 import { epochsOwnedTwice } from "./epoch-rule.ts"
 import { limitActions } from "./limit-actions.ts"
@@ -8,10 +9,10 @@
 import type { TraceDigest } from "./trace-digest.ts"
 import { troubleActions } from "./trouble-actions.ts"
 import { HARMLESS, happened, userActions, userExpectations } from "./user-actions.ts"
-import { type Sending, type Setup, usualSetup, World } from "./world.ts"
+import { type Sending, usualSetup, World } from "./world.ts"
 
 /** A piece of source without which the scenario must fail. */
-export interface Guard {
+interface Guard {
   readonly file: string
   readonly from: string
   readonly to: string
@@ -22,7 +23,7 @@
   /** Messages of all seeds go into the one `trace`. */
   readonly run: (trace?: TraceDigest) => Result
 }
-export interface Result {
+interface Result {
   readonly failures: ReadonlyArray<string>
   readonly world: World
 }
@@ -90,7 +91,7 @@
   stream: (world, args) => {
     const [count, overS] = [number(args, 0, 10), number(args, 1, 10)]
     for (let i = 0; i < count; i++)
-      world.sim.after((i * overS * 1000) / count, () => actions["submit"]!(world, args.slice(2)))
+      world.sim.after((i * overS * 1000) / count, () => actions.submit!(world, args.slice(2)))
   },
   resubmit: (world, args) => world.users.resubmit(job(world, args)),
   cancel: (world, args) => world.users.cancel(job(world, args)),
--- a/packages/testkit/src/state.ts
+++ b/packages/testkit/src/state.ts
@@ -122,8 +122,7 @@
     }
     const url = new URL(request.path, "http://state")
     const body = request.body as Record<string, unknown>
-    const changes =
-      url.pathname === "/multi" ? ((body["apply"] as Array<Change> | undefined)?.length ?? 0) : 0
+    const changes = url.pathname === "/multi" ? ((body.apply as Array<Change> | undefined)?.length ?? 0) : 0
     this.count.requests++
     this.count.changes += changes
     if (!this.requests.take(1, this.sim.now) || !this.changes.take(changes, this.sim.now)) {
@@ -155,7 +154,7 @@
     }
     if (url.pathname === "/watch") return this.watch(url, from, answer)
     if (url.pathname === "/grants") {
-      const ttl = body["ttl_ms"] as number
+      const ttl = body.ttl_ms as number
       this.grants.set(++this.permits, { ttl, until: this.sim.now + ttl })
       return answer({ status: 200, body: { permit: this.permits } })
     }
@@ -182,8 +181,8 @@
     return this.down ? null : this.multi(body).status === 200
   }
   private multi(body: Record<string, unknown>): { status: number; body: unknown } {
-    const when = (body["when"] ?? []) as Array<Condition>
-    const apply = (body["apply"] ?? []) as Array<Change>
+    const when = (body.when ?? []) as Array<Condition>
+    const apply = (body.apply ?? []) as Array<Change>
     const tooBig = apply.some((c) => JSON.stringify(c.v ?? null).length > this.limits.value_kb * 1024)
     const size = JSON.stringify(body).length
     if (
--- a/packages/wire/src/report.ts
+++ b/packages/wire/src/report.ts
@@ -32,17 +32,17 @@
 
 /** The wire field that is missing or wrong; null: the heartbeat is well formed. */
 const invalidField = (wire: Record<string, unknown>): string | null => {
-  if (!isName(wire["host"])) return "host"
-  if (!isName(wire["address"])) return "address"
-  if (!isName(wire["build"])) return "build"
-  if (!isName(wire["site"])) return "site"
-  if (typeof wire["loaners"] !== "boolean") return "loaners"
-  if (!isCount(wire["tenure"])) return "tenure"
-  if (!isCount(wire["tick"])) return "tick"
-  if (!isCount(wire["baton"])) return "baton"
-  if (wire["warning_s"] != null && !Number.isFinite(wire["warning_s"])) return "warning_s"
-  if (!Array.isArray(wire["pieces"])) return "pieces"
-  for (const task of wire["pieces"] as ReadonlyArray<unknown>) {
+  if (!isName(wire.host)) return "host"
+  if (!isName(wire.address)) return "address"
+  if (!isName(wire.build)) return "build"
+  if (!isName(wire.site)) return "site"
+  if (typeof wire.loaners !== "boolean") return "loaners"
+  if (!isCount(wire.tenure)) return "tenure"
+  if (!isCount(wire.tick)) return "tick"
+  if (!isCount(wire.baton)) return "baton"
+  if (wire.warning_s != null && !Number.isFinite(wire.warning_s)) return "warning_s"
+  if (!Array.isArray(wire.pieces)) return "pieces"
+  for (const task of wire.pieces as ReadonlyArray<unknown>) {
     const field = invalidTaskField(task)
     if (field !== null) return field
   }
--- a/packages/wire/src/workers.ts
+++ b/packages/wire/src/workers.ts
@@ -18,7 +18,7 @@
 /** The protocol's limit on a body, and on a line of an answer to workers or users. */
 export const BODY_LIMIT = 64 * 1024
 /** Generous sizes in JSON of a task in a heartbeat, and of a command. */
-export const TASK_BYTES = 110
+const TASK_BYTES = 110
 const COMMAND_BYTES = 100
 /** Commands in one message; the rest go with the next one. */
 export const MAX_COMMANDS = Math.floor(BODY_LIMIT / COMMAND_BYTES) - 1
@@ -155,7 +155,7 @@
 export const exitReasonToWire = (reason: ExitReason): string => causeByReason.get(reason) ?? reason
 
 /** One command in the form that workers take. */
-export const encodeCommand = (command: Command): WireCommand => {
+const encodeCommand = (command: Command): WireCommand => {
   const { taskId: piece, attempt } = command
   switch (command.kind) {
     case "start":
--- a/packages/workers/src/session.ts
+++ b/packages/workers/src/session.ts
@@ -92,8 +92,8 @@
   ) {
     // A former owner may have answered a report just before we took over.
     this.lastAnswered = now
-    const { cores, accelerators, memGb: mem_gb } = type
-    this.free = { cores, accelerators, memGb: mem_gb }
+    const { cores, accelerators, memGb } = type
+    this.free = { cores, accelerators, memGb: memGb }
     this.cache = new ImageCache(type.cacheGb)
   }
 
