--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from "@sorreltally/wire"
-import { Machine, type WorkerTimes } from "./machines.ts"
+import { Machine, type MachineDump, type WorkerTimes } from "./machines.ts"
 import type { Net, Request } from "./net.ts"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
@@ -17,6 +17,15 @@
   bootWithinMs: number | null
 }
 
+/** The stand-in's machines and what they saved. */
+export interface CloudDump {
+  /** Machines ever rented: the next id follows from it. */
+  readonly rented: number
+  /** Progress that tasks saved, in seconds. */
+  readonly checkpoints: ReadonlyArray<readonly [task: string, progressS: number]>
+  readonly machines: ReadonlyArray<MachineDump>
+}
+
 /** A stand-in of the cloud: rents, boots, lists with a lag, takes back. */
 export class Cloud {
   readonly machines = new Map<string, Machine>()
@@ -55,6 +64,25 @@
     record()
   }
 
+  /** Its machines with their workers, and the checkpoints, as plain data. */
+  dump(): CloudDump {
+    const machines = [...this.machines.values()].map((machine) => machine.dump())
+    return { rented: this.count, checkpoints: [...this.saved], machines }
+  }
+  /** Has the machines of a dump, and has listed them for a while. Those that were booting begin to anew. */
+  restore(dump: CloudDump): void {
+    for (const [task, progressS] of dump.checkpoints) this.saved.set(task, progressS)
+    for (const machine of dump.machines) {
+      const type = this.settings.types.find(({ name }) => name === machine.type)!
+      const { id, zone, spot, status } = machine
+      if (status === "booting") this.bootLater(this.place(id, type, zone, spot))
+      else this.place(id, type, zone, spot).status = status
+      this.machines.get(id)!.restore(machine)
+    }
+    this.count = dump.rented
+    this.history = [{ at: Number.NEGATIVE_INFINITY, hosts: this.listNow() }]
+  }
+
   outage(on: boolean): void {
     this.down = on
     if (!on) this.lastBackAt = this.sim.now
@@ -116,7 +144,12 @@
 
   rent(type: MachineType, zone: string, spot: boolean): Machine {
     const id = `i-${String(++this.count).padStart(6, "0")}`
-    const { nodes, times, neverBoots } = this.settings
+    const machine = this.place(id, type, zone, spot)
+    this.bootLater(machine)
+    return machine
+  }
+  private place(id: string, type: MachineType, zone: string, spot: boolean): Machine {
+    const { nodes, times } = this.settings
     const machine = new Machine(
       id,
       type,
@@ -130,14 +163,15 @@
       this.saved,
     )
     this.machines.set(id, machine)
-    if (!this.sim.luck.chance(neverBoots)) {
-      const usualMs = type.startup_s * 1000 * this.sim.luck.between(0.6, 1.5)
-      const { bootWithinMs } = this.settings
-      const bootMs = bootWithinMs === null ? usualMs : this.sim.luck.between(0, bootWithinMs)
-      this.sim.after(bootMs, () => machine.boot())
-    }
     return machine
   }
+  private bootLater(machine: Machine): void {
+    const { neverBoots, bootWithinMs } = this.settings
+    if (this.sim.luck.chance(neverBoots)) return
+    const usualMs = machine.type.startup_s * 1000 * this.sim.luck.between(0.6, 1.5)
+    const bootMs = bootWithinMs === null ? usualMs : this.sim.luck.between(0, bootWithinMs)
+    this.sim.after(bootMs, () => machine.boot())
+  }
   take(id: string): void {
     this.machines.get(id)?.remove()
     this.machines.delete(id)
--- a/packages/testkit/src/machines.ts
+++ b/packages/testkit/src/machines.ts
@@ -3,6 +3,24 @@
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
 
+/** A task on a machine, as plain data. */
+export interface TaskDump extends Omit<Task, "callOff"> {}
+/** A machine and its worker, as plain data. Times are in milliseconds. */
+export interface MachineDump {
+  readonly id: string
+  readonly type: string
+  readonly zone: string
+  readonly spot: boolean
+  readonly status: Machine["status"]
+  readonly rented: number
+  readonly tenure: number
+  readonly tick: number
+  readonly baton: number
+  readonly lastAnswered: number
+  readonly images: ReadonlyArray<string>
+  readonly tasks: ReadonlyArray<TaskDump>
+}
+
 interface Task {
   readonly job: string
   readonly index: number
@@ -53,7 +71,7 @@
   faulty = false
   /** Task run times are the estimates times this. */
   speed = 1
-  readonly rented: number
+  rented: number
 
   constructor(
     readonly id: string,
@@ -110,6 +128,46 @@
     this.checkLease(this.life)
   }
 
+  dump(): MachineDump {
+    const { id, type, zone, spot, status, rented, tenure, tick, baton, lastAnswered } = this
+    const tasks = [...this.tasks.values()].map(({ callOff: _, ...task }) => task)
+    const images = [...this.images]
+    const facts = { id, zone, spot, status, rented, tenure, tick, baton, lastAnswered }
+    return { ...facts, type: type.name, images, tasks }
+  }
+  /** Goes on where the machine of the dump stood; what it was saving, it begins to save anew. */
+  restore(dump: MachineDump): void {
+    this.rented = dump.rented
+    if (dump.status !== "running") return
+    this.tenure = dump.tenure
+    this.tick = dump.tick
+    this.baton = dump.baton
+    for (const image of dump.images) this.images.add(image)
+    this.boot()
+    this.lastAnswered = dump.lastAnswered
+    for (const task of dump.tasks) this.restoreTask({ ...task, callOff: () => {} })
+  }
+  private restoreTask(task: Task): void {
+    this.tasks.set(`${task.job}/${task.index}`, task)
+    if (task.status === "exited") return
+    const { status, since } = task
+    const request = this.rules.submitted.get(task.job)!
+    const ranS = (this.sim.now - since) / 1000
+    if (status === "pulling") {
+      const leftMs = Math.max(0, (request.image_gb / this.type.pull_gb_per_s - ranS) * 1000)
+      task.callOff = this.sim.after(leftMs, () => this.whenAwake(() => this.begin(task, request)))
+      return
+    }
+    task.status = "pulling"
+    this.begin(task, request)
+    task.since = since
+    task.callOff()
+    const piece = `${task.job}/${task.index}`
+    const leftS = Math.max(0, request.expected_s - (this.saved.get(piece) ?? 0) - ranS)
+    task.callOff = this.sim.after(leftS * 1000, () => this.whenAwake(() => this.complete(task)))
+    if (status === "flushing") this.stop(task, request.flush_s)
+  }
+
   hang(on: boolean): void {
     this.hung = on
     if (on) return
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -18,7 +18,8 @@
 export interface Scenario {
   readonly name: string
   readonly guards: ReadonlyArray<Guard>
-  readonly run: () => Result
+  /** `prepare` is handed each world before its time begins. */
+  readonly run: (prepare?: (world: World) => void) => Result
 }
 export interface Result {
   readonly failures: ReadonlyArray<string>
@@ -290,8 +291,10 @@
   return {
     name: title?.type === "string" ? title.content : "unnamed",
     guards,
-    run: () => {
-      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) => runOnce(seed + seedShift))
+    run: (prepare = () => {}) => {
+      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) =>
+        runOnce(seed + seedShift, prepare),
+      )
       const failures = runs.flatMap((run) => run.failures)
       const worlds = runs.map(({ world }) => world)
       for (const meeting of meetings) {
@@ -303,9 +306,10 @@
   }
 
   /** Everything but the meetings has to hold on each seed. */
-  function runOnce(seed: number): Result {
+  function runOnce(seed: number, prepare: (world: World) => void): Result {
     jobCount = 0
     const world = new World({ ...setup, seed })
+    prepare(world)
     for (const { atS, action, args, lastsS } of events)
       world.sim.after(atS * 1000, () => {
         world.rules.trouble(lastsS * 1000)
--- a/packages/testkit/src/sim.ts
+++ b/packages/testkit/src/sim.ts
@@ -44,8 +44,10 @@
   readonly luck: Luck
   readonly occurrences = new Occurrences()
 
-  constructor(seed: number) {
+  /** `beginsAtMs`: the time on the simulation's clock when it begins. */
+  constructor(seed: number, beginsAtMs = 0) {
     this.luck = new Luck(seed)
+    this.now = beginsAtMs
   }
 
   soon(run: () => void): void {
--- a/packages/testkit/src/state.ts
+++ b/packages/testkit/src/state.ts
@@ -24,6 +24,16 @@
   readonly delete?: string
 }
 
+/** The state service's whole store. */
+export interface StateDump {
+  readonly epoch: number
+  /** Number of the last grant made. */
+  readonly permits: number
+  /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
+  readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
+  readonly entries: ReadonlyArray<{ readonly path: string } & Readonly<Pick<Held, "v" | "stamp" | "permit">>>
+}
+
 const KEPT_NEWS = 10_000
 
 /** A stand-in of the state service: its published protocol, kept in memory. */
@@ -111,6 +121,21 @@
     for (const grant of this.grants.values()) grant.until = this.sim.now + grant.ttl
   }
 
+  /** Everything that it holds, as plain data. */
+  dump(): StateDump {
+    const { epoch, permits } = this
+    const grants = [...this.grants].map(([permit, { ttl, until }]) => ({ permit, ttl, until }))
+    const entries = [...this.keys].map(([path, held]) => ({ path, ...held }))
+    return { epoch, permits, grants, entries }
+  }
+  /** Holds what a dump says, as though it had been there from the beginning. */
+  restore({ epoch, permits, grants, entries }: StateDump): void {
+    this.epoch = epoch
+    this.permits = permits
+    for (const { permit, ttl, until } of grants) this.grants.set(permit, { ttl, until })
+    for (const { path, v, stamp, permit } of entries) this.keys.set(path, { v, stamp, permit })
+  }
+
   private serve(
     request: Request,
     from: string,
--- a/packages/testkit/src/user-rules.ts
+++ b/packages/testkit/src/user-rules.ts
@@ -14,6 +14,17 @@
   final: { readonly state: FinalState; readonly at: number } | null
 }
 
+/** What users asked for and were told, job by job. Times are in milliseconds. */
+export interface UserRulesDump {
+  readonly submitted: ReadonlyArray<readonly [job: string, request: JobRequest]>
+  readonly submittedAt: ReadonlyArray<readonly [job: string, at: number]>
+  readonly askedToCancel: ReadonlyArray<string>
+  readonly cancelledAt: ReadonlyArray<readonly [job: string, at: number]>
+  readonly told: ReadonlyArray<readonly [job: string, told: Told]>
+  /** Indexes of the tasks that completed. */
+  readonly finishedTasks: ReadonlyArray<readonly [job: string, indexes: ReadonlyArray<number>]>
+}
+
 const FORGOTTEN_MS = 75_000
 const REFUSAL_STATUS: Record<Refusal, number> = { malformed: 400, unfit: 422 }
 /** A node that can't decide, or is too busy, may say so. */
@@ -39,6 +50,27 @@
     private readonly say: (rule: string, what: string) => void,
   ) {}
 
+  /** What it knows, as plain data. */
+  dump(): UserRulesDump {
+    return {
+      submitted: [...this.submitted],
+      submittedAt: [...this.submittedAt],
+      askedToCancel: [...this.askedToCancel],
+      cancelledAt: [...this.cancelledAt],
+      told: [...this.told].map(([job, told]) => [job, { ...told }]),
+      finishedTasks: [...this.doneTasks].map(([job, indexes]) => [job, [...indexes]]),
+    }
+  }
+  /** Holds later answers to what users were told before the dump, too. */
+  restore(dump: UserRulesDump): void {
+    for (const [job, request] of dump.submitted) this.submitted.set(job, request)
+    for (const [job, at] of dump.submittedAt) this.submittedAt.set(job, at)
+    for (const job of dump.askedToCancel) this.askedToCancel.add(job)
+    for (const [job, at] of dump.cancelledAt) this.cancelledAt.set(job, at)
+    for (const [job, told] of dump.told) this.told.set(job, { ...told })
+    for (const [job, indexes] of dump.finishedTasks) this.doneTasks.set(job, new Set(indexes))
+  }
+
   /** A user submits a job that can run. */
   asksToRun(request: JobRequest): void {
     this.submitted.set(request.id, request)
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -46,6 +46,18 @@
   submit(request: JobRequest): void {
     this.rules.asksToRun(request)
     this.jobs.push(request.id)
+    this.attempt(request)
+  }
+  /** Goes on with jobs that were submitted to an earlier world, and that the rules know. */
+  resume(jobs: Iterable<JobId>): void {
+    for (const id of jobs) {
+      this.jobs.push(id)
+      if (this.rules.isAccepted(id)) this.poll(id)
+      else this.attempt(this.rules.submitted.get(id)!)
+      if (this.rules.askedToCancel.has(id) && this.rules.finalState(id) === null) this.cancel(id)
+    }
+  }
+  private attempt(request: JobRequest): void {
     const attempt = () =>
       this.ask("submit", request.id, request, (status) => {
         if (status === 200 || status === 201) this.accepted(request.id)
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -96,8 +96,15 @@
   private readonly reportsTo = new Map<string, NodeName>()
   private readonly workersAt = new Map<NodeName, number>()
 
-  constructor(readonly setup: Setup) {
-    this.sim = new Sim(setup.seed)
+  /** Told of every frame between controllers as it is sent. */
+  readonly onFrame: Array<(frame: Uint8Array) => void> = []
+
+  /** `beginsAtMs`: what the clock shows at its beginning, for a world that goes on from an earlier one. */
+  constructor(
+    readonly setup: Setup,
+    beginsAtMs = 0,
+  ) {
+    this.sim = new Sim(setup.seed, beginsAtMs)
     this.net = new Net(this.sim)
     this.names = Array.from({ length: setup.nodes }, (_, i) => `host-${i}` as NodeName)
     const types = [
@@ -130,7 +137,8 @@
     look()
   }
 
-  private platform(index: number): Platform {
+  /** The settings file that the platform hands to one controller. */
+  platform(index: number): Platform {
     const { zones, teamMax, stateRps, stateWrites, sockets, cores } = this.setup
     const peers = this.names
       .filter((_, i) => i !== index)
@@ -184,6 +192,7 @@
       send: (to, frame) => {
         const bytes = Uint8Array.from(frame)
         this.count.peerBytes += bytes.length
+        for (const told of this.onFrame) told(bytes)
         const deliver = () => {
           const life = this.lives.get(to)
           life?.process.whenAwake(() => life.hear.receive?.(bytes), peerMessageMs(bytes.length))
