--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -28,6 +28,9 @@
       entryPoints: [`packages/testkit/src/${program}.ts`],
       outfile: `target/${program}.js`,
     })
+} else if (process.argv.includes("--golden")) {
+  const entryPoints = ["packages/testkit/src/golden-recorder.ts"]
+  await build({ ...common, entryPoints, outfile: "target/golden-recorder.js" })
 } else if (!process.argv.includes("--tests")) {
   await build(daemon)
 } else {
