--- a/packages/testkit/src/day-run.ts
+++ b/packages/testkit/src/day-run.ts
@@ -17,7 +17,7 @@
   const began = performance.now()
   const tookMs = () => Math.round(performance.now() - began)
   try {
-    const { failures, world } = readScenario(scenarioOf(day)).run(trace)
+    const { failures, world } = readScenario(scenarioOf(day)).run({ trace })
     return { seed: day.seed, failures, pairs: world.pairs, starts: world.rules.starts, tookMs: tookMs() }
   } catch (cause) {
     const thrown = `threw: ${(cause as Error).stack ?? String(cause)}`
--- a/packages/testkit/src/digests.ts
+++ b/packages/testkit/src/digests.ts
@@ -33,7 +33,7 @@
 
 const scenarioFailures = (file: string, trace: TraceDigest): ReadonlyArray<string> => {
   try {
-    return readScenario(readFileSync(`scenarios/${file}`, "utf8")).run(trace).failures
+    return readScenario(readFileSync(`scenarios/${file}`, "utf8")).run({ trace }).failures
   } catch (cause) {
     return [`threw: ${(cause as Error).stack ?? String(cause)}`]
   }
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -16,11 +16,17 @@
   readonly from: string
   readonly to: string
 }
+/** How a scenario is watched while it runs. */
+export interface RunOptions {
+  /** Takes in the messages of all seeds. */
+  readonly trace?: TraceDigest
+  /** Is handed each world before its time begins. */
+  readonly prepare?: (world: World) => void
+}
 export interface Scenario {
   readonly name: string
   readonly guards: ReadonlyArray<Guard>
-  /** Messages of all seeds go into the one `trace`. */
-  readonly run: (trace?: TraceDigest) => Result
+  readonly run: (options?: RunOptions) => Result
 }
 export interface Result {
   readonly failures: ReadonlyArray<string>
@@ -292,8 +298,10 @@
   return {
     name: title?.type === "string" ? title.content : "unnamed",
     guards,
-    run: (trace) => {
-      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) => runOnce(seed + seedShift, trace))
+    run: (options = {}) => {
+      const runs = (seeds.length === 0 ? [setup.seed] : seeds).map((seed) =>
+        runOnce(seed + seedShift, options),
+      )
       const failures = runs.flatMap((run) => run.failures)
       const worlds = runs.map(({ world }) => world)
       for (const meeting of meetings) {
@@ -305,11 +313,12 @@
   }
 
   /** Everything but the meetings has to hold on each seed. */
-  function runOnce(seed: number, trace?: TraceDigest): Result {
+  function runOnce(seed: number, { trace, prepare }: RunOptions): Result {
     jobCount = 0
     const world = new World({ ...setup, seed })
     trace?.run(seed)
     world.net.trace = trace ?? null
+    prepare?.(world)
     for (const { atS, action, args, lastsS } of events)
       world.sim.after(atS * 1000, () => {
         world.rules.trouble(lastsS * 1000)
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -9,7 +9,7 @@
 
 const digestOf = (seedShift: number): string => {
   const trace = new TraceDigest()
-  readScenario(SHORT, seedShift).run(trace)
+  readScenario(SHORT, seedShift).run({ trace })
   return trace.digest()
 }
 
@@ -20,7 +20,7 @@
 })
 
 test("a traced run goes as one that isn't", () => {
-  const traced = readScenario(SHORT).run(new TraceDigest()).world
+  const traced = readScenario(SHORT).run({ trace: new TraceDigest() }).world
   const plain = readScenario(SHORT).run().world
   assert.deepEqual(traced.logged, plain.logged)
   assert.equal(traced.sim.luck.next(), plain.sim.luck.next())
@@ -73,6 +73,6 @@
     }
   }
   const trace = new FrameCount()
-  readScenario('(scenario "quiet" (until 20))').run(trace)
+  readScenario('(scenario "quiet" (until 20))').run({ trace })
   assert.ok(trace.frames > 0 && trace.bytes > 0, `${trace.frames} frames, ${trace.bytes} bytes`)
 })
