--- a/packages/testkit/src/once.ts
+++ b/packages/testkit/src/once.ts
@@ -6,7 +6,7 @@
 // and with --digest the digest of all its messages.
 const [file, seedShift] = process.argv.slice(2).filter((argument) => argument !== "--digest")
 const trace = process.argv.includes("--digest") ? new TraceDigest() : undefined
-const { failures, world } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run(trace)
+const { failures, world } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run({ trace })
 if (process.env.VERBOSE !== undefined) process.stdout.write(`${world.logged.join("\n")}\n`)
 if (process.env.VERBOSE !== undefined) {
   for (const id of world.users.jobs) {
--- a/scenarios/hand-over-late.sexp
+++ b/scenarios/hand-over-late.sexp
@@ -7,4 +7,4 @@
   (expect (all-over) (happened handBacks 1) (happened takeOvers 8) (happened lateRefused 2) (happened lateApplied 2) (happened lostAnswers 3))
   (guard "packages/membership/src/part-ownership.ts"
     "if (former !== undefined && epoch <= former) return" "")
-  (guard "packages/membership/src/part-ownership.ts" "{ path, stamp: this.mirror.stamp(path) }," ""))
+  (guard "packages/membership/src/part-ownership.ts" "{ key: path, modRevision: this.mirror.modRevision(path) }," ""))
--- a/scenarios/odd-requests.sexp
+++ b/scenarios/odd-requests.sexp
@@ -8,5 +8,5 @@
     "if (places.size === 0) return never(\"a task fits no allowed machine type\")"
     "")
   (guard "packages/api/src/users.ts"
-    "if (team === undefined) return never(`unknown team ${request.owner}`)"
+    "if (team === undefined) return never(`unknown team ${request.team}`)"
     "if (team === undefined) return null"))
