--- a/packages/api/src/limiter.ts
+++ b/packages/api/src/limiter.ts
@@ -1,4 +1,4 @@
-import type { MonotonicTime } from "@sorreltally/wire"
+import type { MonotonicTime } from "@sorreltally/protocol"
 
 export interface LimiterSettings {
   readonly least: number
--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -1,6 +1,4 @@
 import { allowed } from "@sorreltally/planner"
-import type { Operators, Platform } from "@sorreltally/settings"
-import type { FinalStatus, JobRecord, StoreError } from "@sorreltally/state"
 import {
   type Clocks,
   decodeHeartbeat,
@@ -15,7 +13,9 @@
   type MachineTypeName,
   type OutgoingResponse,
   type Respond,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { Operators, Platform } from "@sorreltally/settings"
+import type { FinalStatus, JobRecord, StoreError } from "@sorreltally/store"
 import { Effect, Option, Result, Schema } from "effect"
 import { Limiter } from "./limiter.ts"
 
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -1,7 +1,5 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { defaultOperators, type Platform } from "@sorreltally/settings"
-import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/state"
 import type {
   MachineType,
   MachineTypeName,
@@ -9,7 +7,9 @@
   OutgoingResponse,
   Respond,
   WallTime,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { defaultOperators, type Platform } from "@sorreltally/settings"
+import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/store"
 import { Effect } from "effect"
 import { Limiter } from "../src/limiter.ts"
 import { Api, type JobTable } from "../src/users.ts"
--- a/packages/cloud/src/client.ts
+++ b/packages/cloud/src/client.ts
@@ -1,5 +1,5 @@
 /** Client of the cloud that rents machines (protocol, "Controller nodes -> cloud"). */
-import { type RequestPriority, SharedRateLimit } from "@sorreltally/pacing"
+
 import {
   type Address,
   decodeCatalog,
@@ -14,7 +14,8 @@
   type MachineType,
   processClocks,
   type RentalRequest,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { type RequestPriority, SharedRateLimit } from "@sorreltally/rate-limit"
 import { Data, Effect, Result } from "effect"
 
 /** What was asked of the cloud. */
--- /dev/null
+++ b/packages/cloud/src/index.ts
@@ -0,0 +1,1 @@
+export * from "./client.ts"
--- /dev/null
+++ b/packages/concurrency/src/index.ts
@@ -0,0 +1,2 @@
+export * from "./in-flight.ts"
+export * from "./signal.ts"
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,4 +1,7 @@
 import type { CloudClient } from "@sorreltally/cloud"
+import { InFlight, Signal } from "@sorreltally/concurrency"
+import { CommandForwarder, HeartbeatForwarder, NodeLoads, ReportSharing } from "@sorreltally/forwarding"
+import { JobBook, JobTable } from "@sorreltally/jobs"
 import { DEADLINE, type Host, Membership, partOf } from "@sorreltally/membership"
 import type {
   ForwardedHeartbeats,
@@ -10,8 +13,6 @@
   TaskCounts,
 } from "@sorreltally/peers"
 import type { ShardDemand } from "@sorreltally/planner"
-import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
-import type { Entry, StoreClient } from "@sorreltally/state"
 import {
   addMs,
   type Clocks,
@@ -32,24 +33,15 @@
   type RentalRequestId,
   type Respond,
   type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { Fleet, FleetBook } from "@sorreltally/provisioning"
+import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
+import { type EngineContext, Estimates, PartEngine } from "@sorreltally/shard"
+import type { Entry, StoreClient } from "@sorreltally/store"
 import type { MachineHandoff, RepeatedHeartbeat } from "@sorreltally/workers"
 import { Cause, Effect, Fiber } from "effect"
-import { FleetBook } from "./book.ts"
-import { CommandForwarder } from "./command-relay.ts"
-import type { EngineContext } from "./context.ts"
-import { PartEngine } from "./engine.ts"
-import { Estimates } from "./estimates.ts"
-import { Fleet } from "./fleet.ts"
-import { InFlight } from "./in-flight.ts"
-import { JobBook } from "./job-book.ts"
+import { DemandRegistry } from "./demand-registry.ts"
 import { JobProgress } from "./job-progress.ts"
-import { JobTable } from "./job-table.ts"
-import { NodeLoads } from "./node-loads.ts"
-import { DemandRegistry } from "./part-wants.ts"
-import { HeartbeatForwarder } from "./relays.ts"
-import { ReportSharing } from "./report-sharing.ts"
-import { Signal } from "./signal.ts"
 
 const WANTS_EVERY_MS = 200
 /** Unchanged, they are told again this often, before the others forget them. */
--- a/packages/controller/src/demand-registry.ts
+++ b/packages/controller/src/demand-registry.ts
@@ -1,6 +1,6 @@
 /** What parts lack of machines and quota, as their owners tell one another. */
 import type { MachineDemand, QuotaDemand, ShardDemand, TeamClaim } from "@sorreltally/planner"
-import { addMs, type Clocks, type MonotonicTime, type ShardName } from "@sorreltally/wire"
+import { addMs, type Clocks, type MonotonicTime, type ShardName } from "@sorreltally/protocol"
 
 /** What was told longer ago no longer counts: its owner may have gone. */
 const DEMAND_VALID_MS = 3_500
--- a/packages/controller/src/job-progress.ts
+++ b/packages/controller/src/job-progress.ts
@@ -1,7 +1,8 @@
 /** How far jobs are, and how they ended, as every node can tell its users. */
-import type { JobEnd, JobProgressMessage, PeerChannel, TaskCounts } from "@sorreltally/peers"
-import type { FinalStatus } from "@sorreltally/state"
-import type { JobId } from "@sorreltally/wire"
+
+import type { JobProgressMessage, PeerChannel, TaskCounts } from "@sorreltally/peers"
+import type { JobId } from "@sorreltally/protocol"
+import type { FinalStatus, JobEnd } from "@sorreltally/store"
 import { Effect } from "effect"
 
 /** Owners tell the others how far their jobs are this often: it is for display only. */
--- a/packages/daemon/src/http.ts
+++ b/packages/daemon/src/http.ts
@@ -1,16 +1,18 @@
 import { createServer, request as httpRequest, type Server } from "node:http"
+import {
+  type Address,
+  type HttpClient,
+  type HttpRequest,
+  type HttpResponse,
+  hostAndPort,
+  type IncomingRequest,
+  type Log,
+  NoResponseError,
+  type OutgoingResponse,
+  type Respond,
+  withTimeout,
+} from "@sorreltally/protocol"
 import type { Sizes } from "@sorreltally/settings"
-import type {
-  Address,
-  HttpClient,
-  HttpRequest,
-  HttpResponse,
-  IncomingRequest,
-  Log,
-  OutgoingResponse,
-  Respond,
-} from "@sorreltally/wire"
-import { hostAndPort, NoResponseError, withTimeout } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { Accepted, ManyHosts, oneService } from "./connections.ts"
 
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,4 +1,4 @@
-import type { Log } from "@sorreltally/wire"
+import type { Log } from "@sorreltally/protocol"
 
 const LEVELS = ["error", "info", "debug"] as const
 export type Level = (typeof LEVELS)[number]
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -2,8 +2,6 @@
 import { makeCloudClient } from "@sorreltally/cloud"
 import { makeController } from "@sorreltally/controller"
 import { type Links, makePeerChannel } from "@sorreltally/peers"
-import type { Operators, Platform } from "@sorreltally/settings"
-import { makeStoreClient } from "@sorreltally/state"
 import {
   addMs,
   type HttpClient,
@@ -13,7 +11,9 @@
   NEVER,
   processClocks,
   type Respond,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { Operators, Platform } from "@sorreltally/settings"
+import { makeStoreClient } from "@sorreltally/store"
 import { Effect, Exit } from "effect"
 
 /**
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -1,4 +1,5 @@
 import { openSockets } from "@sorreltally/peers"
+import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/protocol"
 import {
   budgetHolds,
   budgetInWords,
@@ -7,7 +8,6 @@
   type Platform,
   sizesOf,
 } from "@sorreltally/settings"
-import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/wire"
 import { Effect } from "effect"
 import { httpExchange, serveHttp } from "./http.ts"
 import { makeNode } from "./node.ts"
--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -2,6 +2,8 @@
  * Commands to workers, sent by the node that a worker reports to where its owner is busy. A command costs
  * its sender a client request and often a connection, by far more than a line in a message between nodes.
  */
+
+import type { InFlight } from "@sorreltally/concurrency"
 import {
   type CommandResult,
   type CommandResults,
@@ -19,9 +21,8 @@
   type HttpClient,
   type NodeName,
   type WireCommandBatch,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 import { Effect, Option, Result } from "effect"
-import type { InFlight } from "./in-flight.ts"
 import { type ForLife, Outbox, ofLife } from "./outbox.ts"
 
 const COMMAND_TIMEOUT_MS = 3_000
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -6,7 +6,7 @@
   type MonotonicTime,
   NEVER,
   type NodeName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 
 /**
  * Reports a second that an owner answers itself, for each core that it has. At some 0.25 ms of processor
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -20,7 +20,7 @@
   type NodeName,
   type OutgoingResponse,
   type Respond,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import { Effect } from "effect"
 import { type ForLife, Outbox, ofLife } from "./outbox.ts"
--- /dev/null
+++ b/packages/forwarding/src/index.ts
@@ -0,0 +1,5 @@
+export * from "./command-forwarder.ts"
+export * from "./heartbeat-balancer.ts"
+export * from "./heartbeat-forwarder.ts"
+export * from "./node-loads.ts"
+export * from "./outbox.ts"
--- a/packages/forwarding/src/node-loads.ts
+++ b/packages/forwarding/src/node-loads.ts
@@ -1,7 +1,7 @@
 /** What the controllers tell each other of themselves: whether they can act, and how much they do. */
 import type { NodeLoad, PeerChannel } from "@sorreltally/peers"
-import type { StoreClient } from "@sorreltally/state"
-import { addMs, type Clocks, type MonotonicTime, type NodeName } from "@sorreltally/wire"
+import { addMs, type Clocks, type MonotonicTime, type NodeName } from "@sorreltally/protocol"
+import type { StoreClient } from "@sorreltally/store"
 import { Effect } from "effect"
 
 const TELL_EVERY_MS = 1_000
--- a/packages/forwarding/src/outbox.ts
+++ b/packages/forwarding/src/outbox.ts
@@ -1,5 +1,5 @@
 /** What one node has for the others, gathered for a moment so that it goes in one message. */
-import type { NodeName } from "@sorreltally/wire"
+import type { NodeName } from "@sorreltally/protocol"
 import { Effect } from "effect"
 
 /** Something for one life of a node: a later process under its name counts its questions anew. */
--- a/packages/forwarding/test/batches.test.ts
+++ b/packages/forwarding/test/batches.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { takeBatch } from "../src/relays.ts"
+import { takeBatch } from "../src/heartbeat-forwarder.ts"
 
 // Guards against messages between controllers that the receiver refuses as too long.
 test("a batch holds what fits into one message, at least one item, and leaves the rest", () => {
--- a/packages/forwarding/test/heartbeat-balancer.test.ts
+++ b/packages/forwarding/test/heartbeat-balancer.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { Clocks, MachineId, MonotonicTime, NodeName, WallTime } from "@sorreltally/wire"
-import { ReportSharing } from "../src/report-sharing.ts"
+import type { Clocks, MachineId, MonotonicTime, NodeName, WallTime } from "@sorreltally/protocol"
+import { ReportSharing } from "../src/heartbeat-balancer.ts"
 
 const machine = (n: number) => `i-${n}` as MachineId
 const [one, two] = ["host-1" as NodeName, "host-2" as NodeName]
--- a/packages/forwarding/test/heartbeat-forwarder.test.ts
+++ b/packages/forwarding/test/heartbeat-forwarder.test.ts
@@ -16,9 +16,9 @@
   OutgoingResponse,
   Respond,
   WallTime,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 import { Effect } from "effect"
-import { HeartbeatForwarder } from "../src/relays.ts"
+import { HeartbeatForwarder } from "../src/heartbeat-forwarder.ts"
 
 const OWNER = "host-0" as NodeName
 const heartbeat = (sequence: number, phase = "running"): Heartbeat =>
--- a/packages/jobs/src/failure-tracker.ts
+++ b/packages/jobs/src/failure-tracker.ts
@@ -3,8 +3,9 @@
  * a mistake and fails everywhere, and its machine, which may be faulty. Who
  * failed where, and who succeeded elsewhere since, tells them apart.
  */
-import type { JobState } from "@sorreltally/jobs"
-import { addMs, type JobId, type MachineId, type MonotonicTime } from "@sorreltally/wire"
+
+import { addMs, type JobId, type MachineId, type MonotonicTime } from "@sorreltally/protocol"
+import type { JobState } from "./job-state.ts"
 
 /** A job that failed on this many machines, and succeeded on none since, probably has a mistake. */
 const SUSPECT_AFTER_MACHINES = 2
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -1,23 +1,24 @@
-import { digitsOf, finalStateBytes, idOf, type JobState } from "@sorreltally/jobs"
+import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
-import { interpolateByLoad } from "@sorreltally/pacing"
-import type { JobEnd } from "@sorreltally/peers"
+import { addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/protocol"
+import { interpolateByLoad } from "@sorreltally/rate-limit"
 import {
   type Condition,
   type FinalStates,
+  type JobEnd,
   type JobPage,
   keys,
   put,
   type StoreClient,
   type StoreError,
   type StoreKey,
-} from "@sorreltally/state"
-import { addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/wire"
+} from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { pageConditions } from "./commits.ts"
-import type { JobBook } from "./job-book.ts"
-import { endsPages } from "./job-table.ts"
-import { Signal } from "./signal.ts"
+import type { JobBook } from "./job-index.ts"
+import { digitsOf, finalStateBytes, idOf } from "./job-pages.ts"
+import type { JobState } from "./job-state.ts"
+import { endsPages } from "./job-store.ts"
+import { pageConditions } from "./placement-writer.ts"
 
 /** Ends that come within this time of the last write go together: users expect to hear of one within 3 s. */
 const CALM_SPACING_MS = 500
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -1,5 +1,5 @@
-import { EMPTY_PAGE, finalIn, idOf } from "@sorreltally/jobs"
 import type { Mirror } from "@sorreltally/membership"
+import type { JobId, ModRevision } from "@sorreltally/protocol"
 import {
   ENDS_PAGES,
   type Entry,
@@ -10,8 +10,8 @@
   type JobRecord,
   keys,
   type StoreKey,
-} from "@sorreltally/state"
-import type { JobId, ModRevision } from "@sorreltally/wire"
+} from "@sorreltally/store"
+import { EMPTY_PAGE, finalIn, idOf } from "./job-pages.ts"
 
 /** A job that isn't over, and the page that holds it. */
 export interface LiveJob {
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -1,3 +1,4 @@
+import { hashText, type JobId } from "@sorreltally/protocol"
 import {
   encodeRecord,
   type FinalStates,
@@ -5,8 +6,7 @@
   type JobPage,
   type JobRecord,
   type StoreKey,
-} from "@sorreltally/state"
-import { hashText, type JobId } from "@sorreltally/wire"
+} from "@sorreltally/store"
 
 /**
  * The job table's pages, as values. A job is accepted by adding it to a page
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -1,4 +1,3 @@
-import type { JobPage, JobRecord, StoreKey } from "@sorreltally/state"
 import type {
   AgentEpoch,
   Attempt,
@@ -9,7 +8,8 @@
   MonotonicTime,
   TaskId,
   WallTime,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { JobPage, JobRecord, StoreKey } from "@sorreltally/store"
 
 /** A task that is, or may be, on a machine. It counts until it is cleared. */
 export interface Placement {
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -1,14 +1,5 @@
-import {
-  addJob,
-  archiveFinals,
-  bucketOf,
-  cancelJob,
-  EMPTY_PAGE,
-  finalIn,
-  fitsValue,
-  foldEnds,
-} from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
+import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
   type Entry,
@@ -23,10 +14,19 @@
   StoreError,
   type StoreKey,
   type StoreLimits,
-} from "@sorreltally/state"
-import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/wire"
+} from "@sorreltally/store"
 import { Effect } from "effect"
-import type { JobBook, PageEntry } from "./job-book.ts"
+import type { JobBook, PageEntry } from "./job-index.ts"
+import {
+  addJob,
+  archiveFinals,
+  bucketOf,
+  cancelJob,
+  EMPTY_PAGE,
+  finalIn,
+  fitsValue,
+  foldEnds,
+} from "./job-pages.ts"
 
 /**
  * The keys of a part's ends pages: together they hold the ends that wait to be
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -1,4 +1,3 @@
-import type { PlacedTask, PlacementRecord, TaskRun } from "@sorreltally/state"
 import {
   ABSENT,
   type Attempt,
@@ -7,8 +6,9 @@
   type ModRevision,
   type MonotonicTime,
   taskId,
-} from "@sorreltally/wire"
-import type { JobState, Placement } from "./job.ts"
+} from "@sorreltally/protocol"
+import type { PlacedTask, PlacementRecord, TaskRun } from "@sorreltally/store"
+import type { JobState, Placement } from "./job-state.ts"
 
 /** What a slot says of one job's finished tasks. */
 interface Finishes {
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -1,10 +1,18 @@
-import { type Draft, type JobState, Ledger, type Placement } from "@sorreltally/jobs"
+import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
-import { interpolateByLoad } from "@sorreltally/pacing"
-import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/state"
-import { ABSENT, addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/wire"
+import {
+  ABSENT,
+  addMs,
+  type ModRevision,
+  type MonotonicTime,
+  NEVER,
+  type ShardName,
+} from "@sorreltally/protocol"
+import { interpolateByLoad } from "@sorreltally/rate-limit"
+import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { Signal } from "./signal.ts"
+import type { JobState, Placement } from "./job-state.ts"
+import { type Draft, Ledger } from "./placement-ledger.ts"
 
 const PAUSE_MS = 150
 /** Finishes are looked at this often, nothing is hardly ever. */
--- a/packages/jobs/test/failure-tracker.test.ts
+++ b/packages/jobs/test/failure-tracker.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { JobState, type Placement } from "@sorreltally/jobs"
-import { type JobRecord, keys } from "@sorreltally/state"
-import type { JobId, MachineId, ModRevision, MonotonicTime } from "@sorreltally/wire"
-import { Failures } from "../src/failures.ts"
+import type { JobId, MachineId, ModRevision, MonotonicTime } from "@sorreltally/protocol"
+import { type JobRecord, keys } from "@sorreltally/store"
+import { Failures } from "../src/failure-tracker.ts"
+import { JobState, type Placement } from "../src/job-state.ts"
 
 const [red, blue] = ["run-000001" as JobId, "run-000002" as JobId]
 const [one, two, three] = ["i-1", "i-2", "i-3"].map((id) => id as MachineId) as [
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -1,21 +1,21 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { JobState } from "@sorreltally/jobs"
 import { Mirror } from "@sorreltally/membership"
-import type { JobEnd } from "@sorreltally/peers"
+import type { JobId, ModRevision, MonotonicTime, Revision, ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
   encodeRecord,
+  type JobEnd,
   type JobRecord,
   keys,
   type Operation,
   type StoreClient,
-} from "@sorreltally/state"
-import type { JobId, ModRevision, MonotonicTime, Revision, ShardName } from "@sorreltally/wire"
+} from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { JobBook } from "../src/job-book.ts"
 import { JobEnds } from "../src/job-ends.ts"
-import { JobTable } from "../src/job-table.ts"
+import { JobBook } from "../src/job-index.ts"
+import { JobState } from "../src/job-state.ts"
+import { JobTable } from "../src/job-store.ts"
 
 const PART = "deadline" as ShardName
 const JOBS = 400
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { bucketOf, digitsOf } from "@sorreltally/jobs"
 import { Mirror } from "@sorreltally/membership"
+import type { JobId, ModRevision, Revision, ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
   encodeRecord,
@@ -10,11 +10,11 @@
   type Operation,
   put,
   type StoreClient,
-} from "@sorreltally/state"
-import type { JobId, ModRevision, Revision, ShardName } from "@sorreltally/wire"
+} from "@sorreltally/store"
 import { Effect } from "effect"
-import { JobBook } from "../src/job-book.ts"
-import { type Acceptance, JobTable } from "../src/job-table.ts"
+import { JobBook } from "../src/job-index.ts"
+import { bucketOf, digitsOf } from "../src/job-pages.ts"
+import { type Acceptance, JobTable } from "../src/job-store.ts"
 
 const PART = "part-0" as ShardName
 const limits = { valueKb: 2, maxOperations: 8, writesPerSecond: 100 }
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -1,20 +1,20 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { JobState, type Placement } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import { type JobRecord, keys, type PlacementRecord, type StoreClient } from "@sorreltally/state"
-import type {
-  AgentEpoch,
-  Attempt,
-  JobId,
-  MachineId,
-  ModRevision,
-  MonotonicTime,
-  ShardName,
-} from "@sorreltally/wire"
-import { taskId } from "@sorreltally/wire"
+import {
+  type AgentEpoch,
+  type Attempt,
+  type JobId,
+  type MachineId,
+  type ModRevision,
+  type MonotonicTime,
+  type ShardName,
+  taskId,
+} from "@sorreltally/protocol"
+import { type JobRecord, keys, type PlacementRecord, type StoreClient } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { Commits } from "../src/commits.ts"
+import { JobState, type Placement } from "../src/job-state.ts"
+import { Commits } from "../src/placement-writer.ts"
 
 const PIECES = 80
 const request = { id: "run-000001", taskCount: PIECES, cores: 1, accelerators: 0, memGb: 1, image: "img" }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,12 +1,12 @@
-import { MIRRORED, type StoreClient } from "@sorreltally/state"
-import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/wire"
+import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
+import { MIRRORED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { Freshness } from "./freshness.ts"
-import { GrantKeeper, type GrantTimes } from "./grant-keeper.ts"
-import { Mirror } from "./mirror.ts"
-import { MirrorWatch, watchSpacingMs } from "./mirror-watch.ts"
-import { type PartListener, PartOwnership } from "./part-ownership.ts"
-import { allParts } from "./parts.ts"
+import { GrantKeeper, type GrantTimes } from "./node-lease.ts"
+import { Freshness } from "./read-barrier.ts"
+import { Mirror } from "./replica.ts"
+import { MirrorWatch, watchSpacingMs } from "./replica-watch.ts"
+import { type PartListener, PartOwnership } from "./shard-ownership.ts"
+import { allParts } from "./shards.ts"
 
 export interface MembershipSettings extends GrantTimes {
   readonly self: NodeName
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -1,4 +1,3 @@
-import { type Entry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/state"
 import {
   ABSENT,
   addMs,
@@ -9,7 +8,8 @@
   type MonotonicTime,
   NEVER,
   type NodeName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { type Entry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Random, Result } from "effect"
 
 export interface GrantTimes {
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -1,7 +1,7 @@
-import { MIRRORED, type StoreClient, type StoreError } from "@sorreltally/state"
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/wire"
+import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { MIRRORED, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
-import type { Mirror } from "./mirror.ts"
+import type { Mirror } from "./replica.ts"
 
 type Waiter = Deferred.Deferred<void, StoreError>
 
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -1,7 +1,7 @@
-import { MIRRORED, type StoreClient } from "@sorreltally/state"
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/wire"
+import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { MIRRORED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { Mirror } from "./mirror.ts"
+import type { Mirror } from "./replica.ts"
 
 /** Share of the state service's requests that all nodes' watches may use. */
 const WATCH_SHARE = 0.3
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -1,5 +1,5 @@
-import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/state"
-import { ABSENT, type ModRevision, type Revision } from "@sorreltally/wire"
+import { ABSENT, type ModRevision, type Revision } from "@sorreltally/protocol"
+import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/store"
 
 export type MirrorListener = (path: string, entry: Entry | null) => void
 
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -1,4 +1,3 @@
-import { keys, put, SHARDS, type ShardRecord, type StoreClient } from "@sorreltally/state"
 import {
   addMs,
   type Incarnation,
@@ -8,11 +7,12 @@
   NEVER,
   type NodeName,
   type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { keys, put, SHARDS, type ShardRecord, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { GrantKeeper } from "./grant-keeper.ts"
-import type { Mirror } from "./mirror.ts"
-import { DEADLINE, homeOf, preferredOwner } from "./parts.ts"
+import type { GrantKeeper } from "./node-lease.ts"
+import type { Mirror } from "./replica.ts"
+import { DEADLINE, homeOf, preferredOwner } from "./shards.ts"
 
 /** What the rest of the controller does when a part comes or goes. Both are synchronous. */
 export interface PartListener {
--- a/packages/membership/src/shards.ts
+++ b/packages/membership/src/shards.ts
@@ -1,4 +1,4 @@
-import { hashText, type JobId, type NodeName, type ShardName } from "@sorreltally/wire"
+import { hashText, type JobId, type NodeName, type ShardName } from "@sorreltally/protocol"
 
 /** Its owner is the leader. */
 export const DEADLINE = "deadline" as ShardName
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -1,6 +1,12 @@
 /** Messages between controllers: told and not answered, directly or through a third node. */
-import type { Log, MonotonicTime, NodeName } from "@sorreltally/wire"
-import { addMs, NEVER, processClocks } from "@sorreltally/wire"
+import {
+  addMs,
+  type Log,
+  type MonotonicTime,
+  NEVER,
+  type NodeName,
+  processClocks,
+} from "@sorreltally/protocol"
 import { Effect } from "effect"
 import { pack, unpack } from "msgpackr"
 import { decodeMessage, type EncodedMessage, encodeMessage, type PeerMessage } from "./codec.ts"
--- a/packages/peers/src/codec-heartbeats.ts
+++ b/packages/peers/src/codec-heartbeats.ts
@@ -22,7 +22,7 @@
   type WireCommandBatch,
   type WireHeartbeatReply,
   type ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 
 /** Heartbeats that came to one node and are for the owner to answer; each has a number. */
--- a/packages/peers/src/codec.ts
+++ b/packages/peers/src/codec.ts
@@ -3,7 +3,6 @@
  * to each other while they are replaced one by one, so kinds and bodies keep the names that they had.
  */
 import type { MachineDemand, QuotaDemand, ShardDemand, TaskShape, TeamClaim } from "@sorreltally/planner"
-import { decodeRecord, type Entry, encodeRecord, type FinalStatus } from "@sorreltally/state"
 import type {
   Address,
   AgentEpoch,
@@ -16,7 +15,8 @@
   ShardName,
   TeamName,
   ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { decodeRecord, type Entry, encodeRecord, type JobEnd } from "@sorreltally/store"
 import type { MachineHandoff } from "@sorreltally/workers"
 import {
   type CommandResults,
@@ -97,11 +97,6 @@
   readonly done: number
   readonly running: number
 }
-/** How a job ended. */
-export interface JobEnd {
-  readonly id: JobId
-  readonly status: FinalStatus
-}
 /** How far the sender's jobs are, and which have ended. */
 export interface JobProgressMessage {
   readonly kind: "jobProgress"
--- a/packages/peers/src/sockets.ts
+++ b/packages/peers/src/sockets.ts
@@ -1,5 +1,5 @@
 import { createConnection, createServer, type Socket } from "node:net"
-import { type Address, hostAndPort, type Log, type NodeName } from "@sorreltally/wire"
+import { type Address, hostAndPort, type Log, type NodeName } from "@sorreltally/protocol"
 import type { Links } from "./channel.ts"
 
 /** The length of a frame goes before it. */
--- a/packages/planner/src/give-back.ts
+++ b/packages/planner/src/give-back.ts
@@ -1,5 +1,5 @@
 /** Machines that jobs give back to the pool, one at a time each. */
-import type { JobId, MachineId } from "@sorreltally/wire"
+import type { JobId, MachineId } from "@sorreltally/protocol"
 import { canGiveBack } from "./deadline.ts"
 import { type JobView, slotsIn } from "./model.ts"
 import { isIdle, type Slot } from "./slots.ts"
--- a/packages/planner/src/lend.ts
+++ b/packages/planner/src/lend.ts
@@ -1,4 +1,4 @@
-import type { MachineId, ShardName, TeamName } from "@sorreltally/wire"
+import type { MachineId, ShardName, TeamName } from "@sorreltally/protocol"
 import {
   allowed,
   fits,
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -4,7 +4,7 @@
  * of the team's room, so that the jobs of one team never count on the same
  * room twice.
  */
-import type { TeamName } from "@sorreltally/wire"
+import type { TeamName } from "@sorreltally/protocol"
 import { type JobView, type Snapshot, slotsIn, type TeamRoom } from "./model.ts"
 
 /** How many tasks of the job a team's room holds; memory isn't limited by team. */
--- a/packages/planner/src/model.ts
+++ b/packages/planner/src/model.ts
@@ -1,4 +1,12 @@
-import type { ImageName, JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/wire"
+import type {
+  ImageName,
+  JobId,
+  JobSpec,
+  MachineId,
+  MachineType,
+  TeamName,
+  ZoneName,
+} from "@sorreltally/protocol"
 
 /** The images that a machine has; a set, or anything else that can tell. */
 export interface Images {
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,5 +1,5 @@
 /** Which queued tasks go to which machines that are up. */
-import type { ZoneName } from "@sorreltally/wire"
+import type { ZoneName } from "@sorreltally/protocol"
 import { roomOf } from "./limits.ts"
 import {
   allowed,
--- a/packages/planner/src/plan.ts
+++ b/packages/planner/src/plan.ts
@@ -1,5 +1,5 @@
 /** One plan: what starts where, what is rented, and what is given back. */
-import type { JobId, MachineId, ZoneName } from "@sorreltally/wire"
+import type { JobId, MachineId, ZoneName } from "@sorreltally/protocol"
 import { releaseIdle, releaseOne } from "./give-back.ts"
 import { startTooLate } from "./lateness.ts"
 import { LimitRoom, roomOf } from "./limits.ts"
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,5 +1,5 @@
 /** Which kinds of machine are asked for: the cheapest for the work, spot before steady. */
-import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/wire"
+import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/protocol"
 import {
   allowed,
   EPSILON,
--- a/packages/planner/src/slots.ts
+++ b/packages/planner/src/slots.ts
@@ -1,5 +1,5 @@
 /** Free room on machines, as a plan fills it. */
-import { type JobSpec, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/wire"
+import { type JobSpec, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/protocol"
 import { EPSILON, type MachineView, type Room, slotsIn } from "./model.ts"
 
 export interface Slot {
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/lend.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/wire"
+import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/protocol"
 import { lend, lendableTo, type MachineDemand } from "../src/lend.ts"
 import type { JobView, MachineView, TaskShape } from "../src/model.ts"
 import { STARVED_RANK } from "../src/overdue.ts"
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -8,7 +8,7 @@
   type MachineType,
   type TeamName,
   type ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 import type { Hireable, JobView, MachineView, Snapshot, TeamRoom } from "../src/model.ts"
 import { plan } from "../src/plan.ts"
 
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobSpec } from "@sorreltally/wire"
+import type { JobId, JobSpec } from "@sorreltally/protocol"
 import type { JobView } from "../src/model.ts"
 import { inOrder, nextTarget } from "../src/order.ts"
 
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/wire"
+import type { JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/protocol"
 import type { JobView, MachineView, Snapshot } from "../src/model.ts"
 import { plan } from "../src/plan.ts"
 
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -2,7 +2,6 @@
 import type { Mirror } from "@sorreltally/membership"
 import type { ListedMachineState } from "@sorreltally/peers"
 import type { Hireable } from "@sorreltally/planner"
-import { type CatalogRecord, keys, put, type StoreClient } from "@sorreltally/state"
 import {
   addMs,
   type ListedMachine,
@@ -12,9 +11,10 @@
   type MonotonicTime,
   NEVER,
   type ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { type CatalogRecord, keys, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { remember } from "./book.ts"
+import { remember } from "./machine-index.ts"
 
 /** Share of the cloud's calls that asking refused kinds again may use. */
 const ASK_AGAIN_RATE = 0.25
--- /dev/null
+++ b/packages/provisioning/src/index.ts
@@ -0,0 +1,3 @@
+export * from "./cloud-inventory.ts"
+export * from "./machine-index.ts"
+export * from "./machine-records.ts"
--- a/packages/provisioning/src/machine-index.ts
+++ b/packages/provisioning/src/machine-index.ts
@@ -1,6 +1,6 @@
 import type { Mirror } from "@sorreltally/membership"
-import { type Entry, keys, MACHINE_BLOCKS, type MachineBlock, type StoreKey } from "@sorreltally/state"
-import type { MachineId, MachineTypeName, ShardName, WallTime, ZoneName } from "@sorreltally/wire"
+import type { MachineId, MachineTypeName, ShardName, WallTime, ZoneName } from "@sorreltally/protocol"
+import { type Entry, keys, MACHINE_BLOCKS, type MachineBlock, type StoreKey } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 
 /** Blocks of adopted machines are counted apart from those of every part. */
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -1,4 +1,12 @@
+import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
+import {
+  ABSENT,
+  type FencingToken,
+  type MachineId,
+  type ModRevision,
+  type ShardName,
+} from "@sorreltally/protocol"
 import {
   type BlockMachine,
   type Condition,
@@ -10,18 +18,10 @@
   remove,
   type StoreClient,
   type StoreKey,
-} from "@sorreltally/state"
-import {
-  ABSENT,
-  type FencingToken,
-  type MachineId,
-  type ModRevision,
-  type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { ADOPTED, type FleetBook, type Kind, originFor } from "./book.ts"
-import { Signal } from "./signal.ts"
+import { ADOPTED, type FleetBook, type Kind, originFor } from "./machine-index.ts"
 
 export type Edit =
   /** To another part. */
--- a/packages/provisioning/test/machine-records-overtaken.test.ts
+++ b/packages/provisioning/test/machine-records-overtaken.test.ts
@@ -1,7 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { type Membership, Mirror } from "@sorreltally/membership"
-import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/state"
 import type {
   FencingToken,
   MachineId,
@@ -9,10 +8,11 @@
   ModRevision,
   ShardName,
   ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { BlockWriter } from "../src/blocks.ts"
-import { FleetBook } from "../src/book.ts"
+import { FleetBook } from "../src/machine-index.ts"
+import { BlockWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
 const other = "part-1" as ShardName
--- /dev/null
+++ b/packages/quota/src/index.ts
@@ -0,0 +1,1 @@
+export * from "./quota-allocation.ts"
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -1,7 +1,5 @@
 import type { Mirror } from "@sorreltally/membership"
 import { EPSILON, type TeamClaim } from "@sorreltally/planner"
-import { isLimited, NO_LIMIT, type Team } from "@sorreltally/settings"
-import { keys, put, type QuotaRecord, type StoreClient } from "@sorreltally/state"
 import {
   ABSENT,
   addMs,
@@ -10,7 +8,9 @@
   NEVER,
   type ShardName,
   type TeamName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { isLimited, NO_LIMIT, type Team } from "@sorreltally/settings"
+import { keys, put, type QuotaRecord, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 
 /** Quota of one team. */
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { Mirror } from "@sorreltally/membership"
+import type { ModRevision, MonotonicTime, ShardName, TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
 import {
   type CompareAndSwapResult,
@@ -8,10 +9,9 @@
   type QuotaRecord,
   type StoreClient,
   StoreError,
-} from "@sorreltally/state"
-import type { ModRevision, MonotonicTime, ShardName, TeamName } from "@sorreltally/wire"
+} from "@sorreltally/store"
 import { Effect, type Fiber } from "effect"
-import { type ShareNeed, Shares } from "../src/shares.ts"
+import { type ShareNeed, Shares } from "../src/quota-allocation.ts"
 
 const red = "red" as TeamName
 const team = { name: red, cpus: 50, cpus_max: 100, gpus: 0, gpus_max: 0 } as unknown as Team
--- /dev/null
+++ b/packages/rate-limit/src/index.ts
@@ -0,0 +1,1 @@
+export * from "./shared-rate-limit.ts"
--- a/packages/rate-limit/src/shared-rate-limit.ts
+++ b/packages/rate-limit/src/shared-rate-limit.ts
@@ -2,7 +2,7 @@
  * Rate limits that all controllers share without a coordinator: each node takes what it needs and
  * backs off when the service rejects a request (adaptive, AIMD).
  */
-import { addMs, type MonotonicTime } from "@sorreltally/wire"
+import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import { Effect } from "effect"
 
 /** Lower goes first when requests have to queue; the meaning of each is the caller's. */
--- a/packages/settings/src/platform.ts
+++ b/packages/settings/src/platform.ts
@@ -1,4 +1,4 @@
-import { Address, NodeName, ZoneName } from "@sorreltally/wire"
+import { Address, NodeName, ZoneName } from "@sorreltally/protocol"
 import { Schema } from "effect"
 import { type Team, TeamEntry, teamFrom } from "./teams.ts"
 
--- a/packages/settings/src/teams.ts
+++ b/packages/settings/src/teams.ts
@@ -1,5 +1,5 @@
 /** The teams of the platform's file, and what their limits mean. */
-import { TeamName } from "@sorreltally/wire"
+import { TeamName } from "@sorreltally/protocol"
 import { Schema } from "effect"
 
 const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
--- a/packages/shard/src/arrivals.ts
+++ b/packages/shard/src/arrivals.ts
@@ -1,4 +1,4 @@
-import { type ImageName, type MonotonicTime, NEVER } from "@sorreltally/wire"
+import { type ImageName, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 
 /** Weight of the newest arrival; about the last twenty count. */
 const NEWEST = 0.1
--- a/packages/shard/src/deferred-replies.ts
+++ b/packages/shard/src/deferred-replies.ts
@@ -1,4 +1,4 @@
-import { addMs, type MonotonicTime, type OutgoingResponse, type Respond } from "@sorreltally/wire"
+import { addMs, type MonotonicTime, type OutgoingResponse, type Respond } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 
 /** A report is answered after this long whatever it waits for: its worker waits 4 s. */
--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -4,7 +4,7 @@
  * itself: what ends makes room for what waits here.
  */
 import { allowed, type Lent, type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
-import type { MachineId, ShardName } from "@sorreltally/wire"
+import type { MachineId, ShardName } from "@sorreltally/protocol"
 
 export class Draining {
   /** The machine that is emptied for each part that lacks machines. */
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,6 +1,5 @@
-import { JobState, type Placement } from "@sorreltally/jobs"
+import { Commits, JobEnds, JobState, type LiveJob, type Placement } from "@sorreltally/jobs"
 import { partOf } from "@sorreltally/membership"
-import type { Entry, PlacementRecord } from "@sorreltally/state"
 import {
   type JobId,
   type JobSpec,
@@ -10,12 +9,10 @@
   type ShardName,
   splitTaskId,
   type TaskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { Entry, PlacementRecord } from "@sorreltally/store"
 import { Effect } from "effect"
-import { Commits } from "./commits.ts"
-import type { EngineContext } from "./context.ts"
-import type { LiveJob } from "./job-book.ts"
-import { JobEnds } from "./job-ends.ts"
+import type { EngineContext } from "./shard-context.ts"
 
 export interface JobRegistryEvents {
   /** These placements may be started now. */
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -1,8 +1,8 @@
 import { type MachineDemand, slotsIn } from "@sorreltally/planner"
-import { addMs, type MonotonicTime, type ShardName, type TaskId } from "@sorreltally/wire"
+import { addMs, type MonotonicTime, type ShardName, type TaskId } from "@sorreltally/protocol"
+import type { BlockWriter } from "@sorreltally/provisioning"
 import type { WorkerSession } from "@sorreltally/workers"
-import type { BlockWriter } from "./blocks.ts"
-import type { PartView } from "./context.ts"
+import type { PartView } from "./shard-context.ts"
 
 /** How long a lent machine is taken off the borrower's need: until its next word has surely come. */
 const LOAN_COUNTS_MS = 1_500
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -8,7 +8,7 @@
   tasksToBegin,
   type Unplaced,
 } from "@sorreltally/planner"
-import type { ShardName } from "@sorreltally/wire"
+import type { ShardName } from "@sorreltally/protocol"
 
 /** The most urgent needs are told, and the kinds of machine that most jobs that waited too long wait for. */
 const NEEDS_TOLD = 4
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,3 +1,4 @@
+import { SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   EPSILON,
   isReserved,
@@ -18,9 +19,8 @@
   priorityRank,
   type TeamName,
   type ZoneName,
-} from "@sorreltally/wire"
-import type { PartView } from "./context.ts"
-import { SUSPECT_RANK } from "./failures.ts"
+} from "@sorreltally/protocol"
+import type { PartView } from "./shard-context.ts"
 
 /** Times `startup_s` after which a boot no longer counts as coming: the design's weak spot, see docs/design.md. */
 const OVERDUE_BOOT = 1.6
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -18,8 +18,8 @@
   priorityRank,
   type ShardName,
   type WallTime,
-} from "@sorreltally/wire"
-import type { PartView } from "./context.ts"
+} from "@sorreltally/protocol"
+import type { PartView } from "./shard-context.ts"
 
 /** Room is made for this many jobs at a time, the most urgent ones. */
 const MOST_JOBS = 6
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -2,7 +2,7 @@
  * What a part needs of the teams' limits: what it uses, what its queued tasks
  * could use, and which part goes first where the limits aren't enough for all.
  */
-import type { JobState } from "@sorreltally/jobs"
+import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   goesFirst,
   isStarved,
@@ -14,11 +14,10 @@
   type TeamRoom,
   tasksToBegin,
 } from "@sorreltally/planner"
+import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
+import type { Amount, ShareNeed } from "@sorreltally/quota"
 import { isLimited, type Team } from "@sorreltally/settings"
-import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/wire"
-import type { PartView } from "./context.ts"
-import { SUSPECT_RANK } from "./failures.ts"
-import type { Amount, ShareNeed } from "./shares.ts"
+import type { PartView } from "./shard-context.ts"
 
 /** Tasks of a job that so many cores hold, whatever else they need. */
 const slotsInCores = (request: JobSpec, cores: number): number =>
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -1,3 +1,4 @@
+import { Signal } from "@sorreltally/concurrency"
 import { DEADLINE } from "@sorreltally/membership"
 import {
   allowed,
@@ -16,14 +17,12 @@
   NEVER,
   type RentalRequestId,
   type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { ADOPTED, type BlockWriter, originFor } from "@sorreltally/provisioning"
 import type { WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import type { BlockWriter } from "./blocks.ts"
-import { ADOPTED, originFor } from "./book.ts"
-import type { PartView } from "./context.ts"
-import { Signal } from "./signal.ts"
-import { machineViews } from "./views.ts"
+import { machineViews } from "./planner-input.ts"
+import type { PartView } from "./shard-context.ts"
 
 const TICK_MS = 1_000
 /** The most that the cloud rents, and takes back, in one call. */
--- a/packages/shard/src/run-time-estimates.ts
+++ b/packages/shard/src/run-time-estimates.ts
@@ -1,4 +1,4 @@
-import type { JobClassName, JobSpec } from "@sorreltally/wire"
+import type { JobClassName, JobSpec } from "@sorreltally/protocol"
 
 /** Weight of the newest finished task; about the last thirty count. */
 const NEWEST = 0.06
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -1,10 +1,9 @@
 import type { CloudClient } from "@sorreltally/cloud"
-import type { JobState } from "@sorreltally/jobs"
+import type { InFlight } from "@sorreltally/concurrency"
+import type { CommandForwarder } from "@sorreltally/forwarding"
+import type { Failures, JobBook, JobState } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import type { JobEnd } from "@sorreltally/peers"
 import type { PlannedHire, ShardDemand } from "@sorreltally/planner"
-import type { Operators, Platform } from "@sorreltally/settings"
-import type { JobPage, StoreClient, StoreError, StoreKey } from "@sorreltally/state"
 import type {
   Clocks,
   HttpClient,
@@ -14,16 +13,13 @@
   MonotonicTime,
   RentalRequestId,
   ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { Fleet, FleetBook } from "@sorreltally/provisioning"
+import type { Operators, Platform } from "@sorreltally/settings"
+import type { JobEnd, JobPage, StoreClient, StoreError, StoreKey } from "@sorreltally/store"
 import type { MachineHandoff, WorkerSession } from "@sorreltally/workers"
 import type { Effect } from "effect"
-import type { FleetBook } from "./book.ts"
-import type { CommandForwarder } from "./command-relay.ts"
-import type { Estimates } from "./estimates.ts"
-import type { Failures } from "./failures.ts"
-import type { Fleet } from "./fleet.ts"
-import type { InFlight } from "./in-flight.ts"
-import type { JobBook } from "./job-book.ts"
+import type { Estimates } from "./run-time-estimates.ts"
 
 /** What a part's engine shares with the rest of its node. */
 export interface EngineContext {
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -1,6 +1,6 @@
-import type { JobState, Placement } from "@sorreltally/jobs"
+import { Signal } from "@sorreltally/concurrency"
+import { Failures, type JobState, type Placement } from "@sorreltally/jobs"
 import type { TaskCounts } from "@sorreltally/peers"
-import { type Entry, keys } from "@sorreltally/state"
 import {
   addMs,
   type Heartbeat,
@@ -12,7 +12,9 @@
   type NodeName,
   type Respond,
   type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { BlockWriter } from "@sorreltally/provisioning"
+import { type Entry, keys } from "@sorreltally/store"
 import {
   type MachineEntry,
   type MachineHandoff,
@@ -20,15 +22,12 @@
   WorkerSession,
 } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { BlockWriter } from "./blocks.ts"
-import type { EngineContext, PartView, Tenancy } from "./context.ts"
-import { Failures } from "./failures.ts"
 import { JobRegistry } from "./job-registry.ts"
 import { Lending } from "./lending.ts"
-import { PartPlanning } from "./part-planning.ts"
 import { Rentals } from "./rentals.ts"
-import { Signal } from "./signal.ts"
-import { WorkerExchange } from "./worker-exchange.ts"
+import type { EngineContext, PartView, Tenancy } from "./shard-context.ts"
+import { PartPlanning } from "./shard-planning.ts"
+import { WorkerExchange } from "./worker-communication.ts"
 
 const PLAN_SPACING_MS = 120
 /** After a plan, everything else has the processor for this many times what the plan took. */
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -28,18 +28,18 @@
   priorityRank,
   type TeamName,
   taskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { Shares } from "@sorreltally/quota"
 import { Arrivals } from "./arrivals.ts"
-import type { PartView } from "./context.ts"
 import { Draining } from "./draining.ts"
 import type { JobRegistry } from "./job-registry.ts"
 import type { Lending } from "./lending.ts"
-import { machineNeeds } from "./machine-needs.ts"
-import { preempt } from "./preempt.ts"
-import { quotaNeeds, shareNeed, teamClaims, unusedCores } from "./quota-needs.ts"
+import { machineNeeds } from "./machine-demand.ts"
+import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
+import { preempt } from "./preemption.ts"
+import { quotaNeeds, shareNeed, teamClaims, unusedCores } from "./quota-demand.ts"
 import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
-import { Shares } from "./shares.ts"
-import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./views.ts"
+import type { PartView } from "./shard-context.ts"
 
 /** The load of the machines is counted anew this often. */
 const LOAD_EVERY_MS = 700
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -1,6 +1,5 @@
-import type { JobState } from "@sorreltally/jobs"
+import type { Failures, JobState } from "@sorreltally/jobs"
 import { NOT_SENT } from "@sorreltally/peers"
-import { cancellationBudget } from "@sorreltally/settings"
 import {
   addMs,
   decodeHeartbeat,
@@ -11,14 +10,14 @@
   type NodeName,
   type OutgoingResponse,
   type Respond,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { BlockWriter } from "@sorreltally/provisioning"
+import { cancellationBudget } from "@sorreltally/settings"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import type { BlockWriter } from "./blocks.ts"
-import type { EngineContext } from "./context.ts"
-import type { Failures } from "./failures.ts"
-import { HeldReports } from "./held.ts"
+import { HeldReports } from "./deferred-replies.ts"
 import type { JobRegistry } from "./job-registry.ts"
+import type { EngineContext } from "./shard-context.ts"
 
 const CALL_TIMEOUT_MS = 3_000
 const ORDERS_BACKOFF_MS = 4_000
--- a/packages/shard/test/draining.test.ts
+++ b/packages/shard/test/draining.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
-import type { MachineId, MachineType, ZoneName } from "@sorreltally/wire"
+import type { MachineId, MachineType, ZoneName } from "@sorreltally/protocol"
 import { Draining } from "../src/draining.ts"
 
 const type = { name: "m", cores: 8, accelerators: 0, memGb: 32 } as unknown as MachineType
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -1,13 +1,12 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { JobState } from "@sorreltally/jobs"
+import { Failures, JobState } from "@sorreltally/jobs"
 import { type JobView, type QuotaDemand, STARVED_RANK } from "@sorreltally/planner"
+import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
-import { type JobRecord, keys } from "@sorreltally/state"
-import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/wire"
-import type { PartView } from "../src/context.ts"
-import { Failures } from "../src/failures.ts"
-import { quotaNeeds, shareNeed, teamClaims } from "../src/quota-needs.ts"
+import { type JobRecord, keys } from "@sorreltally/store"
+import { quotaNeeds, shareNeed, teamClaims } from "../src/quota-demand.ts"
+import type { PartView } from "../src/shard-context.ts"
 
 const red = "red" as TeamName
 const NOW = 1_000_000
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -2,7 +2,7 @@
  * Client of the state service: a key-value store with compare-and-swap transactions, leases and watches
  * (protocol, "Controller nodes -> state service"). Values are records, see `records.ts`.
  */
-import { type RequestPriority, SharedRateLimit } from "@sorreltally/pacing"
+
 import {
   type Address,
   HttpClient,
@@ -12,7 +12,8 @@
   type NoResponseError,
   processClocks,
   type Revision,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { type RequestPriority, SharedRateLimit } from "@sorreltally/rate-limit"
 import { Data, Effect } from "effect"
 import { decodeRecord, encodeRecord, type StoreKey } from "./records.ts"
 
--- a/packages/store/src/records.ts
+++ b/packages/store/src/records.ts
@@ -5,29 +5,27 @@
  * Keys that every controller mirrors begin with `s/`, so that one watch brings them all in one order;
  * placements are read by their owner alone and lie outside of it.
  */
-import type {
-  AgentEpoch,
-  FencingToken,
-  Incarnation,
-  JobId,
-  LeaseId,
-  MachineId,
-  MachineType,
-  MachineTypeName,
-  ModRevision,
-  NodeName,
-  ShardName,
-  WireJob,
-  WireMachineType,
-  ZoneName,
-} from "@sorreltally/wire"
 import {
+  type AgentEpoch,
+  type FencingToken,
+  type Incarnation,
+  type JobId,
   type JobSpec,
   jobSpecFromWire,
   jobSpecToWire,
+  type LeaseId,
+  type MachineId,
+  type MachineType,
+  type MachineTypeName,
+  type ModRevision,
   machineTypeFromWire,
   machineTypeToWire,
-} from "@sorreltally/wire"
+  type NodeName,
+  type ShardName,
+  type WireJob,
+  type WireMachineType,
+  type ZoneName,
+} from "@sorreltally/protocol"
 
 declare const recordType: unique symbol
 /** A key of the store, with the type of the record under it. */
@@ -116,6 +114,12 @@
 /** How a job ended. */
 export type FinalStatus = "done" | "cancelled"
 
+/** A job that ended, and how. */
+export interface JobEnd {
+  readonly id: JobId
+  readonly status: FinalStatus
+}
+
 /** Jobs that are over, each as the digits of its id. An ends page holds those that job pages don't show yet. */
 export interface FinalStates {
   readonly done: ReadonlyArray<string>
--- a/packages/testkit/src/actions.ts
+++ b/packages/testkit/src/actions.ts
@@ -1,4 +1,4 @@
-import type { NodeName } from "@sorreltally/wire"
+import type { NodeName } from "@sorreltally/protocol"
 import type { World } from "./world.ts"
 
 /** The words after the verb of one scenario entry. */
--- a/packages/testkit/src/cloud.ts
+++ b/packages/testkit/src/cloud.ts
@@ -1,4 +1,4 @@
-import type { WireMachineType } from "@sorreltally/wire"
+import type { WireMachineType } from "@sorreltally/protocol"
 import { Machine, type MachineDump, type WorkerTimes } from "./machines.ts"
 import type { Net, Request } from "./net.ts"
 import type { Rules } from "./rules.ts"
--- a/packages/testkit/src/deployment-dump.ts
+++ b/packages/testkit/src/deployment-dump.ts
@@ -3,7 +3,7 @@
  * its workers and the users hold at one moment. Controllers are left out: they
  * keep nothing outside of the state service, and begin anew.
  */
-import type { JobId } from "@sorreltally/wire"
+import type { JobId } from "@sorreltally/protocol"
 import type { CloudDump } from "./cloud.ts"
 import type { Setup } from "./deployment.ts"
 import type { StateDump } from "./state.ts"
--- a/packages/testkit/src/deployment.ts
+++ b/packages/testkit/src/deployment.ts
@@ -1,4 +1,4 @@
-import type { NodeName } from "@sorreltally/wire"
+import type { NodeName } from "@sorreltally/protocol"
 import type { Cloud } from "./cloud.ts"
 import type { Net } from "./net.ts"
 import type { Rules } from "./rules.ts"
--- a/packages/testkit/src/golden-recording.ts
+++ b/packages/testkit/src/golden-recording.ts
@@ -4,7 +4,7 @@
  * looks on only: a day runs the same whether it is recorded or not.
  */
 import { bucketOf } from "@sorreltally/jobs"
-import type { JobId, WireJob } from "@sorreltally/wire"
+import type { JobId, WireJob } from "@sorreltally/protocol"
 import { unpack } from "msgpackr"
 import { type DeploymentDump, dumpDeployment } from "./deployment-dump.ts"
 import type { Request } from "./net.ts"
--- a/packages/testkit/src/machines.ts
+++ b/packages/testkit/src/machines.ts
@@ -1,4 +1,4 @@
-import type { WireCommand, WireHeartbeat, WireJob, WireMachineType } from "@sorreltally/wire"
+import type { WireCommand, WireHeartbeat, WireJob, WireMachineType } from "@sorreltally/protocol"
 import type { Net } from "./net.ts"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/measure.ts
@@ -12,8 +12,8 @@
  */
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
+import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
 import { teamFrom } from "@sorreltally/settings"
-import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/wire"
 import { Cloud } from "./cloud.ts"
 import { LoopbackNet } from "./loopback-net.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
--- a/packages/testkit/src/membership-troubles.ts
+++ b/packages/testkit/src/membership-troubles.ts
@@ -1,5 +1,5 @@
 import { DEADLINE, partOf } from "@sorreltally/membership"
-import type { JobId, NodeName, ShardName } from "@sorreltally/wire"
+import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
 import type { Deployment } from "./deployment.ts"
 
 /** A cancelled job still has this much of its estimate to go, so that only a stop ends its tasks. */
--- a/packages/testkit/src/operations.ts
+++ b/packages/testkit/src/operations.ts
@@ -1,4 +1,4 @@
-import { decodeRecord, type JobPage, type PlacementRecord } from "@sorreltally/state"
+import { decodeRecord, type JobPage, type PlacementRecord } from "@sorreltally/store"
 
 /** What a change in the state service is for. */
 export type Operation = "create" | "cancel" | "fold" | "end" | "start" | "finish" | "archive" | "other"
--- a/packages/testkit/src/rules.ts
+++ b/packages/testkit/src/rules.ts
@@ -1,5 +1,5 @@
+import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { isLimited, type Team } from "@sorreltally/settings"
-import type { WireJob, WireMachineType } from "@sorreltally/wire"
 import type { Sim } from "./sim.ts"
 import { UserRules } from "./user-rules.ts"
 
--- a/packages/testkit/src/scenario.ts
+++ b/packages/testkit/src/scenario.ts
@@ -1,4 +1,4 @@
-import type { JobId, WireJob } from "@sorreltally/wire"
+import type { JobId, WireJob } from "@sorreltally/protocol"
 import { type Form, parse } from "sexpr-plus"
 import { type Action, type Args, node, number } from "./actions.ts"
 import type { Setup } from "./deployment.ts"
--- a/packages/testkit/src/service-rules.ts
+++ b/packages/testkit/src/service-rules.ts
@@ -1,4 +1,4 @@
-import type { WireJob } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/protocol"
 import type { UserRules } from "./user-rules.ts"
 
 /** Of each class, the share of its jobs that counts as its largest, at least one. */
--- a/packages/testkit/src/troubles.ts
+++ b/packages/testkit/src/troubles.ts
@@ -1,4 +1,4 @@
-import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/wire"
+import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/protocol"
 import type { Deployment } from "./deployment.ts"
 import type { Machine } from "./machines.ts"
 import type { CutMode, Departure, Request } from "./net.ts"
--- a/packages/testkit/src/user-rules.ts
+++ b/packages/testkit/src/user-rules.ts
@@ -1,4 +1,4 @@
-import type { WireJob } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/protocol"
 import type { Sim } from "./sim.ts"
 
 /** What a user asked of a job. */
--- a/packages/testkit/src/user-troubles.ts
+++ b/packages/testkit/src/user-troubles.ts
@@ -1,4 +1,4 @@
-import type { JobId, NodeName, WireJob } from "@sorreltally/wire"
+import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
 import type { Rules } from "./rules.ts"
 import type { Sim } from "./sim.ts"
 import type { Refusal } from "./user-rules.ts"
--- a/packages/testkit/src/users.ts
+++ b/packages/testkit/src/users.ts
@@ -1,4 +1,4 @@
-import type { JobId, NodeName, WireJob } from "@sorreltally/wire"
+import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
 import type { Net } from "./net.ts"
 import type { Sim } from "./sim.ts"
 import type { Question, UserRules } from "./user-rules.ts"
--- a/packages/testkit/src/waiting-rule.ts
+++ b/packages/testkit/src/waiting-rule.ts
@@ -1,4 +1,4 @@
-import type { WireJob } from "@sorreltally/wire"
+import type { WireJob } from "@sorreltally/protocol"
 import type { Cloud } from "./cloud.ts"
 import type { Machine } from "./machines.ts"
 import type { Rules } from "./rules.ts"
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -1,6 +1,5 @@
 import { makeNode, type Node } from "@sorreltally/daemon/node"
 import type { Links } from "@sorreltally/peers"
-import { defaultOperators, type Platform, teamFrom } from "@sorreltally/settings"
 import {
   HttpClient,
   type HttpResponse,
@@ -11,7 +10,8 @@
   type TeamName,
   type WireMachineType,
   withTimeout,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { defaultOperators, type Platform, teamFrom } from "@sorreltally/settings"
 import { Effect, Exit, Random } from "effect"
 import { Cloud } from "./cloud.ts"
 import type { Deployment, Setup } from "./deployment.ts"
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -14,16 +14,6 @@
   type Placement,
 } from "@sorreltally/jobs"
 import { decodeMessage, encodeMessage, type Links, makePeerChannel } from "@sorreltally/peers"
-import { parseOperators, parsePlatform } from "@sorreltally/settings"
-import {
-  decodeRecord,
-  encodeRecord,
-  type FinalStates,
-  type JobPage,
-  type JobRecord,
-  keys,
-  type PlacementRecord,
-} from "@sorreltally/state"
 import {
   decodeCatalog,
   decodeHeartbeat,
@@ -38,7 +28,17 @@
   machineTypeToWire,
   type NodeName,
   type ShardName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { parseOperators, parsePlatform } from "@sorreltally/settings"
+import {
+  decodeRecord,
+  encodeRecord,
+  type FinalStates,
+  type JobPage,
+  type JobRecord,
+  keys,
+  type PlacementRecord,
+} from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { pack, unpack } from "msgpackr"
 
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict"
 import { readFileSync } from "node:fs"
 import { before, describe, it } from "node:test"
-import type { JobId } from "@sorreltally/wire"
+import type { JobId } from "@sorreltally/protocol"
 import { type DeploymentDump, resumeDeployment } from "../src/deployment-dump.ts"
 import { epochsOwnedTwice } from "../src/epoch-rule.ts"
 import type { World } from "../src/world.ts"
--- a/packages/testkit/test/user-rules.test.ts
+++ b/packages/testkit/test/user-rules.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { WireJob, WireMachineType } from "@sorreltally/wire"
+import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { Rules } from "../src/rules.ts"
 import { largestOfClasses, notBegunWithin, unserved } from "../src/service-rules.ts"
 import { Sim } from "../src/sim.ts"
--- a/packages/testkit/test/waiting-rule.test.ts
+++ b/packages/testkit/test/waiting-rule.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { WireJob, WireMachineType } from "@sorreltally/wire"
+import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { Cloud } from "../src/cloud.ts"
 import { Net } from "../src/net.ts"
 import { Rules } from "../src/rules.ts"
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -6,7 +6,7 @@
   type MonotonicTime,
   type ReportedTask,
   type TaskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 
 /** What decides which commands a worker needs. */
 export interface CommandInputs {
--- a/packages/workers/src/image-cache.ts
+++ b/packages/workers/src/image-cache.ts
@@ -1,4 +1,4 @@
-import type { ImageName } from "@sorreltally/wire"
+import type { ImageName } from "@sorreltally/protocol"
 
 /** The images that a machine probably has: the most recently used ones that fit its cache. */
 export class ImageCache {
--- a/packages/workers/src/index.ts
+++ b/packages/workers/src/index.ts
@@ -1,2 +1,5 @@
+export * from "./commands.ts"
+export * from "./image-cache.ts"
 export * from "./model.ts"
-export * from "./session.ts"
+export * from "./start-tracker.ts"
+export * from "./worker-session.ts"
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -1,5 +1,4 @@
 import type { Placement } from "@sorreltally/jobs"
-import type { MachineBlock, StoreKey } from "@sorreltally/state"
 import type {
   Address,
   AgentEpoch,
@@ -11,7 +10,8 @@
   ShardName,
   WallTime,
   ZoneName,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import type { MachineBlock, StoreKey } from "@sorreltally/store"
 
 export interface LeaseTimes {
   readonly leaseS: number
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -5,7 +5,7 @@
   type MonotonicTime,
   type SequenceNumber,
   type TaskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
 
 /** A worker drops an answer to a report this long after sending it. */
 const ANSWER_LIFE_MS = 4_000
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -17,7 +17,8 @@
   type ReportedTask,
   type SequenceNumber,
   type TaskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { commandsFor } from "./commands.ts"
 import { ImageCache } from "./image-cache.ts"
 import type {
   FreeRoom,
@@ -27,7 +28,6 @@
   Outcome,
   RepeatedHeartbeat,
 } from "./model.ts"
-import { commandsFor } from "./orders.ts"
 import { StartTracker } from "./start-tracker.ts"
 
 /** Steady clocks drift apart by at most this share; both ends may. */
--- a/packages/workers/test/commands.test.ts
+++ b/packages/workers/test/commands.test.ts
@@ -11,8 +11,8 @@
   type MonotonicTime,
   type ReportedTask,
   type TaskId,
-} from "@sorreltally/wire"
-import { commandsFor } from "../src/orders.ts"
+} from "@sorreltally/protocol"
+import { commandsFor } from "../src/commands.ts"
 
 const LARGEST_ATTEMPT = Number.MAX_SAFE_INTEGER
 const taskId = (index: number) => `run-123456/${index}` as TaskId
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -1,7 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { JobState, type Placement } from "@sorreltally/jobs"
-import { type JobRecord, keys } from "@sorreltally/state"
 import type {
   Attempt,
   FencingToken,
@@ -12,7 +11,8 @@
   ModRevision,
   MonotonicTime,
   TaskId,
-} from "@sorreltally/wire"
+} from "@sorreltally/protocol"
+import { type JobRecord, keys } from "@sorreltally/store"
 import {
   type MachineEntry,
   type MachineHandoff,
--- a/scenarios/all-lost-twice.sexp
+++ b/scenarios/all-lost-twice.sexp
@@ -5,6 +5,6 @@
   (at 60 (repeat-messages 0.05 60 60) (crash host-0 4)) (at 68 (crash host-1 4)) (at 74 (crash-all 0.3)) (at 76 (crash host-2 0.2))
   (at 75 (submit pieces 12 cores 4 run 20 due 150))
   (expect (all-over) (served) (begun-within 120))
-  (guard "packages/controller/src/job-registry.ts"
+  (guard "packages/shard/src/job-registry.ts"
     "this.commits.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)"
     ""))
--- a/scenarios/cancel-at-end.sexp
+++ b/scenarios/cancel-at-end.sexp
@@ -3,6 +3,6 @@
   (at 4 (close-polls 150) (cancel-at-end 0.7 150))
   (at 5 (stream 40 80 pieces 1 cores 1 run 3) (stream 12 80 pieces 2 cores 2 run 6 due 90))
   (expect (all-over) (happened endsCancelled 15) (happened endsTold 3) (happened closeAfterEnd 1500))
-  (guard "packages/controller/src/job-table.ts"
+  (guard "packages/jobs/src/job-store.ts"
     "const done = yield* this.state.compareAndSwap(when, operations, 1)"
     "const done = yield* this.state.compareAndSwap([], operations, 1)"))
--- a/scenarios/close-polls-slow.sexp
+++ b/scenarios/close-polls-slow.sexp
@@ -4,6 +4,6 @@
   (at 5 (stream 30 60 pieces 1 cores 1 run 4) (stream 10 60 pieces 2 cores 2 run 8 due 90))
   (at 15 (cancel 1)) (at 25 (cancel 4)) (at 35 (cancel 20))
   (expect (all-over) (happened closeAfterAccepted 300) (happened slow 1000))
-  (guard "packages/membership/src/freshness.ts"
+  (guard "packages/membership/src/read-barrier.ts"
     "const done = yield* Effect.result(this.bringUp())"
     "const done = yield* Effect.result(this.bringUp()); asked.push(...this.waiting); this.waiting = []"))
--- a/scenarios/close-polls.sexp
+++ b/scenarios/close-polls.sexp
@@ -4,5 +4,5 @@
   (at 5 (stream 30 40 pieces 1 cores 1 run 4) (stream 10 40 pieces 2 cores 2 run 8 due 90))
   (at 15 (cancel 1)) (at 25 (cancel 4)) (at 35 (cancel 20))
   (expect (all-over) (happened closeAfterAccepted 800) (happened closeAfterEnd 500) (happened closeAfterCancelled 100))
-  (guard "packages/controller/src/job-table.ts"
+  (guard "packages/jobs/src/job-store.ts"
     "      yield* this.membership.freshness.since\n      const found" "      const found"))
--- a/scenarios/forgotten.sexp
+++ b/scenarios/forgotten.sexp
@@ -7,6 +7,6 @@
   (at 120 (crash-all 1))
   (at 140 (resubmit 0) (resubmit 1))
   (expect (done 2))
-  (guard "packages/controller/src/job-book.ts"
+  (guard "packages/jobs/src/job-index.ts"
     "const end = this.endOf(id)"
     "const end = this.endOf(`${id}x` as JobId)"))
--- a/scenarios/lost-answers-read.sexp
+++ b/scenarios/lost-answers-read.sexp
@@ -5,5 +5,5 @@
   (at 12 (cancel 1)) (at 30 (cancel 8)) (at 50 (cancel 15)) (at 70 (cancel 20))
   (at 40 (crash host-0 4))
   (expect (all-over) (happened lostAnswers 50) (happened lostReadByOthers 20) (happened closeAfterAccepted 500))
-  (guard "packages/controller/src/job-table.ts"
+  (guard "packages/jobs/src/job-store.ts"
     "if (seen.kind !== \"none\") return yield* this.find(request.id)" ""))
--- a/scenarios/not-done.sexp
+++ b/scenarios/not-done.sexp
@@ -3,6 +3,6 @@
   (at 1 (submit pieces 9 cores 4 run 20 snapshot 5 flush 1) (submit pieces 4 cores 8 run 30))
   (at 25 (take-spot 2 6)) (at 40 (take-spot 2 0)) (at 41 (submit pieces 10 cores 4 run 10 urgency high due 40))
   (expect (all-over))
-  (guard "packages/jobs/src/job.ts"
+  (guard "packages/jobs/src/job-state.ts"
     "return this.finishedCount === this.pieces"
     "return this.finishedCount + this.placements.size === this.pieces && this.finishedCount > 0"))
--- a/scenarios/ran-cancelled.sexp
+++ b/scenarios/ran-cancelled.sexp
@@ -4,6 +4,6 @@
   (at 25 (cancel 0))
   (at 26 (cancel 1))
   (expect (withdrawn 2) (no-machine))
-  (guard "packages/controller/src/job-registry.ts"
+  (guard "packages/shard/src/job-registry.ts"
     "job.stop(placement, { why: \"withdrawn\", leewayS: 0, since })"
     ""))
--- a/scenarios/ran-twice-takeover.sexp
+++ b/scenarios/ran-twice-takeover.sexp
@@ -5,6 +5,6 @@
   (at 40 (crash-all 3))
   (at 60 (crash host-1 0.3) (crash host-2 8))
   (expect (all-over))
-  (guard "packages/controller/src/job-registry.ts"
+  (guard "packages/shard/src/job-registry.ts"
     "this.commits.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)"
     ""))
