--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -25,7 +25,7 @@
   | { readonly kind: "none" }
 
 /** All jobs of the deployment. What is found is not older than the question. */
-export interface JobTable {
+export interface JobService {
   readonly find: (id: JobId) => Effect.Effect<Found, StoreError>
   /** Durably; what is found otherwise was accepted before. */
   readonly accept: (record: JobRecord) => Effect.Effect<Found | { readonly kind: "accepted" }, StoreError>
@@ -37,7 +37,7 @@
 export interface Desk {
   readonly ready: () => boolean
   readonly catalog: () => ReadonlyMap<MachineTypeName, MachineType> | null
-  readonly jobs: JobTable
+  readonly jobs: JobService
   readonly counts: (id: JobId) => { readonly done: number; readonly running: number }
   readonly report: (body: Heartbeat, answer: Respond) => void
 }
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -12,7 +12,7 @@
 import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/store"
 import { Effect } from "effect"
 import { Limiter } from "../src/limiter.ts"
-import { Api, type JobTable } from "../src/users.ts"
+import { Api, type JobService } from "../src/users.ts"
 
 const good = {
   id: "run-000412",
@@ -48,7 +48,7 @@
     options.down === true
       ? Effect.fail(new StoreError({ operation: "get", outcome: "refused", status: 503 }))
       : Effect.sync(answer)
-  const jobs: JobTable = {
+  const jobs: JobService = {
     find: (id) => unlessDown(() => find(id)),
     accept: (record) =>
       unlessDown(() => {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,8 +1,8 @@
 import type { CloudClient } from "@sorreltally/cloud"
 import { InFlight, Signal } from "@sorreltally/concurrency"
 import { CommandForwarder, HeartbeatForwarder, NodeLoads, ReportSharing } from "@sorreltally/forwarding"
-import { JobBook, JobTable } from "@sorreltally/jobs"
-import { DEADLINE, type Host, Membership, partOf } from "@sorreltally/membership"
+import { JobIndex as JobIndex, JobStore } from "@sorreltally/jobs"
+import { DEADLINE, type Host, Membership, shardOf as shardOf } from "@sorreltally/membership"
 import type {
   ForwardedHeartbeats,
   MachineHandoffMessage,
@@ -34,7 +34,7 @@
   type Respond,
   type ShardName,
 } from "@sorreltally/protocol"
-import { Fleet, FleetBook } from "@sorreltally/provisioning"
+import { Fleet, MachineIndex as MachineIndex } from "@sorreltally/provisioning"
 import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
 import { type EngineContext, Estimates, PartEngine } from "@sorreltally/shard"
 import type { Entry, StoreClient } from "@sorreltally/store"
@@ -55,10 +55,10 @@
 export class Controller {
   readonly membership: Membership
   readonly fleet: Fleet
-  private readonly book: FleetBook
-  private readonly jobBook: JobBook
+  private readonly machineIndex: MachineIndex
+  private readonly jobIndex: JobIndex
   /** Accepts, finds and cancels jobs. */
-  readonly jobTable: JobTable
+  readonly jobStore: JobStore
   private readonly progress: JobProgress
   private readonly engines = new Map<
     ShardName,
@@ -106,7 +106,7 @@
       log,
       fork,
     )
-    this.book = new FleetBook(this.membership.mirror)
+    this.machineIndex = new MachineIndex(this.membership.mirror)
     const { time_bound_ms, machine_limits, workers } = platform.facts
     this.heartbeatForwarder = new HeartbeatForwarder({
       peers,
@@ -124,22 +124,22 @@
     })
     this.loads = new NodeLoads(peers, time, state, () => this.load())
     this.sharing = new ReportSharing(time, machine_limits.cores, workers.report_s, () => this.loads.takers())
-    this.book.listen((id, entry) => {
+    this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
       this.heartbeatForwarder.forget(id)
       this.sharing.forget(id)
     })
     this.wants = new DemandRegistry(time)
     this.progress = new JobProgress(peers, () => this.ownCounts())
-    this.jobBook = new JobBook(this.membership.mirror)
-    this.jobBook.listen((id, job) => {
+    this.jobIndex = new JobIndex(this.membership.mirror)
+    this.jobIndex.listen((id, job) => {
       if (job === null) this.progress.forget(id)
     })
-    this.jobTable = new JobTable(state, this.membership, this.jobBook, {
+    this.jobStore = new JobStore(state, this.membership, this.jobIndex, {
       changed: (entry, request) => this.jobChanged(entry, request),
       remembered: (id) => this.progress.finalStatus(id),
       remember: (id, status) => this.progress.remember(id, status),
-      partOf: (request) => this.partOfJob(request),
+      shardOf: (request) => this.partOfJob(request),
     })
     this.fleet = new Fleet(
       cloud,
@@ -179,16 +179,16 @@
       commandForwarder: this.commandForwarder,
       membership: this.membership,
       fleet: this.fleet,
-      book: this.book,
+      machineIndex: this.machineIndex,
       estimates: this.estimates,
       time: this.time,
       log: this.log,
       wants: (except) => this.wants.ofOthers(except),
       publish: (of, wants) => this.publish(of, wants),
-      introduce: (to, id, by) => this.introduce(to, id, by),
-      jobBook: this.jobBook,
+      handOff: (to, id, by) => this.handOff(to, id, by),
+      jobIndex: this.jobIndex,
       ended: (ends) => this.progress.ended(ends),
-      foldJobs: (page) => this.jobTable.fold(page),
+      foldJobs: (page) => this.jobStore.fold(page),
       nextHire: () =>
         `${this.membership.incarnation() ?? this.platform.node_name}-${++this.hires}` as RentalRequestId,
       fork: this.fork,
@@ -250,18 +250,18 @@
         )
         if (own.length === 0) continue
         // Whoever has no machines can lend none, and quota is asked for only when it lacks.
-        const mine = own.reduce((sum, { shard: part }) => sum + this.book.size(part), 0)
-        if (mine === this.book.total && own.every(({ demand: wants }) => wants.quotas.length === 0)) continue
+        const mine = own.reduce((sum, { shard: part }) => sum + this.machineIndex.size(part), 0)
+        if (mine === this.machineIndex.total && own.every(({ demand: wants }) => wants.quotas.length === 0)) continue
         this.peers.send({ kind: "demand", demands: own })
       }
     })
   }
-  private introduce(part: ShardName, id: MachineId, by: MachineHandoff | null): void {
+  private handOff(part: ShardName, id: MachineId, by: MachineHandoff | null): void {
     if (by === null) return
     const own = this.engines.get(part)
-    if (own !== undefined) return own.engine.introduced(id, by)
+    if (own !== undefined) return own.engine.acceptHandoff(id, by)
     const owner = this.membership.owner(part)
-    const block = this.book.get(id)?.block
+    const block = this.machineIndex.get(id)?.block
     if (owner === null || block === undefined) return
     const entry = this.membership.mirror.get(block)
     if (entry === null) return
@@ -310,7 +310,7 @@
 
   /** A machine that nobody has on record is the leader's to adopt. */
   private partOfMachine(machine: MachineId): ShardName {
-    return this.book.get(machine)?.part ?? DEADLINE
+    return this.machineIndex.get(machine)?.part ?? DEADLINE
   }
 
   /** Takes in a message from another node. */
@@ -356,7 +356,7 @@
   private receiveHandoff({ shard, block, machines }: MachineHandoffMessage): void {
     this.membership.mirror.hint(block)
     const own = this.engines.get(shard)
-    for (const { machineId, handoff } of machines) own?.engine.introduced(machineId, handoff)
+    for (const { machineId, handoff } of machines) own?.engine.acceptHandoff(machineId, handoff)
   }
 
   // --- is this node of use? -------------------------------------------------------
@@ -385,7 +385,7 @@
     })
   }
   private partOfJob({ id, deadlineS: dueS }: JobSpec): ShardName {
-    return partOf(id, dueS != null, this.nodes.length)
+    return shardOf(id, dueS != null, this.nodes.length)
   }
   /** Tasks done and running, for display. */
   counts(id: JobId): { readonly done: number; readonly running: number } {
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -61,7 +61,7 @@
     const desk = {
       ready,
       catalog: () => controller.catalog(),
-      jobs: controller.jobTable,
+      jobs: controller.jobStore,
       counts: controller.counts.bind(controller),
       report: controller.report.bind(controller),
     }
--- a/packages/jobs/src/failure-tracker.ts
+++ b/packages/jobs/src/failure-tracker.ts
@@ -28,7 +28,7 @@
 }
 
 /** The failures of one part's tasks, as far as they still say something. */
-export class Failures {
+export class FailureTracker {
   private readonly byJob = new Map<JobId, JobFailures>()
   /** Jobs that failed on a machine and succeeded on another since. */
   private readonly provenElsewhere = new Map<MachineId, Set<JobId>>()
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -14,7 +14,7 @@
   type StoreKey,
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { JobBook } from "./job-index.ts"
+import type { JobIndex as JobIndex } from "./job-index.ts"
 import { digitsOf, finalStateBytes, idOf } from "./job-pages.ts"
 import type { JobState } from "./job-state.ts"
 import { endsPages } from "./job-store.ts"
@@ -74,7 +74,7 @@
     private readonly epoch: ModRevision,
     private readonly state: StoreClient,
     private readonly membership: Pick<Membership, "mirror" | "freshness">,
-    private readonly book: JobBook,
+    private readonly jobIndex: JobIndex,
     private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
     private readonly events: JobEndsEvents,
@@ -139,7 +139,7 @@
   private settle(jobs: ReadonlyArray<JobState>): void {
     const ends: Array<JobEnd> = []
     for (const job of jobs) {
-      const status = this.book.endOf(job.id)
+      const status = this.jobIndex.endOf(job.id)
       if (status === null) continue
       this.waiting.delete(job)
       ends.push({ id: job.id, status })
@@ -155,10 +155,10 @@
     for (const job of this.waiting) {
       const digits = digitsOf(job.id)
       if (room.bytes + finalStateBytes(digits) > this.pageBytes) break
-      if (!job.withdrawn && done.size >= most) continue
+      if (!job.cancelled && done.size >= most) continue
       room.bytes += finalStateBytes(digits)
       jobs.push(job)
-      if (job.withdrawn) room.cancelled.push(digits)
+      if (job.cancelled) room.cancelled.push(digits)
       else {
         room.done.push(digits)
         done.add(job)
@@ -172,7 +172,7 @@
   /** The part's ends pages, as far as they are still needed. */
   private rooms(): ReadonlyArray<Room> {
     // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
-    const needed = (digits: string) => this.book.isOnRecord(idOf(digits))
+    const needed = (digits: string) => this.jobIndex.isOnRecord(idOf(digits))
     return endsPages(this.part, this.state.limits).map((path) => {
       const page = this.membership.mirror.get(path)?.value
       const done = (page?.done ?? []).filter(needed)
@@ -203,7 +203,7 @@
     if (bytes < CROWDED * rooms.length * this.pageBytes) return null
     const counts = new Map<StoreKey<JobPage>, number>()
     for (const digits of rooms.flatMap(({ done, cancelled }) => [...done, ...cancelled])) {
-      const page = this.book.pageOf(idOf(digits))
+      const page = this.jobIndex.pageOf(idOf(digits))
       if (page !== null) counts.set(page, (counts.get(page) ?? 0) + 1)
     }
     let fullest: StoreKey<JobPage> | null = null
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -28,7 +28,7 @@
 export type JobListener = (id: JobId, job: LiveJob | null) => void
 
 /** Every job on record, job by job: job pages and ends pages as this node's mirror has them. */
-export class JobBook {
+export class JobIndex {
   /** Jobs whose records stand in a page, over or not. */
   private readonly onRecord = new Map<JobId, LiveJob>()
   private readonly inPage = new Map<string, ReadonlyArray<JobId>>()
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -17,7 +17,7 @@
   readonly index: number
   readonly task: TaskId
   readonly machine: MachineId
-  readonly tenure: AgentEpoch
+  readonly agentEpoch: AgentEpoch
   readonly attempt: Attempt
   /** Only a durable placement may be started. */
   durable: boolean
@@ -32,7 +32,7 @@
   readonly placedAt: MonotonicTime
   runningSince: MonotonicTime | null
   /** How often the worker was told to start it, and nothing came of it. */
-  unheard: number
+  unacknowledgedStarts: number
 }
 type StopReason = "withdrawn" | "preempted" | "drain"
 
@@ -51,7 +51,7 @@
   /** When a failed or refused task may be tried again, and how often starts were refused since one succeeded. */
   notBefore: MonotonicTime | null = null
   refusals = 0
-  withdrawn: boolean
+  cancelled: boolean
   /** Its end is durable. */
   over = false
   /** Placed tasks that run, and those that are to leave their machine. */
@@ -67,29 +67,29 @@
   ) {
     this.request = record.spec
     this.submitted = record.submittedAt as WallTime
-    this.withdrawn = record.cancelled
+    this.cancelled = record.cancelled
     this.finished = new Uint8Array(record.spec.taskCount)
   }
 
-  get pieces(): number {
+  get taskCount(): number {
     return this.request.taskCount
   }
   get done(): number {
     return this.finishedCount
   }
   get queued(): number {
-    return this.pieces - this.finishedCount - this.placements.size
+    return this.taskCount - this.finishedCount - this.placements.size
   }
   /** No task of it ever began. */
   get unbegun(): boolean {
     return this.placements.size === 0 && this.finishedCount === 0
   }
   get complete(): boolean {
-    return this.finishedCount === this.pieces
+    return this.finishedCount === this.taskCount
   }
   /** Nothing is left to do but to write its end down. */
   get ended(): boolean {
-    return this.complete || (this.withdrawn && this.placements.size === 0)
+    return this.complete || (this.cancelled && this.placements.size === 0)
   }
   isFinished(index: number): boolean {
     return this.finished[index] === 1
@@ -104,7 +104,7 @@
     for (let index = this.again.pop(); index !== undefined; index = this.again.pop()) {
       if (!this.isFinished(index) && !this.placements.has(index)) return index
     }
-    while (this.fresh < this.pieces) {
+    while (this.fresh < this.taskCount) {
       const index = this.fresh++
       if (!this.isFinished(index) && !this.placements.has(index)) return index
     }
@@ -148,7 +148,7 @@
 
   /** Takes over what a former owner wrote. */
   restoreFinished(first: number, count: number): void {
-    for (let index = first; index < Math.min(this.pieces, first + count); index++) {
+    for (let index = first; index < Math.min(this.taskCount, first + count); index++) {
       if (this.isFinished(index)) continue
       this.markFinished(index)
       this.placements.delete(index)
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -16,7 +16,7 @@
   type StoreLimits,
 } from "@sorreltally/store"
 import { Effect } from "effect"
-import type { JobBook, PageEntry } from "./job-index.ts"
+import type { JobIndex, PageEntry } from "./job-index.ts"
 import {
   addJob,
   archiveFinals,
@@ -63,7 +63,7 @@
   /** Final answers known already; they hold for good. */
   readonly remembered: (id: JobId) => FinalStatus | null
   readonly remember: (id: JobId, status: FinalStatus) => void
-  readonly partOf: (request: JobSpec) => ShardName
+  readonly shardOf: (request: JobSpec) => ShardName
 }
 
 /**
@@ -71,11 +71,11 @@
  * one page on the stamp that it was read at, so that of several writers of a
  * bucket one succeeds, and a late copy fails.
  */
-export class JobTable {
+export class JobStore {
   constructor(
     private readonly state: StoreClient,
     private readonly membership: Pick<Membership, "freshness" | "mirror">,
-    private readonly book: JobBook,
+    private readonly jobIndex: JobIndex,
     private readonly events: JobTableEvents,
   ) {}
 
@@ -101,7 +101,7 @@
       const { spec: request } = record
       for (;;) {
         // The mirror may lag here: the conditions fail if it does.
-        const pages = this.book.pages(bucketOf(request.id))
+        const pages = this.jobIndex.pages(bucketOf(request.id))
         const seen = yield* this.look(request.id)
         if (seen.kind !== "none") return yield* this.find(request.id)
         const target = this.pageFor(record, pages)
@@ -132,12 +132,12 @@
       for (;;) {
         const found = yield* this.find(id)
         if (found.kind !== "live" || found.record.cancelled) return found
-        const job = this.book.get(id)
-        const page = this.book.pages(bucketOf(id)).find(({ key: path }) => path === job?.page)
+        const job = this.jobIndex.get(id)
+        const page = this.jobIndex.pages(bucketOf(id)).find(({ key: path }) => path === job?.page)
         if (page === undefined) continue
         const { spec: request } = found.record
         const when: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
-        when.push(...this.endsConditions(this.events.partOf(request)))
+        when.push(...this.endsConditions(this.events.shardOf(request)))
         const { page: written, operations } = this.writesOf(page.key, cancelJob(this.folded(page), id))
         const done = yield* this.state.compareAndSwap(when, operations, 1)
         if (!done.ok) continue
@@ -166,16 +166,16 @@
 
   private pageAt(path: string): PageEntry | null {
     const bucket = Number(path.slice(path.lastIndexOf("/") + 1, path.lastIndexOf(".")))
-    return this.book.pages(bucket).find((page) => page.key === path) ?? null
+    return this.jobIndex.pages(bucket).find((page) => page.key === path) ?? null
   }
   /** What the mirror says, and for jobs long over the archive. */
   private look(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
-      const pages = this.book.pages(bucket)
-      const status = this.book.finalOf(id, pages)
+      const pages = this.jobIndex.pages(bucket)
+      const status = this.jobIndex.finalOf(id, pages)
       if (status !== null) return Effect.succeed({ kind: "final", status })
-      const live = this.book.get(id)
+      const live = this.jobIndex.get(id)
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
       // Read after the pages were: what has left them by then is found there.
       if (pages.every(({ value }) => value.archivedPages === 0)) return Effect.succeed({ kind: "none" })
@@ -193,7 +193,7 @@
   }
 
   private folded({ value: v }: PageEntry): JobPage {
-    return foldEnds(v, (id) => this.book.endOf(id))
+    return foldEnds(v, (id) => this.jobIndex.endOf(id))
   }
   /** The first page of a bucket with room for the job; null when not even an empty one has. */
   private pageFor(
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -52,7 +52,7 @@
  * A slot is written anew once nothing that it says matters any more: the tasks
  * it placed are off their machines, the jobs it speaks of are over.
  */
-export class Ledger {
+export class PlacementLedger {
   private readonly slots = new Map<number, Slot>()
   private readonly free: Array<{ readonly slot: number; readonly stamp: ModRevision }> = []
   private next = 0
@@ -134,14 +134,14 @@
           index,
           task: taskId(job.id, index),
           machine: record.machines[machine]!,
-          tenure: agentEpoch,
+          agentEpoch: agentEpoch,
           attempt: (record.firstAttempt + attemptOffset) as Attempt,
           durable: true,
           inherited: true,
           stop: null,
           placedAt: now,
           runningSince: null,
-          unheard: 0,
+          unacknowledgedStarts: 0,
         }
         job.restorePlaced(placement)
         starts.push(placement)
@@ -261,11 +261,11 @@
       finished: this.runs,
     }
   }
-  private placedTask({ index, machine, tenure, attempt }: Placement, firstAttempt: number): PlacedTask {
+  private placedTask({ index, machine, agentEpoch: agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
     return {
       index,
       machine: this.machines.get(machine)!,
-      agentEpoch: tenure,
+      agentEpoch: agentEpoch,
       attemptOffset: attempt - firstAttempt,
     }
   }
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -12,7 +12,7 @@
 import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobState, Placement } from "./job-state.ts"
-import { type Draft, Ledger } from "./placement-ledger.ts"
+import { type Draft, PlacementLedger } from "./placement-ledger.ts"
 
 const PAUSE_MS = 150
 /** Finishes are looked at this often, nothing is hardly ever. */
@@ -47,8 +47,8 @@
 }
 
 /** Writes down what became of one part's tasks: starts at once, finishes by the way. */
-export class Commits {
-  readonly ledger: Ledger
+export class PlacementWriter {
+  readonly ledger: PlacementLedger
   private readonly starts = new Set<Placement>()
   private readonly finishing = new Set<JobState>()
   private finishingSince: MonotonicTime = NEVER
@@ -65,7 +65,7 @@
     private readonly active: () => boolean,
     private readonly events: CommitEvents,
   ) {
-    this.ledger = new Ledger(state.limits.valueKb)
+    this.ledger = new PlacementLedger(state.limits.valueKb)
   }
 
   place(placement: Placement): void {
--- a/packages/jobs/test/failure-tracker.test.ts
+++ b/packages/jobs/test/failure-tracker.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test"
 import type { JobId, MachineId, ModRevision, MonotonicTime } from "@sorreltally/protocol"
 import { type JobRecord, keys } from "@sorreltally/store"
-import { Failures } from "../src/failure-tracker.ts"
+import { FailureTracker } from "../src/failure-tracker.ts"
 import { JobState, type Placement } from "../src/job-state.ts"
 
 const [red, blue] = ["run-000001" as JobId, "run-000002" as JobId]
@@ -14,7 +14,7 @@
 const at = (seconds: number) => (seconds * 1000) as MonotonicTime
 
 test("a job that fails on one machine leaves that machine alone for a while, and doesn't pause", () => {
-  const failures = new Failures()
+  const failures = new FailureTracker()
   assert.equal(failures.failed(red, one, at(0)), 0)
   assert.ok(!failures.isSuspect(red))
   assert.deepEqual([...failures.avoidedBy(red, at(29))], [one])
@@ -23,7 +23,7 @@
 })
 
 test("a job that fails on several machines is tried one task at a time, at growing pauses", () => {
-  const failures = new Failures()
+  const failures = new FailureTracker()
   const record = {
     spec: { id: red, taskCount: 60 },
     submittedAt: 0,
@@ -48,7 +48,7 @@
 })
 
 test("a machine is faulty once several jobs failed there that succeeded elsewhere", () => {
-  const failures = new Failures()
+  const failures = new FailureTracker()
   for (const job of [red, blue]) {
     failures.failed(job, one, at(0))
     assert.ok(!failures.isFaulty(one))
@@ -63,7 +63,7 @@
 
 // Guards against healthy machines that are given back for the errors of jobs with a mistake.
 test("jobs that succeed nowhere never make a machine faulty", () => {
-  const failures = new Failures()
+  const failures = new FailureTracker()
   for (let n = 1; n < 50; n++)
     for (const machine of [one, two, three]) failures.failed(`run-${n}` as JobId, machine, at(n))
   for (const machine of [one, two, three]) assert.ok(!failures.isFaulty(machine))
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -13,9 +13,9 @@
 } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { JobEnds } from "../src/job-ends.ts"
-import { JobBook } from "../src/job-index.ts"
+import { JobIndex } from "../src/job-index.ts"
 import { JobState } from "../src/job-state.ts"
-import { JobTable } from "../src/job-store.ts"
+import { JobStore } from "../src/job-store.ts"
 
 const PART = "deadline" as ShardName
 const JOBS = 400
@@ -46,12 +46,12 @@
   const mirror = new Mirror()
   const items = () => [...stored].map(([key, entry]) => ({ key, ...entry }))
   const freshness = { since: Effect.sync(() => mirror.reload(items(), revision as Revision)) } as never
-  const book = new JobBook(mirror)
-  const table = new JobTable(state, { mirror, freshness }, book, {
+  const book = new JobIndex(mirror)
+  const table = new JobStore(state, { mirror, freshness }, book, {
     changed: (entry) => Effect.sync(() => mirror.hint(entry)),
     remembered: () => null,
     remember: () => {},
-    partOf: () => PART,
+    shardOf: () => PART,
   })
   for (let n = 0; n < JOBS; n++) {
     const spec = { id: `run-${String(n).padStart(6, "0")}`, taskCount: 1, deadlineS: 9 }
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -12,9 +12,9 @@
   type StoreClient,
 } from "@sorreltally/store"
 import { Effect } from "effect"
-import { JobBook } from "../src/job-index.ts"
+import { JobIndex } from "../src/job-index.ts"
 import { bucketOf, digitsOf } from "../src/job-pages.ts"
-import { type Acceptance, JobTable } from "../src/job-store.ts"
+import { type Acceptance, JobStore } from "../src/job-store.ts"
 
 const PART = "part-0" as ShardName
 const limits = { valueKb: 2, maxOperations: 8, writesPerSecond: 100 }
@@ -64,14 +64,14 @@
 /** One controller's view of the store. */
 const nodeOf = (store: Store) => {
   const mirror = new Mirror()
-  const book = new JobBook(mirror)
+  const book = new JobIndex(mirror)
   const refresh = () => mirror.reload(store.under("s/"), store.revision as Revision)
   const freshness = { since: Effect.sync(refresh) } as never
-  const table = new JobTable(store.client, { mirror, freshness }, book, {
+  const table = new JobStore(store.client, { mirror, freshness }, book, {
     changed: (entry) => Effect.sync(() => mirror.hint(entry)),
     remembered: () => null,
     remember: () => {},
-    partOf: () => PART,
+    shardOf: () => PART,
   })
   return { mirror, book, table, refresh }
 }
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -14,7 +14,7 @@
 import { type JobRecord, keys, type PlacementRecord, type StoreClient } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { JobState, type Placement } from "../src/job-state.ts"
-import { Commits } from "../src/placement-writer.ts"
+import { PlacementWriter } from "../src/placement-writer.ts"
 
 const PIECES = 80
 const request = { id: "run-000001", taskCount: PIECES, cores: 1, accelerators: 0, memGb: 1, image: "img" }
@@ -30,14 +30,14 @@
     index,
     task: taskId(job.id, index),
     machine: `i-${index}` as MachineId,
-    tenure: 1 as AgentEpoch,
+    agentEpoch: 1 as AgentEpoch,
     attempt: (index + 1) as Attempt,
     durable: false,
     inherited: false,
     stop: null,
     placedAt: 0 as MonotonicTime,
     runningSince: null,
-    unheard: 0,
+    unacknowledgedStarts: 0,
   }
   job.place(placement)
   return placement
@@ -60,7 +60,7 @@
   } as unknown as StoreClient
   const membership = { freshness: { since: Effect.void }, mirror: {} } as unknown as Membership
   const unwanted: Array<Placement> = []
-  const commits = new Commits(
+  const commits = new PlacementWriter(
     "deadline" as ShardName,
     5 as ModRevision,
     state,
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -199,16 +199,16 @@
 
   private takeOver(part: ShardName) {
     return Effect.gen({ self: this }, function* () {
-      const standing = this.grant.current
-      if (standing === null) return
+      const counters = this.grant.current
+      if (counters === null) return
       const path = keys.shard(part)
-      const record: ShardRecord = { owner: this.self, incarnation: standing.incarnation }
+      const record: ShardRecord = { owner: this.self, incarnation: counters.incarnation }
       const from = this.mirror.get(path)?.value.owner ?? null
       // The former owner's live key must be gone and our own must stand: a late
       // copy of this transaction changes nothing.
       const when = [
         { key: path, modRevision: this.mirror.modRevision(path) },
-        { key: keys.node(this.self), modRevision: standing.liveStamp },
+        { key: keys.node(this.self), modRevision: counters.liveStamp },
       ]
       if (from !== null && from !== this.self)
         when.push({ key: keys.node(from), modRevision: this.mirror.modRevision(keys.node(from)) })
--- a/packages/membership/src/shards.ts
+++ b/packages/membership/src/shards.ts
@@ -9,7 +9,7 @@
   ...nodes.map((_, index) => partAt(index)),
 ]
 
-export const partOf = (job: JobId, hasDeadline: boolean, nodes: number): ShardName =>
+export const shardOf = (job: JobId, hasDeadline: boolean, nodes: number): ShardName =>
   hasDeadline ? DEADLINE : partAt(hashText(job) % nodes)
 
 /** The node that a part is meant for while all are alive. */
--- a/packages/provisioning/src/machine-index.ts
+++ b/packages/provisioning/src/machine-index.ts
@@ -32,7 +32,7 @@
 }
 
 /** Every machine on record, machine by machine: the blocks as this node's mirror has them. */
-export class FleetBook {
+export class MachineIndex {
   private readonly machines = new Map<MachineId, MachineEntry>()
   private readonly inBlock = new Map<string, ReadonlyArray<MachineId>>()
   private readonly sizes = new Map<ShardName, number>()
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -21,7 +21,7 @@
 } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { ADOPTED, type FleetBook, type Kind, originFor } from "./machine-index.ts"
+import { ADOPTED, type MachineIndex, type Kind, originFor } from "./machine-index.ts"
 
 export type Edit =
   /** To another part. */
@@ -78,13 +78,13 @@
     private readonly parts: ReadonlyArray<ShardName>,
     private readonly state: StoreClient,
     private readonly membership: Membership,
-    private readonly book: FleetBook,
+    private readonly machineIndex: MachineIndex,
     private readonly now: () => number,
     private readonly active: () => boolean,
   ) {}
 
   edit(id: MachineId, edit: Edit, settled: (done: boolean) => void = () => {}): void {
-    const entry = this.book.get(id)
+    const entry = this.machineIndex.get(id)
     const queued = this.edits.get(id)
     if (queued !== undefined) {
       const outcome = this.outcomeOf(queued, entry)
@@ -97,7 +97,7 @@
   /** Guards against an edit that was overtaken standing in the way of what is decided next. */
   isEditing(id: MachineId): boolean {
     const queued = this.edits.get(id)
-    return queued !== undefined && this.outcomeOf(queued, this.book.get(id)) === "open"
+    return queued !== undefined && this.outcomeOf(queued, this.machineIndex.get(id)) === "open"
   }
   add(machines: NewMachines, adopted: boolean, settled: () => void): void {
     const most = blockSize(this.state.limits.valueKb)
@@ -150,12 +150,12 @@
       const { mirror } = this.membership
       const when: Array<Condition> = [{ key: keys.shard(this.part), modRevision: this.epoch }]
       const origin = originFor(adopted ? ADOPTED : this.part, kind)
-      const last = adopted ? null : this.book.last(origin)
+      const last = adopted ? null : this.machineIndex.last(origin)
       for (const other of adopted ? this.parts : ([ADOPTED] as const)) {
         const theirs = originFor(other, kind)
-        const latest = adopted ? this.book.last(theirs) : null
+        const latest = adopted ? this.machineIndex.last(theirs) : null
         if (latest !== null) when.push({ key: latest.path, modRevision: mirror.modRevision(latest.path) })
-        when.push({ key: this.book.next(theirs), modRevision: ABSENT })
+        when.push({ key: this.machineIndex.next(theirs), modRevision: ABSENT })
       }
       const most = blockSize(this.state.limits.valueKb)
       const batch: Array<QueuedMachines> = []
@@ -166,11 +166,11 @@
         if (!alike || left.length + queued.ids.length > most) continue
         batch.push(queued)
         for (const id of queued.ids)
-          if (this.book.get(id) === undefined && !this.book.gone.has(id)) left.push([id, queued.rentedAt])
+          if (this.machineIndex.get(id) === undefined && !this.machineIndex.gone.has(id)) left.push([id, queued.rentedAt])
       }
       if (left.length > 0) {
         const appended = last !== null && last.machines + left.length <= most ? last.path : null
-        const path = appended ?? this.book.next(origin)
+        const path = appended ?? this.machineIndex.next(origin)
         const before = mirror.get(path)
         when.push({ key: path, modRevision: before?.modRevision ?? ABSENT })
         const rentedAt = before?.value.rentedAt ?? Math.min(...left.map(([, at]) => at))
@@ -213,7 +213,7 @@
       const urgent = [...this.edits.values()].some(({ edit }) => edit.kind !== "remove")
       const touched = new Set<StoreKey<MachineBlock>>()
       for (const id of this.edits.keys()) {
-        const block = this.book.get(id)?.block
+        const block = this.machineIndex.get(id)?.block
         if (block !== undefined && touched.size < this.state.limits.maxOperations) touched.add(block)
       }
       yield* this.state.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
@@ -225,7 +225,7 @@
       >()
       const written: Array<[MachineId, Queued]> = []
       for (const [id, queued] of [...this.edits]) {
-        const entry = this.book.get(id)
+        const entry = this.machineIndex.get(id)
         const outcome = this.outcomeOf(queued, entry)
         if (entry === undefined || outcome !== "open") {
           this.edits.delete(id)
@@ -257,7 +257,7 @@
       for (const [path, { machines, modRevision }] of records) {
         when.push({ key: path, modRevision })
         const block = mirror.get(path)!.value
-        if (machines.size === 0 && !this.book.isLatest(path)) apply.push(remove(path))
+        if (machines.size === 0 && !this.machineIndex.isLatest(path)) apply.push(remove(path))
         else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
       }
       const done = yield* Effect.result(this.state.compareAndSwap(when, apply, "reserved"))
--- a/packages/provisioning/test/machine-records-overtaken.test.ts
+++ b/packages/provisioning/test/machine-records-overtaken.test.ts
@@ -11,7 +11,7 @@
 } from "@sorreltally/protocol"
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { FleetBook } from "../src/machine-index.ts"
+import { MachineIndex } from "../src/machine-index.ts"
 import { BlockWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
@@ -29,7 +29,7 @@
 /** One machine of ours on record, and a state service that carries out what it doesn't answer. */
 const fixture = () => {
   const mirror = new Mirror()
-  const book = new FleetBook(mirror)
+  const book = new MachineIndex(mirror)
   const writes: Array<MachineBlock> = []
   let stamp = 10
   const wrote = (v: MachineBlock) => mirror.hint({ key: path, value: v, modRevision: ++stamp as ModRevision })
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -11,7 +11,7 @@
 } from "@sorreltally/protocol"
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { FleetBook, originFor } from "../src/machine-index.ts"
+import { MachineIndex, originFor } from "../src/machine-index.ts"
 import { BlockWriter, type Edit } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
@@ -29,7 +29,7 @@
   readonly writer: BlockWriter
   /** What happens to the block between our first write and our next look. */
   constructor(private readonly meanwhile: ReadonlyArray<ShardName>) {
-    const book = new FleetBook(this.mirror)
+    const book = new MachineIndex(this.mirror)
     this.put(ours, 7)
     const state = {
       limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,5 +1,5 @@
-import { Commits, JobEnds, JobState, type LiveJob, type Placement } from "@sorreltally/jobs"
-import { partOf } from "@sorreltally/membership"
+import { PlacementWriter, JobEnds, JobState, type LiveJob, type Placement } from "@sorreltally/jobs"
+import { shardOf } from "@sorreltally/membership"
 import {
   type JobId,
   type JobSpec,
@@ -33,7 +33,7 @@
 /** One part's jobs, from their acceptance or a take-over to their end. */
 export class JobRegistry {
   readonly jobs = new Map<JobId, JobState>()
-  private readonly commits: Commits
+  private readonly placementWriter: PlacementWriter
   private readonly ends: JobEnds
   private readonly now: () => MonotonicTime
 
@@ -44,38 +44,38 @@
     active: () => boolean,
     private readonly events: JobRegistryEvents,
   ) {
-    const { state, membership, time, jobBook } = ctx
+    const { state, membership, time, jobIndex: jobIndex } = ctx
     this.now = time.monotonicNow
-    this.commits = new Commits(part, epoch, state, membership, time.monotonicNow, active, {
+    this.placementWriter = new PlacementWriter(part, epoch, state, membership, time.monotonicNow, active, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(part, epoch, state, membership, jobBook, time.monotonicNow, active, {
+    this.ends = new JobEnds(part, epoch, state, membership, jobIndex, time.monotonicNow, active, {
       ended: (ends) => ctx.ended(ends),
       fold: (page) => ctx.foldJobs(page),
     })
   }
 
   get slots(): number {
-    return this.commits.ledger.size
+    return this.placementWriter.ledger.size
   }
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
-    Effect.all([this.commits.run, this.ends.run], { concurrency: "unbounded", discard: true }),
+    Effect.all([this.placementWriter.run, this.ends.run], { concurrency: "unbounded", discard: true }),
   )
 
   /** Takes over what a former owner left: the jobs on record, and what its slots say of their tasks. */
   restore(slots: ReadonlyArray<Entry>): void {
-    for (const job of this.ctx.jobBook.live()) this.jobChanged(job.id, job)
+    for (const job of this.ctx.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
     for (const { key: path, value: v, modRevision: stamp } of slots) {
       const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.commits.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)
+      this.placementWriter.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)
     }
   }
 
   place(placement: Placement): void {
-    this.commits.place(placement)
+    this.placementWriter.place(placement)
   }
 
   /** What the job table says of a job of any part; null: it is over. */
@@ -87,7 +87,7 @@
       return
     }
     const { record, page, modRevision: stamp } = entry
-    if (partOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.part) return
+    if (shardOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.part) return
     if (known === undefined) {
       const job = new JobState(id, record, page, stamp)
       this.jobs.set(id, job)
@@ -98,14 +98,14 @@
       return
     }
     if (stamp > known.stamp) known.stamp = stamp
-    if (record.cancelled && !known.withdrawn) this.withdraw(known)
+    if (record.cancelled && !known.cancelled) this.cancel(known)
   }
 
   /** A task of the job finished or was cleared, or the job was cancelled. */
   settle(job: JobState): void {
     if (job.over) return
-    if (!job.ended) return this.commits.finished(job)
-    this.commits.ended(job)
+    if (!job.ended) return this.placementWriter.finished(job)
+    this.placementWriter.ended(job)
     this.ends.add(job)
   }
 
@@ -115,11 +115,11 @@
     return this.jobs.get(job)?.finishIsDurable(index) ?? true
   }
 
-  private withdraw(job: JobState): void {
-    job.withdrawn = true
+  private cancel(job: JobState): void {
+    job.cancelled = true
     const since = this.now()
     for (const placement of [...job.placements.values()]) {
-      if (!placement.durable && !this.commits.isInFlight(placement)) this.unplace(placement)
+      if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.unplace(placement)
       else {
         job.stop(placement, { why: "withdrawn", leewayS: 0, since })
         this.events.tell(placement.machine)
@@ -139,7 +139,7 @@
   private forget(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
     job.over = true
-    this.commits.ended(job)
+    this.placementWriter.ended(job)
     for (const placement of job.placements.values()) this.events.release(placement)
     this.events.forgotten(job)
     this.events.changed()
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -38,7 +38,7 @@
     const { ctx } = this.of
     const tenancy = this.of.tenancies.get(id)
     if (tenancy === undefined || tenancy.moving || tenancy.returning || this.blocks.isEditing(id)) return
-    if (!session.empty(this.finishIsDurable) || session.receivesNothingSince !== null) return
+    if (!session.empty(this.finishIsDurable) || session.unreachableSince !== null) return
     if (ctx.membership.owner(to) === null) return
     tenancy.moving = true
     tenancy.holder = null
@@ -47,12 +47,12 @@
       const until = addMs(ctx.time.monotonicNow(), LOAN_COUNTS_MS)
       this.loans.push({ to, slots: slotsIn(shape, session.type), until })
     }
-    const introduction = session.introduction(ctx.time.monotonicNow())
+    const handoff = session.handoff(ctx.time.monotonicNow())
     this.blocks.edit(id, { kind: "move", to }, (moved) => {
       tenancy.moving = false
       if (!moved) return
       ctx.log.debug("machine lent", { machine: id, to })
-      ctx.introduce(to, id, introduction)
+      ctx.handOff(to, id, handoff)
     })
   }
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -67,11 +67,11 @@
   const views: Array<JobView> = []
   const bySubmission = [...part.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
-    if (job.withdrawn || job.complete) continue
+    if (job.cancelled || job.complete) continue
     const { request } = job
     const team = part.ctx.platform.facts.teams.find((t) => t.name === request.team)
     const suspect = part.failures.isSuspect(job.id)
-    const demand = (ahead.get(request.team) ?? 0) + (job.pieces - job.done) * request.cores
+    const demand = (ahead.get(request.team) ?? 0) + (job.taskCount - job.done) * request.cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
     if (!suspect) ahead.set(request.team, demand)
     const ageS = Math.max(0, (wall - job.submitted) / 1000)
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -134,7 +134,7 @@
   for (const job of part.jobs.values()) {
     const { request } = job
     const queued = part.failures.startable(job, now)
-    if (request.team !== team.name || job.withdrawn || queued === 0) continue
+    if (request.team !== team.name || job.cancelled || queued === 0) continue
     if (tasksWithin(request, attainable) === 0) continue
     // Beyond what machines have room for, a share would only lie idle, and be asked back.
     const tasks = Math.min(queued, slotsInCores(request, left))
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -146,11 +146,11 @@
   /** Machines that the cloud lists and no record knows: rented by a node that died, or there from the start. */
   private adopt() {
     return Effect.gen({ self: this }, function* () {
-      const { fleet, membership, time, book, log } = this.of.ctx
+      const { fleet, membership, time, machineIndex: machineIndex, log } = this.of.ctx
       const unknown = (m: ListedMachine) =>
         !this.recording.has(m.id) &&
-        book.get(m.id) === undefined &&
-        !book.gone.has(m.id) &&
+        machineIndex.get(m.id) === undefined &&
+        !machineIndex.gone.has(m.id) &&
         (m.ageS >= ADOPT_AFTER_S || m.status === "running")
       if (!fleet.listedHere.some(unknown)) return
       const fresh = yield* Effect.result(membership.freshness.since)
@@ -310,8 +310,8 @@
     if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && listIsNew)
       return "never came up"
     if (
-      session.receivesNothingSince !== null &&
-      now > addMs(session.receivesNothingSince, RECEIVES_NOTHING_MS)
+      session.unreachableSince !== null &&
+      now > addMs(session.unreachableSince, RECEIVES_NOTHING_MS)
     )
       return "hears nothing"
     return null
@@ -323,7 +323,7 @@
     const now = this.of.ctx.time.monotonicNow()
     const shapes = []
     for (const job of this.of.jobs.values())
-      if (this.of.failures.startable(job, now) > 0 && !job.withdrawn && !heldBack.has(job.id))
+      if (this.of.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
         shapes.push(job.request)
     return shapes
   }
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -1,7 +1,7 @@
 import type { CloudClient } from "@sorreltally/cloud"
 import type { InFlight } from "@sorreltally/concurrency"
 import type { CommandForwarder } from "@sorreltally/forwarding"
-import type { Failures, JobBook, JobState } from "@sorreltally/jobs"
+import type { FailureTracker, JobIndex, JobState } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
 import type { PlannedHire, ShardDemand } from "@sorreltally/planner"
 import type {
@@ -14,7 +14,7 @@
   RentalRequestId,
   ShardName,
 } from "@sorreltally/protocol"
-import type { Fleet, FleetBook } from "@sorreltally/provisioning"
+import type { Fleet, MachineIndex } from "@sorreltally/provisioning"
 import type { Operators, Platform } from "@sorreltally/settings"
 import type { JobEnd, JobPage, StoreClient, StoreError, StoreKey } from "@sorreltally/store"
 import type { MachineHandoff, WorkerSession } from "@sorreltally/workers"
@@ -35,7 +35,7 @@
   readonly commandForwarder: CommandForwarder
   readonly membership: Membership
   readonly fleet: Fleet
-  readonly book: FleetBook
+  readonly machineIndex: MachineIndex
   readonly estimates: Estimates
   readonly time: Clocks
   readonly log: Log
@@ -44,8 +44,8 @@
   readonly wants: (except: ShardName) => ShardDemand
   readonly publish: (part: ShardName, wants: ShardDemand) => void
   /** Tells a machine's new owner of it before the watch does. */
-  readonly introduce: (to: ShardName, id: MachineId, by: MachineHandoff | null) => void
-  readonly jobBook: JobBook
+  readonly handOff: (to: ShardName, id: MachineId, by: MachineHandoff | null) => void
+  readonly jobIndex: JobIndex
   /** These jobs are over, durably. */
   readonly ended: (ends: ReadonlyArray<JobEnd>) => void
   /** Writes a page of the job table anew without the jobs that are over. */
@@ -75,5 +75,5 @@
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly tenancies: ReadonlyMap<MachineId, Tenancy>
   readonly hiring: ReadonlyMap<RentalRequestId, PlannedHire>
-  readonly failures: Failures
+  readonly failures: FailureTracker
 }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -1,5 +1,5 @@
 import { Signal } from "@sorreltally/concurrency"
-import { Failures, type JobState, type Placement } from "@sorreltally/jobs"
+import { FailureTracker, type JobState, type Placement } from "@sorreltally/jobs"
 import type { TaskCounts } from "@sorreltally/peers"
 import {
   addMs,
@@ -44,7 +44,7 @@
 export class PartEngine implements PartView {
   readonly machines = new Map<MachineId, WorkerSession>()
   readonly tenancies = new Map<MachineId, Tenancy>()
-  readonly failures = new Failures()
+  readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
   private readonly blocks: BlockWriter
   private readonly registry: JobRegistry
@@ -61,7 +61,7 @@
     readonly epoch: ModRevision,
     readonly ctx: EngineContext,
   ) {
-    const { state, membership, book, time } = ctx
+    const { state, membership, machineIndex: machineIndex, time } = ctx
     const active = () => this.ready && this.active
     this.blocks = new BlockWriter(
       part,
@@ -69,7 +69,7 @@
       membership.parts,
       state,
       membership,
-      book,
+      machineIndex,
       time.monotonicNow,
       active,
     )
@@ -148,7 +148,7 @@
 
   private takeOver() {
     return Effect.gen({ self: this }, function* () {
-      const { membership, book } = this.ctx
+      const { membership, machineIndex: machineIndex } = this.ctx
       const { mirror } = membership
       // Every job and machine of this part that a former owner acted on is in
       // the mirror once it has reached our epoch.
@@ -164,7 +164,7 @@
       }
       if (this.over) return
       const now = this.ctx.time.monotonicNow()
-      for (const entry of book.all()) this.machineChanged(entry.id, entry)
+      for (const entry of machineIndex.all()) this.machineChanged(entry.id, entry)
       this.registry.restore(entries)
       for (const job of this.jobs.values()) {
         for (const placement of [...job.placements.values()]) {
@@ -173,13 +173,13 @@
           // and moves only when no task can be on it.
           if (session === undefined) job.clear(placement)
           else session.hold(placement)
-          if (job.withdrawn) job.stop(placement, { why: "withdrawn", leewayS: 0, since: now })
+          if (job.cancelled) job.stop(placement, { why: "withdrawn", leewayS: 0, since: now })
         }
         this.registry.settle(job)
       }
       this.endListening = [
-        this.ctx.jobBook.listen((id, job) => this.registry.jobChanged(id, job)),
-        book.listen((id, entry) => this.machineChanged(id, entry)),
+        this.ctx.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
+        machineIndex.listen((id, entry) => this.machineChanged(id, entry)),
       ]
       this.ready = true
       this.ctx.log.info("part ready", {
@@ -242,7 +242,7 @@
 
   private placed(placements: ReadonlyArray<Placement>): void {
     for (const placement of placements) this.workers.tell(placement.machine)
-    this.workers.pushOrders()
+    this.workers.pushCommands()
   }
 
   private jobForgotten(job: JobState): void {
@@ -266,7 +266,7 @@
             this.checkWarnings()
           }
           this.planning.planOnce(look)
-          this.workers.pushOrders()
+          this.workers.pushCommands()
         }
         this.workers.answerReady()
         // Reports, grants and health checks must not wait for plans.
@@ -281,7 +281,7 @@
     for (const session of this.machines.values()) {
       if ((!session.up && session.placements.size === 0) || !session.leaseOver(now)) continue
       const tasks = session.placements.size
-      const ended = session.endTenure()
+      const ended = session.expireLease()
       if (ended.length > 0 || tasks === 0)
         this.ctx.log.info("machine's lease is over", { machine: session.id, tasks })
       this.workers.apply(session, ended)
@@ -308,8 +308,8 @@
   }
 
   /** The former owner tells us of a machine that is now ours. */
-  introduced(id: MachineId, by: MachineHandoff): void {
-    this.machines.get(id)?.introduced(by, this.ctx.time.monotonicNow())
+  acceptHandoff(id: MachineId, by: MachineHandoff): void {
+    this.machines.get(id)?.acceptHandoff(by, this.ctx.time.monotonicNow())
     this.planSignal.notify()
   }
 
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -235,12 +235,12 @@
   private hasMostMachines(): boolean {
     const { machines, ctx } = this.host.part
     const ours = machines.size
-    return ours > 1 && ctx.membership.parts.every((part) => ctx.book.size(part) <= ours)
+    return ours > 1 && ctx.membership.parts.every((part) => ctx.machineIndex.size(part) <= ours)
   }
   /** How much of the machines that could be lent to somebody is ours to lend. */
   private shareOfFleet(): number {
     const { part, machines, ctx } = this.host.part
-    const all = part === DEADLINE ? ctx.book.total : ctx.book.total - ctx.book.size(DEADLINE)
+    const all = part === DEADLINE ? ctx.machineIndex.total : ctx.machineIndex.total - ctx.machineIndex.size(DEADLINE)
     return all === 0 ? 1 : Math.min(1, machines.size / all)
   }
 
@@ -268,7 +268,7 @@
   private place(job: JobState, machine: MachineId, now: MonotonicTime): void {
     const { part, epoch, registry } = this.host
     const session = part.machines.get(machine)
-    if (session === undefined || session.tenure === null) return
+    if (session === undefined || session.agentEpoch === null) return
     const index = job.nextQueued()
     if (index === null) return
     // The epoch makes attempts of different owners differ, the counter those of one.
@@ -278,14 +278,14 @@
       index,
       task: taskId(job.id, index),
       machine,
-      tenure: session.tenure,
+      agentEpoch: session.agentEpoch,
       attempt,
       durable: false,
       inherited: false,
       stop: null,
       placedAt: now,
       runningSince: null,
-      unheard: 0,
+      unacknowledgedStarts: 0,
     }
     job.place(placement)
     session.hold(placement)
@@ -308,7 +308,7 @@
       cores += view.type.cores
     }
     let queued = 0
-    for (const job of part.jobs.values()) queued += job.withdrawn ? 0 : job.queued
+    for (const job of part.jobs.values()) queued += job.cancelled ? 0 : job.queued
     part.ctx.log.debug("part status", {
       part: part.part,
       jobs: part.jobs.size,
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -1,4 +1,4 @@
-import type { Failures, JobState } from "@sorreltally/jobs"
+import type { FailureTracker, JobState } from "@sorreltally/jobs"
 import { NOT_SENT } from "@sorreltally/peers"
 import {
   addMs,
@@ -20,7 +20,7 @@
 import type { EngineContext } from "./shard-context.ts"
 
 const CALL_TIMEOUT_MS = 3_000
-const ORDERS_BACKOFF_MS = 4_000
+const COMMANDS_BACKOFF_MS = 4_000
 const FIRST_PAUSE_MS = 250
 const LONGEST_PAUSE_MS = 30_000
 const NOT_OURS: OutgoingResponse = { status: 503, body: {} }
@@ -31,7 +31,7 @@
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly registry: JobRegistry
   readonly blocks: BlockWriter
-  readonly failures: Failures
+  readonly failures: FailureTracker
   /** The part's state is read, and its owner may act for it. */
   readonly mayAct: () => boolean
   readonly isEntitled: () => boolean
@@ -126,7 +126,7 @@
   private inspect(session: WorkerSession, body: Heartbeat): void {
     if (this.inspecting.has(session.id)) return
     this.inspecting.add(session.id)
-    const since = session.standing()
+    const since = session.counters()
     const { exchange, time, fork } = this.of.ctx
     const call = {
       address: body.address,
@@ -146,7 +146,7 @@
         else if (session.restarted(decoded.success, since, time.monotonicNow()))
           this.of.ctx.log.info("worker began anew", {
             machine: session.id,
-            tenure: decoded.success.agentEpoch,
+            agentEpoch: decoded.success.agentEpoch,
           })
         this.afterBody(session)
       }).pipe(Effect.ensuring(Effect.sync(() => this.inspecting.delete(session.id)))),
@@ -155,7 +155,7 @@
 
   private afterBody(session: WorkerSession): void {
     if (session.needsHigherToken() && !this.of.blocks.isEditing(session.id)) {
-      if (session.receivesNothingSince !== null)
+      if (session.unreachableSince !== null)
         this.of.ctx.log.info("machine has to show that it hears", { machine: session.id })
       this.of.blocks.edit(session.id, { kind: "fence" }, (done) => {
         if (done) session.tokenRaised()
@@ -227,7 +227,7 @@
   }
 
   /** Sends what can't wait for the next report straight to the workers. */
-  pushOrders(): void {
+  pushCommands(): void {
     if (!this.of.isEntitled()) return
     const now = this.of.ctx.time.monotonicNow()
     for (const session of this.toTell) {
@@ -238,9 +238,9 @@
         this.held.answerNow(session)
         continue
       }
-      if (session.ordersInFlight || session.address === null || session.tenure === null) continue
+      if (session.commandsInFlight || session.address === null || session.agentEpoch === null) continue
       this.toTell.delete(session)
-      if (now >= session.ordersBadUntil) this.of.ctx.fork(this.sendOrders(session))
+      if (now >= session.commandsPausedUntil) this.of.ctx.fork(this.sendCommands(session))
     }
   }
   /** The machine has something to be told before its next report. */
@@ -260,16 +260,16 @@
     this.held.letAllGo(NOT_OURS)
   }
 
-  private sendOrders(session: WorkerSession) {
+  private sendCommands(session: WorkerSession) {
     return Effect.suspend(() => {
       const now = this.of.ctx.time.monotonicNow()
-      const { address, tenure, token } = session
-      if (session.ordersInFlight || address === null || tenure === null || !this.of.isEntitled())
+      const { address, agentEpoch: agentEpoch, token } = session
+      if (session.commandsInFlight || address === null || agentEpoch === null || !this.of.isEntitled())
         return Effect.void
       const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.sending(commands, now)
-      const batch = { fencingToken: token, agentEpoch: tenure, commands }
+      const batch = { fencingToken: token, agentEpoch: agentEpoch, commands }
       return Effect.map(this.of.ctx.commandForwarder.send(address, batch, session.via), (outcome) => {
         const sure = outcome.status === 200 || outcome.status === 409 || outcome.status === NOT_SENT
         session.sent(commands, token, sure)
@@ -281,12 +281,12 @@
   private replied(session: WorkerSession, heartbeat: Heartbeat | null): void {
     const now = this.of.ctx.time.monotonicNow()
     if (heartbeat === null) {
-      session.ordersBadUntil = addMs(now, ORDERS_BACKOFF_MS)
+      session.commandsPausedUntil = addMs(now, COMMANDS_BACKOFF_MS)
       return
     }
     const outcomes = session.observe(heartbeat, "direct", now)
     if (outcomes !== null) this.apply(session, outcomes)
     this.afterBody(session)
-    if (this.mustWait || this.toTell.has(session)) this.pushOrders()
+    if (this.mustWait || this.toTell.has(session)) this.pushCommands()
   }
 }
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Failures, JobState } from "@sorreltally/jobs"
+import { FailureTracker, JobState } from "@sorreltally/jobs"
 import { type JobView, type QuotaDemand, STARVED_RANK } from "@sorreltally/planner"
 import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
@@ -31,7 +31,7 @@
   ({
     part: "part-0",
     jobs: new Map(jobs.map((j) => [j.id, j])),
-    failures: new Failures(),
+    failures: new FailureTracker(),
     ctx: { time: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { facts: { teams } } },
   }) as unknown as PartView
 const asks = (rank: number): QuotaDemand => ({ shard: "deadline" as ShardName, team: red, rank, since: 0 })
--- a/packages/testkit/src/membership-troubles.ts
+++ b/packages/testkit/src/membership-troubles.ts
@@ -1,4 +1,4 @@
-import { DEADLINE, partOf } from "@sorreltally/membership"
+import { DEADLINE, shardOf } from "@sorreltally/membership"
 import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
 import type { Deployment } from "./deployment.ts"
 
@@ -133,7 +133,7 @@
   }
   private partOf(job: string): ShardName {
     const hasDeadline = this.world.rules.submitted.get(job)?.due_s != null
-    return partOf(job as JobId, hasDeadline, this.world.names.length)
+    return shardOf(job as JobId, hasDeadline, this.world.names.length)
   }
   private cancelled(job: string): void {
     const at = this.changedAt.get(this.partOf(job))
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -10,7 +10,7 @@
   EMPTY_PAGE,
   foldEnds,
   JobState,
-  Ledger,
+  PlacementLedger,
   type Placement,
 } from "@sorreltally/jobs"
 import { decodeMessage, encodeMessage, type Links, makePeerChannel } from "@sorreltally/peers"
@@ -139,15 +139,15 @@
     jobs.set(id, job)
     return job
   }
-  new Ledger(LARGEST_SLOT_KB).restore(0, 1 as ModRevision, record, known, 0 as MonotonicTime)
+  new PlacementLedger(LARGEST_SLOT_KB).restore(0, 1 as ModRevision, record, known, 0 as MonotonicTime)
   const placements = record.placed.flatMap(
     ({ jobId }): Array<Placement> => [...known(jobId).placements.values()],
   )
   const finished = record.finished.map(({ jobId }) => known(jobId))
   for (const job of finished)
-    for (let index = 0; index < job.pieces; index++) if (job.isFinished(index)) job.unsaved.add(index)
+    for (let index = 0; index < job.taskCount; index++) if (job.isFinished(index)) job.unsaved.add(index)
   const { epoch, number } = record.write
-  const ledger = new Ledger(LARGEST_SLOT_KB)
+  const ledger = new PlacementLedger(LARGEST_SLOT_KB)
   // Each draft has the next write's number.
   for (let n = 1; n < number; n++) ledger.draft(placements, finished, MOST_JOBS, epoch)
   const draft = ledger.draft(placements, finished, MOST_JOBS, epoch)
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -28,7 +28,7 @@
     if (command !== null) commands.push(command)
   }
   for (const placement of inputs.placements.values()) {
-    if (!placement.durable || placement.tenure !== inputs.agentEpoch) continue
+    if (!placement.durable || placement.agentEpoch !== inputs.agentEpoch) continue
     const command = commandForPlacement(placement, inputs)
     if (command !== null) commands.push(command)
   }
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -18,12 +18,12 @@
   readonly token: FencingToken
   readonly confirmed: boolean
   /** Counter of the worker's last body, and whether that is a report. */
-  readonly tick: SequenceNumber
+  readonly sequence: SequenceNumber
   readonly isReport: boolean
   readonly now: MonotonicTime
 }
 interface AnsweredStart {
-  readonly tick: SequenceNumber
+  readonly sequence: SequenceNumber
   readonly at: MonotonicTime
 }
 interface DirectStart {
@@ -74,8 +74,8 @@
       if (!isKnown(key.slice(0, key.indexOf("#")) as TaskId)) this.direct.delete(key)
   }
 
-  inAnswer(task: TaskId, attempt: Attempt, tick: SequenceNumber, now: MonotonicTime): void {
-    this.inAnswers.set(keyOf(task, attempt), { tick, at: now })
+  inAnswer(task: TaskId, attempt: Attempt, sequence: SequenceNumber, now: MonotonicTime): void {
+    this.inAnswers.set(keyOf(task, attempt), { sequence: sequence, at: now })
   }
   /** Answers that the worker has taken or dropped by now. */
   dropOldAnswers(now: MonotonicTime): void {
@@ -116,7 +116,7 @@
     return this.unansweredToken === token || this.inFlight.has(keyOf(task, attempt))
   }
   /** No start of this attempt can still take effect, as far as the evidence goes. */
-  isSettled(task: TaskId, attempt: Attempt, { token, confirmed, tick, isReport, now }: Evidence): boolean {
+  isSettled(task: TaskId, attempt: Attempt, { token, confirmed, sequence: sequence, isReport, now }: Evidence): boolean {
     const key = keyOf(task, attempt)
     if (!confirmed || this.unansweredToken === token) return false
     // Guards against a start that is still on its way when a report without the task arrives.
@@ -125,7 +125,7 @@
     if (answered === undefined) return true
     // A worker has one report under way at a time, so a later report was made
     // after our answer arrived or was dropped.
-    return (isReport && tick > answered.tick) || now > addMs(answered.at, 2 * ANSWER_LIFE_MS)
+    return (isReport && sequence > answered.sequence) || now > addMs(answered.at, 2 * ANSWER_LIFE_MS)
   }
   /**
    * May an exited task be forgotten? A copy of `/orders` that was carried out
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -47,8 +47,8 @@
  */
 export class WorkerSession {
   address: Address | null = null
-  tenure: AgentEpoch | null = null
-  private tick = -1 as SequenceNumber
+  agentEpoch: AgentEpoch | null = null
+  private sequence = -1 as SequenceNumber
   private seenToken = 0 as FencingToken
   lastHeard: MonotonicTime = NEVER
   private lastAnswered: MonotonicTime
@@ -61,24 +61,24 @@
    * Since when the worker seems not to hear us: it gets no work until it has
    * shown a token that we raised after this.
    */
-  receivesNothingSince: MonotonicTime | null = null
-  pieces = new Map<TaskId, ReportedTask>()
+  unreachableSince: MonotonicTime | null = null
+  reportedTasks = new Map<TaskId, ReportedTask>()
   /** Counter of the body that listed them; null: nothing of this session did. */
-  private piecesAt: SequenceNumber | null = null
+  private tasksListedAt: SequenceNumber | null = null
   readonly placements = new Map<TaskId, Placement>()
   readonly free: FreeRoom
   private readonly cache: ImageCache
   /** Tenures below this one have surely ended. */
-  private liveTenure = 0 as AgentEpoch
+  private minAgentEpoch = 0 as AgentEpoch
   private readonly starts = new StartTracker()
   /** The token was raised since the worker seems to receive nothing. */
   private raisedSince = false
   /** Exited tasks that can't be forgotten until the worker has seen a higher token. */
   private unforgettable = 0
-  ordersInFlight = false
+  commandsInFlight = false
   /** The node through which its last report came; null: it came to the owner itself. */
   via: NodeName | null = null
-  ordersBadUntil: MonotonicTime = NEVER
+  commandsPausedUntil: MonotonicTime = NEVER
 
   constructor(
     readonly id: MachineId,
@@ -115,7 +115,7 @@
     return this.cache.sizes
   }
   get up(): boolean {
-    return this.tenure !== null
+    return this.agentEpoch !== null
   }
   silentMs(now: MonotonicTime): number {
     return now - this.lastHeard
@@ -146,68 +146,68 @@
     source: "heartbeat" | "direct",
     now: MonotonicTime,
   ): ReadonlyArray<Outcome> | null {
-    if (body.agentEpoch < this.liveTenure) return null
-    if (this.tenure !== null) {
-      if (body.agentEpoch < this.tenure) return null
-      if (body.agentEpoch === this.tenure && body.sequence <= this.tick) return null
+    if (body.agentEpoch < this.minAgentEpoch) return null
+    if (this.agentEpoch !== null) {
+      if (body.agentEpoch < this.agentEpoch) return null
+      if (body.agentEpoch === this.agentEpoch && body.sequence <= this.sequence) return null
     }
     // A worker keeps the highest token over all its sessions. One that began anew counts from the
     // start: what its former self reported under an older token looks newer by the counters alone.
     if (source === "heartbeat" && body.fencingToken < this.seenToken) return null
     const outcomes: Array<Outcome> = []
-    if (this.tenure === null || body.agentEpoch > this.tenure) {
+    if (this.agentEpoch === null || body.agentEpoch > this.agentEpoch) {
       // It lost a lease that we kept answering for: our answers didn't reach it.
       if (
-        this.tenure !== null &&
+        this.agentEpoch !== null &&
         source === "heartbeat" &&
         this.lastAnswered > addMs(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
       )
-        this.receivesNothingSince ??= now
+        this.unreachableSince ??= now
       // A session's lease runs from its beginning, before any report of it was
       // answered: we may hear of it by way of /orders first.
       this.lastAnswered = now
-      this.tenure = body.agentEpoch
+      this.agentEpoch = body.agentEpoch
       this.cache.clear()
       this.starts.sessionBegan()
     }
-    this.tick = body.sequence
+    this.sequence = body.sequence
     this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
     if (source === "heartbeat") this.reportedAt = now
     const proven = source === "direct" || this.confirmed || this.fresh
     if (proven) this.provenAt = now
-    if (this.receivesNothingSince !== null && this.confirmed && this.raisedSince) {
-      this.receivesNothingSince = null
+    if (this.unreachableSince !== null && this.confirmed && this.raisedSince) {
+      this.unreachableSince = null
       this.raisedSince = false
     }
     this.warningUntil =
       typeof body.preemptionNoticeS === "number" ? addMs(now, body.preemptionNoticeS * 1000) : null
     this.starts.tokenShown(body.fencingToken)
-    this.pieces = new Map(body.tasks.map((task) => [task.taskId, task]))
-    this.piecesAt = body.sequence
+    this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
+    this.tasksListedAt = body.sequence
     for (const { taskId, attempt } of body.tasks) this.starts.shown(taskId, attempt)
-    this.starts.keepDirect((task) => this.pieces.has(task) || this.placements.has(task))
+    this.starts.keepDirect((task) => this.reportedTasks.has(task) || this.placements.has(task))
 
     for (const placement of [...this.placements.values()]) {
-      if (placement.tenure !== body.agentEpoch) {
+      if (placement.agentEpoch !== body.agentEpoch) {
         // The tenure rose: the worker killed and forgot all it had, and starts under the former
         // tenure are refused. A late copy may tell of a tenure of the worker's former self.
-        if (placement.tenure < body.agentEpoch && proven) this.clear(placement, "lease ended", outcomes)
+        if (placement.agentEpoch < body.agentEpoch && proven) this.clear(placement, "lease ended", outcomes)
         // Placed before the worker began anew, and nothing sent then can take effect any more.
-        if (placement.tenure > body.agentEpoch && this.confirmed && this.receivesNothingSince === null)
+        if (placement.agentEpoch > body.agentEpoch && this.confirmed && this.unreachableSince === null)
           this.clear(placement, "worker began anew", outcomes)
         continue
       }
-      const reported = this.pieces.get(placement.task)
+      const reported = this.reportedTasks.get(placement.task)
       if (reported === undefined || reported.attempt !== placement.attempt) {
         // Not there, and no start that could still bring it: only then is a
         // task that should leave surely gone.
         const going = placement.stop !== null || placement.inherited
         if (going && this.settled(placement.task, placement.attempt, source, now)) {
           this.clear(placement, "never started", outcomes)
-        } else if (!going && source === "heartbeat" && placement.unheard >= IGNORED_STARTS) {
-          this.receivesNothingSince ??= now
+        } else if (!going && source === "heartbeat" && placement.unacknowledgedStarts >= IGNORED_STARTS) {
+          this.unreachableSince ??= now
         }
       } else if (reported.phase === "exited") {
         if (reported.exitReason === "done") {
@@ -226,7 +226,7 @@
 
   /** The report in full, if the last word of this machine was the report that it repeats. */
   repeated({ machineId, agentEpoch, sequence, fencingToken, since }: RepeatedHeartbeat): Heartbeat | null {
-    if (this.address === null || this.tenure !== agentEpoch || this.piecesAt !== since) return null
+    if (this.address === null || this.agentEpoch !== agentEpoch || this.tasksListedAt !== since) return null
     const { machineType: build, zone: site, spot: loaners } = this.recorded
     return {
       machineId,
@@ -238,15 +238,15 @@
       sequence,
       fencingToken,
       preemptionNoticeS: null,
-      tasks: [...this.pieces.values()],
+      tasks: [...this.reportedTasks.values()],
     }
   }
 
   /** Where this session stands; a body below it is old, or from a worker that began anew. */
-  standing(): { readonly tenure: AgentEpoch; readonly tick: SequenceNumber } {
-    return this.tenure === null
-      ? { tenure: this.liveTenure, tick: -1 as SequenceNumber }
-      : { tenure: this.tenure, tick: this.tick }
+  counters(): { readonly agentEpoch: AgentEpoch; readonly sequence: SequenceNumber } {
+    return this.agentEpoch === null
+      ? { agentEpoch: this.minAgentEpoch, sequence: -1 as SequenceNumber }
+      : { agentEpoch: this.agentEpoch, sequence: this.sequence }
   }
   /**
    * The worker answered `/inspect`, asked at `since`, with lower counters than
@@ -256,24 +256,24 @@
    */
   restarted(
     body: Heartbeat,
-    since: { readonly tenure: AgentEpoch; readonly tick: SequenceNumber },
+    since: { readonly agentEpoch: AgentEpoch; readonly sequence: SequenceNumber },
     now: MonotonicTime,
   ): boolean {
     const below =
-      body.agentEpoch < since.tenure || (body.agentEpoch === since.tenure && body.sequence < since.tick)
+      body.agentEpoch < since.agentEpoch || (body.agentEpoch === since.agentEpoch && body.sequence < since.sequence)
     if (!below) return false
-    this.tenure = body.agentEpoch
-    this.liveTenure = body.agentEpoch
-    this.tick = body.sequence
+    this.agentEpoch = body.agentEpoch
+    this.minAgentEpoch = body.agentEpoch
+    this.sequence = body.sequence
     this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
     this.lastAnswered = now
-    this.pieces = new Map(body.tasks.map((task) => [task.taskId, task]))
-    this.piecesAt = body.sequence
+    this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
+    this.tasksListedAt = body.sequence
     this.cache.clear()
     this.starts.workerRestarted()
-    this.receivesNothingSince = now
+    this.unreachableSince = now
     this.raisedSince = false
     return true
   }
@@ -285,18 +285,18 @@
     source: "heartbeat" | "direct",
     now: MonotonicTime,
   ): boolean {
-    const { token, confirmed, tick } = this
+    const { token, confirmed, sequence: sequence } = this
     return this.starts.isSettled(task, attempt, {
       token,
       confirmed,
-      tick,
+      sequence: sequence,
       isReport: source === "heartbeat",
       now,
     })
   }
   /** Its token was raised. */
   tokenRaised(): void {
-    this.raisedSince = this.receivesNothingSince !== null
+    this.raisedSince = this.unreachableSince !== null
   }
 
   /**
@@ -304,11 +304,11 @@
    * worker has seen a higher one; or it has to show that it hears.
    */
   needsHigherToken(): boolean {
-    if (this.receivesNothingSince !== null && !this.raisedSince) return true
+    if (this.unreachableSince !== null && !this.raisedSince) return true
     if (this.unforgettable > MOST_UNFORGETTABLE) return true
     if (!this.starts.hasUnanswered(this.token)) return false
     for (const placement of this.placements.values()) if (placement.stop !== null) return true
-    for (const { taskId, phase } of this.pieces.values())
+    for (const { taskId, phase } of this.reportedTasks.values())
       if (phase === "exited" && !this.placements.has(taskId)) return true
     return false
   }
@@ -337,13 +337,13 @@
    * counts its sessions from the start, and may take a command to its former self: a task whose
    * direct start got no answer stays placed until the machine is heard again, or deleted.
    */
-  endTenure(): ReadonlyArray<Outcome> {
-    let last = this.tenure ?? 0
-    for (const placement of this.placements.values()) last = Math.max(last, placement.tenure)
-    this.liveTenure = (last + 1) as AgentEpoch
-    this.tenure = null
-    this.pieces.clear()
-    this.piecesAt = null
+  expireLease(): ReadonlyArray<Outcome> {
+    let last = this.agentEpoch ?? 0
+    for (const placement of this.placements.values()) last = Math.max(last, placement.agentEpoch)
+    this.minAgentEpoch = (last + 1) as AgentEpoch
+    this.agentEpoch = null
+    this.reportedTasks.clear()
+    this.tasksListedAt = null
     this.cache.clear()
     const outcomes: Array<Outcome> = []
     for (const placement of [...this.placements.values()])
@@ -357,34 +357,34 @@
     // A worker that reaches no controller still answers commands, and loses all at its lease:
     // only its reports show that it can keep what it is given.
     const reports = this.reportedAt > recently
-    return this.tenure !== null && this.receivesNothingSince === null && this.provenAt > recently && reports
+    return this.agentEpoch !== null && this.unreachableSince === null && this.provenAt > recently && reports
   }
 
   /** Nothing is, or may come to be, on this machine whose owner we would have to be. */
   empty(finishIsDurable: (task: TaskId) => boolean): boolean {
-    if (this.placements.size > 0 || this.ordersInFlight) return false
-    for (const { taskId, phase, exitReason } of this.pieces.values()) {
+    if (this.placements.size > 0 || this.commandsInFlight) return false
+    for (const { taskId, phase, exitReason } of this.reportedTasks.values()) {
       if (phase !== "exited" || (exitReason === "done" && !finishIsDurable(taskId))) return false
     }
     return true
   }
   /** What the machine's next owner wants to know, to use it before its next report. */
-  introduction(now: MonotonicTime): MachineHandoff | null {
-    if (this.tenure === null || this.address === null || this.receivesNothingSince !== null) return null
-    const { address, tenure, tick } = this
+  handoff(now: MonotonicTime): MachineHandoff | null {
+    if (this.agentEpoch === null || this.address === null || this.unreachableSince !== null) return null
+    const { address, agentEpoch: agentEpoch, sequence: sequence } = this
     return {
       address,
-      agentEpoch: tenure,
-      sequence: tick,
+      agentEpoch: agentEpoch,
+      sequence: sequence,
       silentMs: this.silentMs(now),
       images: [...this.images],
     }
   }
-  introduced(by: MachineHandoff, now: MonotonicTime): void {
-    if (this.tenure !== null) return
+  acceptHandoff(by: MachineHandoff, now: MonotonicTime): void {
+    if (this.agentEpoch !== null) return
     this.address = by.address
-    this.tenure = by.agentEpoch
-    this.tick = by.sequence
+    this.agentEpoch = by.agentEpoch
+    this.sequence = by.sequence
     this.lastHeard = addMs(now, -by.silentMs)
     this.provenAt = this.lastHeard
     this.reportedAt = this.lastHeard
@@ -393,12 +393,12 @@
 
   /** What the worker should be told now, given what it last said. */
   commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
-    const { tenure, pieces, placements } = this
-    if (tenure === null) return []
+    const { agentEpoch: agentEpoch, reportedTasks: reportedTasks, placements } = this
+    if (agentEpoch === null) return []
     this.unforgettable = 0
     const mayPurge = (task: ReportedTask) =>
       (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, now)
-    return commandsFor({ agentEpoch: tenure, tasks: pieces, placements, mayPurge, now })
+    return commandsFor({ agentEpoch: agentEpoch, tasks: reportedTasks, placements, mayPurge, now })
   }
   /** Forgetting too early would let a late start, or a copy of one, run the task once more. */
   private mayPurge({ taskId, attempt }: ReportedTask, now: MonotonicTime): boolean {
@@ -416,9 +416,9 @@
    */
   cancelledStartMayCome(): MonotonicTime | null {
     let since: MonotonicTime | null = null
-    for (const { job, stop, tenure, task, attempt } of this.placements.values()) {
-      if (!job.withdrawn || stop === null || tenure !== this.tenure) continue
-      if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.pieces.get(task)?.attempt !== attempt)
+    for (const { job, stop, agentEpoch: agentEpoch, task, attempt } of this.placements.values()) {
+      if (!job.cancelled || stop === null || agentEpoch !== this.agentEpoch) continue
+      if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.reportedTasks.get(task)?.attempt !== attempt)
         since = since === null ? stop.since : (Math.min(since, stop.since) as MonotonicTime)
     }
     return since
@@ -430,25 +430,25 @@
     this.starts.dropOldAnswers(now)
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
-      this.starts.inAnswer(taskId, attempt, this.tick, now)
+      this.starts.inAnswer(taskId, attempt, this.sequence, now)
       const placement = this.placements.get(taskId)
-      if (placement !== undefined) placement.unheard++
+      if (placement !== undefined) placement.unacknowledgedStarts++
     }
   }
   /** Commands are about to be sent to the worker's own address. */
   sending(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
-    this.ordersInFlight = true
+    this.commandsInFlight = true
     for (const { kind, taskId, attempt } of commands)
       if (kind === "start") this.starts.sending(taskId, attempt, this.token, now)
   }
   /** They were answered, or given up. */
   sent(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
-    this.ordersInFlight = false
+    this.commandsInFlight = false
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
       this.starts.sent(taskId, attempt, token, answered)
       const placement = this.placements.get(taskId)
-      if (!answered && placement !== undefined) placement.unheard++
+      if (!answered && placement !== undefined) placement.unacknowledgedStarts++
     }
   }
 }
--- a/packages/workers/test/commands.test.ts
+++ b/packages/workers/test/commands.test.ts
@@ -18,7 +18,7 @@
 const taskId = (index: number) => `run-123456/${index}` as TaskId
 const placementOf = (index: number): readonly [TaskId, Placement] => [
   taskId(index),
-  { task: taskId(index), attempt: LARGEST_ATTEMPT, stop: null, durable: true, tenure: 1 } as Placement,
+  { task: taskId(index), attempt: LARGEST_ATTEMPT, stop: null, durable: true, agentEpoch: 1 } as Placement,
 ]
 
 // Guards against answers to workers with lines beyond the protocol's limit.
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -69,7 +69,7 @@
     index: 0,
     task: "run-000001/0" as TaskId,
     machine: on.id,
-    tenure: on.tenure!,
+    tenure: on.agentEpoch!,
     attempt: 9,
     durable: true,
     inherited: false,
@@ -170,7 +170,7 @@
   const s = session()
   s.observe(heartbeat(1), "heartbeat", at(1))
   place(s)
-  assert.equal(s.endTenure().length, 1)
+  assert.equal(s.expireLease().length, 1)
   const late = heartbeat(9, { tasks: [{ taskId: "run-000001/0", attempt: 9, phase: "running" }] })
   assert.equal(s.observe(late, "heartbeat", at(40)), null)
 })
@@ -184,7 +184,7 @@
   const commands = s.commands(at(2), durable)
   s.sending(commands, at(2))
   s.sent(commands, s.token, false)
-  assert.deepEqual(s.endTenure(), [])
+  assert.deepEqual(s.expireLease(), [])
   assert.deepEqual([...s.placements.values()], [lost])
   assert.equal(s.clearAll("machine deleted").length, 1)
   const heard = session()
@@ -192,7 +192,7 @@
   place(heard)
   heard.sending(commands, at(2))
   heard.sent(commands, heard.token, true)
-  assert.equal(heard.endTenure().length, 1)
+  assert.equal(heard.expireLease().length, 1)
   // The answer got lost, and a report shows the task: its start is no longer under way.
   const shown = session()
   shown.observe(heartbeat(1), "heartbeat", at(1))
@@ -201,7 +201,7 @@
   shown.sent(commands, shown.token, false)
   const running = { taskId: "run-000001/0", attempt: 9, phase: "running" }
   shown.observe(heartbeat(2, { tasks: [running] }), "heartbeat", at(3))
-  assert.equal(shown.endTenure().length, 1)
+  assert.equal(shown.expireLease().length, 1)
 })
 
 test("what comes from before a take-over gives a machine no work: only our token proves that it is no copy", () => {
@@ -256,7 +256,7 @@
   const s = session()
   s.observe(heartbeat(500, { agentEpoch: 3 }), "heartbeat", at(1))
   place(s)
-  const before = s.standing()
+  const before = s.counters()
   assert.equal(s.observe(heartbeat(1), "heartbeat", at(9)), null)
   assert.equal(s.restarted(heartbeat(2), before, at(9)), true)
   assert.equal(s.usable(at(9)), false)
@@ -332,7 +332,7 @@
   const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason: "done" }]
   const on = session()
   assert.equal(on.repeated(repeat(5, 4)), null)
-  on.introduced(
+  on.acceptHandoff(
     {
       address: "10.1.0.1:9000",
       agentEpoch: 1,
