--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -34,7 +34,7 @@
 }
 
 /** What the users' side asks of the controller behind it. */
-export interface Desk {
+export interface ApiBackend {
   readonly ready: () => boolean
   readonly catalog: () => ReadonlyMap<MachineTypeName, MachineType> | null
   readonly jobs: JobService
@@ -56,7 +56,7 @@
   constructor(
     private readonly platform: Platform,
     private readonly operators: Operators,
-    private readonly desk: Desk,
+    private readonly backend: ApiBackend,
     private readonly time: Clocks,
   ) {
     const { admission } = operators
@@ -88,7 +88,7 @@
   }
 
   private ready(): OutgoingResponse {
-    return this.desk.ready() ? { status: 200, body: {} } : { status: 503, body: {} }
+    return this.backend.ready() ? { status: 200, body: {} } : { status: 503, body: {} }
   }
 
   private reported(body: string): Effect.Effect<OutgoingResponse> {
@@ -100,7 +100,7 @@
   report(body: string, answer: Respond): void {
     const report = decodeHeartbeat(parse(body))
     if (Result.isFailure(report)) answer({ status: 400, body: { error: report.failure.message } })
-    else this.desk.report(report.success, answer)
+    else this.backend.report(report.success, answer)
   }
 
   private later(status: 429 | 503, error: string): OutgoingResponse {
@@ -139,12 +139,12 @@
       const refusal = this.refusal(request)
       if (refusal !== null) {
         // A job once accepted stays accepted, whatever we would say to it today.
-        const found = yield* this.desk.jobs.find(request.id)
+        const found = yield* this.backend.jobs.find(request.id)
         if (found.kind !== "none") return this.view(request.id, found)
         return refusal
       }
       const record: JobRecord = { spec: request, submittedAt: this.time.wallNow(), cancelled: false }
-      const found = yield* this.desk.jobs.accept(record)
+      const found = yield* this.backend.jobs.accept(record)
       if (found.kind === "accepted")
         return { status: 201, body: encodeJobView({ id: request.id, status: "queued" }) }
       if (found.kind === "none") return this.later(503, "the job's state can't be read now")
@@ -160,7 +160,7 @@
     if (request.cores > team.cpus_max || request.accelerators > team.gpus_max) {
       return never(`a task needs more than the limit of team ${team.name}`)
     }
-    const catalog = this.desk.catalog()
+    const catalog = this.backend.catalog()
     if (catalog === null) return this.later(503, "the machine types aren't known yet")
     const places = new Set<string>()
     for (const type of catalog.values()) {
@@ -181,19 +181,19 @@
     if (found.kind === "none") return { status: 404, body: { error: "no such job" } }
     if (found.kind === "final") return { status: 200, body: encodeJobView({ id, status: found.status }) }
     if (found.record.cancelled) return { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
-    const counts = this.desk.counts(id)
+    const counts = this.backend.counts(id)
     const status = counts.running > 0 ? "running" : "queued"
     return { status: 200, body: encodeJobView({ id, status, ...counts }) }
   }
 
   private poll(id: string): Effect.Effect<OutgoingResponse, StoreError> {
     if (!isJobId(id)) return Effect.succeed({ status: 404, body: { error: "no such job" } })
-    return Effect.map(this.desk.jobs.find(id), (found) => this.view(id, found))
+    return Effect.map(this.backend.jobs.find(id), (found) => this.view(id, found))
   }
 
   private cancel(id: string): Effect.Effect<OutgoingResponse, StoreError> {
     if (!isJobId(id)) return Effect.succeed({ status: 404, body: { error: "no such job" } })
-    return Effect.map(this.desk.jobs.cancel(id), (found) => {
+    return Effect.map(this.backend.jobs.cancel(id), (found) => {
       const cancelled = found.kind === "live"
       return cancelled
         ? { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -73,7 +73,7 @@
     },
   } as unknown as Platform
   const type = { name: "g8", cores: 16, accelerators: 0, memGb: 64, zones: ["a"] } as unknown as MachineType
-  const desk = {
+  const backend = {
     ready: () => true,
     catalog: () => (options.catalog === false ? null : new Map([["g8" as MachineTypeName, type]])),
     jobs,
@@ -84,7 +84,7 @@
     monotonicNow: () => performance.now() as MonotonicTime,
     wallNow: () => Date.now() as WallTime,
   }
-  const api = new Api(platform, defaultOperators(), desk, time)
+  const api = new Api(platform, defaultOperators(), backend, time)
   const ask = (method: string, path: string, body: unknown = ""): Promise<OutgoingResponse> =>
     Effect.runPromise(
       api.handle({ method, path, body: typeof body === "string" ? body : JSON.stringify(body) }),
@@ -200,9 +200,12 @@
   assert.ok(calm > 30, `grown to ${calm}`)
   work(400, 20)
   assert.ok(limiter.current < calm / 2, `shrunk to ${limiter.current}`)
-  const held = Array.from({ length: 100 }, () => limiter.enter(0 as MonotonicTime)).filter(
+  const deferred = Array.from({ length: 100 }, () => limiter.enter(0 as MonotonicTime)).filter(
     (leave) => leave !== null,
   )
-  assert.ok(held.length === limiter.current || held.length === limiter.current + 1, `${held.length} let in`)
+  assert.ok(
+    deferred.length === limiter.current || deferred.length === limiter.current + 1,
+    `${deferred.length} let in`,
+  )
   assert.equal(limiter.enter(0 as MonotonicTime), null)
 })
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,8 +1,8 @@
 import type { CloudClient } from "@sorreltally/cloud"
 import { InFlight, Signal } from "@sorreltally/concurrency"
-import { CommandForwarder, HeartbeatForwarder, NodeLoads, ReportSharing } from "@sorreltally/forwarding"
-import { JobIndex as JobIndex, JobStore } from "@sorreltally/jobs"
-import { DEADLINE, type Host, Membership, shardOf as shardOf } from "@sorreltally/membership"
+import { CommandForwarder, HeartbeatBalancer, HeartbeatForwarder, NodeLoads } from "@sorreltally/forwarding"
+import { JobIndex, JobStore } from "@sorreltally/jobs"
+import { DEADLINE_SHARD, type Host, Membership, shardOf } from "@sorreltally/membership"
 import type {
   ForwardedHeartbeats,
   MachineHandoffMessage,
@@ -34,18 +34,18 @@
   type Respond,
   type ShardName,
 } from "@sorreltally/protocol"
-import { Fleet, MachineIndex as MachineIndex } from "@sorreltally/provisioning"
+import { CloudInventory, MachineIndex } from "@sorreltally/provisioning"
 import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
-import { type EngineContext, Estimates, PartEngine } from "@sorreltally/shard"
+import { type NodeContext, RunTimeEstimates, ShardController } from "@sorreltally/shard"
 import type { Entry, StoreClient } from "@sorreltally/store"
 import type { MachineHandoff, RepeatedHeartbeat } from "@sorreltally/workers"
 import { Cause, Effect, Fiber } from "effect"
 import { DemandRegistry } from "./demand-registry.ts"
 import { JobProgress } from "./job-progress.ts"
 
-const WANTS_EVERY_MS = 200
+const DEMAND_INTERVAL_MS = 200
 /** Unchanged, they are told again this often, before the others forget them. */
-const WANTS_AGAIN_MS = 1_600
+const DEMAND_REPEAT_MS = 1_600
 /** Without the leader's list for this long, a node asks the cloud itself. */
 const LISTS_ITSELF_MS = 12_000
 
@@ -54,7 +54,7 @@
 /** One controller: its parts' engines, and what they share. */
 export class Controller {
   readonly membership: Membership
-  readonly fleet: Fleet
+  readonly fleet: CloudInventory
   private readonly machineIndex: MachineIndex
   private readonly jobIndex: JobIndex
   /** Accepts, finds and cancels jobs. */
@@ -62,17 +62,17 @@
   private readonly progress: JobProgress
   private readonly engines = new Map<
     ShardName,
-    { readonly engine: PartEngine; readonly fiber: Fiber.Fiber<unknown> }
+    { readonly engine: ShardController; readonly fiber: Fiber.Fiber<unknown> }
   >()
   private readonly heartbeatForwarder: HeartbeatForwarder
   private readonly loads: NodeLoads
-  private readonly sharing: ReportSharing
-  private readonly estimates = new Estimates()
+  private readonly heartbeatBalancer: HeartbeatBalancer
+  private readonly estimates = new RunTimeEstimates()
   private readonly commands: InFlight
   private readonly commandForwarder: CommandForwarder
-  private readonly wants: DemandRegistry
-  private readonly wantsChanged = new Signal()
-  private hires = 0
+  private readonly demandRegistry: DemandRegistry
+  private readonly demandChanged = new Signal()
+  private rentalCount = 0
 
   constructor(
     private readonly platform: Platform,
@@ -87,8 +87,8 @@
     private readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>,
   ) {
     const host: Host = {
-      gained: (part, epoch) => this.gained(part, epoch),
-      lost: (part) => this.lost(part),
+      acquired: (shard, epoch) => this.acquired(shard, epoch),
+      lost: (shard) => this.lost(shard),
       busy: () =>
         [...this.engines.values()].some(({ engine }) => engine.jobs.size + engine.machines.size > 0),
     }
@@ -106,7 +106,7 @@
       log,
       fork,
     )
-    this.machineIndex = new MachineIndex(this.membership.mirror)
+    this.machineIndex = new MachineIndex(this.membership.replica)
     const { time_bound_ms, machine_limits, workers } = platform.facts
     this.heartbeatForwarder = new HeartbeatForwarder({
       peers,
@@ -123,15 +123,17 @@
       fork,
     })
     this.loads = new NodeLoads(peers, time, state, () => this.load())
-    this.sharing = new ReportSharing(time, machine_limits.cores, workers.report_s, () => this.loads.takers())
+    this.heartbeatBalancer = new HeartbeatBalancer(time, machine_limits.cores, workers.report_s, () =>
+      this.loads.takers(),
+    )
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
       this.heartbeatForwarder.forget(id)
-      this.sharing.forget(id)
+      this.heartbeatBalancer.forget(id)
     })
-    this.wants = new DemandRegistry(time)
+    this.demandRegistry = new DemandRegistry(time)
     this.progress = new JobProgress(peers, () => this.ownCounts())
-    this.jobIndex = new JobIndex(this.membership.mirror)
+    this.jobIndex = new JobIndex(this.membership.replica)
     this.jobIndex.listen((id, job) => {
       if (job === null) this.progress.forget(id)
     })
@@ -139,12 +141,12 @@
       changed: (entry, request) => this.jobChanged(entry, request),
       remembered: (id) => this.progress.finalStatus(id),
       remember: (id, status) => this.progress.remember(id, status),
-      shardOf: (request) => this.partOfJob(request),
+      shardOf: (request) => this.shardOfJob(request),
     })
-    this.fleet = new Fleet(
+    this.fleet = new CloudInventory(
       cloud,
       state,
-      this.membership.mirror,
+      this.membership.replica,
       time.monotonicNow,
       operators.provisioning["refusal-memory-s"],
       platform.facts.cloud.rps,
@@ -158,8 +160,8 @@
       [
         this.membership.run,
         this.fleet.run,
-        this.tellWants(),
-        this.progress.tellOthers,
+        this.publishDemand(),
+        this.progress.publish,
         this.peers.serve((message, from) => this.receive(message, from)),
         this.loads.run,
       ],
@@ -167,8 +169,8 @@
     ),
   )
 
-  private gained(part: ShardName, epoch: ModRevision): void {
-    const context: EngineContext = {
+  private acquired(shard: ShardName, epoch: ModRevision): void {
+    const context: NodeContext = {
       platform: this.platform,
       operators: this.operators,
       nodes: this.nodes.length,
@@ -183,34 +185,34 @@
       estimates: this.estimates,
       time: this.time,
       log: this.log,
-      wants: (except) => this.wants.ofOthers(except),
-      publish: (of, wants) => this.publish(of, wants),
+      demandRegistry: (except) => this.demandRegistry.ofOthers(except),
+      publish: (of, demandRegistry) => this.publish(of, demandRegistry),
       handOff: (to, id, by) => this.handOff(to, id, by),
       jobIndex: this.jobIndex,
       ended: (ends) => this.progress.ended(ends),
       foldJobs: (page) => this.jobStore.fold(page),
-      nextHire: () =>
-        `${this.membership.incarnation() ?? this.platform.node_name}-${++this.hires}` as RentalRequestId,
+      nextRentalRequestId: () =>
+        `${this.membership.incarnation() ?? this.platform.node_name}-${++this.rentalCount}` as RentalRequestId,
       fork: this.fork,
     }
-    const engine = new PartEngine(part, epoch, context)
+    const engine = new ShardController(shard, epoch, context)
     const guarded = engine.run.pipe(
       Effect.catchCause((cause) => {
         if (Cause.hasInterruptsOnly(cause)) return Effect.void
         // A bug must not leave a part with an owner that does nothing: start over with a new epoch.
-        this.log.error("part failed", { part, cause: Cause.pretty(cause) })
+        this.log.error("part failed", { shard, cause: Cause.pretty(cause) })
         return Effect.andThen(
           Effect.sleep(1_000),
-          Effect.sync(() => this.membership.disown(part)),
+          Effect.sync(() => this.membership.relinquish(shard)),
         )
       }),
     )
-    this.engines.set(part, { engine, fiber: this.fork(guarded) })
+    this.engines.set(shard, { engine, fiber: this.fork(guarded) })
   }
-  private lost(part: ShardName): void {
-    const held = this.engines.get(part)
+  private lost(shard: ShardName): void {
+    const held = this.engines.get(shard)
     if (held === undefined) return
-    this.engines.delete(part)
+    this.engines.delete(shard)
     held.engine.stop()
     this.fork(Fiber.interrupt(held.fiber))
   }
@@ -219,12 +221,12 @@
 
   /** The leader lists for all; without a word from it, every node that has machines does. */
   private lists(): boolean {
-    if (this.engines.has(DEADLINE)) return true
+    if (this.engines.has(DEADLINE_SHARD)) return true
     const waited = this.time.monotonicNow() > addMs(this.fleet.listedAt, LISTS_ITSELF_MS)
     return waited && [...this.engines.values()].some(({ engine }) => engine.machines.size > 0)
   }
   private shareList(list: ReadonlyArray<ListedMachine>): void {
-    if (!this.engines.has(DEADLINE)) return
+    if (!this.engines.has(DEADLINE_SHARD)) return
     this.peers.send({
       kind: "machineList",
       machines: list.map(({ id, status, zone }) => ({ id, status, zone })),
@@ -233,40 +235,44 @@
 
   // --- between the parts ------------------------------------------------------
 
-  private publish(part: ShardName, wants: ShardDemand): void {
-    const change = this.wants.change(part, wants)
+  private publish(shard: ShardName, demandRegistry: ShardDemand): void {
+    const change = this.demandRegistry.change(shard, demandRegistry)
     if (change === "none") return
-    this.wantsChanged.notify()
+    this.demandChanged.notify()
     if (change === "claims") return
-    for (const [other, { engine }] of this.engines) if (other !== part) engine.wake()
+    for (const [other, { engine }] of this.engines) if (other !== shard) engine.wake()
   }
-  private tellWants() {
+  private publishDemand() {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        yield* Effect.sleep(WANTS_EVERY_MS)
-        yield* this.wantsChanged.wait(WANTS_AGAIN_MS - WANTS_EVERY_MS)
+        yield* Effect.sleep(DEMAND_INTERVAL_MS)
+        yield* this.demandChanged.wait(DEMAND_REPEAT_MS - DEMAND_INTERVAL_MS)
         const own = [...this.engines.keys()].map(
-          (part): PublishedDemand => ({ shard: part, demand: this.wants.of(part) }),
+          (shard): PublishedDemand => ({ shard, demand: this.demandRegistry.of(shard) }),
         )
         if (own.length === 0) continue
         // Whoever has no machines can lend none, and quota is asked for only when it lacks.
-        const mine = own.reduce((sum, { shard: part }) => sum + this.machineIndex.size(part), 0)
-        if (mine === this.machineIndex.total && own.every(({ demand: wants }) => wants.quotas.length === 0)) continue
+        const mine = own.reduce((sum, { shard }) => sum + this.machineIndex.size(shard), 0)
+        if (
+          mine === this.machineIndex.total &&
+          own.every(({ demand: demandRegistry }) => demandRegistry.quotas.length === 0)
+        )
+          continue
         this.peers.send({ kind: "demand", demands: own })
       }
     })
   }
-  private handOff(part: ShardName, id: MachineId, by: MachineHandoff | null): void {
+  private handOff(shard: ShardName, id: MachineId, by: MachineHandoff | null): void {
     if (by === null) return
-    const own = this.engines.get(part)
+    const own = this.engines.get(shard)
     if (own !== undefined) return own.engine.acceptHandoff(id, by)
-    const owner = this.membership.owner(part)
+    const owner = this.membership.owner(shard)
     const block = this.machineIndex.get(id)?.block
     if (owner === null || block === undefined) return
-    const entry = this.membership.mirror.get(block)
+    const entry = this.membership.replica.get(block)
     if (entry === null) return
     const machines = [{ machineId: id, handoff: by }]
-    this.peers.send({ kind: "machineHandoff", shard: part, block: entry, machines }, owner)
+    this.peers.send({ kind: "machineHandoff", shard, block: entry, machines }, owner)
   }
 
   private *ownCounts(): Iterable<TaskCounts> {
@@ -277,12 +283,12 @@
 
   /** Answers a worker that reports to this node, at once or as soon as there is something to say. */
   report(body: Heartbeat, answer: Respond): void {
-    this.sharing.came()
-    const part = this.partOfMachine(body.machineId)
-    const own = this.engines.get(part)
+    this.heartbeatBalancer.came()
+    const shard = this.shardOfMachine(body.machineId)
+    const own = this.engines.get(shard)
     const { node_name } = this.platform
-    const owner = own === undefined ? this.membership.owner(part) : node_name
-    if (owner === null || (owner === node_name && (own === undefined || !this.membership.entitled())))
+    const owner = own === undefined ? this.membership.owner(shard) : node_name
+    if (owner === null || (owner === node_name && (own === undefined || !this.membership.holdsLease())))
       return answer(LATER)
     const elsewhere = this.reportsElsewhere(body, owner)
     if (elsewhere !== null) return answer({ status: 421, body: encodeRedirect(elsewhere) })
@@ -294,8 +300,8 @@
   }
   /** The node that this worker should report to instead, where an owner shares its workers' reports. */
   private reportsElsewhere({ machineId }: Heartbeat, owner: NodeName): NodeName | null {
-    if (owner === this.platform.node_name) return this.sharing.elsewhere(machineId)
-    return this.loads.sharesReports(owner) ? this.sharing.evener(machineId) : null
+    if (owner === this.platform.node_name) return this.heartbeatBalancer.elsewhere(machineId)
+    return this.loads.sharesReports(owner) ? this.heartbeatBalancer.evener(machineId) : null
   }
   private load(): NodeLoad {
     let machines = 0
@@ -303,14 +309,14 @@
     return {
       healthy: this.well(),
       writesPerSecond: this.state.writeRate(),
-      heartbeatsPerSecond: this.sharing.reportsPerSecond,
-      sharesHeartbeats: this.sharing.owns(machines),
+      heartbeatsPerSecond: this.heartbeatBalancer.reportsPerSecond,
+      sharesHeartbeats: this.heartbeatBalancer.owns(machines),
     }
   }
 
   /** A machine that nobody has on record is the leader's to adopt. */
-  private partOfMachine(machine: MachineId): ShardName {
-    return this.machineIndex.get(machine)?.part ?? DEADLINE
+  private shardOfMachine(machine: MachineId): ShardName {
+    return this.machineIndex.get(machine)?.shard ?? DEADLINE_SHARD
   }
 
   /** Takes in a message from another node. */
@@ -330,7 +336,7 @@
       case "nodeLoad":
         return this.loads.received(from, message.load)
       case "jobChanged":
-        return this.membership.mirror.hint(message.page)
+        return this.membership.replica.hint(message.page)
       case "demand":
         return this.receiveDemand(message.demands)
       case "machineHandoff":
@@ -340,7 +346,7 @@
     }
   }
   private receiveHeartbeats(from: NodeName, message: ForwardedHeartbeats): void {
-    const engineOf = (machine: MachineId) => this.engines.get(this.partOfMachine(machine))?.engine
+    const engineOf = (machine: MachineId) => this.engines.get(this.shardOfMachine(machine))?.engine
     const take = (heartbeat: Heartbeat, respond: Respond) => {
       const engine = engineOf(heartbeat.machineId)
       if (engine === undefined) respond(LATER)
@@ -350,11 +356,12 @@
     this.heartbeatForwarder.receivedHeartbeats(from, message, take, whole)
   }
   private receiveDemand(demands: ReadonlyArray<PublishedDemand>): void {
-    for (const { shard, demand } of demands) if (!this.engines.has(shard)) this.wants.set(shard, demand)
+    for (const { shard, demand } of demands)
+      if (!this.engines.has(shard)) this.demandRegistry.set(shard, demand)
     for (const { engine } of this.engines.values()) engine.wake()
   }
   private receiveHandoff({ shard, block, machines }: MachineHandoffMessage): void {
-    this.membership.mirror.hint(block)
+    this.membership.replica.hint(block)
     const own = this.engines.get(shard)
     for (const { machineId, handoff } of machines) own?.engine.acceptHandoff(machineId, handoff)
   }
@@ -362,7 +369,7 @@
   // --- is this node of use? -------------------------------------------------------
 
   well(): boolean {
-    return this.membership.entitled() && this.catalog() !== null
+    return this.membership.holdsLease() && this.catalog() !== null
   }
   /** Can other nodes act? Null: none of them is heard. */
   othersWell(): boolean | null {
@@ -378,13 +385,13 @@
   /** A job was accepted or cancelled: its owner should know before the watch tells it. */
   private jobChanged(entry: Entry, request: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
-      this.membership.mirror.hint(entry)
-      const owner = this.membership.owner(this.partOfJob(request))
+      this.membership.replica.hint(entry)
+      const owner = this.membership.owner(this.shardOfJob(request))
       if (owner !== null && owner !== this.platform.node_name)
         this.peers.send({ kind: "jobChanged", page: entry }, owner)
     })
   }
-  private partOfJob({ id, deadlineS: dueS }: JobSpec): ShardName {
+  private shardOfJob({ id, deadlineS: dueS }: JobSpec): ShardName {
     return shardOf(id, dueS != null, this.nodes.length)
   }
   /** Tasks done and running, for display. */
--- a/packages/controller/src/demand-registry.ts
+++ b/packages/controller/src/demand-registry.ts
@@ -10,12 +10,15 @@
 export type DemandChange = "none" | "claims" | "needs"
 
 export class DemandRegistry {
-  private readonly byPart = new Map<ShardName, { readonly wants: ShardDemand; readonly at: MonotonicTime }>()
+  private readonly byShard = new Map<
+    ShardName,
+    { readonly demand: ShardDemand; readonly at: MonotonicTime }
+  >()
 
   constructor(private readonly time: Clocks) {}
 
-  of(part: ShardName): ShardDemand {
-    return this.byPart.get(part)?.wants ?? NO_DEMAND
+  of(shard: ShardName): ShardDemand {
+    return this.byShard.get(shard)?.demand ?? NO_DEMAND
   }
   /** All that the other parts told lately. */
   ofOthers(except: ShardName): ShardDemand {
@@ -23,23 +26,23 @@
     const needs: Array<MachineDemand> = []
     const quotas: Array<QuotaDemand> = []
     const claims: Array<TeamClaim> = []
-    for (const [part, { wants, at }] of this.byPart) {
-      if (part === except || at <= oldest) continue
-      needs.push(...wants.machines)
-      quotas.push(...wants.quotas)
-      claims.push(...wants.claims)
+    for (const [shard, { demand, at }] of this.byShard) {
+      if (shard === except || at <= oldest) continue
+      needs.push(...demand.machines)
+      quotas.push(...demand.quotas)
+      claims.push(...demand.claims)
     }
     return { machines: needs, quotas, claims }
   }
-  set(part: ShardName, wants: ShardDemand): void {
-    this.byPart.set(part, { wants, at: this.time.monotonicNow() })
+  set(shard: ShardName, demand: ShardDemand): void {
+    this.byShard.set(shard, { demand, at: this.time.monotonicNow() })
   }
   /** The same, and what is new about it. */
-  change(part: ShardName, wants: ShardDemand): DemandChange {
-    const before = this.of(part)
-    this.set(part, wants)
+  change(shard: ShardName, demand: ShardDemand): DemandChange {
+    const before = this.of(shard)
+    this.set(shard, demand)
     const lacks = ({ machines: needs, quotas }: ShardDemand) => JSON.stringify({ needs, quotas })
-    if (lacks(before) !== lacks(wants)) return "needs"
-    return JSON.stringify(before.claims) === JSON.stringify(wants.claims) ? "none" : "claims"
+    if (lacks(before) !== lacks(demand)) return "needs"
+    return JSON.stringify(before.claims) === JSON.stringify(demand.claims) ? "none" : "claims"
   }
 }
--- a/packages/controller/src/job-progress.ts
+++ b/packages/controller/src/job-progress.ts
@@ -6,7 +6,7 @@
 import { Effect } from "effect"
 
 /** Owners tell the others how far their jobs are this often: it is for display only. */
-const TELL_EVERY_MS = 2_000
+const PUBLISH_INTERVAL_MS = 2_000
 /** Final answers kept in memory. */
 const REMEMBERED = 20_000
 
@@ -14,7 +14,7 @@
 export class JobProgress {
   private readonly shown = new Map<JobId, { readonly done: number; readonly running: number }>()
   private readonly finals = new Map<JobId, FinalStatus>()
-  private endsToTell: Array<JobEnd> = []
+  private unpublishedEnds: Array<JobEnd> = []
 
   constructor(
     private readonly peers: PeerChannel,
@@ -41,7 +41,7 @@
   ended(ends: ReadonlyArray<JobEnd>): void {
     for (const { id, status } of ends) {
       this.remember(id, status)
-      this.endsToTell.push({ id, status })
+      this.unpublishedEnds.push({ id, status })
     }
   }
   /** What another node told. */
@@ -51,13 +51,13 @@
   }
 
   /** Tells the other nodes what is new. */
-  readonly tellOthers: Effect.Effect<never> = Effect.suspend(() =>
+  readonly publish: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        yield* Effect.sleep(TELL_EVERY_MS)
+        yield* Effect.sleep(PUBLISH_INTERVAL_MS)
         const counts = this.takeNewCounts()
-        const ends = this.endsToTell
-        this.endsToTell = []
+        const ends = this.unpublishedEnds
+        this.unpublishedEnds = []
         if (counts.length > 0 || ends.length > 0) this.peers.send({ kind: "jobProgress", counts, ends })
       }),
     ),
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -4,7 +4,7 @@
   budgetInWords,
   cancellationBudget,
   defaultOperators,
-  grantFault,
+  leaseSettingsError,
   type Operators,
   type Platform,
   parseOperators,
@@ -29,7 +29,7 @@
       options.operators === undefined
         ? defaultOperators()
         : yield* parseOperators(yield* readSettingsFile(options.operators), options.operators)
-    const fault = grantFault(platform.facts.workers, operators.membership)
+    const fault = leaseSettingsError(platform.facts.workers, operators.membership)
     if (fault !== null)
       return yield* Result.fail(new BadSettings({ message: `${options.operators}: ${fault}` }))
     return { platform, operators }
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -58,14 +58,14 @@
       if (controller.well()) wellAt = now
       return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
     }
-    const desk = {
+    const backend = {
       ready,
       catalog: () => controller.catalog(),
       jobs: controller.jobStore,
       counts: controller.counts.bind(controller),
       report: controller.report.bind(controller),
     }
-    const api = new Api(platform, operators, desk, time)
+    const api = new Api(platform, operators, backend, time)
     const context = yield* Effect.context<never>()
     const failed = (request: IncomingRequest, cause: unknown, answer: Respond) => {
       log.error("request failed", { path: request.path, cause: String(cause) })
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -41,9 +41,9 @@
 /** States how soon cancelled tasks are surely gone, and warns when the platform's settings allow no such time. */
 const logBudget = ({ facts }: Platform, operators: Operators, log: Log): void => {
   const budget = cancellationBudget(facts.workers, operators.membership)
-  const { grantTtlMs, grantMarginMs, watchFreshMs } = budget
+  const { leaseTtlMs, leaseMarginMs, watchFreshMs } = budget
   const sum = budgetInWords(facts.workers, budget)
-  log.info("cancellation budget", { grantTtlMs, grantMarginMs, watchFreshMs, sum })
+  log.info("cancellation budget", { leaseTtlMs, leaseMarginMs, watchFreshMs, sum })
   if (!budgetHolds(budget))
     log.error("cancelled tasks may outlive cancel_s when the state service fails", { sum })
 }
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -46,14 +46,14 @@
  * An owner of many machines has the other nodes receive its workers' reports, and each of them hands
  * them on many at a time. Only the owner decides and answers, as ever.
  */
-export class ReportSharing {
+export class HeartbeatBalancer {
   private readonly received: Rate
   private shares = false
   /** Workers that we sent elsewhere, and those that came back and stay for a while. */
   private readonly sentAway = new Map<MachineId, MonotonicTime>()
   private readonly keptUntil = new Map<MachineId, MonotonicTime>()
   /** Reports that we sent to a node since it last told its own. */
-  private readonly sentTo = new Map<NodeName, { told: number; more: number }>()
+  private readonly sentTo = new Map<NodeName, { published: number; more: number }>()
   private due = 0
 
   constructor(
@@ -126,11 +126,11 @@
     return best
   }
   /** What a node told, and what we sent it since. */
-  private estimate(node: NodeName, told: number): number {
+  private estimate(node: NodeName, published: number): number {
     const sent = this.sentTo.get(node)
-    if (sent !== undefined && sent.told === told) return told + sent.more
-    this.sentTo.set(node, { told, more: 0 })
-    return told
+    if (sent !== undefined && sent.published === published) return published + sent.more
+    this.sentTo.set(node, { published, more: 0 })
+    return published
   }
   /** Forgets machines that are gone. */
   forget(machine: MachineId): void {
--- a/packages/forwarding/src/node-loads.ts
+++ b/packages/forwarding/src/node-loads.ts
@@ -4,23 +4,23 @@
 import type { StoreClient } from "@sorreltally/store"
 import { Effect } from "effect"
 
-const TELL_EVERY_MS = 1_000
+const PUBLISH_INTERVAL_MS = 1_000
 /** As long as nothing changes, it is told only every so many times. */
-const TELL_AGAIN = 3
+const REPEAT_EVERY = 3
 /** Changes a second that are worth telling. */
 const MUCH_CHANGE = 0.3
 /** The same of reports, as a share. */
 const MUCH_REPORTS = 0.2
-const TOLD_LAST_MS = 5_000
+const LOAD_VALID_MS = 5_000
 
-interface ToldLoad extends NodeLoad {
+interface ReceivedLoad extends NodeLoad {
   readonly at: MonotonicTime
 }
 
 export class NodeLoads {
-  private readonly loads = new Map<NodeName, ToldLoad>()
+  private readonly loads = new Map<NodeName, ReceivedLoad>()
   private said: NodeLoad | null = null
-  private untold = 0
+  private skippedRounds = 0
 
   constructor(
     private readonly peers: PeerChannel,
@@ -32,16 +32,16 @@
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.andThen(
-        Effect.sleep(TELL_EVERY_MS),
-        Effect.sync(() => this.tellOthers()),
+        Effect.sleep(PUBLISH_INTERVAL_MS),
+        Effect.sync(() => this.publish()),
       ),
     ),
   )
-  private tellOthers(): void {
+  private publish(): void {
     const load = this.own()
-    if (!this.isNews(load) && ++this.untold < TELL_AGAIN) return
+    if (!this.isNews(load) && ++this.skippedRounds < REPEAT_EVERY) return
     this.said = load
-    this.untold = 0
+    this.skippedRounds = 0
     this.peers.send({ kind: "nodeLoad", load })
   }
   private isNews(load: NodeLoad): boolean {
@@ -62,7 +62,7 @@
     this.state.setPeerWriteRate(changes)
   }
   private *fresh(): Iterable<readonly [NodeName, NodeLoad]> {
-    const oldest = addMs(this.time.monotonicNow(), -TOLD_LAST_MS)
+    const oldest = addMs(this.time.monotonicNow(), -LOAD_VALID_MS)
     for (const [node, load] of this.loads) if (load.at > oldest) yield [node, load]
   }
 
--- a/packages/forwarding/src/outbox.ts
+++ b/packages/forwarding/src/outbox.ts
@@ -27,10 +27,10 @@
       return
     }
     this.items.set(to, [item])
-    const flush = Effect.sync(() => this.flush(to))
-    this.fork(Effect.andThen(Effect.sleep(this.gatherMs), flush))
+    const sendGathered = Effect.sync(() => this.sendGathered(to))
+    this.fork(Effect.andThen(Effect.sleep(this.gatherMs), sendGathered))
   }
-  private flush(to: NodeName): void {
+  private sendGathered(to: NodeName): void {
     const items = this.items.get(to) ?? []
     this.items.delete(to)
     this.send(to, items)
--- a/packages/forwarding/test/heartbeat-balancer.test.ts
+++ b/packages/forwarding/test/heartbeat-balancer.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { Clocks, MachineId, MonotonicTime, NodeName, WallTime } from "@sorreltally/protocol"
-import { ReportSharing } from "../src/heartbeat-balancer.ts"
+import { HeartbeatBalancer } from "../src/heartbeat-balancer.ts"
 
 const machine = (n: number) => `i-${n}` as MachineId
 const [one, two] = ["host-1" as NodeName, "host-2" as NodeName]
 const harness = (takers: ReadonlyMap<NodeName, number>) => {
   let now = 0
   const time: Clocks = { monotonicNow: () => now as MonotonicTime, wallNow: () => now as WallTime }
-  const sharing = new ReportSharing(time, 0.1, 5, () => takers)
+  const sharing = new HeartbeatBalancer(time, 0.1, 5, () => takers)
   return { sharing, wait: (ms: number) => (now += ms) }
 }
 // With 0.1 cores and a report each 5 s, an owner answers some 500 machines itself.
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -14,7 +14,7 @@
   type StoreKey,
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { JobIndex as JobIndex } from "./job-index.ts"
+import type { JobIndex } from "./job-index.ts"
 import { digitsOf, finalStateBytes, idOf } from "./job-pages.ts"
 import type { JobState } from "./job-state.ts"
 import { endsPages } from "./job-store.ts"
@@ -70,10 +70,10 @@
   private readonly pageBytes: number
 
   constructor(
-    private readonly part: ShardName,
+    private readonly shard: ShardName,
     private readonly epoch: ModRevision,
     private readonly state: StoreClient,
-    private readonly membership: Pick<Membership, "mirror" | "freshness">,
+    private readonly membership: Pick<Membership, "replica" | "readBarrier">,
     private readonly jobIndex: JobIndex,
     private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
@@ -115,20 +115,20 @@
       if (draft === null) return yield* Effect.sleep(PAUSE_MS)
       const { path, before, page } = draft
       const when: Array<Condition> = [
-        { key: keys.shard(this.part), modRevision: this.epoch },
+        { key: keys.shard(this.shard), modRevision: this.epoch },
         { key: path, modRevision: before },
         ...pageConditions(draft.done),
       ]
       const written = yield* Effect.result(this.state.compareAndSwap(when, [put(path, page)], "reserved"))
-      const { mirror, freshness } = this.membership
+      const { replica, readBarrier } = this.membership
       if (Result.isSuccess(written) && written.success.ok) {
-        mirror.hint({ key: path, value: page, modRevision: written.success.revision })
+        replica.hint({ key: path, value: page, modRevision: written.success.revision })
         this.grew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
         yield* Effect.sleep(PAUSE_MS)
-        const fresh = yield* Effect.result(freshness.since)
+        const fresh = yield* Effect.result(readBarrier.since)
         if (Result.isFailure(fresh)) return
       }
       this.settle(draft.jobs)
@@ -167,14 +167,14 @@
     if (jobs.length === 0) return null
     const { path } = room
     const page: FinalStates = { done: room.done, cancelled: room.cancelled }
-    return { path, before: this.membership.mirror.modRevision(path), page, done, jobs }
+    return { path, before: this.membership.replica.modRevision(path), page, done, jobs }
   }
   /** The part's ends pages, as far as they are still needed. */
   private rooms(): ReadonlyArray<Room> {
     // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
     const needed = (digits: string) => this.jobIndex.isOnRecord(idOf(digits))
-    return endsPages(this.part, this.state.limits).map((path) => {
-      const page = this.membership.mirror.get(path)?.value
+    return endsPages(this.shard, this.state.limits).map((path) => {
+      const page = this.membership.replica.get(path)?.value
       const done = (page?.done ?? []).filter(needed)
       const cancelled = (page?.cancelled ?? []).filter(needed)
       let bytes = 0
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -1,4 +1,4 @@
-import type { Mirror } from "@sorreltally/membership"
+import type { Replica } from "@sorreltally/membership"
 import type { JobId, ModRevision } from "@sorreltally/protocol"
 import {
   ENDS_PAGES,
@@ -36,9 +36,9 @@
   private readonly inEndsPage = new Map<string, ReadonlyArray<JobId>>()
   private readonly listeners = new Set<JobListener>()
 
-  constructor(private readonly mirror: Mirror) {
-    mirror.listen(JOB_PAGES, (path, entry) => this.pageChanged(path, entry))
-    mirror.listen(ENDS_PAGES, (path, entry) => this.endsChanged(path, entry))
+  constructor(private readonly replica: Replica) {
+    replica.listen(JOB_PAGES, (path, entry) => this.pageChanged(path, entry))
+    replica.listen(ENDS_PAGES, (path, entry) => this.endsChanged(path, entry))
   }
 
   /** Returns how to stop listening. */
@@ -69,7 +69,7 @@
     const pages: Array<PageEntry> = []
     for (;;) {
       const path = keys.jobPage(bucket, pages.length)
-      const entry = this.mirror.get(path)
+      const entry = this.replica.get(path)
       if (entry === null) return pages
       pages.push(entry as PageEntry)
     }
@@ -94,13 +94,13 @@
       const { id } = record.spec
       const job: LiveJob = { id, record, page: path as StoreKey<JobPage>, modRevision: entry!.modRevision }
       this.onRecord.set(id, job)
-      if (!this.ends.has(id)) this.tell(id, job)
+      if (!this.ends.has(id)) this.notify(id, job)
     }
     const left = new Set(now)
     for (const id of before) {
       if (left.has(id)) continue
       this.onRecord.delete(id)
-      if (!this.ends.has(id)) this.tell(id, null)
+      if (!this.ends.has(id)) this.notify(id, null)
     }
   }
   private endsChanged(path: string, entry: Entry | null): void {
@@ -117,11 +117,11 @@
   private endKnown(id: JobId, status: FinalStatus): JobId {
     if (!this.ends.has(id)) {
       this.ends.set(id, status)
-      if (this.onRecord.has(id)) this.tell(id, null)
+      if (this.onRecord.has(id)) this.notify(id, null)
     }
     return id
   }
-  private tell(id: JobId, job: LiveJob | null): void {
+  private notify(id: JobId, job: LiveJob | null): void {
     for (const listener of this.listeners) listener(id, job)
   }
 }
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -34,7 +34,7 @@
   /** How often the worker was told to start it, and nothing came of it. */
   unacknowledgedStarts: number
 }
-type StopReason = "withdrawn" | "preempted" | "drain"
+type StopReason = "cancelled" | "preempted" | "drain"
 
 /** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
 export class JobState {
@@ -63,7 +63,7 @@
     record: JobRecord,
     /** The page of the job table that holds its record, and that page's last change. */
     readonly page: StoreKey<JobPage>,
-    public stamp: ModRevision,
+    public modRevision: ModRevision,
   ) {
     this.request = record.spec
     this.submitted = record.submittedAt as WallTime
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -32,11 +32,11 @@
  * The keys of a part's ends pages: together they hold the ends that wait to be
  * folded into job pages. A cancellation is conditioned on all of them.
  */
-export const endsPages = (part: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
+export const endsPages = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
   const conditions = CONDITIONS_A_CHANGE * limits.maxOperations - 1
-  return Array.from({ length: Math.min(ENDS_PAGES_A_PART, conditions) }, (_, n) => keys.endsPage(part, n))
+  return Array.from({ length: Math.min(ENDS_PAGES_PER_SHARD, conditions) }, (_, n) => keys.endsPage(shard, n))
 }
-const ENDS_PAGES_A_PART = 4
+const ENDS_PAGES_PER_SHARD = 4
 /** Of a transaction, by the protocol. */
 const CONDITIONS_A_CHANGE = 4
 const ARCHIVING_CHANGES = 2
@@ -74,7 +74,7 @@
 export class JobStore {
   constructor(
     private readonly state: StoreClient,
-    private readonly membership: Pick<Membership, "freshness" | "mirror">,
+    private readonly membership: Pick<Membership, "readBarrier" | "replica">,
     private readonly jobIndex: JobIndex,
     private readonly events: JobTableEvents,
   ) {}
@@ -88,7 +88,7 @@
     return Effect.gen({ self: this }, function* () {
       const known = this.events.remembered(id)
       if (known !== null) return { kind: "final", status: known } as const
-      yield* this.membership.freshness.since
+      yield* this.membership.readBarrier.since
       const found = yield* this.look(id)
       if (found.kind === "final") this.events.remember(id, found.status)
       return found
@@ -106,9 +106,9 @@
         if (seen.kind !== "none") return yield* this.find(request.id)
         const target = this.pageFor(record, pages)
         if (target === null) return yield* Effect.fail(tooLarge)
-        const when: Array<Condition> = pages.map(({ key: path, modRevision: stamp }) => ({
+        const when: Array<Condition> = pages.map(({ key: path, modRevision }) => ({
           key: path,
-          modRevision: stamp,
+          modRevision,
         }))
         when.push({ key: keys.jobPage(bucketOf(request.id), pages.length), modRevision: ABSENT })
         const { page: written, operations } = this.writesOf(target.key, target.page)
@@ -118,7 +118,7 @@
           yield* this.events.changed(entry, request)
           return { kind: "accepted" } as const
         }
-        yield* this.membership.freshness.since
+        yield* this.membership.readBarrier.since
       }
     })
   }
@@ -159,8 +159,8 @@
         operations,
         3,
       )
-      if (!done.ok) return yield* this.membership.freshness.since
-      this.membership.mirror.hint({ key: path, value: written, modRevision: done.revision })
+      if (!done.ok) return yield* this.membership.readBarrier.since
+      this.membership.replica.hint({ key: path, value: written, modRevision: done.revision })
     })
   }
 
@@ -220,11 +220,11 @@
     const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivedPages)
     return { page, operations: [put(key, page), put(archiveKey, archived)] }
   }
-  private endsConditions(part: ShardName): ReadonlyArray<Condition> {
-    const { mirror } = this.membership
-    return endsPages(part, this.state.limits).map((path) => ({
+  private endsConditions(shard: ShardName): ReadonlyArray<Condition> {
+    const { replica } = this.membership
+    return endsPages(shard, this.state.limits).map((path) => ({
       key: path,
-      modRevision: mirror.modRevision(path),
+      modRevision: replica.modRevision(path),
     }))
   }
 }
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -16,7 +16,7 @@
   readonly indexes: ReadonlyArray<number>
 }
 interface Slot {
-  readonly stamp: ModRevision
+  readonly modRevision: ModRevision
   readonly starts: ReadonlyArray<Placement>
   readonly finishes: ReadonlyArray<Finishes>
 }
@@ -54,7 +54,7 @@
  */
 export class PlacementLedger {
   private readonly slots = new Map<number, Slot>()
-  private readonly free: Array<{ readonly slot: number; readonly stamp: ModRevision }> = []
+  private readonly free: Array<{ readonly slot: number; readonly modRevision: ModRevision }> = []
   private next = 0
   private looked = 0
   private writes = 0
@@ -88,26 +88,26 @@
     if (page.empty) return null
     this.collect()
     const merged = this.slots.size > MANY_SLOTS ? this.merge(page) : []
-    const { slot, stamp } = this.free.pop() ?? { slot: this.next++, stamp: ABSENT }
+    const { slot, modRevision } = this.free.pop() ?? { slot: this.next++, modRevision: ABSENT }
     const record = page.record(epoch, ++this.writes)
-    return { slot, before: stamp, record, starts: page.starts, jobs, finishes: page.finishes, merged }
+    return { slot, before: modRevision, record, starts: page.starts, jobs, finishes: page.finishes, merged }
   }
   /** The draft is durable. */
-  saved(draft: Draft, stamp: ModRevision): void {
-    this.slots.set(draft.slot, { stamp, starts: draft.starts, finishes: draft.finishes })
+  saved(draft: Draft, modRevision: ModRevision): void {
+    this.slots.set(draft.slot, { modRevision, starts: draft.starts, finishes: draft.finishes })
     for (const placement of draft.starts) placement.durable = true
     for (const { job, indexes } of draft.finishes) for (const index of indexes) job.unsaved.delete(index)
     for (const slot of draft.merged) this.release(slot)
   }
   /** The draft surely never was and never will be written. */
-  dropped(draft: Draft, stamp: ModRevision): void {
-    this.free.push({ slot: draft.slot, stamp })
+  dropped(draft: Draft, modRevision: ModRevision): void {
+    this.free.push({ slot: draft.slot, modRevision })
   }
 
   /** Takes over a slot that a former owner wrote. `jobOf` is null for jobs that are over. */
   restore(
     slot: number,
-    stamp: ModRevision,
+    modRevision: ModRevision,
     record: PlacementRecord,
     jobOf: (id: JobId) => JobState | null,
     now: MonotonicTime,
@@ -134,7 +134,7 @@
           index,
           task: taskId(job.id, index),
           machine: record.machines[machine]!,
-          agentEpoch: agentEpoch,
+          agentEpoch,
           attempt: (record.firstAttempt + attemptOffset) as Attempt,
           durable: true,
           inherited: true,
@@ -147,7 +147,7 @@
         starts.push(placement)
       }
     }
-    this.slots.set(slot, { stamp, starts, finishes })
+    this.slots.set(slot, { modRevision, starts, finishes })
   }
 
   /** Frees slots of which nothing matters any more. */
@@ -176,7 +176,7 @@
     const slot = this.slots.get(name)
     if (slot === undefined) return
     this.slots.delete(name)
-    this.free.push({ slot: name, stamp: slot.stamp })
+    this.free.push({ slot: name, modRevision: slot.modRevision })
   }
 }
 
@@ -261,11 +261,11 @@
       finished: this.runs,
     }
   }
-  private placedTask({ index, machine, agentEpoch: agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
+  private placedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
     return {
       index,
       machine: this.machines.get(machine)!,
-      agentEpoch: agentEpoch,
+      agentEpoch,
       attemptOffset: attempt - firstAttempt,
     }
   }
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -42,8 +42,8 @@
 /** The pages of the job table that hold these jobs, as they were when the jobs were last heard of. */
 export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
   const pages = new Map<string, ModRevision>()
-  for (const { page, stamp } of jobs) pages.set(page, stamp)
-  return [...pages].map(([path, stamp]) => ({ key: path, modRevision: stamp }))
+  for (const { page, modRevision } of jobs) pages.set(page, modRevision)
+  return [...pages].map(([path, modRevision]) => ({ key: path, modRevision }))
 }
 
 /** Writes down what became of one part's tasks: starts at once, finishes by the way. */
@@ -57,7 +57,7 @@
   private readonly signal = new Signal()
 
   constructor(
-    private readonly part: ShardName,
+    private readonly shard: ShardName,
     private readonly epoch: ModRevision,
     private readonly state: StoreClient,
     private readonly membership: Membership,
@@ -103,8 +103,8 @@
   private finishesDue(): boolean {
     return this.finishing.size > 0 && this.now() > addMs(this.finishingSince, FINISHES_WAIT_MS)
   }
-  private get partCondition(): Condition {
-    return { key: keys.shard(this.part), modRevision: this.epoch }
+  private get shardCondition(): Condition {
+    return { key: keys.shard(this.shard), modRevision: this.epoch }
   }
   private get mostConditions(): number {
     return 4 * this.state.limits.maxOperations
@@ -136,9 +136,9 @@
   /** Until the draft is durable, or surely never will be. */
   private write(draft: Draft) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.slot(this.part, draft.slot)
+      const path = keys.slot(this.shard, draft.slot)
       const when = [
-        this.partCondition,
+        this.shardCondition,
         { key: path, modRevision: draft.before },
         ...pageConditions(draft.jobs),
       ]
@@ -160,23 +160,23 @@
           yield* Effect.sleep(PAUSE_MS)
           continue
         }
-        const stamp = read.success?.modRevision ?? ABSENT
+        const modRevision = read.success?.modRevision ?? ABSENT
         const written = read.success?.value.write
         const { epoch, number } = draft.record.write
-        if (written?.epoch === epoch && written.number === number) return this.saved(draft, stamp)
+        if (written?.epoch === epoch && written.number === number) return this.saved(draft, modRevision)
         if (failed === null) continue
         // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(this.membership.freshness.since)
-        return this.dropped(draft, stamp)
+        yield* Effect.result(this.membership.readBarrier.since)
+        return this.dropped(draft, modRevision)
       }
     })
   }
-  private saved(draft: Draft, stamp: ModRevision): void {
-    this.ledger.saved(draft, stamp)
+  private saved(draft: Draft, modRevision: ModRevision): void {
+    this.ledger.saved(draft, modRevision)
     this.events.durable(draft.starts)
   }
-  private dropped(draft: Draft, stamp: ModRevision): void {
-    this.ledger.dropped(draft, stamp)
+  private dropped(draft: Draft, modRevision: ModRevision): void {
+    this.ledger.dropped(draft, modRevision)
     for (const placement of draft.starts) {
       // What a draft only repeated of an older slot is durable there, and may
       // run: it stays counted until it is surely off its machine.
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Mirror } from "@sorreltally/membership"
+import { Replica } from "@sorreltally/membership"
 import type { JobId, ModRevision, MonotonicTime, Revision, ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
@@ -17,13 +17,13 @@
 import { JobState } from "../src/job-state.ts"
 import { JobStore } from "../src/job-store.ts"
 
-const PART = "deadline" as ShardName
+const SHARD = "deadline" as ShardName
 const JOBS = 400
 const EPOCH = 1 as ModRevision
 
 test("ends of many jobs go together; where nobody else folds them into their pages, the owner does", async () => {
   const stored = new Map<string, { readonly value: unknown; readonly modRevision: ModRevision }>()
-  stored.set(keys.shard(PART), { value: {}, modRevision: EPOCH })
+  stored.set(keys.shard(SHARD), { value: {}, modRevision: EPOCH })
   let revision = 1
   const puts = { ends: 0, pages: 0 }
   const state = {
@@ -43,15 +43,15 @@
         return { ok: true, revision: modRevision }
       }),
   } as unknown as StoreClient
-  const mirror = new Mirror()
+  const replica = new Replica()
   const items = () => [...stored].map(([key, entry]) => ({ key, ...entry }))
-  const freshness = { since: Effect.sync(() => mirror.reload(items(), revision as Revision)) } as never
-  const book = new JobIndex(mirror)
-  const table = new JobStore(state, { mirror, freshness }, book, {
-    changed: (entry) => Effect.sync(() => mirror.hint(entry)),
+  const readBarrier = { since: Effect.sync(() => replica.reload(items(), revision as Revision)) } as never
+  const jobIndex = new JobIndex(replica)
+  const table = new JobStore(state, { replica, readBarrier }, jobIndex, {
+    changed: (entry) => Effect.sync(() => replica.hint(entry)),
     remembered: () => null,
     remember: () => {},
-    shardOf: () => PART,
+    shardOf: () => SHARD,
   })
   for (let n = 0; n < JOBS; n++) {
     const spec = { id: `run-${String(n).padStart(6, "0")}`, taskCount: 1, deadlineS: 9 }
@@ -64,14 +64,14 @@
     return nowMs as MonotonicTime
   }
   const told: Array<JobEnd> = []
-  const ends = new JobEnds(PART, EPOCH, state, { mirror, freshness }, book, clock, () => true, {
+  const ends = new JobEnds(SHARD, EPOCH, state, { replica, readBarrier }, jobIndex, clock, () => true, {
     ended: (some) => told.push(...some),
     fold: (page) => table.fold(page),
   })
-  for (const { id, record, page, modRevision: stamp } of [...book.live()]) {
-    const job = new JobState(id, record, page, stamp)
-    book.listen((changed, entry) => {
-      if (changed === id && entry !== null) job.stamp = entry.modRevision
+  for (const { id, record, page, modRevision } of [...jobIndex.live()]) {
+    const job = new JobState(id, record, page, modRevision)
+    jobIndex.listen((changed, entry) => {
+      if (changed === id && entry !== null) job.modRevision = entry.modRevision
     })
     job.finish(0)
     ends.add(job)
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Mirror } from "@sorreltally/membership"
+import { Replica } from "@sorreltally/membership"
 import type { JobId, ModRevision, Revision, ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
@@ -16,7 +16,7 @@
 import { bucketOf, digitsOf } from "../src/job-pages.ts"
 import { type Acceptance, JobStore } from "../src/job-store.ts"
 
-const PART = "part-0" as ShardName
+const SHARD = "part-0" as ShardName
 const limits = { valueKb: 2, maxOperations: 8, writesPerSecond: 100 }
 
 /** The keys, and transactions that reach them late. */
@@ -25,7 +25,7 @@
   revision = 0
   /** Transactions from now on get no answer; what they asked for is kept. */
   holding = false
-  readonly held: Array<{
+  readonly deferred: Array<{
     readonly when: ReadonlyArray<Condition>
     readonly apply: ReadonlyArray<Operation>
   }> = []
@@ -46,7 +46,7 @@
     compareAndSwap: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Operation>) =>
       Effect.suspend(() => {
         if (!this.holding) return Effect.succeed(this.multi(when, apply))
-        this.held.push({ when, apply })
+        this.deferred.push({ when, apply })
         return Effect.never
       }),
     list: (prefix: string) =>
@@ -63,17 +63,17 @@
 
 /** One controller's view of the store. */
 const nodeOf = (store: Store) => {
-  const mirror = new Mirror()
-  const book = new JobIndex(mirror)
-  const refresh = () => mirror.reload(store.under("s/"), store.revision as Revision)
-  const freshness = { since: Effect.sync(refresh) } as never
-  const table = new JobStore(store.client, { mirror, freshness }, book, {
-    changed: (entry) => Effect.sync(() => mirror.hint(entry)),
+  const replica = new Replica()
+  const jobIndex = new JobIndex(replica)
+  const refresh = () => replica.reload(store.under("s/"), store.revision as Revision)
+  const readBarrier = { since: Effect.sync(refresh) } as never
+  const table = new JobStore(store.client, { replica, readBarrier }, jobIndex, {
+    changed: (entry) => Effect.sync(() => replica.hint(entry)),
     remembered: () => null,
     remember: () => {},
-    shardOf: () => PART,
+    shardOf: () => SHARD,
   })
-  return { mirror, book, table, refresh }
+  return { replica, jobIndex, table, refresh }
 }
 const run = <A>(effect: Effect.Effect<A, unknown>) => Effect.runPromise(effect as Effect.Effect<A>)
 const jobRecord = (id: string): JobRecord =>
@@ -93,7 +93,7 @@
 const end = (store: Store, ids: ReadonlyArray<JobId>, cancelled: ReadonlyArray<JobId> = []) =>
   store.multi(
     [],
-    [put(keys.endsPage(PART, 0), { done: ids.map(digitsOf), cancelled: cancelled.map(digitsOf) })],
+    [put(keys.endsPage(SHARD, 0), { done: ids.map(digitsOf), cancelled: cancelled.map(digitsOf) })],
   )
 
 test("two nodes that accept the same id at the same moment make one job", async () => {
@@ -117,8 +117,8 @@
   other.refresh()
   assert.equal((await run(other.table.accept(jobRecord(next)))).kind, "accepted")
   end(store, [])
-  assert.equal(store.held.length, 1)
-  assert.equal(store.multi(store.held[0]!.when, store.held[0]!.apply).ok, false)
+  assert.equal(store.deferred.length, 1)
+  assert.equal(store.multi(store.deferred[0]!.when, store.deferred[0]!.apply).ok, false)
   for (const { table } of [late, other])
     assert.deepEqual(await run(table.find(id)), { kind: "final", status: "done" })
   waiting.interruptUnsafe()
@@ -141,7 +141,7 @@
   })
   assert.deepEqual(await run(node.table.cancel(id)), { kind: "final", status: "done" })
   node.refresh()
-  assert.equal(node.book.get(id), null)
+  assert.equal(node.jobIndex.get(id), null)
 })
 
 test("final states outgrow the page, and are found in the archive; unknown ids stay unknown", async () => {
@@ -172,9 +172,9 @@
   for (const [n, id] of ids.entries())
     assert.equal((await run((n % 2 === 0 ? a : b).table.accept(jobRecord(id)))).kind, "accepted")
   a.refresh()
-  assert.ok(a.book.pages(bucketOf(ids[0]!)).length > 1)
+  assert.ok(a.jobIndex.pages(bucketOf(ids[0]!)).length > 1)
   for (const id of ids) assert.equal((await run(b.table.accept(jobRecord(id)))).kind, "live")
-  assert.equal([...a.book.live()].length, ids.length)
+  assert.equal([...a.jobIndex.live()].length, ids.length)
 })
 
 test("a full read that finds an end no longer named, before the page that holds its final state, revives no job", () => {
@@ -185,14 +185,14 @@
   store.multi([], [put(path, { jobs: [jobRecord(id)], done: [], cancelled: [], archivedPages: 0 })])
   end(store, [id])
   node.refresh()
-  assert.equal(node.book.get(id), null)
+  assert.equal(node.jobIndex.get(id), null)
   const revived: Array<JobId> = []
-  node.book.listen((job, entry) => {
+  node.jobIndex.listen((job, entry) => {
     if (entry !== null) revived.push(job)
   })
   store.multi([], [put(path, { jobs: [], done: [digitsOf(id)], cancelled: [], archivedPages: 0 })])
   end(store, [])
   node.refresh()
   assert.deepEqual(revived, [])
-  assert.equal(node.book.finalOf(id, node.book.pages(bucketOf(id))), "done")
+  assert.equal(node.jobIndex.finalOf(id, node.jobIndex.pages(bucketOf(id))), "done")
 })
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -44,7 +44,7 @@
 }
 
 test("a write that fails takes back only what was new in it, not what it repeated of older slots", async () => {
-  let stamp = 10
+  let modRevision = 10
   let refuses = false
   const writes: Array<PlacementRecord> = []
   const state = {
@@ -55,10 +55,12 @@
     compareAndSwap: (_: unknown, apply: ReadonlyArray<{ readonly value: PlacementRecord }>) =>
       Effect.sync(() => {
         writes.push(apply[0]!.value)
-        return refuses ? { ok: false, failedKeys: [keys.jobPage(1, 0)] } : { ok: true, revision: ++stamp }
+        return refuses
+          ? { ok: false, failedKeys: [keys.jobPage(1, 0)] }
+          : { ok: true, revision: ++modRevision }
       }),
   } as unknown as StoreClient
-  const membership = { freshness: { since: Effect.void }, mirror: {} } as unknown as Membership
+  const membership = { readBarrier: { since: Effect.void }, replica: {} } as unknown as Membership
   const unwanted: Array<Placement> = []
   const commits = new PlacementWriter(
     "deadline" as ShardName,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,14 +1,14 @@
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
 import { MIRRORED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { GrantKeeper, type GrantTimes } from "./node-lease.ts"
-import { Freshness } from "./read-barrier.ts"
-import { Mirror } from "./replica.ts"
-import { MirrorWatch, watchSpacingMs } from "./replica-watch.ts"
-import { type PartListener, PartOwnership } from "./shard-ownership.ts"
-import { allParts } from "./shards.ts"
+import { NodeLeaseKeeper, type NodeLeaseTimes } from "./node-lease.ts"
+import { ReadBarrier } from "./read-barrier.ts"
+import { Replica } from "./replica.ts"
+import { ReplicaWatch, watchSpacingMs } from "./replica-watch.ts"
+import { type ShardListener, ShardOwnership } from "./shard-ownership.ts"
+import { allShards } from "./shards.ts"
 
-export interface MembershipSettings extends GrantTimes {
+export interface MembershipSettings extends NodeLeaseTimes {
   readonly self: NodeName
   /** All controllers, this one included, in the same order on every node. */
   readonly nodes: ReadonlyArray<NodeName>
@@ -19,7 +19,7 @@
 }
 
 /** The rest of the controller, as membership sees it. */
-export interface Host extends PartListener {
+export interface Host extends ShardListener {
   /** It has work, and should hear of changes as soon as can be. */
   readonly busy: () => boolean
 }
@@ -32,13 +32,13 @@
  * every cancellation; see docs/design.md for the argument.
  */
 export class Membership {
-  readonly mirror = new Mirror()
-  readonly parts: ReadonlyArray<ShardName>
+  readonly replica = new Replica()
+  readonly shards: ReadonlyArray<ShardName>
   /** For answers that must not be older than their question. */
-  readonly freshness: Freshness
-  private readonly grant: GrantKeeper
-  private readonly watch: MirrorWatch
-  private readonly ownership: PartOwnership
+  readonly readBarrier: ReadBarrier
+  private readonly nodeLease: NodeLeaseKeeper
+  private readonly watch: ReplicaWatch
+  private readonly ownership: ShardOwnership
 
   constructor(
     settings: MembershipSettings,
@@ -49,24 +49,24 @@
     fork: (effect: Effect.Effect<unknown>) => void,
   ) {
     const { self, nodes, watchFreshMs } = settings
-    const { mirror } = this
-    this.parts = allParts(nodes)
+    const { replica } = this
+    this.shards = allShards(nodes)
     // Requests to the state service are few, and every node has to watch: at
     // most this often, and as often again to answer users.
     const spacingMs = watchSpacingMs(nodes.length, settings.stateRps)
-    this.grant = new GrantKeeper(self, settings, state, now, log)
-    this.watch = new MirrorWatch(state, mirror, spacingMs, watchFreshMs, host.busy, now)
+    this.nodeLease = new NodeLeaseKeeper(self, settings, state, now, log)
+    this.watch = new ReplicaWatch(state, replica, spacingMs, watchFreshMs, host.busy, now)
     const broughtUp = (sent: MonotonicTime) => this.watch.broughtUpTo(sent)
-    this.freshness = new Freshness(state, mirror, spacingMs, broughtUp, now, fork)
-    const entitled = () => this.entitled()
-    this.ownership = new PartOwnership(
+    this.readBarrier = new ReadBarrier(state, replica, spacingMs, broughtUp, now, fork)
+    const holdsLease = () => this.holdsLease()
+    this.ownership = new ShardOwnership(
       self,
       nodes,
-      this.parts,
+      this.shards,
       state,
-      mirror,
-      this.grant,
-      entitled,
+      replica,
+      this.nodeLease,
+      holdsLease,
       host,
       now,
       log,
@@ -74,19 +74,19 @@
   }
 
   /** May this node act for its parts, and answer from its memory? */
-  entitled(): boolean {
+  holdsLease(): boolean {
     const now = this.now()
-    return this.grant.holds(now) && this.watch.isFresh(now)
+    return this.nodeLease.holds(now) && this.watch.isFresh(now)
   }
   incarnation(): Incarnation | null {
-    return this.grant.current?.incarnation ?? null
+    return this.nodeLease.current?.incarnation ?? null
   }
-  owner(part: ShardName): NodeName | null {
-    return this.ownership.owner(part)
+  owner(shard: ShardName): NodeName | null {
+    return this.ownership.owner(shard)
   }
   /** An owner can't go on: the part starts over under a new epoch. */
-  disown(part: ShardName): void {
-    this.ownership.disown(part, "its engine failed")
+  relinquish(shard: ShardName): void {
+    this.ownership.relinquish(shard, "its engine failed")
   }
 
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
@@ -94,8 +94,8 @@
       Effect.gen({ self: this }, function* () {
         const joined = yield* Effect.result(this.join())
         if (Result.isFailure(joined)) return yield* Effect.sleep(REJOIN_MS)
-        yield* Effect.raceAllFirst([this.grant.renew, this.watch.run, this.ownership.run])
-        this.grant.leave()
+        yield* Effect.raceAllFirst([this.nodeLease.renew, this.watch.run, this.ownership.run])
+        this.nodeLease.leave()
         this.ownership.dropAll("grant lost")
       }),
     ),
@@ -106,9 +106,9 @@
       // Obtaining the grant takes time: the mirror is as fresh as its read, not as the grant.
       const listed = this.now()
       const { items, revision } = yield* this.state.list(MIRRORED)
-      const live = yield* this.grant.join(items)
-      this.mirror.reload(items, revision)
-      this.mirror.hint(live)
+      const live = yield* this.nodeLease.join(items)
+      this.replica.reload(items, revision)
+      this.replica.hint(live)
       this.watch.broughtUpTo(listed)
       this.log.info("joined", { incarnation: live.value.incarnation, revision })
     })
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -12,17 +12,17 @@
 import { type Entry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Random, Result } from "effect"
 
-export interface GrantTimes {
-  readonly grantTtlMs: number
-  readonly grantMarginMs: number
+export interface NodeLeaseTimes {
+  readonly leaseTtlMs: number
+  readonly leaseMarginMs: number
 }
 
 /** One life of a controller under its name, and the grant that it lasts as long as. */
-export interface Standing {
+export interface MembershipLease {
   readonly incarnation: Incarnation
-  readonly grant: LeaseId
+  readonly lease: LeaseId
   /** Revision of the live key, which goes when the grant ends. */
-  readonly liveStamp: ModRevision
+  readonly nodeRevision: ModRevision
 }
 
 /** Touches in a grant's ttl while all goes well; one or two may get lost. */
@@ -32,24 +32,24 @@
 const LONGEST_TOUCH_MS = 2_000
 
 /** Obtains the node's grant and live key, and renews them until the grant has ended. */
-export class GrantKeeper {
-  private standing: Standing | null = null
+export class NodeLeaseKeeper {
+  private membershipLease: MembershipLease | null = null
   private validUntil: MonotonicTime = NEVER
 
   constructor(
     private readonly self: NodeName,
-    private readonly times: GrantTimes,
+    private readonly times: NodeLeaseTimes,
     private readonly state: StoreClient,
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {}
 
-  get current(): Standing | null {
-    return this.standing
+  get current(): MembershipLease | null {
+    return this.membershipLease
   }
   /** Whether the grant surely lives. */
   holds(now: MonotonicTime): boolean {
-    return this.standing !== null && now < this.validUntil
+    return this.membershipLease !== null && now < this.validUntil
   }
 
   /** Returns the live key as written. `items` is what a read has just found. */
@@ -65,16 +65,16 @@
       }
       const incarnation = yield* this.newIncarnation()
       const asked = this.now()
-      const grant = yield* this.state.grantLease(this.times.grantTtlMs)
-      const record: NodeRecord = { incarnation, leaseId: grant }
+      const lease = yield* this.state.createLease(this.times.leaseTtlMs)
+      const record: NodeRecord = { incarnation, leaseId: lease }
       // A copy of this that is carried out late finds the key there, or the grant ended.
       const won = yield* this.state.compareAndSwap(
         [{ key: path, modRevision: ABSENT }],
-        [put(path, record, grant)],
+        [put(path, record, lease)],
         0,
       )
       if (!won.ok) return yield* Effect.fail("the former grant still stands" as const)
-      this.standing = { incarnation, grant, liveStamp: won.revision }
+      this.membershipLease = { incarnation, lease, nodeRevision: won.revision }
       this.extend(asked)
       return { key: path, value: record, modRevision: won.revision }
     })
@@ -88,29 +88,29 @@
     })
   }
   leave(): void {
-    this.standing = null
+    this.membershipLease = null
     this.validUntil = NEVER
   }
 
   /** Ends when the grant has. */
   readonly renew: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      const { grantTtlMs } = this.times
-      const timeoutMs = Math.min(LONGEST_TOUCH_MS, grantTtlMs / 3)
-      let pauseMs = grantTtlMs / TOUCHES_PER_TTL
+      const { leaseTtlMs } = this.times
+      const timeoutMs = Math.min(LONGEST_TOUCH_MS, leaseTtlMs / 3)
+      let pauseMs = leaseTtlMs / TOUCHES_PER_TTL
       for (;;) {
         yield* Effect.sleep(pauseMs)
-        if (this.standing === null) return
+        if (this.membershipLease === null) return
         const sent = this.now()
-        const touched = yield* Effect.result(this.state.keepAlive(this.standing.grant, timeoutMs))
+        const touched = yield* Effect.result(this.state.keepAlive(this.membershipLease.lease, timeoutMs))
         if (Result.isFailure(touched)) {
           this.log.debug("touch failed", { status: touched.failure.status })
-          pauseMs = grantTtlMs / RETRIES_PER_TTL
+          pauseMs = leaseTtlMs / RETRIES_PER_TTL
           continue
         }
         if (!touched.success) return
         this.extend(sent)
-        pauseMs = grantTtlMs / TOUCHES_PER_TTL
+        pauseMs = leaseTtlMs / TOUCHES_PER_TTL
       }
     }),
   )
@@ -120,6 +120,6 @@
    * touch may have missed cancellations meanwhile.
    */
   private extend(sent: MonotonicTime): void {
-    this.validUntil = addMs(sent, this.times.grantTtlMs - this.times.grantMarginMs)
+    this.validUntil = addMs(sent, this.times.leaseTtlMs - this.times.leaseMarginMs)
   }
 }
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -1,7 +1,7 @@
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import { MIRRORED, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
-import type { Mirror } from "./replica.ts"
+import type { Replica } from "./replica.ts"
 
 type Waiter = Deferred.Deferred<void, StoreError>
 
@@ -11,14 +11,14 @@
  * answer brings the mirror up to the revision that it names, and whatever was
  * told to anybody before is not newer than that.
  */
-export class Freshness {
+export class ReadBarrier {
   private waiting: Array<Waiter> = []
   private busy = false
   private lastSent: MonotonicTime = NEVER
 
   constructor(
     private readonly state: StoreClient,
-    private readonly mirror: Mirror,
+    private readonly replica: Replica,
     private readonly spacingMs: number,
     /** Told when the mirror has been brought up, and when that was asked for. */
     private readonly broughtUp: (sent: MonotonicTime) => void,
@@ -59,10 +59,10 @@
   }
   private bringUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const news = yield* this.state.watch(MIRRORED, this.mirror.revision, 0)
-      if (news.kind === "events") return this.mirror.apply(news.events, news.revision)
+      const news = yield* this.state.watch(MIRRORED, this.replica.revision, 0)
+      if (news.kind === "events") return this.replica.apply(news.events, news.revision)
       const { items, revision } = yield* this.state.list(MIRRORED)
-      this.mirror.reload(items, revision)
+      this.replica.reload(items, revision)
     })
   }
 }
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -1,7 +1,7 @@
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import { MIRRORED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { Mirror } from "./replica.ts"
+import type { Replica } from "./replica.ts"
 
 /** Share of the state service's requests that all nodes' watches may use. */
 const WATCH_SHARE = 0.3
@@ -23,12 +23,12 @@
   (1000 * nodes) / (WATCH_SHARE * stateRps)
 
 /** Keeps the mirror up to date, and knows until when it counts as fresh. */
-export class MirrorWatch {
+export class ReplicaWatch {
   private freshUntil: MonotonicTime = NEVER
 
   constructor(
     private readonly state: StoreClient,
-    private readonly mirror: Mirror,
+    private readonly replica: Replica,
     private readonly spacingMs: number,
     /**
      * An owner hears of cancellations by its watch; so one that hasn't been
@@ -57,13 +57,13 @@
         const sent = this.now()
         const blockMs = this.freshMs / WATCHES_PER_FRESH
         const answerMs = Math.min(LONGEST_ANSWER_MS, blockMs)
-        const { revision } = this.mirror
+        const { revision } = this.replica
         const news = yield* Effect.result(
           this.state.watch(MIRRORED, revision, Math.floor(blockMs), Math.floor(answerMs)),
         )
         if (Result.isFailure(news)) return yield* Effect.sleep(RETRY_MS)
         if (news.success.kind === "compacted") return yield* this.readAll()
-        this.mirror.apply(news.success.events, news.success.revision)
+        this.replica.apply(news.success.events, news.success.revision)
         this.broughtUpTo(sent)
         // Every change wakes every node's watch: what comes in one go costs one request.
         yield* Effect.sleep(this.pauseMs())
@@ -78,7 +78,7 @@
     return Effect.gen({ self: this }, function* () {
       const read = yield* Effect.result(this.state.list(MIRRORED))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
-      this.mirror.reload(read.success.items, read.success.revision)
+      this.replica.reload(read.success.items, read.success.revision)
     })
   }
 }
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -1,16 +1,16 @@
 import { ABSENT, type ModRevision, type Revision } from "@sorreltally/protocol"
 import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/store"
 
-export type MirrorListener = (path: string, entry: Entry | null) => void
+export type ReplicaListener = (path: string, entry: Entry | null) => void
 
 /**
  * This node's copy of the mirrored keys. It holds at least every change up to
  * `revision`: whoever has made sure that this is recent enough (see `Freshness`)
  * may tell users what it says.
  */
-export class Mirror {
+export class Replica {
   private readonly families = new Map<string, Map<string, Entry>>()
-  private readonly listeners = new Map<string, Set<MirrorListener>>()
+  private readonly listeners = new Map<string, Set<ReplicaListener>>()
   /**
    * Keys that a transaction of ours deleted before the watch has told of it.
    * Guards against a slow watch that brings the key's last change back.
@@ -33,7 +33,7 @@
     return this.families.get(family)?.values() ?? []
   }
   /** Returns how to stop listening. */
-  listen(family: string, listener: MirrorListener): () => void {
+  listen(family: string, listener: ReplicaListener): () => void {
     const of = this.listeners.get(family) ?? new Set()
     this.listeners.set(family, of)
     of.add(listener)
@@ -75,18 +75,19 @@
       this.keep(entry)
   }
   /** A transaction of ours deleted the key. */
-  bury(path: string, stamp: ModRevision): void {
-    if (stamp <= (this.revision as number)) return
-    this.buried.set(path, stamp)
-    if (this.modRevision(path) < stamp) this.drop(path)
+  bury(path: string, modRevision: ModRevision): void {
+    if (modRevision <= (this.revision as number)) return
+    this.buried.set(path, modRevision)
+    if (this.modRevision(path) < modRevision) this.drop(path)
   }
 
-  private isNews(path: string, stamp: ModRevision): boolean {
-    return this.modRevision(path) < stamp && (this.buried.get(path) ?? ABSENT) < stamp
+  private isNews(path: string, modRevision: ModRevision): boolean {
+    return this.modRevision(path) < modRevision && (this.buried.get(path) ?? ABSENT) < modRevision
   }
   private reach(revision: Revision): void {
     if (revision > this.revision) this.revision = revision
-    for (const [path, stamp] of this.buried) if (stamp <= (this.revision as number)) this.buried.delete(path)
+    for (const [path, modRevision] of this.buried)
+      if (modRevision <= (this.revision as number)) this.buried.delete(path)
   }
   private keep({ key, value, modRevision }: Entry): void {
     const name = familyOf(key)
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -10,14 +10,14 @@
 } from "@sorreltally/protocol"
 import { keys, put, SHARDS, type ShardRecord, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import type { GrantKeeper } from "./node-lease.ts"
-import type { Mirror } from "./replica.ts"
-import { DEADLINE, homeOf, preferredOwner } from "./shards.ts"
+import type { NodeLeaseKeeper } from "./node-lease.ts"
+import type { Replica } from "./replica.ts"
+import { DEADLINE_SHARD, homeNodeOf, preferredOwner } from "./shards.ts"
 
 /** What the rest of the controller does when a part comes or goes. Both are synchronous. */
-export interface PartListener {
-  readonly gained: (part: ShardName, epoch: ModRevision) => void
-  readonly lost: (part: ShardName) => void
+export interface ShardListener {
+  readonly acquired: (shard: ShardName, epoch: ModRevision) => void
+  readonly lost: (shard: ShardName) => void
 }
 
 /** How long a part that never had an owner waits for the node it is meant for. */
@@ -27,7 +27,7 @@
 const RIVAL_RANK_MS = 500
 /** How long a node has to be back before it gets a part back, and the pause between two. */
 const BACK_FOR_MS = 15_000
-const HAND_BACK_SPACING_MS = 5_000
+const FAIL_BACK_SPACING_MS = 5_000
 const LOOP_MS = 250
 const RETRY_MS = 300
 
@@ -40,36 +40,36 @@
  * Which parts this node owns, and how it comes by them: take-overs of parts
  * without an owner, and hand-backs to nodes that have returned.
  */
-export class PartOwnership {
+export class ShardOwnership {
   private readonly owned = new Map<ShardName, ModRevision>()
   /** The last epoch under which this process owned a part. */
   private readonly lastEpoch = new Map<ShardName, ModRevision>()
   private readonly aliveSince = new Map<NodeName, AliveSince>()
   private readonly orphanSince = new Map<ShardName, MonotonicTime>()
-  private handedBackAt: MonotonicTime = NEVER
+  private failedBackAt: MonotonicTime = NEVER
 
   constructor(
     private readonly self: NodeName,
     private readonly nodes: ReadonlyArray<NodeName>,
-    private readonly parts: ReadonlyArray<ShardName>,
+    private readonly shards: ReadonlyArray<ShardName>,
     private readonly state: StoreClient,
-    private readonly mirror: Mirror,
-    private readonly grant: GrantKeeper,
-    private readonly entitled: () => boolean,
-    private readonly listener: PartListener,
+    private readonly replica: Replica,
+    private readonly nodeLease: NodeLeaseKeeper,
+    private readonly holdsLease: () => boolean,
+    private readonly listener: ShardListener,
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {
-    this.mirror.listen(SHARDS, (path, entry) => {
-      const part = path.slice(SHARDS.length) as ShardName
-      const epoch = this.owned.get(part)
-      if (epoch !== undefined && entry !== null && entry.modRevision > epoch) this.drop(part, "taken over")
+    this.replica.listen(SHARDS, (path, entry) => {
+      const shard = path.slice(SHARDS.length) as ShardName
+      const epoch = this.owned.get(shard)
+      if (epoch !== undefined && entry !== null && entry.modRevision > epoch) this.drop(shard, "taken over")
     })
   }
 
   /** The owner on record, if it is still the process that took the part over. */
-  owner(part: ShardName): NodeName | null {
-    const record = this.mirror.get(keys.shard(part))
+  owner(shard: ShardName): NodeName | null {
+    const record = this.replica.get(keys.shard(shard))
     if (record === null || record.value.owner === null) return null
     return this.incarnationOf(record.value.owner) === record.value.incarnation ? record.value.owner : null
   }
@@ -77,41 +77,41 @@
     return new Set(this.nodes.filter((node) => this.incarnationOf(node) !== null))
   }
   private incarnationOf(node: NodeName): Incarnation | null {
-    return this.mirror.get(keys.node(node))?.value.incarnation ?? null
+    return this.replica.get(keys.node(node))?.value.incarnation ?? null
   }
 
-  disown(part: ShardName, why: string): void {
-    if (this.owned.has(part)) this.drop(part, why)
+  relinquish(shard: ShardName, why: string): void {
+    if (this.owned.has(shard)) this.drop(shard, why)
   }
   dropAll(why: string): void {
-    for (const part of [...this.owned.keys()]) this.drop(part, why)
+    for (const shard of [...this.owned.keys()]) this.drop(shard, why)
   }
-  private drop(part: ShardName, why: string): void {
-    this.owned.delete(part)
-    this.log.info("part lost", { part, why })
-    this.listener.lost(part)
+  private drop(shard: ShardName, why: string): void {
+    this.owned.delete(shard)
+    this.log.info("part lost", { shard, why })
+    this.listener.lost(shard)
   }
-  private gain(part: ShardName, epoch: ModRevision, from: NodeName | null): void {
+  private gain(shard: ShardName, epoch: ModRevision, from: NodeName | null): void {
     // A former ownership of ours may still have writes under way that only a
     // new epoch fences, and its attempts and write numbers would be used twice.
-    const former = this.lastEpoch.get(part)
+    const former = this.lastEpoch.get(shard)
     if (former !== undefined && epoch <= former) return
     // Our answer was late, and somebody else is the owner by now.
-    if (this.mirror.modRevision(keys.shard(part)) > epoch) return
-    this.owned.set(part, epoch)
-    this.lastEpoch.set(part, epoch)
-    this.log.info("part taken", { part, epoch, from })
-    this.listener.gained(part, epoch)
+    if (this.replica.modRevision(keys.shard(shard)) > epoch) return
+    this.owned.set(shard, epoch)
+    this.lastEpoch.set(shard, epoch)
+    this.log.info("part taken", { shard, epoch, from })
+    this.listener.acquired(shard, epoch)
   }
 
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.entitled()) {
-          for (const part of this.parts) {
-            if (this.wants(part)) yield* this.takeOver(part)
+        if (this.holdsLease()) {
+          for (const shard of this.shards) {
+            if (this.shouldAcquire(shard)) yield* this.takeOver(shard)
           }
-          yield* this.handBack()
+          yield* this.failBack()
         }
         yield* Effect.sleep(LOOP_MS)
       }),
@@ -124,19 +124,19 @@
    * A node that is back for a while gets its part back, one part at a time: a
    * node that took over several does all their work, and all their calls.
    */
-  private handBack() {
+  private failBack() {
     return Effect.gen({ self: this }, function* () {
       const now = this.now()
       this.noteWhoIsAlive(now)
-      if (now < addMs(this.handedBackAt, HAND_BACK_SPACING_MS)) return
-      for (const [part, epoch] of this.owned) {
-        const home = this.returnedHomeOf(part, now)
+      if (now < addMs(this.failedBackAt, FAIL_BACK_SPACING_MS)) return
+      for (const [shard, epoch] of this.owned) {
+        const home = this.returnedHomeOf(shard, now)
         if (home === null) continue
-        this.handedBackAt = now
+        this.failedBackAt = now
         // First we stop, then the record says so: if it never does, we are the
         // owner on record without being one, and take the part over again.
-        this.drop(part, `handed back to ${home}`)
-        return yield* this.release(part, epoch)
+        this.drop(shard, `handed back to ${home}`)
+        return yield* this.release(shard, epoch)
       }
     })
   }
@@ -149,88 +149,89 @@
     }
   }
   /** The node that the part is meant for, if that isn't this one and has been back for long enough. */
-  private returnedHomeOf(part: ShardName, now: MonotonicTime): NodeName | null {
+  private returnedHomeOf(shard: ShardName, now: MonotonicTime): NodeName | null {
     // The leader stays where it is: its move would be felt by every deadline.
-    if (part === DEADLINE) return null
-    const home = homeOf(part, this.nodes)
+    if (shard === DEADLINE_SHARD) return null
+    const home = homeNodeOf(shard, this.nodes)
     if (home === null || home === this.self) return null
     const since = this.aliveSince.get(home)
     if (since === undefined || since.incarnation === null) return null
     return now < addMs(since.at, BACK_FOR_MS) ? null : home
   }
   /** Conditioned on our epoch: carried out late, after somebody took the part over, it does nothing. */
-  private release(part: ShardName, epoch: ModRevision) {
+  private release(shard: ShardName, epoch: ModRevision) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.shard(part)
+      const path = keys.shard(shard)
       const record: ShardRecord = { owner: null, incarnation: null }
       const done = yield* Effect.result(
         this.state.compareAndSwap([{ key: path, modRevision: epoch }], [put(path, record)], 0),
       )
       if (Result.isSuccess(done) && done.success.ok)
-        this.mirror.hint({ key: path, value: record, modRevision: done.success.revision })
+        this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
     })
   }
 
   // --- take-overs -------------------------------------------------------------
 
-  private wants(part: ShardName): boolean {
-    if (this.owned.has(part)) return false
-    const owner = this.owner(part)
+  private shouldAcquire(shard: ShardName): boolean {
+    if (this.owned.has(shard)) return false
+    const owner = this.owner(shard)
     // Ours by the record yet not owned: we disowned it, and need a new epoch.
     if (owner !== null && owner !== this.self) {
-      this.orphanSince.delete(part)
+      this.orphanSince.delete(shard)
       return false
     }
     const now = this.now()
-    const since = this.orphanSince.get(part) ?? now
-    this.orphanSince.set(part, since)
-    return now - since >= this.patienceMs(part)
+    const since = this.orphanSince.get(shard) ?? now
+    this.orphanSince.set(shard, since)
+    return now - since >= this.patienceMs(shard)
   }
   /**
    * Others wait a little, so that the preferred owner usually meets no rival;
    * a part that nobody ever owned waits for its home to start.
    */
-  private patienceMs(part: ShardName): number {
-    const unborn = this.mirror.get(keys.shard(part)) === null && homeOf(part, this.nodes) !== this.self
-    if (unborn) return FIRST_START_MS
-    if (preferredOwner(part, this.nodes, this.alive()) === this.self) return 0
+  private patienceMs(shard: ShardName): number {
+    const neverOwned =
+      this.replica.get(keys.shard(shard)) === null && homeNodeOf(shard, this.nodes) !== this.self
+    if (neverOwned) return FIRST_START_MS
+    if (preferredOwner(shard, this.nodes, this.alive()) === this.self) return 0
     return RIVAL_WAIT_MS + RIVAL_RANK_MS * this.nodes.indexOf(this.self)
   }
 
-  private takeOver(part: ShardName) {
+  private takeOver(shard: ShardName) {
     return Effect.gen({ self: this }, function* () {
-      const counters = this.grant.current
+      const counters = this.nodeLease.current
       if (counters === null) return
-      const path = keys.shard(part)
+      const path = keys.shard(shard)
       const record: ShardRecord = { owner: this.self, incarnation: counters.incarnation }
-      const from = this.mirror.get(path)?.value.owner ?? null
+      const from = this.replica.get(path)?.value.owner ?? null
       // The former owner's live key must be gone and our own must stand: a late
       // copy of this transaction changes nothing.
       const when = [
-        { key: path, modRevision: this.mirror.modRevision(path) },
-        { key: keys.node(this.self), modRevision: counters.liveStamp },
+        { key: path, modRevision: this.replica.modRevision(path) },
+        { key: keys.node(this.self), modRevision: counters.nodeRevision },
       ]
       if (from !== null && from !== this.self)
-        when.push({ key: keys.node(from), modRevision: this.mirror.modRevision(keys.node(from)) })
+        when.push({ key: keys.node(from), modRevision: this.replica.modRevision(keys.node(from)) })
       const won = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 0))
-      if (Result.isFailure(won) || !won.success.ok) return yield* this.lookWhoOwns(part, from)
-      this.mirror.hint({ key: path, value: record, modRevision: won.success.revision })
-      this.gain(part, won.success.revision, from)
+      if (Result.isFailure(won) || !won.success.ok) return yield* this.lookWhoOwns(shard, from)
+      this.replica.hint({ key: path, value: record, modRevision: won.success.revision })
+      this.gain(shard, won.success.revision, from)
     })
   }
   /**
    * Lost the race, or don't know. If we did win without hearing of it, the
    * record says so; if it says nothing new, the next attempt gives a clean epoch.
    */
-  private lookWhoOwns(part: ShardName, from: NodeName | null) {
+  private lookWhoOwns(shard: ShardName, from: NodeName | null) {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.state.get(keys.shard(part)))
+      const read = yield* Effect.result(this.state.get(keys.shard(shard)))
       if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_MS)
       const seen = read.success
-      this.mirror.hint(seen)
+      this.replica.hint(seen)
       const { owner, incarnation } = seen.value as ShardRecord
-      const ours = owner === this.self && incarnation === this.grant.current?.incarnation
-      if (ours && !this.owned.has(part)) this.gain(part, seen.modRevision, from)
+      const ours = owner === this.self && incarnation === this.nodeLease.current?.incarnation
+      if (ours && !this.owned.has(shard)) this.gain(shard, seen.modRevision, from)
     })
   }
 }
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -78,8 +78,8 @@
       others.find((n) => n !== node && hears(n) && theyHear.get(n)?.includes(node) === true)
     const emit = (via: NodeName, frame: Frame) => links.send(via, pack(frame))
     const ping = (nodes: ReadonlyArray<NodeName>) => {
-      const told = { receives: others.filter(receives), hears: others.filter(hears) }
-      for (const to of nodes) emit(to, { t: "ping", from: self, to, ...told })
+      const status = { receives: others.filter(receives), hears: others.filter(hears) }
+      for (const to of nodes) emit(to, { t: "ping", from: self, to, ...status })
     }
     const post = (frame: MessageFrame) =>
       emit(hears(frame.to) ? frame.to : (relayTo(frame.to) ?? frame.to), frame)
--- a/packages/peers/src/sockets.ts
+++ b/packages/peers/src/sockets.ts
@@ -77,7 +77,7 @@
 
   /** Frames for each node, until the end of this turn of the event loop: one write and one packet for all. */
   const unsent = new Map<NodeName, Array<Uint8Array>>()
-  const flush = (to: NodeName): void => {
+  const writePending = (to: NodeName): void => {
     const chunks = unsent.get(to) ?? []
     unsent.delete(to)
     const socket = out.get(to)
@@ -98,7 +98,7 @@
         return
       }
       unsent.set(to, [head, frame])
-      setImmediate(flush, to)
+      setImmediate(writePending, to)
     },
   }
 }
--- a/packages/planner/src/give-back.ts
+++ b/packages/planner/src/give-back.ts
@@ -8,7 +8,7 @@
   job: JobView,
   held: ReadonlyArray<Slot>,
   running: number,
-  holders: Map<MachineId, JobId | null>,
+  assignedJobs: Map<MachineId, JobId | null>,
   pending = 0,
 ): void => {
   let idlest: Slot | null = null
@@ -26,11 +26,11 @@
     timeLeft: job.timeLeftS ?? Number.POSITIVE_INFINITY,
   }
   if (pending === 0 || canGiveBack(input, slotsIn(job.request, idlest.machine.type)))
-    holders.set(idlest.machine.id, null)
+    assignedJobs.set(idlest.machine.id, null)
 }
 
 /** A job held back by its team's limit gives back a machine on which the limit lets nothing run. */
-export const releaseIdle = (held: ReadonlyArray<Slot>, holders: Map<MachineId, JobId | null>): void => {
+export const releaseIdle = (held: ReadonlyArray<Slot>, assignedJobs: Map<MachineId, JobId | null>): void => {
   const idle = held.find(isIdle)
-  if (idle !== undefined) holders.set(idle.machine.id, null)
+  if (idle !== undefined) assignedJobs.set(idle.machine.id, null)
 }
--- a/packages/planner/src/lend.ts
+++ b/packages/planner/src/lend.ts
@@ -104,9 +104,9 @@
   if (needs.length === 0) return needs
   const kinds = new Map<string, KindOfMachine>()
   for (const machine of machines) kinds.set(kindName(machine), machine)
-  const standingOn = urgencyByMachineKind(jobs)
+  const urgencyOn = urgencyByMachineKind(jobs)
   const serves = (need: MachineDemand, kind: KindOfMachine) =>
-    allowed(need.shape, kind) && outranks(need, standingOn(kind))
+    allowed(need.shape, kind) && outranks(need, urgencyOn(kind))
   return needs.filter((need) => [...kinds.values()].some((kind) => serves(need, kind)))
 }
 
@@ -129,13 +129,13 @@
   const out: Array<Lent> = []
   if (needs.length === 0 || empty.size === 0) return out
   let spare = spareCores(machines, reserve)
-  const standingOn = urgencyByMachineKind(jobs)
+  const urgencyOn = urgencyByMachineKind(jobs)
   for (const need of [...needs].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
     let left = Math.ceil(need.tasks * share) - (lentLately.get(need.shard) ?? 0)
     const cached = (m: MachineView) => Number(m.images.has(need.shape.image))
     for (const machine of [...empty].sort((a, b) => cached(b) - cached(a))) {
       if (left <= 0) break
-      if (!allowed(need.shape, machine) || !outranks(need, standingOn(machine))) continue
+      if (!allowed(need.shape, machine) || !outranks(need, urgencyOn(machine))) continue
       if (need.rank < reserve.rank && machine.reserved) {
         if (spare < machine.free.cores) continue
         spare -= machine.free.cores
@@ -204,9 +204,9 @@
         memGb: room.memGb + victim.shape.memGb,
       }
       stop.push(victim)
-      const gained = slotsIn(shape, room) - before
-      if (gained > 0 && fits(shape, room)) {
-        options.push({ stop, slots: gained, loss: stop.reduce((sum, v) => sum + v.lossCoreS, 0), cached })
+      const added = slotsIn(shape, room) - before
+      if (added > 0 && fits(shape, room)) {
+        options.push({ stop, slots: added, loss: stop.reduce((sum, v) => sum + v.lossCoreS, 0), cached })
         stop = []
       }
     }
--- a/packages/planner/src/model.ts
+++ b/packages/planner/src/model.ts
@@ -61,7 +61,7 @@
    */
   readonly state: "up" | "coming" | "closing" | "away"
   /** The job that it was rented for or given to; null: in the pool. */
-  readonly holder: JobId | null
+  readonly assignedJob: JobId | null
 }
 
 export interface JobView {
@@ -95,7 +95,7 @@
   accelerators: number
 }
 
-export interface Hireable {
+export interface Offer {
   readonly type: MachineType
   readonly zone: ZoneName
   readonly spot: boolean
@@ -145,22 +145,22 @@
   /** What the teams' limits leave this part, whether its shares cover it yet or not: machines are rented by that. */
   readonly limits: ReadonlyMap<TeamName, TeamRoom>
   /** Kinds of machine that can be asked for now, those refused lately left out. */
-  readonly market: ReadonlyArray<Hireable>
+  readonly market: ReadonlyArray<Offer>
   /** Machines that one rental can ask for. */
   readonly rentalSize: number
   readonly deploymentS: number
   /** A steady machine that makes the same work dearer than this many times the cheapest kind isn't asked for. */
-  readonly dearestSteady: number
+  readonly maxOnDemandCostRatio: number
 }
 
 export interface PlannedPlacement {
   readonly job: JobId
   readonly machine: MachineId
 }
-export interface PlannedHire {
-  readonly hireable: Hireable
+export interface PlannedRental {
+  readonly offer: Offer
   readonly count: number
-  readonly holder: JobId | null
+  readonly assignedJob: JobId | null
 }
 export interface Unplaced {
   readonly job: JobView
@@ -173,11 +173,11 @@
 }
 export interface Plan {
   readonly placements: ReadonlyArray<PlannedPlacement>
-  readonly hires: ReadonlyArray<PlannedHire>
+  readonly rentals: ReadonlyArray<PlannedRental>
   /** Machines whose holder changes; null: to the pool. */
-  readonly holders: ReadonlyMap<MachineId, JobId | null>
+  readonly assignedJobs: ReadonlyMap<MachineId, JobId | null>
   /** Some work needs machines that spot can't give: steady ones that we have are kept in use. */
-  readonly steadyWanted: boolean
+  readonly onDemandNeeded: boolean
   /** Queued tasks for which no machine of ours that is up has room, most urgent job first. */
   readonly unplaced: ReadonlyArray<Unplaced>
   /** What the plan counts on of each team's limit beyond what is used: placed, expected on machines, or rented for. */
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -104,7 +104,7 @@
     ? 0
     : job.request.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
   const leftover = (free.cores - job.request.cores) / Math.max(EPSILON, machine.type.cores)
-  const mine = machine.holder === job.id ? 1 : 0
+  const mine = machine.assignedJob === job.id ? 1 : 0
   // Steady machines fill last, so that they empty first and can be given back.
   return -fetchS - 2 * leftover + 0.5 * mine + (machine.spot ? 2 : 0)
 }
--- a/packages/planner/src/plan.ts
+++ b/packages/planner/src/plan.ts
@@ -4,11 +4,11 @@
 import { startTooLate } from "./lateness.ts"
 import { LimitRoom, roomOf } from "./limits.ts"
 import {
-  type Hireable,
   type JobView,
+  type Offer,
   type Plan,
-  type PlannedHire,
   type PlannedPlacement,
+  type PlannedRental,
   type Snapshot,
   spareCores,
   type Unplaced,
@@ -16,8 +16,8 @@
 import { inTiers } from "./order.ts"
 import { isOverdue, tasksToBegin } from "./overdue.ts"
 import { expectOnUp, type Floor, placeJob } from "./placement.ts"
-import { spotOpen, steadyHelps, wanted } from "./provisioning.ts"
-import { hire } from "./renting.ts"
+import { onDemandHelps, spotOpen, wanted } from "./provisioning.ts"
+import { planRentals } from "./renting.ts"
 import { byKind, hasRoom, isIdle, type Slot, slotOf, unusedCores } from "./slots.ts"
 import { canWait, runsOf } from "./yielding.ts"
 
@@ -25,7 +25,7 @@
   const tiers = inTiers(snapshot.jobs, snapshot.load())
   const jobs = tiers.flat()
   const placements: Array<PlannedPlacement> = []
-  const holders = new Map<MachineId, JobId | null>()
+  const assignedJobs = new Map<MachineId, JobId | null>()
   const queued = new Map<JobId, number>(jobs.map((j) => [j.id, j.queued]))
   const running = new Map<JobId, number>(jobs.map((j) => [j.id, j.running]))
 
@@ -37,9 +37,9 @@
     const slot = slotOf(machine)
     if (machine.state === "coming") coming.push(slot)
     else if (hasRoom(slot)) up.push(slot)
-    if (machine.holder === null) continue
-    const of = held.get(machine.holder)
-    if (of === undefined) held.set(machine.holder, [slot])
+    if (machine.assignedJob === null) continue
+    const of = held.get(machine.assignedJob)
+    if (of === undefined) held.set(machine.assignedJob, [slot])
     else of.push(slot)
   }
   const floor: Floor = { kinds: byKind(up), spare: spareCores(snapshot.machines, snapshot.reserve) }
@@ -72,15 +72,15 @@
   const limited: Array<JobView> = []
 
   let ahead = 0
-  let steadyWanted = false
-  const hires = new Map<Hireable, { count: number; readonly holder: JobId }>()
+  let onDemandNeeded = false
+  const rentals = new Map<Offer, { count: number; readonly assignedJob: JobId }>()
   const unplaced: Array<Unplaced> = []
   const comingKinds = byKind(coming)
   for (const job of jobs) {
     const pending = queued.get(job.id) ?? 0
     const own = held.get(job.id) ?? []
     if (pending === 0) {
-      releaseOne(job, own, running.get(job.id) ?? 0, holders)
+      releaseOne(job, own, running.get(job.id) ?? 0, assignedJobs)
       continue
     }
     const late = startTooLate(job, pending, ahead, snapshot)
@@ -107,20 +107,22 @@
       comingKinds,
       snapshot,
     )
-    if (missing === 0) releaseOne(job, own, running.get(job.id) ?? 0, holders, pending)
-    const steady = steadyHelps(job, late, snapshot.deploymentS)
+    if (missing === 0) releaseOne(job, own, running.get(job.id) ?? 0, assignedJobs, pending)
+    const onDemand = onDemandHelps(job, late, snapshot.deploymentS)
     // What is up needs no boot: it stays for all that spot has no room for and that comes too late.
-    steadyWanted ||= room > 0 && (late > 0 || (missing > 0 && steady)) && !spotOpen(job, snapshot)
-    const asked = hire(job, missing, steady, snapshot, hires, comingKinds)
+    onDemandNeeded ||= room > 0 && (late > 0 || (missing > 0 && onDemand)) && !spotOpen(job, snapshot)
+    const asked = planRentals(job, missing, onDemand, snapshot, rentals, comingKinds)
     // What the market can't give a job stays for the others of its team.
     rentable.take(job, onUp + requested + asked)
   }
-  for (const job of limited) releaseIdle(held.get(job.id) ?? [], holders)
+  for (const job of limited) releaseIdle(held.get(job.id) ?? [], assignedJobs)
   return {
     placements,
-    hires: [...hires].map(([hireable, { count, holder }]): PlannedHire => ({ hireable, count, holder })),
-    holders,
-    steadyWanted,
+    rentals: [...rentals].map(
+      ([offer, { count, assignedJob }]): PlannedRental => ({ offer, count, assignedJob }),
+    ),
+    assignedJobs,
+    onDemandNeeded,
     unplaced,
     claims: rentable.taken(),
     // Otherwise it is fragments, or waits for a report: no reason to empty a machine.
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -41,7 +41,7 @@
   for (const own of [true, false]) {
     for (const kind of kinds) {
       for (const slot of kind.slots) {
-        if ((slot.machine.holder === job.id) !== own) continue
+        if ((slot.machine.assignedJob === job.id) !== own) continue
         const missing = extra(requested)
         if (missing === 0) return { requested, missing }
         const take = Math.min(missing, slotsIn(job.request, slot.free))
@@ -73,7 +73,7 @@
  * what runs now ends too late for the queue, and are asked for no sooner than
  * they have to be: until then spot may open again, or another part lend.
  */
-export const steadyHelps = (job: JobView, late: number, deploymentS: number): boolean => {
+export const onDemandHelps = (job: JobView, late: number, deploymentS: number): boolean => {
   if (!job.request.spotAllowed) return true
   if (late === 0) return false
   if (job.timeLeftS === null) {
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -4,10 +4,10 @@
   allowed,
   EPSILON,
   fits,
-  type Hireable,
   type JobView,
   type MachineView,
   minus,
+  type Offer,
   type Room,
   type Snapshot,
   slotsIn,
@@ -16,7 +16,7 @@
 import { type Kind, slotOf } from "./slots.ts"
 
 /** Above any price: steady machines are the fall-back once every fitting kind of spot is refused. */
-const STEADY_LAST = 1e6
+const ON_DEMAND_PENALTY = 1e6
 
 /** A kind that costs at most this much more is asked as well, rather than waiting for the cheapest one's answer. */
 const ABOUT_AS_CHEAP = 1.1
@@ -42,22 +42,22 @@
  * fewer of our machines before others. What one rental can't hold is asked of
  * kinds about as cheap. Returns for how many of the missing tasks it asked.
  */
-export const hire = (
+export const planRentals = (
   job: JobView,
   missing: number,
-  steadyToo: boolean,
+  onDemandAllowed: boolean,
   snapshot: Snapshot,
-  hires: Map<Hireable, { count: number; readonly holder: JobId }>,
+  rentals: Map<Offer, { count: number; readonly assignedJob: JobId }>,
   coming: Array<Kind>,
 ): number => {
   if (missing <= 0) return 0
-  const dearest = snapshot.dearestSteady * cheapestWork(job, missing, snapshot)
-  const options: Array<{ readonly option: Hireable; readonly cost: number }> = []
+  const dearest = snapshot.maxOnDemandCostRatio * cheapestWork(job, missing, snapshot)
+  const options: Array<{ readonly option: Offer; readonly cost: number }> = []
   for (const option of snapshot.market) {
     if (!allowed(job.request, option) || zoneAllowance(job.request, job.zones, option.zone) <= 0) continue
     const work = costOfWork(job, missing, option.type, option.price)
-    if (!option.spot && (!steadyToo || (job.request.spotAllowed && work > dearest))) continue
-    options.push({ option, cost: work + (option.spot ? 0 : STEADY_LAST) })
+    if (!option.spot && (!onDemandAllowed || (job.request.spotAllowed && work > dearest))) continue
+    options.push({ option, cost: work + (option.spot ? 0 : ON_DEMAND_PENALTY) })
   }
   options.sort((a, b) =>
     Math.abs(a.cost - b.cost) < EPSILON ? a.option.ours - b.option.ours : a.cost - b.cost,
@@ -67,11 +67,11 @@
   for (const { option, cost } of options) {
     if (left <= 0 || cost > limit + EPSILON) break
     if (option.asked) continue
-    const asked = hires.get(option)
+    const asked = rentals.get(option)
     const per = Math.min(slotsIn(job.request, option.type), MAX_TASKS_ON_MACHINE)
     const count = Math.min(Math.ceil(left / per), snapshot.rentalSize - (asked?.count ?? 0))
     if (count <= 0) continue
-    if (asked === undefined) hires.set(option, { count, holder: job.id })
+    if (asked === undefined) rentals.set(option, { count, assignedJob: job.id })
     else asked.count += count
     const spare = per * count - left
     left -= per * count
@@ -81,12 +81,7 @@
   return missing - Math.max(0, left)
 }
 
-const leaveToOthers = (
-  job: JobView,
-  { type, zone, spot }: Hireable,
-  free: Room,
-  coming: Array<Kind>,
-): void => {
+const leaveToOthers = (job: JobView, { type, zone, spot }: Offer, free: Room, coming: Array<Kind>): void => {
   const machine: MachineView = {
     id: "" as MachineId,
     type,
@@ -97,7 +92,7 @@
     images: NO_IMAGES,
     reserved: false,
     state: "coming",
-    holder: job.id,
+    assignedJob: job.id,
   }
   const slot = slotOf(machine)
   const alike = coming.find((k) => k.type === type && k.zone === zone && k.spot === spot)
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/lend.test.ts
@@ -16,7 +16,7 @@
   images: new Set(),
   reserved: false,
   state: "up",
-  holder: null,
+  assignedJob: null,
 }
 const shape = { cores: 4, accelerators: 0, memGb: 1, spotAllowed: true, image: "img" } as unknown as TaskShape
 const HIGH = 2
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -9,7 +9,7 @@
   type TeamName,
   type ZoneName,
 } from "@sorreltally/protocol"
-import type { Hireable, JobView, MachineView, Snapshot, TeamRoom } from "../src/model.ts"
+import type { JobView, MachineView, Offer, Snapshot, TeamRoom } from "../src/model.ts"
 import { plan } from "../src/plan.ts"
 
 const type = {
@@ -32,7 +32,7 @@
   images: new Set(),
   reserved: false,
   state: "up",
-  holder: null,
+  assignedJob: null,
   ...more,
 })
 const job = (number: number, team: string, more: Partial<JobView> = {}): JobView => ({
@@ -63,7 +63,7 @@
   avoids: new Set(),
   ...more,
 })
-const spot: Hireable = { type, zone: "a" as ZoneName, spot: true, price: 1, asked: false, ours: 0 }
+const spot: Offer = { type, zone: "a" as ZoneName, spot: true, price: 1, asked: false, ours: 0 }
 const room = (cores: number): TeamRoom => ({ cores, accelerators: 0 })
 /** What each team may still use of its limit; of that, its share lets it start nothing yet. */
 const snapshot = (
@@ -83,9 +83,9 @@
   market: [spot],
   rentalSize: 50,
   deploymentS: 40,
-  dearestSteady: 6,
+  maxOnDemandCostRatio: 6,
 })
-const rented = (of: Snapshot): number => plan(of).hires.reduce((sum, { count }) => sum + count, 0)
+const rented = (of: Snapshot): number => plan(of).rentals.reduce((sum, { count }) => sum + count, 0)
 
 test("all jobs of a team together rent no more than its limit leaves them", () => {
   const jobs = [1, 2, 3, 4, 5, 6].map((n) => job(n, "red"))
@@ -97,7 +97,7 @@
 
 test("machines that are coming count towards the team's limit, whichever job they are rented for", () => {
   const jobs = [1, 2, 3].map((n) => job(n, "red"))
-  const coming = ["i-1", "i-2", "i-3"].map((id) => machine(id, { state: "coming", holder: jobs[0]!.id }))
+  const coming = ["i-1", "i-2", "i-3"].map((id) => machine(id, { state: "coming", assignedJob: jobs[0]!.id }))
   assert.equal(rented(snapshot(jobs, coming, { red: 64 })), 1)
   assert.equal(rented(snapshot(jobs, [...coming, machine("i-4", { state: "coming" })], { red: 64 })), 0)
 })
@@ -110,7 +110,7 @@
   const placed = plan(snapshot(jobs, [machine("i-1"), machine("i-2")], { red: 64 }, { red: 64 }))
   assert.equal(placed.placements.length, 8)
   assert.equal(
-    placed.hires.reduce((sum, { count }) => sum + count, 0),
+    placed.rentals.reduce((sum, { count }) => sum + count, 0),
     2,
   )
 })
@@ -129,10 +129,10 @@
 
 test("machines on which the limits let nothing run are idle, and no job holds them", () => {
   const jobs = [job(1, "red"), job(2, "red")]
-  const machines = ["i-1", "i-2", "i-3"].map((id) => machine(id, { holder: jobs[1]!.id }))
+  const machines = ["i-1", "i-2", "i-3"].map((id) => machine(id, { assignedJob: jobs[1]!.id }))
   const decided = plan(snapshot(jobs, machines, { red: 32 }))
   assert.deepEqual([...decided.idle], ["i-3"])
-  assert.deepEqual([...decided.holders], [["i-3", null]])
+  assert.deepEqual([...decided.assignedJobs], [["i-3", null]])
   assert.deepEqual([...plan(snapshot(jobs, machines, { red: 64 })).idle], [])
   // Nor is a machine of use to a job that mayn't run there.
   const elsewhere = job(1, "red", { request: { ...jobs[0]!.request, zone: "b" as ZoneName } })
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -21,7 +21,7 @@
   images: new Set(),
   reserved: false,
   state: "up",
-  holder: null,
+  assignedJob: null,
 })
 const request = {
   cores: 1,
@@ -64,7 +64,7 @@
   market: [],
   rentalSize: 50,
   deploymentS: 40,
-  dearestSteady: 6,
+  maxOnDemandCostRatio: 6,
 })
 const byMachine = (jobs: ReadonlyArray<JobView>, machines: ReadonlyArray<MachineView>) => {
   const count = new Map<string, number>()
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -1,7 +1,7 @@
 import { type CloudClient, LIST_PAGE } from "@sorreltally/cloud"
-import type { Mirror } from "@sorreltally/membership"
+import type { Replica } from "@sorreltally/membership"
 import type { ListedMachineState } from "@sorreltally/peers"
-import type { Hireable } from "@sorreltally/planner"
+import type { Offer } from "@sorreltally/planner"
 import {
   addMs,
   type ListedMachine,
@@ -32,7 +32,7 @@
  * What this node knows of the cloud: the types, what was refused lately, and
  * the last list of machines. The list lags; see `listedAt`.
  */
-export class Fleet {
+export class CloudInventory {
   private types = new Map<MachineTypeName, MachineType>()
   private catalogAt: MonotonicTime = NEVER
   private readonly refused = new Map<string, { readonly until: MonotonicTime; readonly times: number }>()
@@ -49,7 +49,7 @@
   constructor(
     private readonly cloud: CloudClient,
     private readonly state: StoreClient,
-    private readonly mirror: Mirror,
+    private readonly replica: Replica,
     private readonly now: () => MonotonicTime,
     private readonly refusalMemoryS: number,
     private readonly rps: number,
@@ -77,7 +77,7 @@
   /** Null while the machine types aren't known. */
   catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
     if (this.types.size > 0) return this.types
-    const stored = this.mirror.get(keys.catalog)
+    const stored = this.replica.get(keys.catalog)
     if (stored === null) return null
     this.setTypes(stored.value.machineTypes)
     return this.types
@@ -119,8 +119,8 @@
   }
 
   /** Spot counts while it is cheaper than ordinary machines. Kinds refused lately are left out. */
-  market(): ReadonlyArray<Hireable> {
-    const out: Array<Hireable> = []
+  market(): ReadonlyArray<Offer> {
+    const out: Array<Offer> = []
     for (const type of this.types.values()) {
       for (const zone of type.zones) {
         for (const spot of [true, false]) {
@@ -167,9 +167,9 @@
       this.setTypes(read.success)
       this.catalogAt = this.now()
       // Kept so that a node that starts while the cloud is away knows the types.
-      if (!this.catalogStored && this.lists() && this.mirror.get(keys.catalog) === null) {
+      if (!this.catalogStored && this.lists() && this.replica.get(keys.catalog) === null) {
         const record: CatalogRecord = { machineTypes: read.success }
-        const when = [{ key: keys.catalog, modRevision: this.mirror.modRevision(keys.catalog) }]
+        const when = [{ key: keys.catalog, modRevision: this.replica.modRevision(keys.catalog) }]
         const stored = yield* Effect.result(this.state.compareAndSwap(when, [put(keys.catalog, record)], 3))
         this.catalogStored = Result.isSuccess(stored)
       }
--- a/packages/provisioning/src/machine-index.ts
+++ b/packages/provisioning/src/machine-index.ts
@@ -1,4 +1,4 @@
-import type { Mirror } from "@sorreltally/membership"
+import type { Replica } from "@sorreltally/membership"
 import type { MachineId, MachineTypeName, ShardName, WallTime, ZoneName } from "@sorreltally/protocol"
 import { type Entry, keys, MACHINE_BLOCKS, type MachineBlock, type StoreKey } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
@@ -41,8 +41,8 @@
   /** Machines that are off the record; a lagging list may still show them. */
   readonly gone = new Set<MachineId>()
 
-  constructor(mirror: Mirror) {
-    mirror.listen(MACHINE_BLOCKS, (path, entry) => this.changed(path, entry))
+  constructor(replica: Replica) {
+    replica.listen(MACHINE_BLOCKS, (path, entry) => this.changed(path, entry))
   }
 
   get(id: MachineId): MachineEntry | undefined {
@@ -52,8 +52,8 @@
     return this.machines.values()
   }
   /** How many machines a part has. */
-  size(part: ShardName): number {
-    return this.sizes.get(part) ?? 0
+  size(shard: ShardName): number {
+    return this.sizes.get(shard) ?? 0
   }
   get total(): number {
     return this.machines.size
@@ -93,9 +93,9 @@
       for (const { machineId: id, shard, token, rentedAfterS } of machines) {
         now.push(id)
         const known = this.machines.get(id)
-        if (known !== undefined && known.part === shard && known.token === token) continue
+        if (known !== undefined && known.shard === shard && known.token === token) continue
         const rented = (rentedAt + 1000 * rentedAfterS) as WallTime
-        this.put({ id, block, part: shard, token, machineType, zone, spot, rentedAt: rented }, known)
+        this.put({ id, block, shard, token, machineType, zone, spot, rentedAt: rented }, known)
       }
       this.inBlock.set(path, now)
     }
@@ -106,17 +106,17 @@
       if (left.has(id) || known?.block !== path) continue
       this.machines.delete(id)
       remember(this.gone, id)
-      this.count(known.part, -1)
+      this.count(known.shard, -1)
       for (const listener of this.listeners) listener(id, null)
     }
   }
   private put(entry: MachineEntry, known: MachineEntry | undefined): void {
-    if (known !== undefined) this.count(known.part, -1)
-    this.count(entry.part, 1)
+    if (known !== undefined) this.count(known.shard, -1)
+    this.count(entry.shard, 1)
     this.machines.set(entry.id, entry)
     for (const listener of this.listeners) listener(entry.id, entry)
   }
-  private count(part: ShardName, by: number): void {
-    this.sizes.set(part, (this.sizes.get(part) ?? 0) + by)
+  private count(shard: ShardName, by: number): void {
+    this.sizes.set(shard, (this.sizes.get(shard) ?? 0) + by)
   }
 }
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -21,7 +21,7 @@
 } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { ADOPTED, type MachineIndex, type Kind, originFor } from "./machine-index.ts"
+import { ADOPTED, type Kind, type MachineIndex, originFor } from "./machine-index.ts"
 
 export type Edit =
   /** To another part. */
@@ -66,16 +66,16 @@
  * in a block, one transaction for several blocks. What is queued stays queued
  * until the mirror shows that it happened.
  */
-export class BlockWriter {
+export class MachineRecordWriter {
   private readonly edits = new Map<MachineId, Queued>()
   private fresh: Array<QueuedMachines> = []
   private readonly signal = new Signal()
   private removedAt = Number.NEGATIVE_INFINITY
 
   constructor(
-    private readonly part: ShardName,
+    private readonly shard: ShardName,
     private readonly epoch: ModRevision,
-    private readonly parts: ReadonlyArray<ShardName>,
+    private readonly shards: ReadonlyArray<ShardName>,
     private readonly state: StoreClient,
     private readonly membership: Membership,
     private readonly machineIndex: MachineIndex,
@@ -130,7 +130,7 @@
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(PAUSE_MS)
-      yield* Effect.result(this.membership.freshness.since)
+      yield* Effect.result(this.membership.readBarrier.since)
     })
   }
 
@@ -147,14 +147,14 @@
       const kind = this.fresh[0]
       if (kind === undefined) return
       const { adopted, machineType, zone, spot } = kind
-      const { mirror } = this.membership
-      const when: Array<Condition> = [{ key: keys.shard(this.part), modRevision: this.epoch }]
-      const origin = originFor(adopted ? ADOPTED : this.part, kind)
+      const { replica } = this.membership
+      const when: Array<Condition> = [{ key: keys.shard(this.shard), modRevision: this.epoch }]
+      const origin = originFor(adopted ? ADOPTED : this.shard, kind)
       const last = adopted ? null : this.machineIndex.last(origin)
-      for (const other of adopted ? this.parts : ([ADOPTED] as const)) {
+      for (const other of adopted ? this.shards : ([ADOPTED] as const)) {
         const theirs = originFor(other, kind)
         const latest = adopted ? this.machineIndex.last(theirs) : null
-        if (latest !== null) when.push({ key: latest.path, modRevision: mirror.modRevision(latest.path) })
+        if (latest !== null) when.push({ key: latest.path, modRevision: replica.modRevision(latest.path) })
         when.push({ key: this.machineIndex.next(theirs), modRevision: ABSENT })
       }
       const most = blockSize(this.state.limits.valueKb)
@@ -162,22 +162,23 @@
       const left: Array<readonly [MachineId, number]> = []
       for (const queued of this.fresh) {
         const alike =
-          queued.adopted === adopted && originFor(this.part, queued) === originFor(this.part, kind)
+          queued.adopted === adopted && originFor(this.shard, queued) === originFor(this.shard, kind)
         if (!alike || left.length + queued.ids.length > most) continue
         batch.push(queued)
         for (const id of queued.ids)
-          if (this.machineIndex.get(id) === undefined && !this.machineIndex.gone.has(id)) left.push([id, queued.rentedAt])
+          if (this.machineIndex.get(id) === undefined && !this.machineIndex.gone.has(id))
+            left.push([id, queued.rentedAt])
       }
       if (left.length > 0) {
         const appended = last !== null && last.machines + left.length <= most ? last.path : null
         const path = appended ?? this.machineIndex.next(origin)
-        const before = mirror.get(path)
+        const before = replica.get(path)
         when.push({ key: path, modRevision: before?.modRevision ?? ABSENT })
         const rentedAt = before?.value.rentedAt ?? Math.min(...left.map(([, at]) => at))
         const machines = [...(before?.value.machines ?? [])]
         for (const [machineId, since] of left) {
           const rentedAfterS = Math.round((since - rentedAt) / 1000)
-          machines.push({ machineId, shard: this.part, token: 0 as FencingToken, rentedAfterS })
+          machines.push({ machineId, shard: this.shard, token: 0 as FencingToken, rentedAfterS })
         }
         const block: MachineBlock = {
           machineType,
@@ -188,7 +189,7 @@
         }
         const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        mirror.hint({ key: path, value: block, modRevision: done.success.revision })
+        replica.hint({ key: path, value: block, modRevision: done.success.revision })
       }
       this.fresh = this.fresh.filter((b) => !batch.includes(b))
       for (const { settled } of batch) settled()
@@ -201,7 +202,7 @@
    * take the machine from under the tasks that were placed meanwhile (`ran_twice`).
    */
   private outcomeOf({ edit, token }: Queued, entry: MachineEntry | undefined): "open" | "done" | "void" {
-    const ours = entry !== undefined && entry.part === this.part
+    const ours = entry !== undefined && entry.shard === this.shard
     if (edit.kind === "remove") return ours ? "open" : "done"
     if (!ours) return "void"
     if (entry.token === token) return "open"
@@ -218,7 +219,7 @@
       }
       yield* this.state.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
       if (!urgent) this.removedAt = this.now()
-      const { mirror } = this.membership
+      const { replica } = this.membership
       const records = new Map<
         StoreKey<MachineBlock>,
         { readonly machines: MutableBlock; readonly modRevision: ModRevision }
@@ -235,7 +236,7 @@
         let record = records.get(entry.block)
         if (record === undefined) {
           if (records.size >= touched.size) continue
-          const block = mirror.get(entry.block)
+          const block = replica.get(entry.block)
           if (block === null) continue
           record = { machines: byId(block.value), modRevision: block.modRevision }
           records.set(entry.block, record)
@@ -245,18 +246,18 @@
         const token = (Math.max(this.epoch, entry.token) + 1) as FencingToken
         if (edit.kind === "remove") record.machines.delete(id)
         else {
-          const shard = edit.kind === "move" ? edit.to : this.part
+          const shard = edit.kind === "move" ? edit.to : this.shard
           const rentedAfterS = record.machines.get(id)?.rentedAfterS ?? 0
           record.machines.set(id, { machineId: id, shard, token, rentedAfterS })
         }
         written.push([id, queued])
       }
       if (records.size === 0) return
-      const when: Array<Condition> = [{ key: keys.shard(this.part), modRevision: this.epoch }]
+      const when: Array<Condition> = [{ key: keys.shard(this.shard), modRevision: this.epoch }]
       const apply: Array<Operation> = []
       for (const [path, { machines, modRevision }] of records) {
         when.push({ key: path, modRevision })
-        const block = mirror.get(path)!.value
+        const block = replica.get(path)!.value
         if (machines.size === 0 && !this.machineIndex.isLatest(path)) apply.push(remove(path))
         else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
       }
@@ -266,8 +267,8 @@
       for (const [id] of current) this.edits.delete(id)
       const modRevision = done.success.revision
       for (const change of apply) {
-        if (change.kind === "put") mirror.hint({ key: change.key, value: change.value, modRevision })
-        else mirror.bury(change.key, modRevision)
+        if (change.kind === "put") replica.hint({ key: change.key, value: change.value, modRevision })
+        else replica.bury(change.key, modRevision)
       }
       for (const [, { settled }] of current) settled(true)
     })
--- a/packages/provisioning/test/machine-records-overtaken.test.ts
+++ b/packages/provisioning/test/machine-records-overtaken.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { type Membership, Mirror } from "@sorreltally/membership"
+import { type Membership, Replica } from "@sorreltally/membership"
 import type {
   FencingToken,
   MachineId,
@@ -12,7 +12,7 @@
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { MachineIndex } from "../src/machine-index.ts"
-import { BlockWriter } from "../src/machine-records.ts"
+import { MachineRecordWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
 const other = "part-1" as ShardName
@@ -28,11 +28,12 @@
 
 /** One machine of ours on record, and a state service that carries out what it doesn't answer. */
 const fixture = () => {
-  const mirror = new Mirror()
-  const book = new MachineIndex(mirror)
+  const replica = new Replica()
+  const machineIndex = new MachineIndex(replica)
   const writes: Array<MachineBlock> = []
-  let stamp = 10
-  const wrote = (v: MachineBlock) => mirror.hint({ key: path, value: v, modRevision: ++stamp as ModRevision })
+  let modRevision = 10
+  const wrote = (v: MachineBlock) =>
+    replica.hint({ key: path, value: v, modRevision: ++modRevision as ModRevision })
   wrote(block(ours, 0))
   /** What happens before the writer gives up waiting for its answer. */
   let beforeGivenUp: (() => void) | null = null
@@ -43,26 +44,26 @@
       Effect.suspend(() => {
         writes.push(change!.value)
         wrote(change!.value)
-        if (beforeGivenUp === null) return Effect.succeed({ ok: true, revision: stamp as ModRevision })
+        if (beforeGivenUp === null) return Effect.succeed({ ok: true, revision: modRevision as ModRevision })
         beforeGivenUp()
         beforeGivenUp = null
         return Effect.fail(new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }))
       }),
   } as unknown as StoreClient
-  const membership = { mirror, freshness: { since: Effect.void } } as unknown as Membership
-  const writer = new BlockWriter(
+  const membership = { replica, readBarrier: { since: Effect.void } } as unknown as Membership
+  const writer = new MachineRecordWriter(
     ours,
     5 as ModRevision,
     [ours, other],
     state,
     membership,
-    book,
+    machineIndex,
     () => performance.now(),
     () => true,
   )
   return {
     writer,
-    book,
+    machineIndex: machineIndex,
     writes,
     wrote,
     losesNextAnswer: (then: () => void) => {
@@ -71,7 +72,7 @@
   }
 }
 /** The writer's loop for as long as something takes. */
-const running = async (writer: BlockWriter, until: () => Promise<void>) => {
+const running = async (writer: MachineRecordWriter, until: () => Promise<void>) => {
   const fiber = Effect.runFork(writer.run)
   try {
     await until()
@@ -85,10 +86,10 @@
 }
 
 test("a move that was overtaken, its machine lent back, doesn't stand in the way of what is decided next", async () => {
-  const { writer, book, writes, wrote, losesNextAnswer } = fixture()
+  const { writer, machineIndex, writes, wrote, losesNextAnswer } = fixture()
   let removed: boolean | null = null
   losesNextAnswer(() => {
-    wrote(block(ours, book.get(machine)!.token + 1))
+    wrote(block(ours, machineIndex.get(machine)!.token + 1))
     assert.equal(writer.isEditing(machine), false)
     writer.edit(machine, { kind: "remove" }, (done) => {
       removed = done
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Mirror } from "@sorreltally/membership"
+import { Replica } from "@sorreltally/membership"
 import type {
   FencingToken,
   MachineId,
@@ -12,7 +12,7 @@
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { MachineIndex, originFor } from "../src/machine-index.ts"
-import { BlockWriter, type Edit } from "../src/machine-records.ts"
+import { type Edit, MachineRecordWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
 const theirs = "part-1" as ShardName
@@ -23,13 +23,13 @@
 
 /** One machine in one block; the first write is carried out as asked, its answer is lost. */
 class Fixture {
-  private readonly mirror = new Mirror()
+  private readonly replica = new Replica()
   private revision = 10
   readonly written: Array<MachineBlock["machines"]> = []
-  readonly writer: BlockWriter
+  readonly writer: MachineRecordWriter
   /** What happens to the block between our first write and our next look. */
   constructor(private readonly meanwhile: ReadonlyArray<ShardName>) {
-    const book = new MachineIndex(this.mirror)
+    const machineIndex = new MachineIndex(this.replica)
     this.put(ours, 7)
     const state = {
       limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
@@ -44,24 +44,24 @@
         }),
     } as unknown as StoreClient
     const since = Effect.sync(() => {
-      for (const [i, part] of this.meanwhile.entries()) this.put(part, 8 + i)
+      for (const [i, shard] of this.meanwhile.entries()) this.put(shard, 8 + i)
     })
-    const membership = { mirror: this.mirror, freshness: { since } }
-    this.writer = new BlockWriter(
+    const membership = { replica: this.replica, readBarrier: { since } }
+    this.writer = new MachineRecordWriter(
       ours,
       EPOCH,
       [ours, theirs],
       state,
-      membership as unknown as ConstructorParameters<typeof BlockWriter>[4],
-      book,
+      membership as unknown as ConstructorParameters<typeof MachineRecordWriter>[4],
+      machineIndex,
       () => 0,
       () => true,
     )
   }
-  private put(part: ShardName, token: number): void {
-    const machines = [{ machineId: machine, shard: part, token: token as FencingToken, rentedAfterS: 0 }]
+  private put(shard: ShardName, token: number): void {
+    const machines = [{ machineId: machine, shard: shard, token: token as FencingToken, rentedAfterS: 0 }]
     const value: MachineBlock = { ...kind, rentedAt: 0, machines }
-    this.mirror.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
+    this.replica.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
   }
   /** What an edit was settled as; null: it is still open after a while. */
   async settle(edit: Edit): Promise<boolean | null> {
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -1,4 +1,4 @@
-import type { Mirror } from "@sorreltally/membership"
+import type { Replica } from "@sorreltally/membership"
 import { EPSILON, type TeamClaim } from "@sorreltally/planner"
 import {
   ABSENT,
@@ -65,7 +65,7 @@
  * stamp and fenced by its epoch, and uses a smaller share from the moment it
  * asks for the reduction.
  */
-export class Shares {
+export class QuotaAllocation {
   private readonly ceiling = new Map<TeamName, Amount>()
   private readonly busy = new Set<TeamName>()
   private readonly idleSince = new Map<TeamName, MonotonicTime>()
@@ -76,10 +76,10 @@
   private readonly leftoverUntil = new Map<TeamName, MonotonicTime>()
 
   constructor(
-    private readonly part: ShardName,
+    private readonly shard: ShardName,
     private readonly epoch: ModRevision,
     private readonly teams: ReadonlyArray<Team>,
-    private readonly mirror: Mirror,
+    private readonly replica: Replica,
     private readonly state: StoreClient,
     private readonly now: () => MonotonicTime,
     private readonly changed: () => void,
@@ -94,7 +94,7 @@
     }
   }
   private sharedOut(team: TeamName): Amount {
-    const stored = this.mirror.get(keys.quota(team))?.value.shares[this.part] ?? NONE
+    const stored = this.replica.get(keys.quota(team))?.value.shares[this.shard] ?? NONE
     const ceiling = this.ceiling.get(team)
     return ceiling === undefined ? stored : least(stored, ceiling)
   }
@@ -108,11 +108,11 @@
    */
   beyond(team: Team, used: Amount, claims: ReadonlyArray<TeamClaim>): Amount {
     const theirs = new Map<string, Amount>(
-      Object.entries(this.mirror.get(keys.quota(team.name))?.value.shares ?? {}),
+      Object.entries(this.replica.get(keys.quota(team.name))?.value.shares ?? {}),
     )
-    for (const { shard: part, team: of, cpus, gpus } of claims)
-      if (of === team.name) theirs.set(part, { cpus, gpus })
-    theirs.delete(this.part)
+    for (const { shard, team: of, cpus, gpus } of claims)
+      if (of === team.name) theirs.set(shard, { cpus, gpus })
+    theirs.delete(this.shard)
     let others = NONE
     for (const { cpus, gpus } of theirs.values())
       others = { cpus: others.cpus + cpus, gpus: others.gpus + gpus }
@@ -182,12 +182,12 @@
       gpus: share.gpus + Math.max(0, Math.min(free.gpus, target.gpus - share.gpus)),
     }
     // A sliver of the limit isn't worth a transaction, unless it is what lets a task start.
-    const gained = grown.cpus - share.cpus + (grown.gpus - share.gpus) > WORTH_A_WRITE
+    const growth = grown.cpus - share.cpus + (grown.gpus - share.gpus) > WORTH_A_WRITE
     const startsOne =
       smallestTask !== null &&
       holds(minus(grown, used), smallestTask) &&
       !holds(minus(share, used), smallestTask)
-    if (short && (gained || startsOne)) {
+    if (short && (growth || startsOne)) {
       this.surplusSince.delete(team.name)
       return grown
     }
@@ -197,7 +197,7 @@
   /** What of the limit no part has. */
   private unshared(team: Team, limit: Amount): Amount {
     let free = limit
-    for (const share of Object.values(this.mirror.get(keys.quota(team.name))?.value.shares ?? {}))
+    for (const share of Object.values(this.replica.get(keys.quota(team.name))?.value.shares ?? {}))
       free = minus(free, share)
     return free
   }
@@ -273,13 +273,13 @@
   /** Returns once the change is in the mirror, or surely never will be carried out. */
   private settle(team: TeamName, next: Amount) {
     const path = keys.quota(team)
-    const part = keys.shard(this.part)
-    const stored = this.mirror.get(path)
-    const before = this.mirror.modRevision(path)
-    const record: QuotaRecord = { shares: { ...(stored?.value.shares ?? {}), [this.part]: next } }
+    const shard = keys.shard(this.shard)
+    const stored = this.replica.get(path)
+    const before = this.replica.modRevision(path)
+    const record: QuotaRecord = { shares: { ...(stored?.value.shares ?? {}), [this.shard]: next } }
     const when = [
       { key: path, modRevision: before },
-      { key: part, modRevision: this.epoch },
+      { key: shard, modRevision: this.epoch },
     ]
     return Effect.gen({ self: this }, function* () {
       let unanswered = false
@@ -287,15 +287,15 @@
         // At once: without quota nothing can be rented or started, and these are few.
         const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 1))
         if (Result.isSuccess(done) && done.success.ok) {
-          this.mirror.hint({ key: path, value: record, modRevision: done.success.revision })
+          this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
           return
         }
         // Another part's owner has our part: its epoch fences all that we sent.
-        if (Result.isSuccess(done) && !done.success.ok && done.success.failedKeys.includes(part)) return
+        if (Result.isSuccess(done) && !done.success.ok && done.success.failedKeys.includes(shard)) return
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
         unanswered ||= Result.isFailure(done) && done.failure.outcome === "unknown"
         const read = yield* Effect.result(this.state.get(path))
-        if (Result.isSuccess(read) && read.success !== null) this.mirror.hint(read.success)
+        if (Result.isSuccess(read) && read.success !== null) this.replica.hint(read.success)
         // While the record is as it was, the lost change may still come.
         const moved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== before
         yield* Effect.sleep(RETRY_MS)
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Mirror } from "@sorreltally/membership"
+import { Replica } from "@sorreltally/membership"
 import type { ModRevision, MonotonicTime, ShardName, TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
 import {
@@ -11,7 +11,7 @@
   StoreError,
 } from "@sorreltally/store"
 import { Effect, type Fiber } from "effect"
-import { type ShareNeed, Shares } from "../src/quota-allocation.ts"
+import { QuotaAllocation, type ShareNeed } from "../src/quota-allocation.ts"
 
 const red = "red" as TeamName
 const team = { name: red, cpus: 50, cpus_max: 100, gpus: 0, gpus_max: 0 } as unknown as Team
@@ -24,14 +24,14 @@
   now = 0 as MonotonicTime
   answers: Array<CompareAndSwapResult | StoreError> = []
   readonly written: Array<QuotaRecord> = []
-  readonly mirror = new Mirror()
+  readonly replica = new Replica()
   stored: { value: QuotaRecord; modRevision: number }
-  readonly shares: Shares
+  readonly shares: QuotaAllocation
 
   constructor(shares: Readonly<Record<string, number>>) {
-    const record = Object.fromEntries(Object.entries(shares).map(([part, amount]) => [part, cpus(amount)]))
+    const record = Object.fromEntries(Object.entries(shares).map(([shard, amount]) => [shard, cpus(amount)]))
     this.stored = { value: { shares: record } as QuotaRecord, modRevision: 7 }
-    this.mirror.hint({ key: path, value: this.stored.value, modRevision: 7 as ModRevision })
+    this.replica.hint({ key: path, value: this.stored.value, modRevision: 7 as ModRevision })
     const state = {
       get: () => Effect.sync(() => ({ key: path, ...this.stored })),
       compareAndSwap: (_: unknown, apply: ReadonlyArray<{ readonly value: QuotaRecord }>) =>
@@ -42,11 +42,11 @@
           return answer instanceof StoreError ? Effect.fail(answer) : Effect.succeed(answer)
         }),
     } as unknown as StoreClient
-    this.shares = new Shares(
+    this.shares = new QuotaAllocation(
       ours,
       5 as ModRevision,
       [team],
-      this.mirror,
+      this.replica,
       state,
       () => this.now,
       () => {},
@@ -123,7 +123,7 @@
 
 test("what other parts say that they count on counts instead of their shares", () => {
   const { shares } = new Fixture({ [ours]: 10, "part-1": 30, "part-2": 30, "part-3": 30 })
-  const claim = (part: string, amount: number) => ({ shard: part as ShardName, team: red, ...cpus(amount) })
+  const claim = (shard: string, amount: number) => ({ shard: shard as ShardName, team: red, ...cpus(amount) })
   // 100 - (10 + 20 + 30 - 12.5) = 52.5: two parts leave some of their shares unused.
   assert.equal(shares.beyond(team, cpus(0), [claim("part-1", 10), claim("part-2", 20)]).cpus, 52.5)
   // A part that has rented beyond its share counts for that.
@@ -193,14 +193,14 @@
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
   const waits = { uses: 0, wants: 40, asked: "first" } as const
   fixture.adjust(waits)
-  fixture.mirror.hint({
+  fixture.replica.hint({
     key: path,
     value: { shares: { "part-1": cpus(98) } } as QuotaRecord,
     modRevision: 8 as ModRevision,
   })
   fixture.now = 20_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
-  fixture.mirror.hint({
+  fixture.replica.hint({
     key: path,
     value: { shares: { "part-1": cpus(94) } } as QuotaRecord,
     modRevision: 9 as ModRevision,
--- a/packages/settings/src/cancellation-budget.ts
+++ b/packages/settings/src/cancellation-budget.ts
@@ -49,15 +49,15 @@
 export type WorkerTimes = Pick<Platform["facts"]["workers"], "lease_s" | "cancel_s">
 
 /** What operators set themselves; null: derived. */
-export interface GrantSettings {
+export interface NodeLeaseSettings {
   readonly "grant-ttl-ms": number | null
   readonly "grant-margin-ms": number | null
 }
 
 export interface CancellationBudget {
-  readonly grantTtlMs: number
+  readonly leaseTtlMs: number
   /** An owner's entitlement ends this long before its grant may. */
-  readonly grantMarginMs: number
+  readonly leaseMarginMs: number
   /** An owner whose last answered watch was sent longer ago than this stops acting. */
   readonly watchFreshMs: number
   /** By when a cancelled task is surely gone, after the cancellation was durable. */
@@ -84,18 +84,18 @@
 const derivedEntitlementMs = (times: WorkerTimes): number =>
   Math.max(LEAST_ENTITLEMENT_MS, Math.min(USUAL_ENTITLEMENT_MS, longestEntitlementMs(times)))
 
-const derivedMarginMs = (grantTtlMs: number): number =>
-  Math.round(Math.max(LEAST_MARGIN_MS, Math.min(MOST_MARGIN_MS, grantTtlMs * MARGIN_SHARE)))
+const derivedMarginMs = (leaseTtlMs: number): number =>
+  Math.round(Math.max(LEAST_MARGIN_MS, Math.min(MOST_MARGIN_MS, leaseTtlMs * MARGIN_SHARE)))
 
 /** The grant's times and the watch's, as derived from the platform's settings and those of operators. */
-export const cancellationBudget = (times: WorkerTimes, operators: GrantSettings): CancellationBudget => {
+export const cancellationBudget = (times: WorkerTimes, operators: NodeLeaseSettings): CancellationBudget => {
   const watchFreshMs = derivedEntitlementMs(times)
-  const grantTtlMs = operators["grant-ttl-ms"] ?? watchFreshMs
-  const grantMarginMs = operators["grant-margin-ms"] ?? derivedMarginMs(grantTtlMs)
-  const entitlementMs = Math.max(watchFreshMs, grantTtlMs - grantMarginMs)
+  const leaseTtlMs = operators["grant-ttl-ms"] ?? watchFreshMs
+  const leaseMarginMs = operators["grant-margin-ms"] ?? derivedMarginMs(leaseTtlMs)
+  const entitlementMs = Math.max(watchFreshMs, leaseTtlMs - leaseMarginMs)
   return {
-    grantTtlMs,
-    grantMarginMs,
+    leaseTtlMs,
+    leaseMarginMs,
     watchFreshMs,
     worstCaseMs: worstCaseMs(times, entitlementMs),
     cancelMs: times.cancel_s * 1000,
@@ -109,7 +109,7 @@
 
 /** The sum in words, for the log and for complaints. */
 export const budgetInWords = (times: WorkerTimes, budget: CancellationBudget): string => {
-  const entitlementMs = Math.max(budget.watchFreshMs, budget.grantTtlMs - budget.grantMarginMs)
+  const entitlementMs = Math.max(budget.watchFreshMs, budget.leaseTtlMs - budget.leaseMarginMs)
   const relation = budgetHolds(budget) ? "within" : "beyond"
   return (
     `entitlement ${seconds(entitlementMs)} + lease ${seconds(times.lease_s * 1000)}` +
@@ -119,18 +119,18 @@
 }
 
 /** Why the operators' settings can't be used with the platform's; null: they can. */
-export const grantFault = (times: WorkerTimes, operators: GrantSettings): string | null => {
+export const leaseSettingsError = (times: WorkerTimes, operators: NodeLeaseSettings): string | null => {
   const budget = cancellationBudget(times, operators)
-  if (2 * budget.grantMarginMs > budget.grantTtlMs)
+  if (2 * budget.leaseMarginMs > budget.leaseTtlMs)
     return (
-      `membership grant-margin-ms: a margin of ${budget.grantMarginMs} ms leaves too little` +
-      ` of a grant of ${budget.grantTtlMs} ms; it has to be at most half of it`
+      `membership grant-margin-ms: a margin of ${budget.leaseMarginMs} ms leaves too little` +
+      ` of a grant of ${budget.leaseTtlMs} ms; it has to be at most half of it`
     )
-  const entitlementMs = budget.grantTtlMs - budget.grantMarginMs
+  const entitlementMs = budget.leaseTtlMs - budget.leaseMarginMs
   const mostMs = Math.max(LEAST_ENTITLEMENT_MS, longestEntitlementMs(times))
   if (operators["grant-ttl-ms"] === null || entitlementMs <= mostMs) return null
   return (
-    `membership grant-ttl-ms: ${budget.grantTtlMs} ms are too long for facts.workers.cancel_s:` +
-    ` ${budgetInWords(times, budget)}; at most ${mostMs + budget.grantMarginMs} ms, or leave it out`
+    `membership grant-ttl-ms: ${budget.leaseTtlMs} ms are too long for facts.workers.cancel_s:` +
+    ` ${budgetInWords(times, budget)}; at most ${mostMs + budget.leaseMarginMs} ms, or leave it out`
   )
 }
--- a/packages/settings/test/cancellation-budget.test.ts
+++ b/packages/settings/test/cancellation-budget.test.ts
@@ -6,7 +6,7 @@
   CLOCK_DRIFT,
   cancellationBudget,
   defaultOperators,
-  grantFault,
+  leaseSettingsError,
 } from "../src/index.ts"
 
 const derived = defaultOperators().membership
@@ -19,8 +19,8 @@
     [20, 28],
   ] as const) {
     const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
-    assert.equal(budget.grantTtlMs, 6_000)
-    assert.equal(budget.grantMarginMs, 400)
+    assert.equal(budget.leaseTtlMs, 6_000)
+    assert.equal(budget.leaseMarginMs, 400)
     assert.equal(budget.watchFreshMs, 6_000)
     assert.equal(budgetHolds(budget), true)
   }
@@ -30,8 +30,8 @@
   const budget = cancellationBudget({ lease_s: 10, cancel_s: 13 }, derived)
   // 13 s - 10.005 s - 0.25 s of reaction, on a clock that may run slow.
   assert.equal(budget.watchFreshMs, 2_743)
-  assert.equal(budget.grantTtlMs, 2_743)
-  assert.equal(budget.grantMarginMs, 183)
+  assert.equal(budget.leaseTtlMs, 2_743)
+  assert.equal(budget.leaseMarginMs, 183)
   assert.equal(Math.ceil(budget.worstCaseMs), 13_000)
 })
 
@@ -40,12 +40,12 @@
     for (let spareS = 1.9; spareS <= 30; spareS += 0.1) {
       const cancelS = leaseS + spareS
       const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
-      const entitlementMs = Math.max(budget.watchFreshMs, budget.grantTtlMs - budget.grantMarginMs)
+      const entitlementMs = Math.max(budget.watchFreshMs, budget.leaseTtlMs - budget.leaseMarginMs)
       const goneByMs = (entitlementMs + leaseS * 1000) * (1 + CLOCK_DRIFT)
       assert.ok(goneByMs < cancelS * 1000, `${leaseS}/${cancelS}: ${goneByMs} ms`)
       assert.equal(budgetHolds(budget), true)
       // The grant can't end on the service's clock before the margin has passed on ours.
-      assert.ok(budget.grantMarginMs > budget.grantTtlMs * CLOCK_DRIFT)
+      assert.ok(budget.leaseMarginMs > budget.leaseTtlMs * CLOCK_DRIFT)
     }
   }
 })
@@ -54,26 +54,26 @@
   for (const cancelS of [5, 27, 28]) {
     const times = { lease_s: 27, cancel_s: cancelS }
     const budget = cancellationBudget(times, derived)
-    assert.equal(budget.grantTtlMs, 1_500)
+    assert.equal(budget.leaseTtlMs, 1_500)
     assert.equal(budget.watchFreshMs, 1_500)
     assert.equal(budgetHolds(budget), false)
     assert.match(budgetInWords(times, budget), /beyond cancel_s/)
-    assert.equal(grantFault(times, derived), null)
+    assert.equal(leaseSettingsError(times, derived), null)
   }
 })
 
 test("operators' grants that break the sum are refused with the field and the sum", () => {
   const times = { lease_s: 27, cancel_s: 47 }
-  assert.equal(grantFault(times, withTtl(15_000)), null)
+  assert.equal(leaseSettingsError(times, withTtl(15_000)), null)
   assert.match(
-    grantFault(times, withTtl(30_000)) ?? "",
+    leaseSettingsError(times, withTtl(30_000)) ?? "",
     /membership grant-ttl-ms: 30000 ms .* entitlement 29\.60 s \+ lease 27\.00 s .* beyond cancel_s 47\.00 s; at most 20126 ms/,
   )
-  assert.equal(grantFault(times, withTtl(20_126)), null)
-  assert.match(grantFault({ lease_s: 10, cancel_s: 13 }, withTtl(6_000)) ?? "", /at most 3143 ms/)
-  assert.match(grantFault({ lease_s: 27, cancel_s: 20 }, withTtl(6_000)) ?? "", /at most 1900 ms/)
+  assert.equal(leaseSettingsError(times, withTtl(20_126)), null)
+  assert.match(leaseSettingsError({ lease_s: 10, cancel_s: 13 }, withTtl(6_000)) ?? "", /at most 3143 ms/)
+  assert.match(leaseSettingsError({ lease_s: 27, cancel_s: 20 }, withTtl(6_000)) ?? "", /at most 1900 ms/)
   assert.match(
-    grantFault(times, { "grant-ttl-ms": 6_000, "grant-margin-ms": 4_000 }) ?? "",
+    leaseSettingsError(times, { "grant-ttl-ms": 6_000, "grant-margin-ms": 4_000 }) ?? "",
     /grant-margin-ms: a margin of 4000 ms leaves too little of a grant of 6000 ms/,
   )
 })
--- a/packages/shard/src/deferred-replies.ts
+++ b/packages/shard/src/deferred-replies.ts
@@ -9,8 +9,11 @@
  * with their answers. At most one a worker: another means that it gave the
  * first one up.
  */
-export class HeldReports {
-  private readonly held = new Map<WorkerSession, { readonly since: MonotonicTime; readonly done: Respond }>()
+export class DeferredReplies {
+  private readonly deferred = new Map<
+    WorkerSession,
+    { readonly since: MonotonicTime; readonly done: Respond }
+  >()
 
   constructor(
     private readonly now: () => MonotonicTime,
@@ -19,10 +22,10 @@
   ) {}
 
   has(session: WorkerSession): boolean {
-    return this.held.has(session)
+    return this.deferred.has(session)
   }
   hold(session: WorkerSession, done: Respond): void {
-    this.held.set(session, { since: this.now(), done })
+    this.deferred.set(session, { since: this.now(), done })
   }
   answerNow(session: WorkerSession): void {
     this.letGo(session, this.answer(session))
@@ -30,18 +33,18 @@
   /** Those that wait for nothing any more, or for long enough. */
   answerReady(): void {
     const waitedEnough = addMs(this.now(), -MOST_HELD_MS)
-    for (const [session, { since }] of this.held) {
+    for (const [session, { since }] of this.deferred) {
       let writing = false
       for (const placement of session.placements.values()) writing ||= !placement.durable
       if (!writing || since < waitedEnough) this.answerNow(session)
     }
   }
   letGo(session: WorkerSession, answer: OutgoingResponse): void {
-    const held = this.held.get(session)
-    this.held.delete(session)
-    held?.done(answer)
+    const deferred = this.deferred.get(session)
+    this.deferred.delete(session)
+    deferred?.done(answer)
   }
   letAllGo(answer: OutgoingResponse): void {
-    for (const session of this.held.keys()) this.letGo(session, answer)
+    for (const session of this.deferred.keys()) this.letGo(session, answer)
   }
 }
--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -21,8 +21,8 @@
     unusedCores: number,
     forStarved: boolean,
   ): ReadonlyArray<MachineView> {
-    const asking = new Set(needs.map(({ shard: part }) => part))
-    for (const part of this.machines.keys()) if (!asking.has(part)) this.machines.delete(part)
+    const asking = new Set(needs.map(({ shard }) => shard))
+    for (const shard of this.machines.keys()) if (!asking.has(shard)) this.machines.delete(shard)
     if (needs.length === 0) return views
     let unused = unusedCores
     for (const need of needs) {
@@ -51,13 +51,13 @@
    * gone. Returns one that is newly chosen.
    */
   private choose(
-    { shard: part, shape }: MachineDemand,
+    { shard, shape }: MachineDemand,
     views: ReadonlyArray<MachineView>,
     unused: number,
   ): MachineView | null {
-    const before = this.machines.get(part)
+    const before = this.machines.get(shard)
     if (before !== undefined && views.some(({ id, state }) => id === before && state === "up")) return null
-    this.machines.delete(part)
+    this.machines.delete(shard)
     const taken = new Set(this.machines.values())
     let best: MachineView | null = null
     for (const view of views) {
@@ -65,7 +65,7 @@
       if (view.type.cores > unused || (view.reserved && Number.isFinite(unused))) continue
       if (best === null || view.busyTasks < best.busyTasks) best = view
     }
-    if (best !== null) this.machines.set(part, best.id)
+    if (best !== null) this.machines.set(shard, best.id)
     return best
   }
 }
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,4 +1,4 @@
-import { PlacementWriter, JobEnds, JobState, type LiveJob, type Placement } from "@sorreltally/jobs"
+import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
 import {
   type JobId,
@@ -12,7 +12,7 @@
 } from "@sorreltally/protocol"
 import type { Entry, PlacementRecord } from "@sorreltally/store"
 import { Effect } from "effect"
-import type { EngineContext } from "./shard-context.ts"
+import type { NodeContext } from "./shard-context.ts"
 
 export interface JobRegistryEvents {
   /** These placements may be started now. */
@@ -23,7 +23,7 @@
   /** The task is off this machine, or never got there. */
   readonly release: (placement: Placement) => void
   /** Its worker has something to be told. */
-  readonly tell: (machine: MachineId) => void
+  readonly commandsDue: (machine: MachineId) => void
   /** The job is over; nothing of it is left. */
   readonly forgotten: (job: JobState) => void
   /** Is the take-over complete? */
@@ -38,19 +38,19 @@
   private readonly now: () => MonotonicTime
 
   constructor(
-    private readonly part: ShardName,
+    private readonly shard: ShardName,
     epoch: ModRevision,
-    private readonly ctx: EngineContext,
+    private readonly ctx: NodeContext,
     active: () => boolean,
     private readonly events: JobRegistryEvents,
   ) {
-    const { state, membership, time, jobIndex: jobIndex } = ctx
+    const { state, membership, time, jobIndex } = ctx
     this.now = time.monotonicNow
-    this.placementWriter = new PlacementWriter(part, epoch, state, membership, time.monotonicNow, active, {
+    this.placementWriter = new PlacementWriter(shard, epoch, state, membership, time.monotonicNow, active, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(part, epoch, state, membership, jobIndex, time.monotonicNow, active, {
+    this.ends = new JobEnds(shard, epoch, state, membership, jobIndex, time.monotonicNow, active, {
       ended: (ends) => ctx.ended(ends),
       fold: (page) => ctx.foldJobs(page),
     })
@@ -68,9 +68,9 @@
     for (const job of this.ctx.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
-    for (const { key: path, value: v, modRevision: stamp } of slots) {
+    for (const { key: path, value: v, modRevision } of slots) {
       const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore(slot, stamp, v as PlacementRecord, jobOf, now)
+      this.placementWriter.ledger.restore(slot, modRevision, v as PlacementRecord, jobOf, now)
     }
   }
 
@@ -86,10 +86,10 @@
       if (known !== undefined) this.forget(known)
       return
     }
-    const { record, page, modRevision: stamp } = entry
-    if (shardOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.part) return
+    const { record, page, modRevision } = entry
+    if (shardOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.shard) return
     if (known === undefined) {
-      const job = new JobState(id, record, page, stamp)
+      const job = new JobState(id, record, page, modRevision)
       this.jobs.set(id, job)
       this.events.arrived(record.spec)
       // During a take-over its placements aren't read yet: a cancelled job would seem to have none.
@@ -97,7 +97,7 @@
       this.events.changed()
       return
     }
-    if (stamp > known.stamp) known.stamp = stamp
+    if (modRevision > known.modRevision) known.modRevision = modRevision
     if (record.cancelled && !known.cancelled) this.cancel(known)
   }
 
@@ -121,8 +121,8 @@
     for (const placement of [...job.placements.values()]) {
       if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.unplace(placement)
       else {
-        job.stop(placement, { why: "withdrawn", leewayS: 0, since })
-        this.events.tell(placement.machine)
+        job.stop(placement, { why: "cancelled", leewayS: 0, since })
+        this.events.commandsDue(placement.machine)
       }
     }
     this.settle(job)
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -1,8 +1,8 @@
 import { type MachineDemand, slotsIn } from "@sorreltally/planner"
 import { addMs, type MonotonicTime, type ShardName, type TaskId } from "@sorreltally/protocol"
-import type { BlockWriter } from "@sorreltally/provisioning"
+import type { MachineRecordWriter } from "@sorreltally/provisioning"
 import type { WorkerSession } from "@sorreltally/workers"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 /** How long a lent machine is taken off the borrower's need: until its next word has surely come. */
 const LOAN_COUNTS_MS = 1_500
@@ -19,29 +19,30 @@
   private readonly loans: Array<Loan> = []
 
   constructor(
-    private readonly of: PartView,
-    private readonly blocks: BlockWriter,
+    private readonly of: ShardView,
+    private readonly blocks: MachineRecordWriter,
     private readonly finishIsDurable: (task: TaskId) => boolean,
   ) {}
 
   /** Slots lent to each part so lately that its need may not show them yet. */
   lentLately(now: MonotonicTime): ReadonlyMap<ShardName, number> {
     while (this.loans[0] !== undefined && this.loans[0].until < now) this.loans.shift()
-    const slotsByPart = new Map<ShardName, number>()
-    for (const { to, slots } of this.loans) slotsByPart.set(to, (slotsByPart.get(to) ?? 0) + slots)
-    return slotsByPart
+    const slotsByShard = new Map<ShardName, number>()
+    for (const { to, slots } of this.loans) slotsByShard.set(to, (slotsByShard.get(to) ?? 0) + slots)
+    return slotsByShard
   }
 
   /** Hands an empty machine over, in one durable step that also raises its token. */
   lend(session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>): void {
     const { id } = session
     const { ctx } = this.of
-    const tenancy = this.of.tenancies.get(id)
-    if (tenancy === undefined || tenancy.moving || tenancy.returning || this.blocks.isEditing(id)) return
+    const assignment = this.of.assignments.get(id)
+    if (assignment === undefined || assignment.moving || assignment.returning || this.blocks.isEditing(id))
+      return
     if (!session.empty(this.finishIsDurable) || session.unreachableSince !== null) return
     if (ctx.membership.owner(to) === null) return
-    tenancy.moving = true
-    tenancy.holder = null
+    assignment.moving = true
+    assignment.assignedJob = null
     const shape = needs.find((n) => n.shard === to)?.shape
     if (shape !== undefined) {
       const until = addMs(ctx.time.monotonicNow(), LOAN_COUNTS_MS)
@@ -49,7 +50,7 @@
     }
     const handoff = session.handoff(ctx.time.monotonicNow())
     this.blocks.edit(id, { kind: "move", to }, (moved) => {
-      tenancy.moving = false
+      assignment.moving = false
       if (!moved) return
       ctx.log.debug("machine lent", { machine: id, to })
       ctx.handOff(to, id, handoff)
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -11,20 +11,20 @@
 import type { ShardName } from "@sorreltally/protocol"
 
 /** The most urgent needs are told, and the kinds of machine that most jobs that waited too long wait for. */
-const NEEDS_TOLD = 4
-const STARVED_TOLD = 2
+const PUBLISHED_DEMANDS = 4
+const PUBLISHED_STARVED_DEMANDS = 2
 
 export const machineNeeds = (
-  part: ShardName,
+  shard: ShardName,
   unplaced: ReadonlyArray<Unplaced>,
 ): ReadonlyArray<MachineDemand> => [
-  ...starvedNeeds(part, unplaced),
+  ...starvedNeeds(shard, unplaced),
   ...unplaced
     .filter(({ tasks }) => tasks > 0)
-    .slice(0, NEEDS_TOLD)
+    .slice(0, PUBLISHED_DEMANDS)
     .map(
       ({ job, tasks, pressing }): MachineDemand => ({
-        shard: part,
+        shard,
         shape: shapeOf(job.request),
         rank: job.rank,
         tasks,
@@ -39,7 +39,7 @@
  * and more urgent work, or as urgent: for some of their tasks machines are lent
  * before any other work. Jobs that fit the same machines ask together.
  */
-const starvedNeeds = (part: ShardName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<MachineDemand> => {
+const starvedNeeds = (shard: ShardName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<MachineDemand> => {
   const byKind = new Map<string, { readonly first: JobView; tasks: number; since: number }>()
   for (const { job, tasks } of unplaced) {
     if (tasks === 0 || !isStarved(job)) continue
@@ -51,9 +51,9 @@
   }
   return [...byKind.values()]
     .sort((a, b) => b.tasks - a.tasks)
-    .slice(0, STARVED_TOLD)
+    .slice(0, PUBLISHED_STARVED_DEMANDS)
     .map(({ first, tasks, since }) => ({
-      shard: part,
+      shard,
       shape: shapeOf(first.request),
       rank: STARVED_RANK,
       tasks,
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -20,17 +20,17 @@
   type TeamName,
   type ZoneName,
 } from "@sorreltally/protocol"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 /** Times `startup_s` after which a boot no longer counts as coming: the design's weak spot, see docs/design.md. */
 const OVERDUE_BOOT = 1.6
 /** After a take-over, time in which the machines' first reports come in. */
 const FIRST_REPORTS_MS = 8_000
 
-export const teamUse = (part: PartView): Map<TeamName, TeamRoom> => {
+export const teamUse = (shard: ShardView): Map<TeamName, TeamRoom> => {
   const used = new Map<TeamName, TeamRoom>()
-  for (const team of part.ctx.platform.facts.teams) used.set(team.name, { cores: 0, accelerators: 0 })
-  for (const job of part.jobs.values()) {
+  for (const team of shard.ctx.platform.facts.teams) used.set(team.name, { cores: 0, accelerators: 0 })
+  for (const job of shard.jobs.values()) {
     const u = used.get(job.request.team)
     if (u === undefined) continue
     u.cores += job.request.cores * job.placements.size
@@ -43,14 +43,14 @@
 const HORIZON_S = 600
 
 /** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
-export const loadOf = (part: PartView, now: MonotonicTime): Load => {
+export const loadOf = (shard: ShardView, now: MonotonicTime): Load => {
   let cores = 0
-  for (const { id, type } of part.machines.values())
-    if (!part.tenancies.get(id)!.returning) cores += type.cores
+  for (const { id, type } of shard.machines.values())
+    if (!shard.assignments.get(id)!.returning) cores += type.cores
   const ending = new Array<number>(HORIZON_S).fill(0)
-  for (const job of part.jobs.values()) {
+  for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
-    const executionS = part.ctx.estimates.executionS(job.request)
+    const executionS = shard.ctx.estimates.executionS(job.request)
     for (const { runningSince } of job.placements.values()) {
       const ranS = runningSince === null ? 0 : (now - runningSince) / 1000
       // One that overran its estimate may end at any time, or much later.
@@ -61,25 +61,25 @@
   return { cores, ending }
 }
 
-export const jobViews = (part: PartView, now: MonotonicTime): ReadonlyArray<JobView> => {
-  const wall = part.ctx.time.wallNow()
+export const jobViews = (shard: ShardView, now: MonotonicTime): ReadonlyArray<JobView> => {
+  const wall = shard.ctx.time.wallNow()
   const ahead = new Map<TeamName, number>()
   const views: Array<JobView> = []
-  const bySubmission = [...part.jobs.values()].sort((a, b) => a.submitted - b.submitted)
+  const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
     if (job.cancelled || job.complete) continue
     const { request } = job
-    const team = part.ctx.platform.facts.teams.find((t) => t.name === request.team)
-    const suspect = part.failures.isSuspect(job.id)
+    const team = shard.ctx.platform.facts.teams.find((t) => t.name === request.team)
+    const suspect = shard.failures.isSuspect(job.id)
     const demand = (ahead.get(request.team) ?? 0) + (job.taskCount - job.done) * request.cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
     if (!suspect) ahead.set(request.team, demand)
     const ageS = Math.max(0, (wall - job.submitted) / 1000)
-    const executionS = part.ctx.estimates.executionS(request)
+    const executionS = shard.ctx.estimates.executionS(request)
     const zones = new Map<ZoneName, number>()
     if (request.singleZone || request.spreadZones) {
       for (const placement of job.placements.values()) {
-        const zone = part.machines.get(placement.machine)?.entry.zone
+        const zone = shard.machines.get(placement.machine)?.entry.zone
         if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1)
       }
     }
@@ -87,28 +87,32 @@
       id: job.id,
       request,
       rank: suspect ? SUSPECT_RANK : priorityRank[request.priority],
-      queued: part.failures.startable(job, now),
+      queued: shard.failures.startable(job, now),
       running: job.placements.size - job.leaving,
       zones,
-      timeLeftS: timeLeft(part, request, ageS, executionS),
+      timeLeftS: timeLeft(shard, request, ageS, executionS),
       ageS,
       submitted: job.submitted,
       executionS,
-      startWithinS: nextTarget(startTargets(part, request.jobClass, executionS), ageS, 0),
+      startWithinS: nextTarget(startTargets(shard, request.jobClass, executionS), ageS, 0),
       unbegun: job.unbegun && !suspect,
       withinGuarantee: !suspect && team !== undefined && demand <= team.cpus,
       mayStart: job.notBefore === null || now >= job.notBefore,
-      avoids: part.failures.avoidedBy(job.id, now),
+      avoids: shard.failures.avoidedBy(job.id, now),
     })
   }
   return views
 }
 
 /** Seconds after submission within which the aims want tasks of a lane started, soonest first. */
-export const startTargets = (part: PartView, lane: string, executionS: number): ReadonlyArray<number> => {
+export const startTargets = (
+  shard: ShardView,
+  jobClass: string,
+  executionS: number,
+): ReadonlyArray<number> => {
   const targets: Array<number> = []
-  for (const { kind, within_s, class: of } of part.ctx.platform.facts.objectives) {
-    if (of !== lane || within_s == null) continue
+  for (const { kind, within_s, class: of } of shard.ctx.platform.facts.objectives) {
+    if (of !== jobClass || within_s == null) continue
     if (kind === "wait") targets.push(within_s)
     else if (kind === "finished") targets.push(within_s - executionS)
   }
@@ -116,11 +120,11 @@
 }
 
 /** A deadline that is missed may still have aims at a multiple of it. */
-const timeLeft = (part: PartView, request: JobSpec, ageS: number, executionS: number): number | null => {
+const timeLeft = (shard: ShardView, request: JobSpec, ageS: number, executionS: number): number | null => {
   if (request.deadlineS == null) return null
   const due = request.deadlineS
   const targets = [due]
-  for (const { kind, class: of, times } of part.ctx.platform.facts.objectives)
+  for (const { kind, class: of, times } of shard.ctx.platform.facts.objectives)
     if (kind === "deadline" && of === request.jobClass && times != null && times > 1)
       targets.push(due * times)
   const target = nextTarget(
@@ -132,27 +136,27 @@
 }
 
 export const machineViews = (
-  part: PartView,
+  shard: ShardView,
   now: MonotonicTime,
   reserve: Reserve,
   /** Also those in the pool without any room: nothing can be placed there, or given back. */
   full: boolean,
 ): ReadonlyArray<MachineView> => {
   const views: Array<MachineView> = []
-  for (const session of part.machines.values()) {
-    const tenancy = part.tenancies.get(session.id)!
-    if (!full && tenancy.holder === null && session.free.cores <= EPSILON) continue
+  for (const session of shard.machines.values()) {
+    const assignment = shard.assignments.get(session.id)!
+    if (!full && assignment.assignedJob === null && session.free.cores <= EPSILON) continue
     const { type, entry } = session
-    const bootingS = (now - tenancy.rentedAt) / 1000
+    const bootingS = (now - assignment.rentedAt) / 1000
     const state =
-      tenancy.returning || tenancy.moving || session.warningUntil !== null
+      assignment.returning || assignment.moving || session.warningUntil !== null
         ? "away"
         : session.usable(now)
-          ? tenancy.closing
+          ? assignment.closing
             ? "closing"
             : "up"
           : session.lastHeard === NEVER &&
-              (bootingS < type.bootS * OVERDUE_BOOT || now < addMs(tenancy.knownSince, FIRST_REPORTS_MS))
+              (bootingS < type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_REPORTS_MS))
             ? "coming"
             : "away"
     views.push({
@@ -165,12 +169,12 @@
       images: session.images,
       reserved: isReserved(session.free, session.images, reserve),
       state,
-      holder: tenancy.holder,
+      assignedJob: assignment.assignedJob,
     })
   }
-  for (const [name, hire] of part.hiring) {
-    for (let i = 0; i < hire.count; i++) {
-      const { type, zone, spot } = hire.hireable
+  for (const [name, rental] of shard.pendingRentals) {
+    for (let i = 0; i < rental.count; i++) {
+      const { type, zone, spot } = rental.offer
       views.push({
         id: `${name}/${i}` as MachineId,
         type,
@@ -181,7 +185,7 @@
         images: new Set(),
         reserved: false,
         state: "coming",
-        holder: hire.holder,
+        assignedJob: rental.assignedJob,
       })
     }
   }
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -19,7 +19,7 @@
   type ShardName,
   type WallTime,
 } from "@sorreltally/protocol"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 /** Room is made for this many jobs at a time, the most urgent ones. */
 const MOST_JOBS = 6
@@ -37,7 +37,7 @@
 
 /** Stops work of lower rank where work of higher rank would otherwise come too late. */
 export const preempt = (
-  part: PartView,
+  shard: ShardView,
   decided: Plan,
   needs: ReadonlyArray<MachineDemand>,
   share: number,
@@ -56,7 +56,7 @@
   // What is being stopped already is as good as gone.
   const soon = views.map((view) => {
     let { free, busyTasks } = view
-    for (const placement of part.machines.get(view.id)?.placements.values() ?? []) {
+    for (const placement of shard.machines.get(view.id)?.placements.values() ?? []) {
       const { request } = placement.job
       if (placement.stop !== null) {
         busyTasks--
@@ -64,7 +64,7 @@
         continue
       }
       if (priorityRank[request.priority] >= highest) continue
-      if (isFirstOfStarved(placement, part.ctx.time.wallNow(), now)) continue
+      if (isFirstOfStarved(placement, shard.ctx.time.wallNow(), now)) continue
       const saves = request.checkpointIntervalS > 0
       const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
       const on = victims.get(view.id) ?? []
@@ -89,7 +89,7 @@
       stopped.add(placement)
       placement.job.stop(placement, { why: "preempted", leewayS: savesS + 1, since: now })
       stoppedOn(placement.machine)
-      part.ctx.log.debug("task preempted", { task: placement.task, machine: placement.machine })
+      shard.ctx.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
   }
   const left = (usable: (v: Victim<Placement>) => boolean) => (machine: MachineId) =>
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -17,7 +17,7 @@
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
 import type { Amount, ShareNeed } from "@sorreltally/quota"
 import { isLimited, type Team } from "@sorreltally/settings"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 /** Tasks of a job that so many cores hold, whatever else they need. */
 const slotsInCores = (request: JobSpec, cores: number): number =>
@@ -32,24 +32,24 @@
   slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
 
 /** Cores of our machines, up or coming, on which no task is placed. */
-export const unusedCores = (part: PartView, used: ReadonlyMap<TeamName, TeamRoom>): number => {
+export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, TeamRoom>): number => {
   let cores = 0
-  for (const { type } of part.machines.values()) cores += type.cores
-  for (const { hireable, count } of part.hiring.values()) cores += count * hireable.type.cores
+  for (const { type } of shard.machines.values()) cores += type.cores
+  for (const { offer, count } of shard.pendingRentals.values()) cores += count * offer.type.cores
   for (const u of used.values()) cores -= u.cores
   return Math.max(0, cores)
 }
 
 /** Teams whose share here keeps queued tasks from starting that machines have room for. */
 export const quotaNeeds = (
-  part: PartView,
+  shard: ShardView,
   jobs: ReadonlyArray<JobView>,
   teams: ReadonlyMap<TeamName, TeamRoom>,
   used: ReadonlyMap<TeamName, TeamRoom>,
   unused: number,
 ): ReadonlyArray<QuotaDemand> => {
   const beyondUse = new Map<TeamName, TeamRoom>()
-  for (const team of part.ctx.platform.facts.teams)
+  for (const team of shard.ctx.platform.facts.teams)
     beyondUse.set(team.name, reachable(team, used.get(team.name) ?? NOTHING))
   const out = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
@@ -64,8 +64,8 @@
     if (startable >= wanting) continue
     const starved = isStarved(job) && startable < Math.min(wanting, tasksToBegin(job))
     const rank = starved ? STARVED_RANK : job.rank
-    const since = part.jobs.get(id)?.submitted ?? 0
-    const need: QuotaDemand = { shard: part.part, team: request.team, rank, since }
+    const since = shard.jobs.get(id)?.submitted ?? 0
+    const need: QuotaDemand = { shard: shard.shard, team: request.team, rank, since }
     const before = out.get(request.team)
     if (before === undefined || goesFirst(need, before)) out.set(request.team, need)
   }
@@ -77,7 +77,7 @@
 
 /** What this part counts on of the teams' limits, after a plan. */
 export const teamClaims = (
-  part: PartView,
+  shard: ShardView,
   used: ReadonlyMap<TeamName, TeamRoom>,
   planned: ReadonlyMap<TeamName, TeamRoom>,
 ): ReadonlyArray<TeamClaim> => {
@@ -86,11 +86,11 @@
       ? 0
       : Math.min(limit, Math.ceil(amount / (limit * CLAIM_STEP)) * limit * CLAIM_STEP)
   const claims: Array<TeamClaim> = []
-  for (const { name, cpus_max, gpus_max } of part.ctx.platform.facts.teams) {
+  for (const { name, cpus_max, gpus_max } of shard.ctx.platform.facts.teams) {
     const use = used.get(name) ?? NOTHING
     const more = planned.get(name) ?? NOTHING
     claims.push({
-      shard: part.part,
+      shard: shard.shard,
       team: name,
       cpus: inSteps(use.cores + more.cores, cpus_max),
       gpus: inSteps(use.accelerators + more.accelerators, gpus_max),
@@ -118,29 +118,29 @@
 
 /** What one part needs of one team's limit, given what the others ask for. */
 export const shareNeed = (
-  part: PartView,
+  shard: ShardView,
   team: Team,
   use: TeamRoom,
   quotas: ReadonlyArray<QuotaDemand>,
   unused: number,
 ): ShareNeed => {
-  const wall = part.ctx.time.wallNow()
-  const now = part.ctx.time.monotonicNow()
+  const wall = shard.ctx.time.wallNow()
+  const now = shard.ctx.time.monotonicNow()
   const demand = new Demand()
   const starved = new Demand()
   const attainable = reachable(team, use)
   let left = unused
   let smallest: JobSpec | null = null
-  for (const job of part.jobs.values()) {
+  for (const job of shard.jobs.values()) {
     const { request } = job
-    const queued = part.failures.startable(job, now)
+    const queued = shard.failures.startable(job, now)
     if (request.team !== team.name || job.cancelled || queued === 0) continue
     if (tasksWithin(request, attainable) === 0) continue
     // Beyond what machines have room for, a share would only lie idle, and be asked back.
     const tasks = Math.min(queued, slotsInCores(request, left))
     if (tasks === 0) continue
     left -= tasks * request.cores
-    const suspect = part.failures.isSuspect(job.id)
+    const suspect = shard.failures.isSuspect(job.id)
     demand.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[request.priority])
     const waiting = { unbegun: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
@@ -148,7 +148,7 @@
   }
   const asking = quotas.filter((q) => q.team === team.name)
   const others = (of: Demand) =>
-    asking.some((q) => goesFirst(q, { shard: part.part, team: team.name, rank: of.rank, since: of.since }))
+    asking.some((q) => goesFirst(q, { shard: shard.shard, team: team.name, rank: of.rank, since: of.since }))
   const need = (of: Demand, asked: ShareNeed["asked"]): ShareNeed => ({
     used: amountOf(use),
     wanted: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -1,9 +1,9 @@
 import { Signal } from "@sorreltally/concurrency"
-import { DEADLINE } from "@sorreltally/membership"
+import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
   allowed,
   type MachineDemand,
-  type PlannedHire,
+  type PlannedRental,
   type Reserve,
   slotsIn,
   spareCores,
@@ -18,11 +18,11 @@
   type RentalRequestId,
   type ShardName,
 } from "@sorreltally/protocol"
-import { ADOPTED, type BlockWriter, originFor } from "@sorreltally/provisioning"
+import { ADOPTED, type MachineRecordWriter, originFor } from "@sorreltally/provisioning"
 import type { WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
 import { machineViews } from "./planner-input.ts"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 const TICK_MS = 1_000
 /** The most that the cloud rents, and takes back, in one call. */
@@ -48,7 +48,7 @@
   /** The cloud's answer proves that the machine and all on it are gone. */
   readonly deleted: (session: WorkerSession) => void
   readonly lend: (session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>) => void
-  readonly steadyWanted: () => boolean
+  readonly onDemandNeeded: () => boolean
   readonly reserve: () => Reserve
   /** Did the last plan find no use for this empty machine? */
   readonly isIdle: (id: MachineId) => boolean
@@ -58,15 +58,15 @@
 
 /** One part's dealings with the cloud: what it rents, adopts, and gives back. */
 export class Rentals {
-  readonly hiring = new Map<RentalRequestId, PlannedHire>()
+  readonly pendingRentals = new Map<RentalRequestId, PlannedRental>()
   private readonly recording = new Set<MachineId>()
-  private readonly holderOf = new Map<MachineId, NonNullable<PlannedHire["holder"]>>()
+  private readonly assignedJobOf = new Map<MachineId, NonNullable<PlannedRental["assignedJob"]>>()
   private readonly leaving = new Map<MachineId, WorkerSession>()
   private readonly leave = new Signal()
 
   constructor(
-    private readonly of: PartView,
-    private readonly blocks: BlockWriter,
+    private readonly of: ShardView,
+    private readonly blocks: MachineRecordWriter,
     private readonly active: () => boolean,
     private readonly over: () => boolean,
     private readonly events: RentalEvents,
@@ -77,10 +77,10 @@
   )
 
   /** Whom a machine that just came on record was rented for. */
-  takeHolder(id: MachineId): PlannedHire["holder"] {
-    const holder = this.holderOf.get(id) ?? null
-    this.holderOf.delete(id)
-    return holder
+  takeAssignedJob(id: MachineId): PlannedRental["assignedJob"] {
+    const assignedJob = this.assignedJobOf.get(id) ?? null
+    this.assignedJobOf.delete(id)
+    return assignedJob
   }
   /** Rented by this very owner: nobody had it before. */
   isOurs(id: MachineId): boolean {
@@ -89,24 +89,28 @@
 
   // --- renting ------------------------------------------------------------------
 
-  hire(hire: PlannedHire): void {
+  rental(rental: PlannedRental): void {
     const { ctx } = this.of
-    const name = ctx.nextHire()
-    const { type, zone, spot } = hire.hireable
+    const name = ctx.nextRentalRequestId()
+    const { type, zone, spot } = rental.offer
     const answered = ctx.fleet.asking(type.name, zone, spot)
-    this.hiring.set(name, hire)
+    this.pendingRentals.set(name, rental)
     const settled = Effect.sync(() => {
       answered()
-      this.hiring.delete(name)
+      this.pendingRentals.delete(name)
       this.events.changed()
     })
-    ctx.fork(Effect.ensuring(this.carryOut(name, hire, answered), settled))
+    ctx.fork(Effect.ensuring(this.carryOut(name, rental, answered), settled))
   }
 
-  private carryOut(name: RentalRequestId, { hireable, count, holder }: PlannedHire, answered: () => void) {
+  private carryOut(
+    name: RentalRequestId,
+    { offer, count, assignedJob }: PlannedRental,
+    answered: () => void,
+  ) {
     return Effect.gen({ self: this }, function* () {
       const { ctx } = this.of
-      const { type, zone, spot } = hireable
+      const { type, zone, spot } = offer
       const request = { requestId: name, machineType: type.name, zone, spot, count }
       // The same name until it is answered: a lost answer then rents nothing twice.
       for (let tries = 0; tries < 20 && !this.over(); tries++) {
@@ -124,15 +128,15 @@
         if (got.length < count) ctx.fleet.refuse(type.name, zone, spot)
         else ctx.fleet.granted(type.name, zone, spot)
         const note = got.length > 0 ? ctx.log.info : ctx.log.debug
-        note("hired", { name, type: type.name, zone, spot, asked: count, got: got.length, for: holder })
+        note("hired", { name, type: type.name, zone, spot, asked: count, got: got.length, for: assignedJob })
         answered()
         if (got.length === 0) return
         for (const id of got) {
-          if (holder !== null) this.holderOf.set(id, holder)
+          if (assignedJob !== null) this.assignedJobOf.set(id, assignedJob)
           this.recording.add(id)
         }
         // Until they are on record they count as coming by this request.
-        this.hiring.set(name, { hireable, count: got.length, holder })
+        this.pendingRentals.set(name, { offer, count: got.length, assignedJob })
         yield* Effect.callback<void>((resume) => {
           const machines = { machineType: type.name, zone, spot, rentedAt: rented, ids: got }
           this.blocks.add(machines, false, () => resume(Effect.void))
@@ -146,14 +150,14 @@
   /** Machines that the cloud lists and no record knows: rented by a node that died, or there from the start. */
   private adopt() {
     return Effect.gen({ self: this }, function* () {
-      const { fleet, membership, time, machineIndex: machineIndex, log } = this.of.ctx
+      const { fleet, membership, time, machineIndex, log } = this.of.ctx
       const unknown = (m: ListedMachine) =>
         !this.recording.has(m.id) &&
         machineIndex.get(m.id) === undefined &&
         !machineIndex.gone.has(m.id) &&
         (m.ageS >= ADOPT_AFTER_S || m.status === "running")
       if (!fleet.listedHere.some(unknown)) return
-      const fresh = yield* Effect.result(membership.freshness.since)
+      const fresh = yield* Effect.result(membership.readBarrier.since)
       if (Result.isFailure(fresh)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const listed of fleet.listedHere) {
@@ -179,9 +183,9 @@
   // --- giving back ----------------------------------------------------------------
 
   giveBack(session: WorkerSession, why: string): void {
-    const tenancy = this.of.tenancies.get(session.id)
-    if (tenancy === undefined || tenancy.returning) return
-    tenancy.returning = true
+    const assignment = this.of.assignments.get(session.id)
+    if (assignment === undefined || assignment.returning) return
+    assignment.returning = true
     this.of.ctx.log.info("machine given back", { machine: session.id, why, tasks: session.placements.size })
     this.leaving.set(session.id, session)
     this.leave.notify()
@@ -223,7 +227,7 @@
         if (this.over()) return
         if (!this.active()) continue
         this.check()
-        if (this.of.part === DEADLINE) yield* this.adopt()
+        if (this.of.shard === DEADLINE_SHARD) yield* this.adopt()
       }
     })
   }
@@ -232,7 +236,7 @@
   private check(): void {
     const { of } = this
     const now = of.ctx.time.monotonicNow()
-    const { machines: needs } = of.ctx.wants(of.part)
+    const { machines: needs } = of.ctx.demandRegistry(of.shard)
     const windowMs = of.ctx.operators.provisioning["window-s"] * 1000
     let spotUp = false
     for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
@@ -244,24 +248,24 @@
     }
     const due: Array<WorkerSession> = []
     for (const session of of.machines.values()) {
-      const tenancy = of.tenancies.get(session.id)!
-      if (tenancy.returning || tenancy.moving) continue
-      const broken = this.brokenBy(session, tenancy.rentedAt, now)
+      const assignment = of.assignments.get(session.id)!
+      if (assignment.returning || assignment.moving) continue
+      const broken = this.brokenBy(session, assignment.rentedAt, now)
       if (broken !== null) {
         this.giveBack(session, broken)
         continue
       }
       if (!session.up) continue
-      const heldMs = now - tenancy.rentedAt
+      const heldMs = now - assignment.rentedAt
       // Held to the end of its window; renewed when it is of use then.
       const within = heldMs < LEAST_CHARGE_MS - 2.5 * TICK_MS || heldMs % windowMs <= windowMs - 2.5 * TICK_MS
       if (within) {
-        if (tenancy.closing && session.placements.size === 0) this.giveBack(session, "closed")
+        if (assignment.closing && session.placements.size === 0) this.giveBack(session, "closed")
         continue
       }
-      if (!session.entry.spot && spotUp && !this.events.steadyWanted() && !wantedBy(session))
-        tenancy.closing = true
-      if (session.placements.size > 0 || tenancy.holder !== null) continue
+      if (!session.entry.spot && spotUp && !this.events.onDemandNeeded() && !wantedBy(session))
+        assignment.closing = true
+      if (session.placements.size > 0 || assignment.assignedJob !== null) continue
       if (wanted.some((request) => slotsIn(request, session.type) > 0)) continue
       // Guards against holding machines for queued work of which a team's limit lets nothing start.
       if (this.events.heldBack().size > 0 && !this.events.isIdle(session.id)) continue
@@ -281,7 +285,7 @@
       // Of no use here: another part may still want it before the cloud gets it back.
       const { zone: site, spot: loaners } = session.entry
       const shape = { type: session.type, zone: site, spot: loaners }
-      const closing = of.tenancies.get(session.id)!.closing
+      const closing = of.assignments.get(session.id)!.closing
       const need = closing ? undefined : needs.find((n) => allowed(n.shape, shape))
       if (need === undefined) this.giveBack(session, "window over")
       else this.events.lend(session, need.shard, needs)
@@ -309,10 +313,7 @@
     const overdue = heldMs > session.type.bootS * NEVER_BOOTED * 1000
     if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && listIsNew)
       return "never came up"
-    if (
-      session.unreachableSince !== null &&
-      now > addMs(session.unreachableSince, RECEIVES_NOTHING_MS)
-    )
+    if (session.unreachableSince !== null && now > addMs(session.unreachableSince, RECEIVES_NOTHING_MS))
       return "hears nothing"
     return null
   }
--- a/packages/shard/src/run-time-estimates.ts
+++ b/packages/shard/src/run-time-estimates.ts
@@ -9,14 +9,17 @@
  * times what the lane's finished tasks took in relation to theirs. Owners err
  * task by task, and on some days all in one direction.
  */
-export class Estimates {
+export class RunTimeEstimates {
   private readonly lanes = new Map<JobClassName, { log: number; seen: number }>()
 
   learn(request: JobSpec, tookS: number): void {
     const ratio = Math.log(Math.max(0.05, Math.min(20, tookS / request.estimatedRunS)))
-    const lane = this.lanes.get(request.jobClass) ?? { log: 0, seen: 0 }
-    const weight = Math.max(NEWEST, 1 / (lane.seen + FIRST_WEIGHT))
-    this.lanes.set(request.jobClass, { log: lane.log + weight * (ratio - lane.log), seen: lane.seen + 1 })
+    const jobClass = this.lanes.get(request.jobClass) ?? { log: 0, seen: 0 }
+    const weight = Math.max(NEWEST, 1 / (jobClass.seen + FIRST_WEIGHT))
+    this.lanes.set(request.jobClass, {
+      log: jobClass.log + weight * (ratio - jobClass.log),
+      seen: jobClass.seen + 1,
+    })
   }
   executionS(request: JobSpec): number {
     return request.estimatedRunS * Math.exp(this.lanes.get(request.jobClass)?.log ?? 0)
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -3,7 +3,7 @@
 import type { CommandForwarder } from "@sorreltally/forwarding"
 import type { FailureTracker, JobIndex, JobState } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
-import type { PlannedHire, ShardDemand } from "@sorreltally/planner"
+import type { PlannedRental, ShardDemand } from "@sorreltally/planner"
 import type {
   Clocks,
   HttpClient,
@@ -14,15 +14,15 @@
   RentalRequestId,
   ShardName,
 } from "@sorreltally/protocol"
-import type { Fleet, MachineIndex } from "@sorreltally/provisioning"
+import type { CloudInventory, MachineIndex } from "@sorreltally/provisioning"
 import type { Operators, Platform } from "@sorreltally/settings"
 import type { JobEnd, JobPage, StoreClient, StoreError, StoreKey } from "@sorreltally/store"
 import type { MachineHandoff, WorkerSession } from "@sorreltally/workers"
 import type { Effect } from "effect"
-import type { Estimates } from "./run-time-estimates.ts"
+import type { RunTimeEstimates } from "./run-time-estimates.ts"
 
 /** What a part's engine shares with the rest of its node. */
-export interface EngineContext {
+export interface NodeContext {
   readonly platform: Platform
   readonly operators: Operators
   readonly nodes: number
@@ -34,15 +34,15 @@
   /** Sends them, or has them sent by the node that a worker reports to. */
   readonly commandForwarder: CommandForwarder
   readonly membership: Membership
-  readonly fleet: Fleet
+  readonly fleet: CloudInventory
   readonly machineIndex: MachineIndex
-  readonly estimates: Estimates
+  readonly estimates: RunTimeEstimates
   readonly time: Clocks
   readonly log: Log
-  readonly nextHire: () => RentalRequestId
+  readonly nextRentalRequestId: () => RentalRequestId
   /** What other parts lack, as far as we have heard. */
-  readonly wants: (except: ShardName) => ShardDemand
-  readonly publish: (part: ShardName, wants: ShardDemand) => void
+  readonly demandRegistry: (except: ShardName) => ShardDemand
+  readonly publish: (shard: ShardName, demand: ShardDemand) => void
   /** Tells a machine's new owner of it before the watch does. */
   readonly handOff: (to: ShardName, id: MachineId, by: MachineHandoff | null) => void
   readonly jobIndex: JobIndex
@@ -55,8 +55,8 @@
 }
 
 /** What the owner keeps of a machine beside its worker's session. */
-export interface Tenancy {
-  holder: JobId | null
+export interface MachineAssignment {
+  assignedJob: JobId | null
   /** When it was rented, by our clock. */
   readonly rentedAt: MonotonicTime
   readonly knownSince: MonotonicTime
@@ -68,12 +68,12 @@
 }
 
 /** What there is of a part to look at: enough to plan from. */
-export interface PartView {
-  readonly part: ShardName
-  readonly ctx: EngineContext
+export interface ShardView {
+  readonly shard: ShardName
+  readonly ctx: NodeContext
   readonly jobs: ReadonlyMap<JobId, JobState>
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
-  readonly tenancies: ReadonlyMap<MachineId, Tenancy>
-  readonly hiring: ReadonlyMap<RentalRequestId, PlannedHire>
+  readonly assignments: ReadonlyMap<MachineId, MachineAssignment>
+  readonly pendingRentals: ReadonlyMap<RentalRequestId, PlannedRental>
   readonly failures: FailureTracker
 }
