--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -13,7 +13,7 @@
   type Respond,
   type ShardName,
 } from "@sorreltally/protocol"
-import { BlockWriter } from "@sorreltally/provisioning"
+import { MachineRecordWriter } from "@sorreltally/provisioning"
 import { type Entry, keys } from "@sorreltally/store"
 import {
   type MachineEntry,
@@ -25,9 +25,9 @@
 import { JobRegistry } from "./job-registry.ts"
 import { Lending } from "./lending.ts"
 import { Rentals } from "./rentals.ts"
-import type { EngineContext, PartView, Tenancy } from "./shard-context.ts"
-import { PartPlanning } from "./shard-planning.ts"
-import { WorkerExchange } from "./worker-communication.ts"
+import type { MachineAssignment, NodeContext, ShardView } from "./shard-context.ts"
+import { ShardPlanning } from "./shard-planning.ts"
+import { WorkerCommunication } from "./worker-communication.ts"
 
 const PLAN_SPACING_MS = 120
 /** After a plan, everything else has the processor for this many times what the plan took. */
@@ -41,74 +41,74 @@
  * that bring what is closer to what is wanted. Lives from a take-over until
  * the part is lost.
  */
-export class PartEngine implements PartView {
+export class ShardController implements ShardView {
   readonly machines = new Map<MachineId, WorkerSession>()
-  readonly tenancies = new Map<MachineId, Tenancy>()
+  readonly assignments = new Map<MachineId, MachineAssignment>()
   readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
-  private readonly blocks: BlockWriter
+  private readonly blocks: MachineRecordWriter
   private readonly registry: JobRegistry
   private readonly rentals: Rentals
-  private readonly planning: PartPlanning
-  private readonly workers: WorkerExchange
+  private readonly planning: ShardPlanning
+  private readonly workers: WorkerCommunication
   private lookedAt: MonotonicTime = NEVER
   ready = false
   private over = false
   private endListening: Array<() => void> = []
 
   constructor(
-    readonly part: ShardName,
+    readonly shard: ShardName,
     readonly epoch: ModRevision,
-    readonly ctx: EngineContext,
+    readonly ctx: NodeContext,
   ) {
-    const { state, membership, machineIndex: machineIndex, time } = ctx
+    const { state, membership, machineIndex, time } = ctx
     const active = () => this.ready && this.active
-    this.blocks = new BlockWriter(
-      part,
+    this.blocks = new MachineRecordWriter(
+      shard,
       epoch,
-      membership.parts,
+      membership.shards,
       state,
       membership,
       machineIndex,
       time.monotonicNow,
       active,
     )
-    this.registry = new JobRegistry(part, epoch, ctx, active, {
+    this.registry = new JobRegistry(shard, epoch, ctx, active, {
       durable: (placements) => this.placed(placements),
       arrived: (request) => this.planning.arrived(request),
       changed: () => this.planSignal.notify(),
       release: (placement) => this.machines.get(placement.machine)?.release(placement),
-      tell: (machine) => this.workers.tell(machine),
+      commandsDue: (machine) => this.workers.commandsDue(machine),
       forgotten: (job) => this.jobForgotten(job),
       ready: () => this.ready,
     })
-    this.workers = new WorkerExchange({
+    this.workers = new WorkerCommunication({
       ctx,
       machines: this.machines,
       registry: this.registry,
       blocks: this.blocks,
       failures: this.failures,
       mayAct: active,
-      isEntitled: () => this.active,
+      holdsLease: () => this.active,
       isOver: () => this.over,
       workWaits: () => this.planning.workWaits,
       changed: () => this.planSignal.notify(),
     })
     const lending = new Lending(this, this.blocks, (task) => this.registry.finishIsDurable(task))
-    this.planning = new PartPlanning({
-      part: this,
+    this.planning = new ShardPlanning({
+      shard: this,
       epoch,
       registry: this.registry,
       lending,
       rentals: () => this.rentals,
-      tell: (machine) => this.workers.tell(machine),
+      commandsDue: (machine) => this.workers.commandsDue(machine),
       changed: () => this.planSignal.notify(),
     })
     this.rentals = new Rentals(this, this.blocks, active, () => this.over, {
       changed: () => this.planSignal.notify(),
       deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
       lend: (session, to, needs) => lending.lend(session, to, needs),
-      steadyWanted: () => this.planning.steadyWanted(),
+      onDemandNeeded: () => this.planning.onDemandNeeded(),
       reserve: () => this.planning.reserve(),
       isIdle: (id) => this.planning.idle.has(id),
       heldBack: () => this.planning.heldBack,
@@ -118,8 +118,8 @@
   get jobs(): ReadonlyMap<JobId, JobState> {
     return this.registry.jobs
   }
-  get hiring(): PartView["hiring"] {
-    return this.rentals.hiring
+  get pendingRentals(): ShardView["pendingRentals"] {
+    return this.rentals.pendingRentals
   }
   stop(): void {
     this.over = true
@@ -131,7 +131,7 @@
     this.planSignal.notify()
   }
   private get active(): boolean {
-    return !this.over && this.ctx.membership.entitled()
+    return !this.over && this.ctx.membership.holdsLease()
   }
 
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
@@ -148,14 +148,14 @@
 
   private takeOver() {
     return Effect.gen({ self: this }, function* () {
-      const { membership, machineIndex: machineIndex } = this.ctx
-      const { mirror } = membership
+      const { membership, machineIndex } = this.ctx
+      const { replica } = membership
       // Every job and machine of this part that a former owner acted on is in
       // the mirror once it has reached our epoch.
-      while (mirror.revision < this.epoch || this.ctx.fleet.catalog() === null) yield* Effect.sleep(20)
+      while (replica.revision < this.epoch || this.ctx.fleet.catalog() === null) yield* Effect.sleep(20)
       let entries: ReadonlyArray<Entry> = []
       for (;;) {
-        const read = yield* Effect.result(this.ctx.state.list(keys.slots(this.part)))
+        const read = yield* Effect.result(this.ctx.state.list(keys.slots(this.shard)))
         if (Result.isSuccess(read)) {
           entries = read.success.items
           break
@@ -173,7 +173,7 @@
           // and moves only when no task can be on it.
           if (session === undefined) job.clear(placement)
           else session.hold(placement)
-          if (job.cancelled) job.stop(placement, { why: "withdrawn", leewayS: 0, since: now })
+          if (job.cancelled) job.stop(placement, { why: "cancelled", leewayS: 0, since: now })
         }
         this.registry.settle(job)
       }
@@ -183,7 +183,7 @@
       ]
       this.ready = true
       this.ctx.log.info("part ready", {
-        part: this.part,
+        shard: this.shard,
         epoch: this.epoch,
         jobs: this.jobs.size,
         machines: this.machines.size,
@@ -195,7 +195,7 @@
 
   private machineChanged(id: MachineId, entry: MachineEntry | null): void {
     const session = this.machines.get(id)
-    if (entry === null || entry.part !== this.part) {
+    if (entry === null || entry.shard !== this.shard) {
       if (session !== undefined) this.dropMachine(session, entry === null ? "deleted" : "moved")
       return
     }
@@ -208,9 +208,9 @@
     const times = { leaseS: lease_s, reportS: report_s }
     this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
     const age = Math.max(0, this.ctx.time.wallNow() - entry.rentedAt)
-    const holder = this.rentals.takeHolder(id)
-    this.tenancies.set(id, {
-      holder: holder !== null && this.jobs.has(holder) ? holder : null,
+    const assignedJob = this.rentals.takeAssignedJob(id)
+    this.assignments.set(id, {
+      assignedJob: assignedJob !== null && this.jobs.has(assignedJob) ? assignedJob : null,
       rentedAt: addMs(now, -age),
       knownSince: now,
       returning: false,
@@ -222,7 +222,7 @@
 
   private dropMachine(session: WorkerSession, why: string): void {
     this.machines.delete(session.id)
-    this.tenancies.delete(session.id)
+    this.assignments.delete(session.id)
     this.failures.forgetMachine(session.id)
     this.workers.drop(session)
     this.workers.apply(session, session.clearAll(why))
@@ -241,13 +241,14 @@
   // --- what became durable ----------------------------------------------------
 
   private placed(placements: ReadonlyArray<Placement>): void {
-    for (const placement of placements) this.workers.tell(placement.machine)
+    for (const placement of placements) this.workers.commandsDue(placement.machine)
     this.workers.pushCommands()
   }
 
   private jobForgotten(job: JobState): void {
     this.failures.forgetJob(job.id)
-    for (const tenancy of this.tenancies.values()) if (tenancy.holder === job.id) tenancy.holder = null
+    for (const assignment of this.assignments.values())
+      if (assignment.assignedJob === job.id) assignment.assignedJob = null
   }
 
   // --- planning -------------------------------------------------------------
@@ -297,12 +298,12 @@
       if (session.warningUntil === null) continue
       const leftS = (session.warningUntil - now) / 1000
       for (const placement of session.placements.values()) {
-        const { checkpointIntervalS: snapshotS, checkpointSaveS: flushS } = placement.job.request
+        const { checkpointIntervalS: snapshotS, checkpointSaveS } = placement.job.request
         if (placement.stop !== null || snapshotS === 0) continue
         // Reports, and the stop itself, need a moment too.
-        if (leftS >= flushS + 3) continue
-        placement.job.stop(placement, { why: "drain", leewayS: Math.max(flushS, leftS), since: now })
-        this.workers.tell(session.id)
+        if (leftS >= checkpointSaveS + 3) continue
+        placement.job.stop(placement, { why: "drain", leewayS: Math.max(checkpointSaveS, leftS), since: now })
+        this.workers.commandsDue(session.id)
       }
     }
   }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -1,6 +1,6 @@
 /** One part's plans: what the planner is shown of the part, and how its decisions are carried out. */
 import type { JobState, Placement } from "@sorreltally/jobs"
-import { DEADLINE } from "@sorreltally/membership"
+import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
   type Lent,
   LimitRoom,
@@ -29,7 +29,7 @@
   type TeamName,
   taskId,
 } from "@sorreltally/protocol"
-import { Shares } from "@sorreltally/quota"
+import { QuotaAllocation } from "@sorreltally/quota"
 import { Arrivals } from "./arrivals.ts"
 import { Draining } from "./draining.ts"
 import type { JobRegistry } from "./job-registry.ts"
@@ -39,25 +39,25 @@
 import { preempt } from "./preemption.ts"
 import { quotaNeeds, shareNeed, teamClaims, unusedCores } from "./quota-demand.ts"
 import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
-import type { PartView } from "./shard-context.ts"
+import type { ShardView } from "./shard-context.ts"
 
 /** The load of the machines is counted anew this often. */
 const LOAD_EVERY_MS = 700
 /** While refused kinds of spot are asked again, steady machines stay as they were wanted before. */
-const STEADY_LINGERS_MS = 10_000
+const ON_DEMAND_LINGER_MS = 10_000
 const STATUS_EVERY_MS = 15_000
 const ATTEMPTS_PER_EPOCH = 2 ** 20
 const NOTHING: TeamRoom = { cores: 0, accelerators: 0 }
 
 /** What the plans need of their part beyond its state. */
-export interface PartPlanningHost {
-  readonly part: PartView
+export interface ShardPlanningHost {
+  readonly shard: ShardView
   readonly epoch: ModRevision
   readonly registry: JobRegistry
   readonly lending: Lending
   readonly rentals: () => Rentals
   /** The machine has something to be told before its next report. */
-  readonly tell: (machine: MachineId) => void
+  readonly commandsDue: (machine: MachineId) => void
   /** There may be something to plan. */
   readonly changed: () => void
 }
@@ -68,12 +68,12 @@
   readonly rentable: Map<TeamName, TeamRoom>
 }
 
-export class PartPlanning {
-  private readonly shares: Shares
+export class ShardPlanning {
+  private readonly shares: QuotaAllocation
   private readonly draining = new Draining()
   private readonly arrivals = new Arrivals()
   private reserveRank = Number.NEGATIVE_INFINITY
-  private steadyWantedAt: MonotonicTime = NEVER
+  private onDemandNeededAt: MonotonicTime = NEVER
   private attempts = 0
   private lately: { readonly at: MonotonicTime; readonly load: Load } | null = null
   private statusAt: MonotonicTime = NEVER
@@ -86,15 +86,15 @@
   /** Room on machines that are up for which it found none. */
   private unusedCores = 0
 
-  constructor(private readonly host: PartPlanningHost) {
-    const { part, epoch, changed } = host
-    const { platform, membership, state, time } = part.ctx
-    const { mirror } = membership
-    this.shares = new Shares(
-      part.part,
+  constructor(private readonly host: ShardPlanningHost) {
+    const { shard, epoch, changed } = host
+    const { platform, membership, state, time } = shard.ctx
+    const { replica } = membership
+    this.shares = new QuotaAllocation(
+      shard.shard,
       epoch,
       platform.facts.teams,
-      mirror,
+      replica,
       state,
       time.monotonicNow,
       changed,
@@ -103,48 +103,48 @@
 
   /** A job came: jobs like it may need room sooner than a machine boots. */
   arrived(request: JobSpec): void {
-    const { part } = this.host
-    const within = startTargets(part, request.jobClass, request.estimatedRunS)[0] ?? null
+    const { shard } = this.host
+    const within = startTargets(shard, request.jobClass, request.estimatedRunS)[0] ?? null
     let soonestBoot = Number.POSITIVE_INFINITY
-    for (const type of part.ctx.fleet.catalog()?.values() ?? [])
+    for (const type of shard.ctx.fleet.catalog()?.values() ?? [])
       soonestBoot = Math.min(soonestBoot, type.bootS)
     if (within === null || within >= soonestBoot) return
-    this.arrivals.learn(request.taskCount * request.cores, request.image, part.ctx.time.monotonicNow())
+    this.arrivals.learn(request.taskCount * request.cores, request.image, shard.ctx.time.monotonicNow())
     this.reserveRank = Math.max(this.reserveRank, priorityRank[request.priority])
   }
   reserve(): Reserve {
     return {
       rank: this.reserveRank,
-      cores: this.arrivals.reserveCores(this.host.part.ctx.time.monotonicNow()),
+      cores: this.arrivals.reserveCores(this.host.shard.ctx.time.monotonicNow()),
       images: this.arrivals.images(),
     }
   }
   /** Some work needed machines that spot couldn't give, not long ago. */
-  steadyWanted(): boolean {
-    return this.host.part.ctx.time.monotonicNow() < addMs(this.steadyWantedAt, STEADY_LINGERS_MS)
+  onDemandNeeded(): boolean {
+    return this.host.shard.ctx.time.monotonicNow() < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
   }
 
   /** `makesRoom`: running tasks of lower rank may be stopped this time. */
   planOnce(makesRoom: boolean): void {
-    const { part } = this.host
-    const { ctx } = part
+    const { shard } = this.host
+    const { ctx } = shard
     const now = ctx.time.monotonicNow()
-    const used = teamUse(part)
-    const { machines: needs, quotas, claims } = ctx.wants(part.part)
-    const unused = unusedCores(part, used)
+    const used = teamUse(shard)
+    const { machines: needs, quotas, claims } = ctx.demandRegistry(shard.shard)
+    const unused = unusedCores(shard, used)
     this.adjustShares(used, quotas, unused)
     const teams = this.teamRooms(used, claims)
-    const jobs = jobViews(part, now)
+    const jobs = jobViews(shard, now)
     const share = this.shareOfFleet()
     const reserve = this.reserve()
-    let machines = machineViews(part, now, reserve, false)
+    let machines = machineViews(shard, now, reserve, false)
     // Work that its team's limit holds back is no reason to keep a machine from others.
     const room = new LimitRoom(teams.rentable)
     const startable = jobs.filter((job) => room.tasksLeft(job) > 0)
     const lent = lend(machines, startable, needs, share, this.host.lending.lentLately(now), reserve)
     if (lent.length > 0) {
       this.lendAll(lent, needs)
-      machines = machineViews(part, now, reserve, false)
+      machines = machineViews(shard, now, reserve, false)
     }
     // Guards against machines that are emptied for others, never lent, and of no use to our own work.
     const lendable = lendableTo(needs, startable, machines)
@@ -157,7 +157,7 @@
       teams: teams.startable,
       limits: teams.rentable,
       types: [...(ctx.fleet.catalog()?.values() ?? [])],
-      dearestSteady: ctx.operators.provisioning["dearest-steady"],
+      maxOnDemandCostRatio: ctx.operators.provisioning["dearest-steady"],
       reserve,
       othersWait: needs.length > 0,
       load: () => this.load(now),
@@ -167,22 +167,22 @@
     })
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
-    ctx.publish(part.part, {
-      machines: machineNeeds(part.part, decided.unplaced),
-      quotas: quotaNeeds(part, jobs, teams.startable, used, unused).filter(
+    ctx.publish(shard.shard, {
+      machines: machineNeeds(shard.shard, decided.unplaced),
+      quotas: quotaNeeds(shard, jobs, teams.startable, used, unused).filter(
         ({ team }) => !this.shares.yields(team),
       ),
-      claims: teamClaims(part, used, decided.claims),
+      claims: teamClaims(shard, used, decided.claims),
     })
     this.logStatus(now)
   }
 
   private teamRooms(
     used: ReadonlyMap<TeamName, TeamRoom>,
-    claims: Parameters<Shares["beyond"]>[2],
+    claims: Parameters<QuotaAllocation["beyond"]>[2],
   ): TeamRooms {
     const rooms: TeamRooms = { startable: new Map(), rentable: new Map() }
-    for (const team of this.host.part.ctx.platform.facts.teams) {
+    for (const team of this.host.shard.ctx.platform.facts.teams) {
       const { cores, accelerators } = used.get(team.name) ?? NOTHING
       const beyond = this.shares.beyond(team, { cpus: cores, gpus: accelerators }, claims)
       rooms.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
@@ -199,16 +199,16 @@
     quotas: ReadonlyArray<QuotaDemand>,
     unused: number,
   ): void {
-    const { part } = this.host
+    const { shard } = this.host
     const changes = this.shares.adjust((team) =>
-      shareNeed(part, team, used.get(team.name) ?? NOTHING, quotas, unused),
+      shareNeed(shard, team, used.get(team.name) ?? NOTHING, quotas, unused),
     )
-    for (const change of changes) part.ctx.fork(change)
+    for (const change of changes) shard.ctx.fork(change)
   }
   private lendAll(lent: Iterable<Lent>, needs: ReadonlyArray<MachineDemand>): void {
-    const { part, lending } = this.host
+    const { shard, lending } = this.host
     for (const { machine, to } of lent) {
-      const session = part.machines.get(machine)
+      const session = shard.machines.get(machine)
       if (session !== undefined) lending.lend(session, to, needs)
     }
   }
@@ -216,7 +216,7 @@
   /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
   private load(now: MonotonicTime): Load {
     if (this.lately === null || now > addMs(this.lately.at, LOAD_EVERY_MS))
-      this.lately = { at: now, load: loadOf(this.host.part, now) }
+      this.lately = { at: now, load: loadOf(this.host.shard, now) }
     return this.lately.load
   }
 
@@ -227,47 +227,50 @@
     now: MonotonicTime,
   ): void {
     if (decided.unplaced.length === 0 && !needs.some((n) => n.pressing > 0)) return
-    const { part, lending, tell } = this.host
-    const views: ReadonlyArray<MachineView> = machineViews(part, now, this.reserve(), true)
-    preempt(part, decided, needs, share, lending.lentLately(now), views, now, tell)
+    const { shard, lending, commandsDue } = this.host
+    const views: ReadonlyArray<MachineView> = machineViews(shard, now, this.reserve(), true)
+    preempt(shard, decided, needs, share, lending.lentLately(now), views, now, commandsDue)
   }
 
   private hasMostMachines(): boolean {
-    const { machines, ctx } = this.host.part
+    const { machines, ctx } = this.host.shard
     const ours = machines.size
-    return ours > 1 && ctx.membership.parts.every((part) => ctx.machineIndex.size(part) <= ours)
+    return ours > 1 && ctx.membership.shards.every((shard) => ctx.machineIndex.size(shard) <= ours)
   }
   /** How much of the machines that could be lent to somebody is ours to lend. */
   private shareOfFleet(): number {
-    const { part, machines, ctx } = this.host.part
-    const all = part === DEADLINE ? ctx.machineIndex.total : ctx.machineIndex.total - ctx.machineIndex.size(DEADLINE)
+    const { shard, machines, ctx } = this.host.shard
+    const all =
+      shard === DEADLINE_SHARD
+        ? ctx.machineIndex.total
+        : ctx.machineIndex.total - ctx.machineIndex.size(DEADLINE_SHARD)
     return all === 0 ? 1 : Math.min(1, machines.size / all)
   }
 
   private carryOut(decided: Plan, now: MonotonicTime): void {
-    const { part, rentals } = this.host
+    const { shard, rentals } = this.host
     for (const { job: id, machine } of decided.placements) {
-      const job = part.jobs.get(id)
+      const job = shard.jobs.get(id)
       if (job !== undefined) this.place(job, machine, now)
     }
-    for (const [machine, holder] of decided.holders) {
-      const tenancy = part.tenancies.get(machine)
-      if (tenancy !== undefined) tenancy.holder = holder
+    for (const [machine, assignedJob] of decided.assignedJobs) {
+      const assignment = shard.assignments.get(machine)
+      if (assignment !== undefined) assignment.assignedJob = assignedJob
     }
-    for (const hire of decided.hires) rentals().hire(hire)
+    for (const rental of decided.rentals) rentals().rental(rental)
     this.workWaits = decided.unplaced.length > 0
     this.idle = decided.idle
     this.heldBack = decided.heldBack
     this.unusedCores = decided.unusedCores
-    if (!decided.steadyWanted) return
-    this.steadyWantedAt = now
-    for (const tenancy of part.tenancies.values()) tenancy.closing = false
+    if (!decided.onDemandNeeded) return
+    this.onDemandNeededAt = now
+    for (const assignment of shard.assignments.values()) assignment.closing = false
   }
 
   /** Places the job's next queued task. */
   private place(job: JobState, machine: MachineId, now: MonotonicTime): void {
-    const { part, epoch, registry } = this.host
-    const session = part.machines.get(machine)
+    const { shard, epoch, registry } = this.host
+    const session = shard.machines.get(machine)
     if (session === undefined || session.agentEpoch === null) return
     const index = job.nextQueued()
     if (index === null) return
@@ -297,21 +300,21 @@
   private logStatus(now: MonotonicTime): void {
     if (now < addMs(this.statusAt, STATUS_EVERY_MS)) return
     this.statusAt = now
-    const { part, registry } = this.host
+    const { shard, registry } = this.host
     const states: Record<string, number> = {}
     let free = 0
     let cores = 0
-    for (const view of machineViews(part, now, this.reserve(), true)) {
+    for (const view of machineViews(shard, now, this.reserve(), true)) {
       states[view.state] = (states[view.state] ?? 0) + 1
       if (view.state !== "up") continue
       free += view.free.cores
       cores += view.type.cores
     }
     let queued = 0
-    for (const job of part.jobs.values()) queued += job.cancelled ? 0 : job.queued
-    part.ctx.log.debug("part status", {
-      part: part.part,
-      jobs: part.jobs.size,
+    for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queued
+    shard.ctx.log.debug("part status", {
+      shard: shard.shard,
+      jobs: shard.jobs.size,
       queued,
       ...states,
       free,
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -11,13 +11,13 @@
   type OutgoingResponse,
   type Respond,
 } from "@sorreltally/protocol"
-import type { BlockWriter } from "@sorreltally/provisioning"
+import type { MachineRecordWriter } from "@sorreltally/provisioning"
 import { cancellationBudget } from "@sorreltally/settings"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { HeldReports } from "./deferred-replies.ts"
+import { DeferredReplies } from "./deferred-replies.ts"
 import type { JobRegistry } from "./job-registry.ts"
-import type { EngineContext } from "./shard-context.ts"
+import type { NodeContext } from "./shard-context.ts"
 
 const CALL_TIMEOUT_MS = 3_000
 const COMMANDS_BACKOFF_MS = 4_000
@@ -26,15 +26,15 @@
 const NOT_OURS: OutgoingResponse = { status: 503, body: {} }
 
 /** What the exchange with the workers needs of its part. */
-export interface WorkerExchangeHost {
-  readonly ctx: EngineContext
+export interface WorkerCommunicationHost {
+  readonly ctx: NodeContext
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly registry: JobRegistry
-  readonly blocks: BlockWriter
+  readonly blocks: MachineRecordWriter
   readonly failures: FailureTracker
   /** The part's state is read, and its owner may act for it. */
   readonly mayAct: () => boolean
-  readonly isEntitled: () => boolean
+  readonly holdsLease: () => boolean
   readonly isOver: () => boolean
   /** The last plan left work without room. */
   readonly workWaits: () => boolean
@@ -42,22 +42,22 @@
 }
 
 /** One part's talk with its workers: reports and their answers, and commands sent to their own addresses. */
-export class WorkerExchange {
+export class WorkerCommunication {
   private readonly inspecting = new Set<MachineId>()
   /** Machines that have something to be told before their next report. */
-  private readonly toTell = new Set<WorkerSession>()
+  private readonly awaitingCommands = new Set<WorkerSession>()
   /** Some of them wait for others' commands to be answered. */
   private mustWait = false
-  private readonly held: HeldReports
+  private readonly deferred: DeferredReplies
   private roomChanges = 0
   /** After this long from a cancellation, a lease that is renewed may outlast `cancel_s`. */
   private readonly renewableMs: number
 
-  constructor(private readonly of: WorkerExchangeHost) {
+  constructor(private readonly of: WorkerCommunicationHost) {
     const { time, platform, operators } = of.ctx
     const budget = cancellationBudget(platform.facts.workers, operators.membership)
     this.renewableMs = Math.max(0, budget.cancelMs - budget.worstCaseMs)
-    this.held = new HeldReports(time.monotonicNow, (session) => this.answer(session))
+    this.deferred = new DeferredReplies(time.monotonicNow, (session) => this.answer(session))
   }
 
   /**
@@ -73,9 +73,9 @@
     if (session === null) return answer(NOT_OURS)
     session.via = via
     // Its worker gave that one up.
-    this.held.letGo(session, NOT_OURS)
+    this.deferred.letGo(session, NOT_OURS)
     if (this.roomChanges === before || !this.of.workWaits()) return answer(this.answer(session))
-    this.held.hold(session, answer)
+    this.deferred.hold(session, answer)
   }
 
   /** Takes a report in; null when we may not act for its machine, or it is a late copy. */
@@ -106,7 +106,7 @@
     }
     const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
     session.answering(commands, now)
-    this.toTell.delete(session)
+    this.awaitingCommands.delete(session)
     this.afterBody(session)
     const reply = encodeHeartbeatReply({ fencingToken: session.token, commands })
     return { status: 200, body: reply }
@@ -176,7 +176,7 @@
         job.began(placement, now)
         this.of.ctx.log.debug("task runs", {
           task: placement.task,
-          lane: job.request.jobClass,
+          jobClass: job.request.jobClass,
           machine: session.id,
           waitedS: (this.of.ctx.time.wallNow() - job.submitted) / 1000,
           fetchedS: (now - placement.placedAt) / 1000,
@@ -228,48 +228,48 @@
 
   /** Sends what can't wait for the next report straight to the workers. */
   pushCommands(): void {
-    if (!this.of.isEntitled()) return
+    if (!this.of.holdsLease()) return
     const now = this.of.ctx.time.monotonicNow()
-    for (const session of this.toTell) {
+    for (const session of this.awaitingCommands) {
       // Whoever has to wait is told with the next answer, or when a command has been answered.
       this.mustWait = this.of.ctx.commands.full
       if (this.mustWait) return
-      if (this.held.has(session)) {
-        this.held.answerNow(session)
+      if (this.deferred.has(session)) {
+        this.deferred.answerNow(session)
         continue
       }
       if (session.commandsInFlight || session.address === null || session.agentEpoch === null) continue
-      this.toTell.delete(session)
+      this.awaitingCommands.delete(session)
       if (now >= session.commandsPausedUntil) this.of.ctx.fork(this.sendCommands(session))
     }
   }
   /** The machine has something to be told before its next report. */
-  tell(machine: MachineId): void {
+  commandsDue(machine: MachineId): void {
     const session = this.of.machines.get(machine)
-    if (session !== undefined) this.toTell.add(session)
+    if (session !== undefined) this.awaitingCommands.add(session)
   }
   /** The machine isn't ours any more. */
   drop(session: WorkerSession): void {
-    this.toTell.delete(session)
+    this.awaitingCommands.delete(session)
   }
   /** Answers held reports that wait for nothing any more, or for long enough. */
   answerReady(): void {
-    this.held.answerReady()
+    this.deferred.answerReady()
   }
   stop(): void {
-    this.held.letAllGo(NOT_OURS)
+    this.deferred.letAllGo(NOT_OURS)
   }
 
   private sendCommands(session: WorkerSession) {
     return Effect.suspend(() => {
       const now = this.of.ctx.time.monotonicNow()
-      const { address, agentEpoch: agentEpoch, token } = session
-      if (session.commandsInFlight || address === null || agentEpoch === null || !this.of.isEntitled())
+      const { address, agentEpoch, token } = session
+      if (session.commandsInFlight || address === null || agentEpoch === null || !this.of.holdsLease())
         return Effect.void
       const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.sending(commands, now)
-      const batch = { fencingToken: token, agentEpoch: agentEpoch, commands }
+      const batch = { fencingToken: token, agentEpoch, commands }
       return Effect.map(this.of.ctx.commandForwarder.send(address, batch, session.via), (outcome) => {
         const sure = outcome.status === 200 || outcome.status === 409 || outcome.status === NOT_SENT
         session.sent(commands, token, sure)
@@ -287,6 +287,6 @@
     const outcomes = session.observe(heartbeat, "direct", now)
     if (outcomes !== null) this.apply(session, outcomes)
     this.afterBody(session)
-    if (this.mustWait || this.toTell.has(session)) this.pushCommands()
+    if (this.mustWait || this.awaitingCommands.has(session)) this.pushCommands()
   }
 }
--- a/packages/shard/test/draining.test.ts
+++ b/packages/shard/test/draining.test.ts
@@ -15,7 +15,7 @@
   images: new Set(),
   reserved: false,
   state: "up",
-  holder: null,
+  assignedJob: null,
   ...more,
 })
 const need = (shard: string, rank: number): MachineDemand =>
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -6,7 +6,7 @@
 import type { Team } from "@sorreltally/settings"
 import { type JobRecord, keys } from "@sorreltally/store"
 import { quotaNeeds, shareNeed, teamClaims } from "../src/quota-demand.ts"
-import type { PartView } from "../src/shard-context.ts"
+import type { ShardView } from "../src/shard-context.ts"
 
 const red = "red" as TeamName
 const NOW = 1_000_000
@@ -27,49 +27,49 @@
 }
 const team = { name: red, cpus: 50, cpus_max: 320, gpus: 0, gpus_max: 0 } as unknown as Team
 const teams = [team]
-const part = (...jobs: ReadonlyArray<JobState>): PartView =>
+const shard = (...jobs: ReadonlyArray<JobState>): ShardView =>
   ({
-    part: "part-0",
+    shard: "part-0",
     jobs: new Map(jobs.map((j) => [j.id, j])),
     failures: new FailureTracker(),
     ctx: { time: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { facts: { teams } } },
-  }) as unknown as PartView
+  }) as unknown as ShardView
 const asks = (rank: number): QuotaDemand => ({ shard: "deadline" as ShardName, team: red, rank, since: 0 })
 const use = { cores: 20, accelerators: 0 }
 
 test("what a part wants of a limit is what its tasks use and what machines have room for", () => {
-  const need = shareNeed(part(job(1, 10)), team, use, [], 30)
+  const need = shareNeed(shard(job(1, 10)), team, use, [], 30)
   assert.deepEqual([need.used.cpus, need.wanted.cpus, need.asked], [20, 48, "no"])
   assert.deepEqual(need.smallestTask, { cpus: 4, gpus: 0 })
   // No machine has room: quota would only lie idle.
-  assert.deepEqual(shareNeed(part(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
+  assert.deepEqual(shareNeed(shard(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
 })
 
 test("the more urgent part goes first, and so does the one whose work waits longer", () => {
-  const mine = part(job(1, 10, { priority: "standard" }))
+  const mine = shard(job(1, 10, { priority: "standard" }))
   assert.equal(shareNeed(mine, team, use, [asks(0)], 30).asked, "after")
   assert.equal(shareNeed(mine, team, use, [asks(3)], 30).asked, "first")
 })
 
 // Guards against work of low rank that never begins while other parts have more urgent work than the limit holds.
 test("of a job that waited too long a few tasks go before more urgent work of other parts", () => {
-  const need = shareNeed(part(job(1, 200)), team, use, [asks(3)], 400)
+  const need = shareNeed(shard(job(1, 200)), team, use, [asks(3)], 400)
   // A twentieth of 40 tasks of 4 cores.
   assert.deepEqual([need.wanted.cpus, need.asked], [28, "after"])
-  assert.equal(shareNeed(part(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
-  assert.equal(shareNeed(part(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
+  assert.equal(shareNeed(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
+  assert.equal(shareNeed(shard(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
 })
 
 test("what a part counts on of a limit is told in steps", () => {
   const claimed = (cores: number) =>
-    teamClaims(part(), new Map([[red, use]]), new Map([[red, { cores, accelerators: 0 }]]))[0]?.cpus
+    teamClaims(shard(), new Map([[red, use]]), new Map([[red, { cores, accelerators: 0 }]]))[0]?.cpus
   // Steps of 10 cores, a 32nd of the limit.
   assert.deepEqual([0, 1, 10, 11, 999].map(claimed), [20, 30, 30, 40, 320])
 })
 
 // Guards against a remainder of a limit that nobody uses: it is kept for tasks which it can't start.
 test("quota is neither asked for nor held for tasks that no other part's quota could make room for", () => {
-  const large = part(job(1, 200, { cores: 8 }))
+  const large = shard(job(1, 200, { cores: 8 }))
   const limit = new Map([[red, { cores: 315, accelerators: 0 }]])
   // 315 of 320 cores are used by this part itself.
   const need = shareNeed(large, team, { cores: 315, accelerators: 0 }, [asks(0)], 400)
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -8,14 +8,26 @@
   HttpClient,
   type HttpResponse,
   type LeaseId,
-  type ModRevision,
   type NoResponseError,
   processClocks,
   type Revision,
 } from "@sorreltally/protocol"
 import { type RequestPriority, SharedRateLimit } from "@sorreltally/rate-limit"
 import { Data, Effect } from "effect"
-import { decodeRecord, encodeRecord, type StoreKey } from "./records.ts"
+import {
+  decodeChange,
+  decodeEntry,
+  encodeCondition,
+  encodeOperation,
+  type WireCompareAndSwap,
+  type WireConflict,
+  type WireEntry,
+  type WireLease,
+  type WireNews,
+  type WirePage,
+} from "./codec.ts"
+import type { CompareAndSwapResult, Condition, Entry, Operation, WatchResult } from "./model.ts"
+import type { StoreKey } from "./records.ts"
 
 /** What was asked of the store. */
 export type StoreOperation =
@@ -36,46 +48,6 @@
   readonly status: number
 }> {}
 
-/** A record, its key, and the revision that wrote it. */
-export interface Entry<A = unknown> {
-  readonly key: string
-  readonly value: A
-  readonly modRevision: ModRevision
-}
-/** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
-export interface Condition {
-  readonly key: string
-  readonly modRevision: ModRevision
-}
-/** A change of one key. A record put without a lease stays until it is deleted. */
-export type Operation =
-  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly leaseId?: LeaseId }
-  | { readonly kind: "delete"; readonly key: string }
-
-/** Writes a record under its key. */
-export const put = <A>(
-  key: StoreKey<A>,
-  value: A,
-  leaseId?: LeaseId,
-): Operation & { readonly kind: "put" } =>
-  leaseId === undefined ? { kind: "put", key, value } : { kind: "put", key, value, leaseId }
-/** Deletes a key. */
-export const remove = (key: string): Operation => ({ kind: "delete", key })
-
-/** Not `ok`: some conditions did not hold, and nothing was changed. */
-export type CompareAndSwapResult =
-  | { readonly ok: true; readonly revision: ModRevision }
-  | { readonly ok: false; readonly failedKeys: ReadonlyArray<string> }
-
-/** `compacted`: the store no longer knows all changes since then; the keys have to be listed again. */
-export type WatchResult =
-  | { readonly kind: "events"; readonly revision: Revision; readonly events: ReadonlyArray<WatchEvent> }
-  | { readonly kind: "compacted" }
-/** One change of a watched key; the value of a deleted key means nothing. */
-export interface WatchEvent extends Entry {
-  readonly deleted: boolean
-}
-
 /** Limits of the store for all controllers together. */
 export interface StoreLimits {
   readonly writesPerSecond: number
@@ -103,7 +75,7 @@
   ) => Effect.Effect<CompareAndSwapResult, StoreError>
   /** Waits for capacity for that many operations, which are then sent as "reserved", with what is ready by then. */
   readonly awaitWriteCapacity: (operations: number, priority: RequestPriority) => Effect.Effect<void>
-  readonly grantLease: (ttlMs: number) => Effect.Effect<LeaseId, StoreError>
+  readonly createLease: (ttlMs: number) => Effect.Effect<LeaseId, StoreError>
   /** False: the lease has expired. */
   readonly keepAlive: (lease: LeaseId, timeoutMs: number) => Effect.Effect<boolean, StoreError>
   /** Succeeds as well when the lease has expired before. */
@@ -124,46 +96,6 @@
   readonly writeLoad: () => number
 }
 
-interface WireEntry {
-  readonly path: string
-  readonly v: unknown
-  readonly stamp: ModRevision
-}
-interface WirePage {
-  readonly items: ReadonlyArray<WireEntry>
-  readonly more: boolean
-  readonly epoch: Revision
-}
-interface WireChange {
-  readonly set?: string
-  readonly delete?: string
-  readonly v?: unknown
-  readonly stamp: ModRevision
-}
-interface WireNews {
-  readonly epoch: Revision
-  readonly news: ReadonlyArray<WireChange>
-}
-
-const decodeEntry = ({ path, v, stamp }: WireEntry): Entry => ({
-  key: path,
-  value: decodeRecord(path, v),
-  modRevision: stamp,
-})
-const decodeChange = (change: WireChange): WatchEvent => {
-  const { stamp: modRevision } = change
-  if (change.delete !== undefined) return { key: change.delete, value: null, modRevision, deleted: true }
-  const key = change.set!
-  return { key, value: decodeRecord(key, change.v), modRevision, deleted: false }
-}
-const encodeCondition = ({ key, modRevision }: Condition) => ({ path: key, stamp: modRevision })
-const encodeOperation = (operation: Operation) => {
-  if (operation.kind === "delete") return { delete: operation.key }
-  const { key, value, leaseId } = operation
-  const encoded = { set: key, v: encodeRecord(key, value) }
-  return leaseId === undefined ? encoded : { ...encoded, permit: leaseId }
-}
-
 const REQUEST_TIMEOUT_MS = 1_500
 const LIST_TIMEOUT_MS = 5_000
 const LIST_PAGE_ITEMS = 1_000
@@ -242,9 +174,9 @@
             yield* rateLimit.acquire(operations.length, priority === "reserved" ? 2 : priority)
           const response = yield* call("compareAndSwap", "POST", "/multi", body, timeoutMs)
           if (response.status === 200)
-            return { ok: true, revision: (response.body as { epoch: ModRevision }).epoch } as const
+            return { ok: true, revision: (response.body as WireCompareAndSwap).epoch } as const
           if (response.status === 409)
-            return { ok: false, failedKeys: (response.body as { failed: Array<string> }).failed } as const
+            return { ok: false, failedKeys: (response.body as WireConflict).failed } as const
           if (response.status !== 429) return yield* refused("compareAndSwap", response)
           // Over the rate at this moment, and surely not carried out: it waits for capacity again.
           rateLimit.rejected()
@@ -253,10 +185,10 @@
         }
       })
 
-    const grantLease: StoreClient["grantLease"] = (ttlMs) =>
+    const createLease: StoreClient["createLease"] = (ttlMs) =>
       Effect.flatMap(call("grantLease", "POST", "/grants", { ttl_ms: ttlMs }), (response) =>
         response.status === 200
-          ? Effect.succeed((response.body as { permit: LeaseId }).permit)
+          ? Effect.succeed((response.body as WireLease).permit)
           : refused("grantLease", response),
       )
 
@@ -289,7 +221,7 @@
       list,
       compareAndSwap,
       awaitWriteCapacity: (operations, priority) => rateLimit.acquire(operations, priority),
-      grantLease,
+      createLease,
       keepAlive,
       revokeLease,
       watch,
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,2 +1,3 @@
 export * from "./client.ts"
+export * from "./model.ts"
 export * from "./records.ts"
--- a/packages/testkit/src/membership-troubles.ts
+++ b/packages/testkit/src/membership-troubles.ts
@@ -1,4 +1,4 @@
-import { DEADLINE, shardOf } from "@sorreltally/membership"
+import { DEADLINE_SHARD, shardOf } from "@sorreltally/membership"
 import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
 import type { Deployment } from "./deployment.ts"
 
@@ -58,7 +58,7 @@
   }
   /** The controller that owns the leader's part by the record; the first one if none does. */
   leader(): NodeName {
-    const record = this.world.state.keys.get(`s/part/${DEADLINE}`)?.v as PartOnRecord | undefined
+    const record = this.world.state.keys.get(`s/part/${DEADLINE_SHARD}`)?.v as PartOnRecord | undefined
     return record?.owner ?? this.world.names[0]!
   }
   /** The leader of the moment ends, again and again. */
@@ -94,7 +94,7 @@
       this.count.handBacks++
     } else {
       this.count.takeOvers++
-      if (part === DEADLINE) this.leaderChanged()
+      if (part === DEADLINE_SHARD) this.leaderChanged()
       if (former.incarnation === record.incarnation) this.count.retaken++
     }
     const { perChange, until } = this.cancelAtHandOvers
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -10,8 +10,8 @@
   EMPTY_PAGE,
   foldEnds,
   JobState,
-  PlacementLedger,
   type Placement,
+  PlacementLedger,
 } from "@sorreltally/jobs"
 import { decodeMessage, encodeMessage, type Links, makePeerChannel } from "@sorreltally/peers"
 import {
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -23,7 +23,7 @@
   readonly id: MachineId
   /** The record that it stands in. */
   readonly block: StoreKey<MachineBlock>
-  readonly part: ShardName
+  readonly shard: ShardName
   /** Every command to it carries at least this token. */
   readonly token: FencingToken
   readonly machineType: MachineTypeName
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -75,7 +75,7 @@
   }
 
   inAnswer(task: TaskId, attempt: Attempt, sequence: SequenceNumber, now: MonotonicTime): void {
-    this.inAnswers.set(keyOf(task, attempt), { sequence: sequence, at: now })
+    this.inAnswers.set(keyOf(task, attempt), { sequence, at: now })
   }
   /** Answers that the worker has taken or dropped by now. */
   dropOldAnswers(now: MonotonicTime): void {
@@ -116,7 +116,11 @@
     return this.unansweredToken === token || this.inFlight.has(keyOf(task, attempt))
   }
   /** No start of this attempt can still take effect, as far as the evidence goes. */
-  isSettled(task: TaskId, attempt: Attempt, { token, confirmed, sequence: sequence, isReport, now }: Evidence): boolean {
+  isSettled(
+    task: TaskId,
+    attempt: Attempt,
+    { token, confirmed, sequence, isReport, now }: Evidence,
+  ): boolean {
     const key = keyOf(task, attempt)
     if (!confirmed || this.unansweredToken === token) return false
     // Guards against a start that is still on its way when a report without the task arrives.
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -93,7 +93,7 @@
     // A former owner may have answered a report just before we took over.
     this.lastAnswered = now
     const { cores, accelerators, memGb } = type
-    this.free = { cores, accelerators, memGb: memGb }
+    this.free = { cores, accelerators, memGb }
     this.cache = new ImageCache(type.cacheGb)
   }
 
@@ -260,7 +260,8 @@
     now: MonotonicTime,
   ): boolean {
     const below =
-      body.agentEpoch < since.agentEpoch || (body.agentEpoch === since.agentEpoch && body.sequence < since.sequence)
+      body.agentEpoch < since.agentEpoch ||
+      (body.agentEpoch === since.agentEpoch && body.sequence < since.sequence)
     if (!below) return false
     this.agentEpoch = body.agentEpoch
     this.minAgentEpoch = body.agentEpoch
@@ -285,11 +286,11 @@
     source: "heartbeat" | "direct",
     now: MonotonicTime,
   ): boolean {
-    const { token, confirmed, sequence: sequence } = this
+    const { token, confirmed, sequence } = this
     return this.starts.isSettled(task, attempt, {
       token,
       confirmed,
-      sequence: sequence,
+      sequence,
       isReport: source === "heartbeat",
       now,
     })
@@ -371,11 +372,11 @@
   /** What the machine's next owner wants to know, to use it before its next report. */
   handoff(now: MonotonicTime): MachineHandoff | null {
     if (this.agentEpoch === null || this.address === null || this.unreachableSince !== null) return null
-    const { address, agentEpoch: agentEpoch, sequence: sequence } = this
+    const { address, agentEpoch, sequence } = this
     return {
       address,
-      agentEpoch: agentEpoch,
-      sequence: sequence,
+      agentEpoch,
+      sequence,
       silentMs: this.silentMs(now),
       images: [...this.images],
     }
@@ -393,12 +394,12 @@
 
   /** What the worker should be told now, given what it last said. */
   commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
-    const { agentEpoch: agentEpoch, reportedTasks: reportedTasks, placements } = this
+    const { agentEpoch, reportedTasks, placements } = this
     if (agentEpoch === null) return []
     this.unforgettable = 0
     const mayPurge = (task: ReportedTask) =>
       (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, now)
-    return commandsFor({ agentEpoch: agentEpoch, tasks: reportedTasks, placements, mayPurge, now })
+    return commandsFor({ agentEpoch, tasks: reportedTasks, placements, mayPurge, now })
   }
   /** Forgetting too early would let a late start, or a copy of one, run the task once more. */
   private mayPurge({ taskId, attempt }: ReportedTask, now: MonotonicTime): boolean {
@@ -416,9 +417,12 @@
    */
   cancelledStartMayCome(): MonotonicTime | null {
     let since: MonotonicTime | null = null
-    for (const { job, stop, agentEpoch: agentEpoch, task, attempt } of this.placements.values()) {
+    for (const { job, stop, agentEpoch, task, attempt } of this.placements.values()) {
       if (!job.cancelled || stop === null || agentEpoch !== this.agentEpoch) continue
-      if (this.starts.mayBeUnderWay(task, attempt, this.token) && this.reportedTasks.get(task)?.attempt !== attempt)
+      if (
+        this.starts.mayBeUnderWay(task, attempt, this.token) &&
+        this.reportedTasks.get(task)?.attempt !== attempt
+      )
         since = since === null ? stop.since : (Math.min(since, stop.since) as MonotonicTime)
     }
     return since
--- a/packages/workers/test/commands.test.ts
+++ b/packages/workers/test/commands.test.ts
@@ -54,6 +54,6 @@
 
 test("a machine's report stays within a body with as many exited tasks as placed ones", () => {
   const piece = { piece: taskId(99_999), try: LARGEST_ATTEMPT, status: "exited", cause: "done", stored: true }
-  const pieces = Array.from({ length: 2 * MAX_TASKS_ON_MACHINE }, () => piece)
-  assert.ok(JSON.stringify(pieces).length < BODY_LIMIT)
+  const tasks = Array.from({ length: 2 * MAX_TASKS_ON_MACHINE }, () => piece)
+  assert.ok(JSON.stringify(tasks).length < BODY_LIMIT)
 })
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -69,21 +69,21 @@
     index: 0,
     task: "run-000001/0" as TaskId,
     machine: on.id,
-    tenure: on.agentEpoch!,
+    agentEpoch: on.agentEpoch!,
     attempt: 9,
     durable: true,
     inherited: false,
     stop: null,
     placedAt: at(0),
     runningSince: null,
-    unheard: 0,
+    unacknowledgedStarts: 0,
   } as unknown as Placement
   job.place(placement)
   on.hold(placement)
   return placement
 }
 const stop = (placement: Placement) => {
-  placement.stop = { why: "withdrawn", leewayS: 0, since: at(1) }
+  placement.stop = { why: "cancelled", leewayS: 0, since: at(1) }
 }
 const durable = () => true
 
