--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -57,7 +57,7 @@
     private readonly platform: Platform,
     private readonly operators: Operators,
     private readonly backend: ApiBackend,
-    private readonly time: Clocks,
+    private readonly clocks: Clocks,
   ) {
     const { admission } = operators
     this.limiter = new Limiter({ least: admission["least-in-progress"], most: admission["most-in-progress"] })
@@ -113,7 +113,7 @@
     withinMs: number,
   ): Effect.Effect<OutgoingResponse> {
     return Effect.suspend(() => {
-      const leave = this.limiter.enter(this.time.monotonicNow())
+      const leave = this.limiter.enter(this.clocks.monotonicNow())
       if (leave === null) return Effect.succeed(this.later(429, "too many requests in progress"))
       return work.pipe(
         Effect.timeoutOption(withinMs),
@@ -121,7 +121,7 @@
         Effect.catchTag("StoreError", () =>
           Effect.succeed(this.later(503, "the state service can't be used now")),
         ),
-        Effect.ensuring(Effect.sync(() => leave(this.time.monotonicNow()))),
+        Effect.ensuring(Effect.sync(() => leave(this.clocks.monotonicNow()))),
       )
     })
   }
@@ -143,7 +143,7 @@
         if (found.kind !== "none") return this.view(request.id, found)
         return refusal
       }
-      const record: JobRecord = { spec: request, submittedAt: this.time.wallNow(), cancelled: false }
+      const record: JobRecord = { spec: request, submittedAt: this.clocks.wallNow(), cancelled: false }
       const found = yield* this.backend.jobs.accept(record)
       if (found.kind === "accepted")
         return { status: 201, body: encodeJobView({ id: request.id, status: "queued" }) }
@@ -154,10 +154,10 @@
 
   /** Null: the job can run. */
   private refusal(request: JobSpec): OutgoingResponse | null {
-    const { teams, zones } = this.platform.facts
+    const { teams, zones } = this.platform.deployment
     const team = teams.find((t) => t.name === request.team)
     if (team === undefined) return never(`unknown team ${request.team}`)
-    if (request.cores > team.cpus_max || request.accelerators > team.gpus_max) {
+    if (request.cores > team.maxCpus || request.accelerators > team.maxGpus) {
       return never(`a task needs more than the limit of team ${team.name}`)
     }
     const catalog = this.backend.catalog()
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -66,10 +66,9 @@
       }),
   }
   const platform = {
-    facts: {
+    deployment: {
       zones: ["a"],
-      teams: [{ name: "vision", cpus: 16, cpus_max: 32, gpus: 0, gpus_max: 0 }],
-      state: { value_kb: 4 },
+      teams: [{ name: "vision", cpus: 16, maxCpus: 32, gpus: 0, maxGpus: 0 }],
     },
   } as unknown as Platform
   const type = { name: "g8", cores: 16, accelerators: 0, memGb: 64, zones: ["a"] } as unknown as MachineType
--- a/packages/cloud/src/client.ts
+++ b/packages/cloud/src/client.ts
@@ -61,7 +61,7 @@
 /** A client that shares the cloud's rate limit with `nodes` controllers. */
 export const makeCloudClient = (
   address: Address,
-  limits: { readonly rps: number },
+  limits: { readonly requestsPerSecond: number },
   nodes: number,
 ): Effect.Effect<CloudClient, never, HttpClient> =>
   Effect.gen(function* () {
@@ -69,9 +69,9 @@
     const clocks = yield* processClocks
     // The cloud allows bursts worth two seconds: one of them is for the other nodes.
     const rateLimit = new SharedRateLimit({
-      limit: limits.rps,
+      limit: limits.requestsPerSecond,
       nodes,
-      burst: limits.rps,
+      burst: limits.requestsPerSecond,
       now: clocks.monotonicNow,
     })
     const send = (operation: CloudOperation, method: "GET" | "POST", path: string, body?: unknown) =>
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -54,7 +54,7 @@
 /** One controller: its parts' engines, and what they share. */
 export class Controller {
   readonly membership: Membership
-  readonly fleet: CloudInventory
+  readonly inventory: CloudInventory
   private readonly machineIndex: MachineIndex
   private readonly jobIndex: JobIndex
   /** Accepts, finds and cancels jobs. */
@@ -78,11 +78,11 @@
     private readonly platform: Platform,
     private readonly operators: Operators,
     private readonly nodes: ReadonlyArray<NodeName>,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly cloud: CloudClient,
-    private readonly exchange: HttpClient["Service"],
+    private readonly httpClient: HttpClient["Service"],
     private readonly peers: PeerChannel,
-    private readonly time: Clocks,
+    private readonly clocks: Clocks,
     private readonly log: Log,
     private readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>,
   ) {
@@ -95,61 +95,64 @@
     this.commands = new InFlight(sizesOf(platform).commands)
     this.membership = new Membership(
       {
-        self: platform.node_name,
+        self: platform.nodeName,
         nodes,
-        ...cancellationBudget(platform.facts.workers, operators.membership),
-        stateRps: platform.facts.state.rps,
+        ...cancellationBudget(platform.deployment.workers, operators.membership),
+        stateRps: platform.deployment.store.requestsPerSecond,
       },
-      state,
+      store,
       host,
-      time.monotonicNow,
+      clocks.monotonicNow,
       log,
       fork,
     )
     this.machineIndex = new MachineIndex(this.membership.replica)
-    const { time_bound_ms, machine_limits, workers } = platform.facts
+    const { clockSkewMs: timeBoundMs, machineLimits, workers } = platform.deployment
     this.heartbeatForwarder = new HeartbeatForwarder({
       peers,
-      clocks: time,
-      clockSkewMs: time_bound_ms,
+      clocks,
+      clockSkewMs: timeBoundMs,
       fork,
     })
     this.commandForwarder = new CommandForwarder({
       peers,
-      httpClient: exchange,
+      httpClient,
       inFlight: this.commands,
-      clocks: time,
-      clockSkewMs: time_bound_ms,
+      clocks,
+      clockSkewMs: timeBoundMs,
       fork,
     })
-    this.loads = new NodeLoads(peers, time, state, () => this.load())
-    this.heartbeatBalancer = new HeartbeatBalancer(time, machine_limits.cores, workers.report_s, () =>
-      this.loads.takers(),
+    this.loads = new NodeLoads(peers, clocks, store, () => this.load())
+    this.heartbeatBalancer = new HeartbeatBalancer(
+      clocks,
+      machineLimits.cores,
+      workers.heartbeatIntervalS,
+      () => this.loads.takers(),
     )
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
       this.heartbeatForwarder.forget(id)
       this.heartbeatBalancer.forget(id)
     })
-    this.demandRegistry = new DemandRegistry(time)
+    this.demandRegistry = new DemandRegistry(clocks)
     this.progress = new JobProgress(peers, () => this.ownCounts())
     this.jobIndex = new JobIndex(this.membership.replica)
     this.jobIndex.listen((id, job) => {
       if (job === null) this.progress.forget(id)
     })
-    this.jobStore = new JobStore(state, this.membership, this.jobIndex, {
+    this.jobStore = new JobStore(store, this.membership, this.jobIndex, {
       changed: (entry, request) => this.jobChanged(entry, request),
       remembered: (id) => this.progress.finalStatus(id),
       remember: (id, status) => this.progress.remember(id, status),
       shardOf: (request) => this.shardOfJob(request),
     })
-    this.fleet = new CloudInventory(
+    this.inventory = new CloudInventory(
       cloud,
-      state,
+      store,
       this.membership.replica,
-      time.monotonicNow,
+      clocks.monotonicNow,
       operators.provisioning["refusal-memory-s"],
-      platform.facts.cloud.rps,
+      platform.deployment.cloud.requestsPerSecond,
       () => this.lists(),
       (list) => this.shareList(list),
     )
@@ -159,7 +162,7 @@
     Effect.all(
       [
         this.membership.run,
-        this.fleet.run,
+        this.inventory.run,
         this.publishDemand(),
         this.progress.publish,
         this.peers.serve((message, from) => this.receive(message, from)),
@@ -174,16 +177,16 @@
       platform: this.platform,
       operators: this.operators,
       nodes: this.nodes.length,
-      state: this.state,
+      store: this.store,
       cloud: this.cloud,
-      exchange: this.exchange,
-      commands: this.commands,
+      httpClient: this.httpClient,
+      commandsInFlight: this.commands,
       commandForwarder: this.commandForwarder,
       membership: this.membership,
-      fleet: this.fleet,
+      inventory: this.inventory,
       machineIndex: this.machineIndex,
       estimates: this.estimates,
-      time: this.time,
+      clocks: this.clocks,
       log: this.log,
       demandRegistry: (except) => this.demandRegistry.ofOthers(except),
       publish: (of, demandRegistry) => this.publish(of, demandRegistry),
@@ -192,7 +195,7 @@
       ended: (ends) => this.progress.ended(ends),
       foldJobs: (page) => this.jobStore.fold(page),
       nextRentalRequestId: () =>
-        `${this.membership.incarnation() ?? this.platform.node_name}-${++this.rentalCount}` as RentalRequestId,
+        `${this.membership.incarnation() ?? this.platform.nodeName}-${++this.rentalCount}` as RentalRequestId,
       fork: this.fork,
     }
     const engine = new ShardController(shard, epoch, context)
@@ -222,7 +225,7 @@
   /** The leader lists for all; without a word from it, every node that has machines does. */
   private lists(): boolean {
     if (this.engines.has(DEADLINE_SHARD)) return true
-    const waited = this.time.monotonicNow() > addMs(this.fleet.listedAt, LISTS_ITSELF_MS)
+    const waited = this.clocks.monotonicNow() > addMs(this.inventory.listedAt, LISTS_ITSELF_MS)
     return waited && [...this.engines.values()].some(({ engine }) => engine.machines.size > 0)
   }
   private shareList(list: ReadonlyArray<ListedMachine>): void {
@@ -282,17 +285,17 @@
   // --- workers --------------------------------------------------------------
 
   /** Answers a worker that reports to this node, at once or as soon as there is something to say. */
-  report(body: Heartbeat, answer: Respond): void {
+  receiveHeartbeat(body: Heartbeat, answer: Respond): void {
     this.heartbeatBalancer.came()
     const shard = this.shardOfMachine(body.machineId)
     const own = this.engines.get(shard)
-    const { node_name } = this.platform
-    const owner = own === undefined ? this.membership.owner(shard) : node_name
-    if (owner === null || (owner === node_name && (own === undefined || !this.membership.holdsLease())))
+    const { nodeName } = this.platform
+    const owner = own === undefined ? this.membership.owner(shard) : nodeName
+    if (owner === null || (owner === nodeName && (own === undefined || !this.membership.holdsLease())))
       return answer(LATER)
     const elsewhere = this.reportsElsewhere(body, owner)
     if (elsewhere !== null) return answer({ status: 421, body: encodeRedirect(elsewhere) })
-    if (own !== undefined) return own.engine.report(body, null, answer)
+    if (own !== undefined) return own.engine.receiveHeartbeat(body, null, answer)
     // An owner that no node reaches may still be reached by its workers.
     if (!this.loads.sharesReports(owner) || !this.peers.reaches(owner))
       return this.heartbeatForwarder.redirect(body, owner, answer)
@@ -300,7 +303,7 @@
   }
   /** The node that this worker should report to instead, where an owner shares its workers' reports. */
   private reportsElsewhere({ machineId }: Heartbeat, owner: NodeName): NodeName | null {
-    if (owner === this.platform.node_name) return this.heartbeatBalancer.elsewhere(machineId)
+    if (owner === this.platform.nodeName) return this.heartbeatBalancer.elsewhere(machineId)
     return this.loads.sharesReports(owner) ? this.heartbeatBalancer.evener(machineId) : null
   }
   private load(): NodeLoad {
@@ -308,7 +311,7 @@
     for (const { engine } of this.engines.values()) machines += engine.machines.size
     return {
       healthy: this.well(),
-      writesPerSecond: this.state.writeRate(),
+      writesPerSecond: this.store.writeRate(),
       heartbeatsPerSecond: this.heartbeatBalancer.reportsPerSecond,
       sharesHeartbeats: this.heartbeatBalancer.owns(machines),
     }
@@ -332,7 +335,7 @@
         return this.commandForwarder.receivedResults(message)
       case "machineList":
         // It was asked for a moment ago; as the list itself lags by seconds, that is near enough.
-        return this.fleet.take(message.machines, this.time.monotonicNow())
+        return this.inventory.take(message.machines, this.clocks.monotonicNow())
       case "nodeLoad":
         return this.loads.received(from, message.load)
       case "jobChanged":
@@ -350,7 +353,7 @@
     const take = (heartbeat: Heartbeat, respond: Respond) => {
       const engine = engineOf(heartbeat.machineId)
       if (engine === undefined) respond(LATER)
-      else engine.report(heartbeat, from, respond)
+      else engine.receiveHeartbeat(heartbeat, from, respond)
     }
     const whole = (repeat: RepeatedHeartbeat) => engineOf(repeat.machineId)?.repeated(repeat) ?? null
     this.heartbeatForwarder.receivedHeartbeats(from, message, take, whole)
@@ -379,7 +382,7 @@
   // --- what the users' side needs --------------------------------------------
 
   catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
-    return this.fleet.catalog()
+    return this.inventory.catalog()
   }
 
   /** A job was accepted or cancelled: its owner should know before the watch tells it. */
@@ -387,7 +390,7 @@
     return Effect.sync(() => {
       this.membership.replica.hint(entry)
       const owner = this.membership.owner(this.shardOfJob(request))
-      if (owner !== null && owner !== this.platform.node_name)
+      if (owner !== null && owner !== this.platform.nodeName)
         this.peers.send({ kind: "jobChanged", page: entry }, owner)
     })
   }
@@ -404,14 +407,14 @@
   platform: Platform,
   operators: Operators,
   nodes: ReadonlyArray<NodeName>,
-  state: StoreClient,
+  store: StoreClient,
   cloud: CloudClient,
   peers: PeerChannel,
   log: Log,
 ): Effect.Effect<Controller, never, HttpClient> =>
   Effect.gen(function* () {
-    const exchange = yield* HttpClient
-    const time = yield* processClocks
+    const httpClient = yield* HttpClient
+    const clocks = yield* processClocks
     const context = yield* Effect.context<never>()
     const fork = (effect: Effect.Effect<unknown>) =>
       Effect.runForkWith(context)(
@@ -421,5 +424,5 @@
           }),
         ),
       )
-    return new Controller(platform, operators, nodes, state, cloud, exchange, peers, time, log, fork)
+    return new Controller(platform, operators, nodes, store, cloud, httpClient, peers, clocks, log, fork)
   })
--- a/packages/controller/src/demand-registry.ts
+++ b/packages/controller/src/demand-registry.ts
@@ -15,14 +15,14 @@
     { readonly demand: ShardDemand; readonly at: MonotonicTime }
   >()
 
-  constructor(private readonly time: Clocks) {}
+  constructor(private readonly clocks: Clocks) {}
 
   of(shard: ShardName): ShardDemand {
     return this.byShard.get(shard)?.demand ?? NO_DEMAND
   }
   /** All that the other parts told lately. */
   ofOthers(except: ShardName): ShardDemand {
-    const oldest = addMs(this.time.monotonicNow(), -DEMAND_VALID_MS)
+    const oldest = addMs(this.clocks.monotonicNow(), -DEMAND_VALID_MS)
     const needs: Array<MachineDemand> = []
     const quotas: Array<QuotaDemand> = []
     const claims: Array<TeamClaim> = []
@@ -35,7 +35,7 @@
     return { machines: needs, quotas, claims }
   }
   set(shard: ShardName, demand: ShardDemand): void {
-    this.byShard.set(shard, { demand, at: this.time.monotonicNow() })
+    this.byShard.set(shard, { demand, at: this.clocks.monotonicNow() })
   }
   /** The same, and what is new about it. */
   change(shard: ShardName, demand: ShardDemand): DemandChange {
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -13,9 +13,9 @@
   const most = LEVELS.indexOf(level)
   const writer =
     (of: Level) =>
-    (message: string, facts: Record<string, unknown> = {}): void => {
+    (message: string, fields: Record<string, unknown> = {}): void => {
       if (LEVELS.indexOf(of) > most) return
-      const pairs = Object.entries(facts).map(([name, value]) => ` ${name}=${show(value)}`)
+      const pairs = Object.entries(fields).map(([name, value]) => ` ${name}=${show(value)}`)
       process.stderr.write(`${new Date().toISOString()} ${of} ${message}${pairs.join("")}\n`)
     }
   return { error: writer("error"), info: writer("info"), debug: writer("debug") }
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,9 +1,9 @@
 import {
-  BadSettings,
   budgetHolds,
   budgetInWords,
   cancellationBudget,
   defaultOperators,
+  InvalidSettingsError,
   leaseSettingsError,
   type Operators,
   type Platform,
@@ -22,20 +22,22 @@
   readonly operators?: string
 }
 
-const load = (options: Options): Result.Result<{ platform: Platform; operators: Operators }, BadSettings> =>
+const load = (
+  options: Options,
+): Result.Result<{ platform: Platform; operators: Operators }, InvalidSettingsError> =>
   Result.gen(function* () {
     const platform = yield* parsePlatform(yield* readSettingsFile(options.config), options.config)
     const operators =
       options.operators === undefined
         ? defaultOperators()
         : yield* parseOperators(yield* readSettingsFile(options.operators), options.operators)
-    const fault = leaseSettingsError(platform.facts.workers, operators.membership)
+    const fault = leaseSettingsError(platform.deployment.workers, operators.membership)
     if (fault !== null)
-      return yield* Result.fail(new BadSettings({ message: `${options.operators}: ${fault}` }))
+      return yield* Result.fail(new InvalidSettingsError({ message: `${options.operators}: ${fault}` }))
     return { platform, operators }
   })
 
-const orExit = <A>(result: Result.Result<A, BadSettings>): A => {
+const orExit = <A>(result: Result.Result<A, InvalidSettingsError>): A => {
   if (Result.isSuccess(result)) return result.success
   process.stderr.write(`sorreltally: ${result.failure.message}\n`)
   process.exit(2)
@@ -67,10 +69,10 @@
   .description("check the settings and start nothing")
   .action((options: Options) => {
     const { platform, operators } = orExit(load(options))
-    const { workers, teams } = platform.facts
+    const { workers, teams } = platform.deployment
     const budget = cancellationBudget(workers, operators.membership)
     if (!budgetHolds(budget)) process.stdout.write("warning: no grant is short enough for cancel_s\n")
     process.stdout.write(`cancellations: ${budgetInWords(workers, budget)}\n`)
-    process.stdout.write(`settings are fine: ${platform.node_name}, ${teams.length} teams\n`)
+    process.stdout.write(`settings are fine: ${platform.nodeName}, ${teams.length} teams\n`)
   })
 program.parse()
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -39,22 +39,22 @@
   log: Log,
 ): Effect.Effect<Node, never, HttpClient> =>
   Effect.gen(function* () {
-    const time = yield* processClocks
-    const { facts, outside, peers, node_name } = platform
-    const nodes = [node_name, ...peers.map((p) => p.node_name)].sort()
+    const clocks = yield* processClocks
+    const { deployment, services, peers, nodeName } = platform
+    const nodes = [nodeName, ...peers.map((p) => p.nodeName)].sort()
     const storeLimits = {
-      writesPerSecond: facts.state.write_rps,
-      valueKb: facts.state.value_kb,
-      maxOperations: facts.state.txn_ops,
+      writesPerSecond: deployment.store.writesPerSecond,
+      valueKb: deployment.store.valueKb,
+      maxOperations: deployment.store.maxOperations,
     }
-    const state = yield* makeStoreClient(outside.state, storeLimits, nodes.length)
-    const cloud = yield* makeCloudClient(outside.cloud, facts.cloud, nodes.length)
-    const others = peers.map((p) => p.node_name)
-    const channel = yield* makePeerChannel(node_name, others, links, log)
-    const controller = yield* makeController(platform, operators, nodes, state, cloud, channel, log)
+    const store = yield* makeStoreClient(services.store, storeLimits, nodes.length)
+    const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
+    const others = peers.map((p) => p.nodeName)
+    const channel = yield* makePeerChannel(nodeName, others, links, log)
+    const controller = yield* makeController(platform, operators, nodes, store, cloud, channel, log)
     let wellAt: MonotonicTime = NEVER
     const ready = () => {
-      const now = time.monotonicNow()
+      const now = clocks.monotonicNow()
       if (controller.well()) wellAt = now
       return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
     }
@@ -63,9 +63,9 @@
       catalog: () => controller.catalog(),
       jobs: controller.jobStore,
       counts: controller.counts.bind(controller),
-      report: controller.report.bind(controller),
+      report: controller.receiveHeartbeat.bind(controller),
     }
-    const api = new Api(platform, operators, backend, time)
+    const api = new Api(platform, operators, backend, clocks)
     const context = yield* Effect.context<never>()
     const failed = (request: IncomingRequest, cause: unknown, answer: Respond) => {
       log.error("request failed", { path: request.path, cause: String(cause) })
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -15,9 +15,9 @@
 /** The whole service of one node; runs until its process ends. */
 export const service = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void> =>
   Effect.suspend(() => {
-    const { state, cloud } = platform.outside
-    const exchange = httpExchange([state, cloud], sizesOf(platform))
-    return Effect.provideService(serving(platform, operators, log), HttpClient, exchange)
+    const { store, cloud } = platform.services
+    const httpClient = httpExchange([store, cloud], sizesOf(platform))
+    return Effect.provideService(serving(platform, operators, log), HttpClient, httpClient)
   })
 
 const serving = (
@@ -27,22 +27,22 @@
 ): Effect.Effect<void, never, HttpClient> =>
   Effect.gen(function* () {
     const links = openSockets(
-      platform.back,
-      platform.peers.map((p) => ({ node: p.node_name, address: p.peer_addr })),
+      platform.peerListenAddress,
+      platform.peers.map((p) => ({ node: p.nodeName, address: p.address })),
       log,
     )
     const node = yield* makeNode(platform, operators, links, log)
-    serveHttp(platform.listen, BODY_LIMIT, sizesOf(platform).inbound, node.serve, log)
+    serveHttp(platform.listenAddress, BODY_LIMIT, sizesOf(platform).inbound, node.serve, log)
     logBudget(platform, operators, log)
-    log.info("started", { node: platform.node_name, listen: platform.listen })
+    log.info("started", { node: platform.nodeName, listen: platform.listenAddress })
     yield* node.run
   })
 
 /** States how soon cancelled tasks are surely gone, and warns when the platform's settings allow no such time. */
-const logBudget = ({ facts }: Platform, operators: Operators, log: Log): void => {
-  const budget = cancellationBudget(facts.workers, operators.membership)
+const logBudget = ({ deployment }: Platform, operators: Operators, log: Log): void => {
+  const budget = cancellationBudget(deployment.workers, operators.membership)
   const { leaseTtlMs, leaseMarginMs, watchFreshMs } = budget
-  const sum = budgetInWords(facts.workers, budget)
+  const sum = budgetInWords(deployment.workers, budget)
   log.info("cancellation budget", { leaseTtlMs, leaseMarginMs, watchFreshMs, sum })
   if (!budgetHolds(budget))
     log.error("cancelled tasks may outlive cancel_s when the state service fails", { sum })
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -57,7 +57,7 @@
   private due = 0
 
   constructor(
-    private readonly time: Clocks,
+    private readonly clocks: Clocks,
     private readonly cores: number,
     private readonly reportS: number,
     /** Nodes that can take others' workers, and their reports a second. */
@@ -68,10 +68,10 @@
 
   /** A worker's report came to this node. */
   came(): void {
-    this.received.add(1, this.time.monotonicNow())
+    this.received.add(1, this.clocks.monotonicNow())
   }
   get reportsPerSecond(): number {
-    return this.received.read(this.time.monotonicNow())
+    return this.received.read(this.clocks.monotonicNow())
   }
   /** This node owns so many machines; does it share their reports? */
   owns(machines: number): boolean {
@@ -99,7 +99,7 @@
     return this.sendAway(machine)
   }
   private sendAway(machine: MachineId): NodeName | null {
-    const now = this.time.monotonicNow()
+    const now = this.clocks.monotonicNow()
     if (now < (this.keptUntil.get(machine) ?? NEVER)) return null
     const sent = this.sentAway.get(machine)
     this.sentAway.delete(machine)
--- a/packages/forwarding/src/node-loads.ts
+++ b/packages/forwarding/src/node-loads.ts
@@ -24,8 +24,8 @@
 
   constructor(
     private readonly peers: PeerChannel,
-    private readonly time: Clocks,
-    private readonly state: Pick<StoreClient, "setPeerWriteRate">,
+    private readonly clocks: Clocks,
+    private readonly store: Pick<StoreClient, "setPeerWriteRate">,
     private readonly own: () => NodeLoad,
   ) {}
 
@@ -56,13 +56,13 @@
     )
   }
   received(node: NodeName, load: NodeLoad): void {
-    this.loads.set(node, { ...load, at: this.time.monotonicNow() })
+    this.loads.set(node, { ...load, at: this.clocks.monotonicNow() })
     let changes = 0
     for (const [, other] of this.fresh()) changes += other.writesPerSecond
-    this.state.setPeerWriteRate(changes)
+    this.store.setPeerWriteRate(changes)
   }
   private *fresh(): Iterable<readonly [NodeName, NodeLoad]> {
-    const oldest = addMs(this.time.monotonicNow(), -LOAD_VALID_MS)
+    const oldest = addMs(this.clocks.monotonicNow(), -LOAD_VALID_MS)
     for (const [node, load] of this.loads) if (load.at > oldest) yield [node, load]
   }
 
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -72,14 +72,14 @@
   constructor(
     private readonly shard: ShardName,
     private readonly epoch: ModRevision,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly membership: Pick<Membership, "replica" | "readBarrier">,
     private readonly jobIndex: JobIndex,
     private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
     private readonly events: JobEndsEvents,
   ) {
-    this.pageBytes = Math.min(state.limits.valueKb * 1024, MOST_PAGE_BYTES) - FRAME_BYTES
+    this.pageBytes = Math.min(store.limits.valueKb * 1024, MOST_PAGE_BYTES) - FRAME_BYTES
   }
 
   /** Nothing is left to do for the job but to write its end down. */
@@ -104,10 +104,10 @@
 
   private write() {
     return Effect.gen({ self: this }, function* () {
-      const spacingMs = interpolateByLoad(this.state.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
+      const spacingMs = interpolateByLoad(this.store.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
       const pauseMs = addMs(this.wroteAt, spacingMs) - this.now()
       if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.state.awaitWriteCapacity(1, 2)
+      yield* this.store.awaitWriteCapacity(1, 2)
       this.wroteAt = this.now()
       // What a watch or a hint has told of since is over already.
       for (const job of this.waiting) if (job.over) this.waiting.delete(job)
@@ -119,7 +119,7 @@
         { key: path, modRevision: before },
         ...pageConditions(draft.done),
       ]
-      const written = yield* Effect.result(this.state.compareAndSwap(when, [put(path, page)], "reserved"))
+      const written = yield* Effect.result(this.store.compareAndSwap(when, [put(path, page)], "reserved"))
       const { replica, readBarrier } = this.membership
       if (Result.isSuccess(written) && written.success.ok) {
         replica.hint({ key: path, value: page, modRevision: written.success.revision })
@@ -151,7 +151,7 @@
     const room = this.rooms().reduce((a, b) => (b.bytes < a.bytes ? b : a))
     const done = new Set<JobState>()
     const jobs: Array<JobState> = []
-    const most = 4 * this.state.limits.maxOperations - OWN_CONDITIONS
+    const most = 4 * this.store.limits.maxOperations - OWN_CONDITIONS
     for (const job of this.waiting) {
       const digits = digitsOf(job.id)
       if (room.bytes + finalStateBytes(digits) > this.pageBytes) break
@@ -173,7 +173,7 @@
   private rooms(): ReadonlyArray<Room> {
     // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
     const needed = (digits: string) => this.jobIndex.isOnRecord(idOf(digits))
-    return endsPages(this.shard, this.state.limits).map((path) => {
+    return endsPages(this.shard, this.store.limits).map((path) => {
       const page = this.membership.replica.get(path)?.value
       const done = (page?.done ?? []).filter(needed)
       const cancelled = (page?.cancelled ?? []).filter(needed)
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -73,7 +73,7 @@
  */
 export class JobStore {
   constructor(
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly membership: Pick<Membership, "readBarrier" | "replica">,
     private readonly jobIndex: JobIndex,
     private readonly events: JobTableEvents,
@@ -112,7 +112,7 @@
         }))
         when.push({ key: keys.jobPage(bucketOf(request.id), pages.length), modRevision: ABSENT })
         const { page: written, operations } = this.writesOf(target.key, target.page)
-        const made = yield* this.state.compareAndSwap(when, operations, 1)
+        const made = yield* this.store.compareAndSwap(when, operations, 1)
         if (made.ok) {
           const entry = { key: target.key, value: written, modRevision: made.revision }
           yield* this.events.changed(entry, request)
@@ -139,7 +139,7 @@
         const when: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
         when.push(...this.endsConditions(this.events.shardOf(request)))
         const { page: written, operations } = this.writesOf(page.key, cancelJob(this.folded(page), id))
-        const done = yield* this.state.compareAndSwap(when, operations, 1)
+        const done = yield* this.store.compareAndSwap(when, operations, 1)
         if (!done.ok) continue
         const entry = { key: page.key, value: written, modRevision: done.revision }
         yield* this.events.changed(entry, request)
@@ -154,7 +154,7 @@
       const page = this.pageAt(path)
       if (page === null) return
       const { page: written, operations } = this.writesOf(path, this.folded(page))
-      const done = yield* this.state.compareAndSwap(
+      const done = yield* this.store.compareAndSwap(
         [{ key: path, modRevision: page.modRevision }],
         operations,
         3,
@@ -183,7 +183,7 @@
     })
   }
   private lookInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
-    return Effect.map(this.state.list(keys.archive(bucket)), ({ items }) => {
+    return Effect.map(this.store.list(keys.archive(bucket)), ({ items }) => {
       for (const { value: v } of items) {
         const status = finalIn(v as FinalStates, id)
         if (status !== null) return { kind: "final", status }
@@ -200,7 +200,7 @@
     record: JobRecord,
     pages: ReadonlyArray<PageEntry>,
   ): { readonly key: StoreKey<JobPage>; readonly page: JobPage } | null {
-    const { valueKb } = this.state.limits
+    const { valueKb } = this.store.limits
     for (const entry of pages) {
       const page = addJob(this.folded(entry), record)
       const key = entry.key as StoreKey<JobPage>
@@ -212,7 +212,7 @@
   }
   /** The page's write, and with it that of final states which leave it. */
   private writesOf(key: StoreKey<JobPage>, next: JobPage): PageWrites {
-    const { maxOperations, valueKb } = this.state.limits
+    const { maxOperations, valueKb } = this.store.limits
     if (maxOperations < ARCHIVING_CHANGES) return { page: next, operations: [put(key, next)] }
     const { page, archived } = archiveFinals(next, valueKb)
     if (archived === null) return { page, operations: [put(key, page)] }
@@ -222,7 +222,7 @@
   }
   private endsConditions(shard: ShardName): ReadonlyArray<Condition> {
     const { replica } = this.membership
-    return endsPages(shard, this.state.limits).map((path) => ({
+    return endsPages(shard, this.store.limits).map((path) => ({
       key: path,
       modRevision: replica.modRevision(path),
     }))
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -59,13 +59,13 @@
   constructor(
     private readonly shard: ShardName,
     private readonly epoch: ModRevision,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly membership: Membership,
     private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
     private readonly events: CommitEvents,
   ) {
-    this.ledger = new PlacementLedger(state.limits.valueKb)
+    this.ledger = new PlacementLedger(store.limits.valueKb)
   }
 
   place(placement: Placement): void {
@@ -107,16 +107,16 @@
     return { key: keys.shard(this.shard), modRevision: this.epoch }
   }
   private get mostConditions(): number {
-    return 4 * this.state.limits.maxOperations
+    return 4 * this.store.limits.maxOperations
   }
 
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
       // What becomes ready while this waits for its turn goes along.
-      const share = interpolateByLoad(this.state.writeLoad(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
-      const pauseMs = addMs(this.wroteAt, 1000 / (share * this.state.limits.writesPerSecond)) - this.now()
+      const share = interpolateByLoad(this.store.writeLoad(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
+      const pauseMs = addMs(this.wroteAt, 1000 / (share * this.store.limits.writesPerSecond)) - this.now()
       if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.state.awaitWriteCapacity(1, 2)
+      yield* this.store.awaitWriteCapacity(1, 2)
       this.wroteAt = this.now()
       for (const placement of this.starts) {
         if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
@@ -145,7 +145,7 @@
       const apply: Array<Operation> = [put(path, draft.record)]
       for (let tries = 0; ; tries++) {
         const done = yield* Effect.result(
-          this.state.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
+          this.store.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
         )
         if (Result.isSuccess(done) && done.success.ok) return this.saved(draft, done.success.revision)
         if (Result.isFailure(done) && done.failure.outcome === "refused" && tries === 0) {
@@ -155,7 +155,7 @@
         // Without an answer it may have been written, or may yet be: as long
         // as that isn't known, only the very same write is tried again.
         const failed = Result.isSuccess(done) && !done.success.ok ? done.success.failedKeys : null
-        const read = yield* Effect.result(this.state.get(path))
+        const read = yield* Effect.result(this.store.get(path))
         if (Result.isFailure(read)) {
           yield* Effect.sleep(PAUSE_MS)
           continue
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -42,7 +42,7 @@
 
   constructor(
     settings: MembershipSettings,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     host: Host,
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
@@ -54,16 +54,16 @@
     // Requests to the state service are few, and every node has to watch: at
     // most this often, and as often again to answer users.
     const spacingMs = watchSpacingMs(nodes.length, settings.stateRps)
-    this.nodeLease = new NodeLeaseKeeper(self, settings, state, now, log)
-    this.watch = new ReplicaWatch(state, replica, spacingMs, watchFreshMs, host.busy, now)
+    this.nodeLease = new NodeLeaseKeeper(self, settings, store, now, log)
+    this.watch = new ReplicaWatch(store, replica, spacingMs, watchFreshMs, host.busy, now)
     const broughtUp = (sent: MonotonicTime) => this.watch.broughtUpTo(sent)
-    this.readBarrier = new ReadBarrier(state, replica, spacingMs, broughtUp, now, fork)
+    this.readBarrier = new ReadBarrier(store, replica, spacingMs, broughtUp, now, fork)
     const holdsLease = () => this.holdsLease()
     this.ownership = new ShardOwnership(
       self,
       nodes,
       this.shards,
-      state,
+      store,
       replica,
       this.nodeLease,
       holdsLease,
@@ -105,7 +105,7 @@
     return Effect.gen({ self: this }, function* () {
       // Obtaining the grant takes time: the mirror is as fresh as its read, not as the grant.
       const listed = this.now()
-      const { items, revision } = yield* this.state.list(MIRRORED)
+      const { items, revision } = yield* this.store.list(MIRRORED)
       const live = yield* this.nodeLease.join(items)
       this.replica.reload(items, revision)
       this.replica.hint(live)
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -39,7 +39,7 @@
   constructor(
     private readonly self: NodeName,
     private readonly times: NodeLeaseTimes,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
   ) {}
@@ -61,14 +61,14 @@
         // Whoever held this name is dead, for we run under it now. Ending its
         // grant frees its parts at once instead of when the grant runs out;
         // what it still has under way is fenced by the parts' new epochs.
-        yield* this.state.revokeLease((former.value as NodeRecord).leaseId)
+        yield* this.store.revokeLease((former.value as NodeRecord).leaseId)
       }
       const incarnation = yield* this.newIncarnation()
       const asked = this.now()
-      const lease = yield* this.state.createLease(this.times.leaseTtlMs)
+      const lease = yield* this.store.createLease(this.times.leaseTtlMs)
       const record: NodeRecord = { incarnation, leaseId: lease }
       // A copy of this that is carried out late finds the key there, or the grant ended.
-      const won = yield* this.state.compareAndSwap(
+      const won = yield* this.store.compareAndSwap(
         [{ key: path, modRevision: ABSENT }],
         [put(path, record, lease)],
         0,
@@ -102,7 +102,7 @@
         yield* Effect.sleep(pauseMs)
         if (this.membershipLease === null) return
         const sent = this.now()
-        const touched = yield* Effect.result(this.state.keepAlive(this.membershipLease.lease, timeoutMs))
+        const touched = yield* Effect.result(this.store.keepAlive(this.membershipLease.lease, timeoutMs))
         if (Result.isFailure(touched)) {
           this.log.debug("touch failed", { status: touched.failure.status })
           pauseMs = leaseTtlMs / RETRIES_PER_TTL
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -17,7 +17,7 @@
   private lastSent: MonotonicTime = NEVER
 
   constructor(
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly replica: Replica,
     private readonly spacingMs: number,
     /** Told when the mirror has been brought up, and when that was asked for. */
@@ -59,9 +59,9 @@
   }
   private bringUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const news = yield* this.state.watch(MIRRORED, this.replica.revision, 0)
+      const news = yield* this.store.watch(MIRRORED, this.replica.revision, 0)
       if (news.kind === "events") return this.replica.apply(news.events, news.revision)
-      const { items, revision } = yield* this.state.list(MIRRORED)
+      const { items, revision } = yield* this.store.list(MIRRORED)
       this.replica.reload(items, revision)
     })
   }
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -27,7 +27,7 @@
   private freshUntil: MonotonicTime = NEVER
 
   constructor(
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly replica: Replica,
     private readonly spacingMs: number,
     /**
@@ -59,7 +59,7 @@
         const answerMs = Math.min(LONGEST_ANSWER_MS, blockMs)
         const { revision } = this.replica
         const news = yield* Effect.result(
-          this.state.watch(MIRRORED, revision, Math.floor(blockMs), Math.floor(answerMs)),
+          this.store.watch(MIRRORED, revision, Math.floor(blockMs), Math.floor(answerMs)),
         )
         if (Result.isFailure(news)) return yield* Effect.sleep(RETRY_MS)
         if (news.success.kind === "compacted") return yield* this.readAll()
@@ -76,7 +76,7 @@
   }
   private readAll() {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.state.list(MIRRORED))
+      const read = yield* Effect.result(this.store.list(MIRRORED))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
       this.replica.reload(read.success.items, read.success.revision)
     })
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -52,7 +52,7 @@
     private readonly self: NodeName,
     private readonly nodes: ReadonlyArray<NodeName>,
     private readonly shards: ReadonlyArray<ShardName>,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly replica: Replica,
     private readonly nodeLease: NodeLeaseKeeper,
     private readonly holdsLease: () => boolean,
@@ -164,7 +164,7 @@
       const path = keys.shard(shard)
       const record: ShardRecord = { owner: null, incarnation: null }
       const done = yield* Effect.result(
-        this.state.compareAndSwap([{ key: path, modRevision: epoch }], [put(path, record)], 0),
+        this.store.compareAndSwap([{ key: path, modRevision: epoch }], [put(path, record)], 0),
       )
       if (Result.isSuccess(done) && done.success.ok)
         this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
@@ -213,7 +213,7 @@
       ]
       if (from !== null && from !== this.self)
         when.push({ key: keys.node(from), modRevision: this.replica.modRevision(keys.node(from)) })
-      const won = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 0))
+      const won = yield* Effect.result(this.store.compareAndSwap(when, [put(path, record)], 0))
       if (Result.isFailure(won) || !won.success.ok) return yield* this.lookWhoOwns(shard, from)
       this.replica.hint({ key: path, value: record, modRevision: won.success.revision })
       this.gain(shard, won.success.revision, from)
@@ -225,7 +225,7 @@
    */
   private lookWhoOwns(shard: ShardName, from: NodeName | null) {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.state.get(keys.shard(shard)))
+      const read = yield* Effect.result(this.store.get(keys.shard(shard)))
       if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_MS)
       const seen = read.success
       this.replica.hint(seen)
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -65,13 +65,13 @@
   log: Log,
 ): Effect.Effect<PeerChannel> =>
   Effect.gen(function* () {
-    const time = yield* processClocks
+    const clocks = yield* processClocks
     const received = new Map<NodeName, MonotonicTime>()
     const heard = new Map<NodeName, MonotonicTime>()
     const theyHear = new Map<NodeName, ReadonlyArray<NodeName>>()
     let handler: PeerHandler | null = null
 
-    const lately = (at: MonotonicTime | undefined) => time.monotonicNow() < addMs(at ?? NEVER, HEARD_MS)
+    const lately = (at: MonotonicTime | undefined) => clocks.monotonicNow() < addMs(at ?? NEVER, HEARD_MS)
     const hears = (node: NodeName) => lately(heard.get(node))
     const receives = (node: NodeName) => lately(received.get(node))
     const relayTo = (node: NodeName): NodeName | undefined =>
@@ -101,9 +101,9 @@
       }
       if (frame.t !== "ping") return deliver(frame)
       theyHear.set(frame.from, frame.hears)
-      if (frame.receives.includes(self)) heard.set(frame.from, time.monotonicNow())
+      if (frame.receives.includes(self)) heard.set(frame.from, clocks.monotonicNow())
       const news = !receives(frame.from)
-      received.set(frame.from, time.monotonicNow())
+      received.set(frame.from, clocks.monotonicNow())
       // The next round would do, but a node that is back should be of use at once.
       if (news) ping([frame.from])
     })
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -48,7 +48,7 @@
 
   constructor(
     private readonly cloud: CloudClient,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly replica: Replica,
     private readonly now: () => MonotonicTime,
     private readonly refusalMemoryS: number,
@@ -170,7 +170,7 @@
       if (!this.catalogStored && this.lists() && this.replica.get(keys.catalog) === null) {
         const record: CatalogRecord = { machineTypes: read.success }
         const when = [{ key: keys.catalog, modRevision: this.replica.modRevision(keys.catalog) }]
-        const stored = yield* Effect.result(this.state.compareAndSwap(when, [put(keys.catalog, record)], 3))
+        const stored = yield* Effect.result(this.store.compareAndSwap(when, [put(keys.catalog, record)], 3))
         this.catalogStored = Result.isSuccess(stored)
       }
     })
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -76,7 +76,7 @@
     private readonly shard: ShardName,
     private readonly epoch: ModRevision,
     private readonly shards: ReadonlyArray<ShardName>,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly membership: Membership,
     private readonly machineIndex: MachineIndex,
     private readonly now: () => number,
@@ -100,7 +100,7 @@
     return queued !== undefined && this.outcomeOf(queued, this.machineIndex.get(id)) === "open"
   }
   add(machines: NewMachines, adopted: boolean, settled: () => void): void {
-    const most = blockSize(this.state.limits.valueKb)
+    const most = blockSize(this.store.limits.valueKb)
     for (let i = 0; i < machines.ids.length; i += most) {
       const last = i + most >= machines.ids.length
       const ids = machines.ids.slice(i, i + most)
@@ -143,7 +143,7 @@
    */
   private writeFresh() {
     return Effect.gen({ self: this }, function* () {
-      yield* this.state.awaitWriteCapacity(1, 1)
+      yield* this.store.awaitWriteCapacity(1, 1)
       const kind = this.fresh[0]
       if (kind === undefined) return
       const { adopted, machineType, zone, spot } = kind
@@ -157,7 +157,7 @@
         if (latest !== null) when.push({ key: latest.path, modRevision: replica.modRevision(latest.path) })
         when.push({ key: this.machineIndex.next(theirs), modRevision: ABSENT })
       }
-      const most = blockSize(this.state.limits.valueKb)
+      const most = blockSize(this.store.limits.valueKb)
       const batch: Array<QueuedMachines> = []
       const left: Array<readonly [MachineId, number]> = []
       for (const queued of this.fresh) {
@@ -187,7 +187,7 @@
           rentedAt,
           machines: groupByShard(machines),
         }
-        const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, block)], "reserved"))
+        const done = yield* Effect.result(this.store.compareAndSwap(when, [put(path, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
         replica.hint({ key: path, value: block, modRevision: done.success.revision })
       }
@@ -215,9 +215,9 @@
       const touched = new Set<StoreKey<MachineBlock>>()
       for (const id of this.edits.keys()) {
         const block = this.machineIndex.get(id)?.block
-        if (block !== undefined && touched.size < this.state.limits.maxOperations) touched.add(block)
+        if (block !== undefined && touched.size < this.store.limits.maxOperations) touched.add(block)
       }
-      yield* this.state.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
+      yield* this.store.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
       if (!urgent) this.removedAt = this.now()
       const { replica } = this.membership
       const records = new Map<
@@ -261,7 +261,7 @@
         if (machines.size === 0 && !this.machineIndex.isLatest(path)) apply.push(remove(path))
         else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
       }
-      const done = yield* Effect.result(this.state.compareAndSwap(when, apply, "reserved"))
+      const done = yield* Effect.result(this.store.compareAndSwap(when, apply, "reserved"))
       if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
       const current = written.filter(([id, queued]) => this.edits.get(id) === queued)
       for (const [id] of current) this.edits.delete(id)
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -39,9 +39,9 @@
   task.cpus <= quota.cpus + EPSILON && task.gpus <= quota.gpus + EPSILON
 
 /** Nothing of what the team's limits don't bound: there is nothing to share of it. */
-const limitedOnly = ({ cpus_max, gpus_max }: Team, amount: Amount): Amount => ({
-  cpus: isLimited(cpus_max) ? amount.cpus : 0,
-  gpus: isLimited(gpus_max) ? amount.gpus : 0,
+const limitedOnly = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, amount: Amount): Amount => ({
+  cpus: isLimited(cpusMax) ? amount.cpus : 0,
+  gpus: isLimited(gpusMax) ? amount.gpus : 0,
 })
 
 /** Cores and accelerators: a smaller gain isn't written for itself. */
@@ -80,7 +80,7 @@
     private readonly epoch: ModRevision,
     private readonly teams: ReadonlyArray<Team>,
     private readonly replica: Replica,
-    private readonly state: StoreClient,
+    private readonly store: StoreClient,
     private readonly now: () => MonotonicTime,
     private readonly changed: () => void,
   ) {}
@@ -89,8 +89,8 @@
   share(team: Team): Amount {
     const { cpus, gpus } = this.sharedOut(team.name)
     return {
-      cpus: isLimited(team.cpus_max) ? cpus : NO_LIMIT,
-      gpus: isLimited(team.gpus_max) ? gpus : NO_LIMIT,
+      cpus: isLimited(team.maxCpus) ? cpus : NO_LIMIT,
+      gpus: isLimited(team.maxGpus) ? gpus : NO_LIMIT,
     }
   }
   private sharedOut(team: TeamName): Amount {
@@ -120,8 +120,8 @@
     const left = (limit: number, taken: number, ours: number) =>
       Math.max(0, limit - Math.max(0, taken - limit * SLACK) - ours)
     return {
-      cpus: left(team.cpus_max, others.cpus, used.cpus),
-      gpus: left(team.gpus_max, others.gpus, used.gpus),
+      cpus: left(team.maxCpus, others.cpus, used.cpus),
+      gpus: left(team.maxGpus, others.gpus, used.gpus),
     }
   }
 
@@ -138,7 +138,7 @@
   adjust(need: (team: Team) => ShareNeed): ReadonlyArray<Effect.Effect<void>> {
     const changes: Array<Effect.Effect<void>> = []
     for (const team of this.teams) {
-      if (this.busy.has(team.name) || !(isLimited(team.cpus_max) || isLimited(team.gpus_max))) continue
+      if (this.busy.has(team.name) || !(isLimited(team.maxCpus) || isLimited(team.maxGpus))) continue
       const share = this.sharedOut(team.name)
       const next = this.nextShare(team, share, need(team))
       if (next !== null) changes.push(this.write(team.name, next, share))
@@ -152,7 +152,7 @@
     const used = limitedOnly(team, stated.used)
     const wanted = this.yields(team.name) ? used : limitedOnly(team, stated.wanted)
     const smallestTask = stated.smallestTask === null ? null : limitedOnly(team, stated.smallestTask)
-    const limit = limitedOnly(team, { cpus: team.cpus_max, gpus: team.gpus_max })
+    const limit = limitedOnly(team, { cpus: team.maxCpus, gpus: team.maxGpus })
     const free = this.unshared(team, limit)
     const unused = share.cpus > used.cpus || share.gpus > used.gpus
     if (asked !== "no" && unused && this.now() >= (this.leftoverUntil.get(team.name) ?? NEVER)) {
@@ -285,7 +285,7 @@
       let unanswered = false
       for (;;) {
         // At once: without quota nothing can be rented or started, and these are few.
-        const done = yield* Effect.result(this.state.compareAndSwap(when, [put(path, record)], 1))
+        const done = yield* Effect.result(this.store.compareAndSwap(when, [put(path, record)], 1))
         if (Result.isSuccess(done) && done.success.ok) {
           this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
           return
@@ -294,7 +294,7 @@
         if (Result.isSuccess(done) && !done.success.ok && done.success.failedKeys.includes(shard)) return
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
         unanswered ||= Result.isFailure(done) && done.failure.outcome === "unknown"
-        const read = yield* Effect.result(this.state.get(path))
+        const read = yield* Effect.result(this.store.get(path))
         if (Result.isSuccess(read) && read.success !== null) this.replica.hint(read.success)
         // While the record is as it was, the lost change may still come.
         const moved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== before
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -14,7 +14,7 @@
 import { QuotaAllocation, type ShareNeed } from "../src/quota-allocation.ts"
 
 const red = "red" as TeamName
-const team = { name: red, cpus: 50, cpus_max: 100, gpus: 0, gpus_max: 0 } as unknown as Team
+const team = { name: red, cpus: 50, maxCpus: 100, gpus: 0, maxGpus: 0 } as unknown as Team
 const ours = "part-0" as ShardName
 const path = keys.quota(red)
 const cpus = (amount: number) => ({ cpus: amount, gpus: 0 })
--- a/packages/settings/src/cancellation-budget.ts
+++ b/packages/settings/src/cancellation-budget.ts
@@ -1,4 +1,4 @@
-import type { Platform } from "./platform.ts"
+import type { WorkerSettings } from "./platform.ts"
 
 /**
  * The time budget of a cancellation.
@@ -46,7 +46,7 @@
 const MOST_MARGIN_MS = 400
 
 /** What the platform's settings say of workers. */
-export type WorkerTimes = Pick<Platform["facts"]["workers"], "lease_s" | "cancel_s">
+export type WorkerTimes = Pick<WorkerSettings, "leaseS" | "cancellationLimitS">
 
 /** What operators set themselves; null: derived. */
 export interface NodeLeaseSettings {
@@ -67,12 +67,12 @@
 
 const longestOnAnyClock = (ms: number): number => ms * (1 + CLOCK_DRIFT)
 
-const worstCaseMs = ({ lease_s }: WorkerTimes, entitlementMs: number): number =>
-  longestOnAnyClock(entitlementMs) + longestOnAnyClock(lease_s * 1000) + WORKER_REACTION_MS
+const worstCaseMs = ({ leaseS }: WorkerTimes, entitlementMs: number): number =>
+  longestOnAnyClock(entitlementMs) + longestOnAnyClock(leaseS * 1000) + WORKER_REACTION_MS
 
 /** The longest entitlement that `cancel_s` allows; may be negative. */
-const longestEntitlementMs = ({ lease_s, cancel_s }: WorkerTimes): number => {
-  const leftMs = cancel_s * 1000 - longestOnAnyClock(lease_s * 1000) - WORKER_REACTION_MS
+const longestEntitlementMs = ({ leaseS, cancellationLimitS: cancelS }: WorkerTimes): number => {
+  const leftMs = cancelS * 1000 - longestOnAnyClock(leaseS * 1000) - WORKER_REACTION_MS
   return Math.floor(leftMs / (1 + CLOCK_DRIFT))
 }
 
@@ -98,7 +98,7 @@
     leaseMarginMs,
     watchFreshMs,
     worstCaseMs: worstCaseMs(times, entitlementMs),
-    cancelMs: times.cancel_s * 1000,
+    cancelMs: times.cancellationLimitS * 1000,
   }
 }
 
@@ -112,7 +112,7 @@
   const entitlementMs = Math.max(budget.watchFreshMs, budget.leaseTtlMs - budget.leaseMarginMs)
   const relation = budgetHolds(budget) ? "within" : "beyond"
   return (
-    `entitlement ${seconds(entitlementMs)} + lease ${seconds(times.lease_s * 1000)}` +
+    `entitlement ${seconds(entitlementMs)} + lease ${seconds(times.leaseS * 1000)}` +
     ` + drift and reaction of workers = ${seconds(budget.worstCaseMs)},` +
     ` ${relation} cancel_s ${seconds(budget.cancelMs)}`
   )
--- /dev/null
+++ b/packages/settings/src/codec.ts
@@ -0,0 +1,105 @@
+/** Codec of the settings file that the platform hands over; field names in complaints are those of the file. */
+import { Address, NodeName, TeamName, ZoneName } from "@sorreltally/protocol"
+import { Schema } from "effect"
+import type { Objective, Platform } from "./platform.ts"
+import { NO_LIMIT, type Team } from "./teams.ts"
+
+const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
+const positive = Schema.Finite.check(Schema.isGreaterThan(0))
+const optionalAmount = Schema.optionalKey(Schema.NullOr(amount))
+
+/** An amount of 0, or none at all, is no guarantee or no limit. */
+const WireTeam = Schema.Struct({
+  name: TeamName,
+  cpus: optionalAmount,
+  cpus_max: optionalAmount,
+  gpus: optionalAmount,
+  gpus_max: optionalAmount,
+})
+type WireTeam = typeof WireTeam.Type
+
+const WireObjective = Schema.Struct({
+  kind: Schema.String,
+  class: Schema.optionalKey(Schema.NullOr(Schema.String)),
+  within_s: optionalAmount,
+  share: optionalAmount,
+  times: optionalAmount,
+})
+type WireObjective = typeof WireObjective.Type
+
+/** The file that the platform hands over. Fields not listed here are ignored. */
+export const WirePlatform = Schema.Struct({
+  node_name: NodeName,
+  area: ZoneName,
+  listen: Address,
+  back: Address,
+  peers: Schema.Array(Schema.Struct({ node_name: NodeName, area: ZoneName, peer_addr: Address })),
+  outside: Schema.Struct({ cloud: Address, state: Address }),
+  facts: Schema.Struct({
+    zones: Schema.Array(ZoneName),
+    teams: Schema.Array(WireTeam),
+    objectives: Schema.Array(WireObjective),
+    workers: Schema.Struct({ report_s: positive, lease_s: positive, cancel_s: positive }),
+    state: Schema.Struct({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: positive }),
+    cloud: Schema.Struct({ rps: positive, list_lag_s: amount }),
+    machine_limits: Schema.Struct({ cores: positive, mem_mb: positive, fd_limit: positive }),
+    time_bound_ms: amount,
+  }),
+})
+export type WirePlatform = typeof WirePlatform.Type
+
+/** Guards against teams whose every job is refused because a limit of 0 was taken for "nothing allowed". */
+const limitFrom = (stated: number | null | undefined): number =>
+  stated == null || stated === 0 ? NO_LIMIT : stated
+
+const teamFrom = ({ name, cpus, cpus_max, gpus, gpus_max }: WireTeam): Team => ({
+  name,
+  cpus: cpus ?? 0,
+  maxCpus: limitFrom(cpus_max),
+  gpus: gpus ?? 0,
+  maxGpus: limitFrom(gpus_max),
+})
+const objectiveFrom = (wire: WireObjective): Objective => ({
+  kind: wire.kind,
+  jobClass: wire.class ?? null,
+  withinS: wire.within_s ?? null,
+  share: wire.share ?? null,
+  deadlineMultiple: wire.times ?? null,
+})
+
+/** The typed form of the settings file. */
+export const platformFromWire = ({ facts, ...wire }: WirePlatform): Platform => ({
+  nodeName: wire.node_name,
+  zone: wire.area,
+  listenAddress: wire.listen,
+  peerListenAddress: wire.back,
+  peers: wire.peers.map(({ node_name, area, peer_addr }) => ({
+    nodeName: node_name,
+    zone: area,
+    address: peer_addr,
+  })),
+  services: { cloud: wire.outside.cloud, store: wire.outside.state },
+  deployment: {
+    zones: facts.zones,
+    teams: facts.teams.map(teamFrom),
+    objectives: facts.objectives.map(objectiveFrom),
+    workers: {
+      heartbeatIntervalS: facts.workers.report_s,
+      leaseS: facts.workers.lease_s,
+      cancellationLimitS: facts.workers.cancel_s,
+    },
+    store: {
+      requestsPerSecond: facts.state.rps,
+      writesPerSecond: facts.state.write_rps,
+      valueKb: facts.state.value_kb,
+      maxOperations: facts.state.txn_ops,
+    },
+    cloud: { requestsPerSecond: facts.cloud.rps, listLagS: facts.cloud.list_lag_s },
+    machineLimits: {
+      cores: facts.machine_limits.cores,
+      memoryMb: facts.machine_limits.mem_mb,
+      fileDescriptors: facts.machine_limits.fd_limit,
+    },
+    clockSkewMs: facts.time_bound_ms,
+  },
+})
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,5 @@
 export * from "./cancellation-budget.ts"
+export * from "./codec.ts"
 export * from "./operators.ts"
 export * from "./platform.ts"
 export * from "./platform-file.ts"
--- a/packages/settings/src/operators.ts
+++ b/packages/settings/src/operators.ts
@@ -1,6 +1,6 @@
 import { Result } from "effect"
 import { type Form, parse } from "sexpr-plus"
-import { BadSettings } from "./platform-file.ts"
+import { InvalidSettingsError } from "./platform-file.ts"
 
 /** One setting: its default (null: derived from the platform's settings), its range and its meaning. */
 interface SettingRule<Default extends number | null = number | null> {
@@ -70,10 +70,13 @@
   ) as unknown as Operators
 
 /** `(provisioning (window-s 60) …) (membership …)`: what isn't named keeps its default. */
-export const parseOperators = (text: string, source: string): Result.Result<Operators, BadSettings> => {
+export const parseOperators = (
+  text: string,
+  source: string,
+): Result.Result<Operators, InvalidSettingsError> => {
   const bad = (form: Form | undefined, message: string) => {
     const at = form === undefined ? "" : `:${form.location.start.line}:${form.location.start.column}`
-    return Result.fail(new BadSettings({ message: `${source}${at}: ${message}` }))
+    return Result.fail(new InvalidSettingsError({ message: `${source}${at}: ${message}` }))
   }
   let forms: ReadonlyArray<Form>
   try {
--- a/packages/settings/src/platform-file.ts
+++ b/packages/settings/src/platform-file.ts
@@ -1,25 +1,33 @@
 import { readFileSync } from "node:fs"
 import { Data, Result, Schema } from "effect"
-import { type Platform, PlatformFile, platformFrom } from "./platform.ts"
+import { platformFromWire, WirePlatform } from "./codec.ts"
+import type { Platform } from "./platform.ts"
 import { unworkable } from "./sizes.ts"
 
 /** A setting that is missing or wrong; the message names the field. */
-export class BadSettings extends Data.TaggedError("BadSettings")<{ readonly message: string }> {}
+export class InvalidSettingsError extends Data.TaggedError("InvalidSettingsError")<{
+  readonly message: string
+}> {}
 
-const decode = Schema.decodeUnknownResult(PlatformFile)
+const decode = Schema.decodeUnknownResult(WirePlatform)
 
-export const parsePlatform = (text: string, source: string): Result.Result<Platform, BadSettings> => {
+export const parsePlatform = (
+  text: string,
+  source: string,
+): Result.Result<Platform, InvalidSettingsError> => {
   let json: unknown
   try {
     json = JSON.parse(text)
   } catch (cause) {
-    return Result.fail(new BadSettings({ message: `${source}: not JSON: ${(cause as Error).message}` }))
+    return Result.fail(
+      new InvalidSettingsError({ message: `${source}: not JSON: ${(cause as Error).message}` }),
+    )
   }
-  const bad = (what: string) => new BadSettings({ message: `${source}: ${what}` })
+  const bad = (what: string) => new InvalidSettingsError({ message: `${source}: ${what}` })
   return Result.flatMap(
     Result.mapError(decode(json), (issue) => bad(fieldOf(issue))),
     (file) => {
-      const platform = platformFrom(file)
+      const platform = platformFromWire(file)
       const why = unworkable(platform)
       return why === null ? Result.succeed(platform) : Result.fail(bad(why))
     },
@@ -35,10 +43,12 @@
   return `${path}: ${what}`
 }
 
-export const readSettingsFile = (path: string): Result.Result<string, BadSettings> => {
+export const readSettingsFile = (path: string): Result.Result<string, InvalidSettingsError> => {
   try {
     return Result.succeed(readFileSync(path, "utf8"))
   } catch (cause) {
-    return Result.fail(new BadSettings({ message: `${path}: can't be read: ${(cause as Error).message}` }))
+    return Result.fail(
+      new InvalidSettingsError({ message: `${path}: can't be read: ${(cause as Error).message}` }),
+    )
   }
 }
--- a/packages/settings/src/sizes.ts
+++ b/packages/settings/src/sizes.ts
@@ -23,20 +23,20 @@
  * commands, and the rest, by far the largest part, to those who connect. All
  * workers may come to one node at once, with connections of gone ones still open.
  */
-export const sizesOf = ({ facts, peers }: Pick<Platform, "facts" | "peers">): Sizes => {
-  const { fd_limit } = facts.machine_limits
-  const services = Math.max(4, Math.min(48, Math.floor(fd_limit / 32)))
-  const commands = Math.max(8, Math.floor(fd_limit / 8))
-  const inbound = fd_limit - OWN_DESCRIPTORS - PER_PEER * peers.length - 2 * services - commands
+export const sizesOf = ({ deployment, peers }: Pick<Platform, "deployment" | "peers">): Sizes => {
+  const { fileDescriptors: fdLimit } = deployment.machineLimits
+  const services = Math.max(4, Math.min(48, Math.floor(fdLimit / 32)))
+  const commands = Math.max(8, Math.floor(fdLimit / 8))
+  const inbound = fdLimit - OWN_DESCRIPTORS - PER_PEER * peers.length - 2 * services - commands
   return { inbound: Math.floor(inbound), commands, services }
 }
 
 /** Why a controller could not run at all within these limits; null: it can. */
-export const unworkable = (platform: Pick<Platform, "facts" | "peers">): string | null => {
-  const { fd_limit, mem_mb } = platform.facts.machine_limits
+export const unworkable = (platform: Pick<Platform, "deployment" | "peers">): string | null => {
+  const { fileDescriptors: fdLimit, memoryMb: memMb } = platform.deployment.machineLimits
   if (sizesOf(platform).inbound < LEAST_INBOUND)
-    return `facts.machine_limits.fd_limit: ${fd_limit} sockets are too few to serve anybody beside ${platform.peers.length} other controllers, the state service and the cloud`
-  if (mem_mb < LEAST_MEMORY_MB)
-    return `facts.machine_limits.mem_mb: ${mem_mb} MB are too few, the program alone takes ${LEAST_MEMORY_MB} MB`
+    return `facts.machine_limits.fd_limit: ${fdLimit} sockets are too few to serve anybody beside ${platform.peers.length} other controllers, the state service and the cloud`
+  if (memMb < LEAST_MEMORY_MB)
+    return `facts.machine_limits.mem_mb: ${memMb} MB are too few, the program alone takes ${LEAST_MEMORY_MB} MB`
   return null
 }
--- a/packages/settings/test/cancellation-budget.test.ts
+++ b/packages/settings/test/cancellation-budget.test.ts
@@ -18,7 +18,7 @@
     [30, 50],
     [20, 28],
   ] as const) {
-    const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
+    const budget = cancellationBudget({ leaseS, cancellationLimitS: cancelS }, derived)
     assert.equal(budget.leaseTtlMs, 6_000)
     assert.equal(budget.leaseMarginMs, 400)
     assert.equal(budget.watchFreshMs, 6_000)
@@ -27,7 +27,7 @@
 })
 
 test("a tight cancel_s shortens grant and watch together", () => {
-  const budget = cancellationBudget({ lease_s: 10, cancel_s: 13 }, derived)
+  const budget = cancellationBudget({ leaseS: 10, cancellationLimitS: 13 }, derived)
   // 13 s - 10.005 s - 0.25 s of reaction, on a clock that may run slow.
   assert.equal(budget.watchFreshMs, 2_743)
   assert.equal(budget.leaseTtlMs, 2_743)
@@ -39,7 +39,7 @@
   for (let leaseS = 1; leaseS <= 120; leaseS += 0.5) {
     for (let spareS = 1.9; spareS <= 30; spareS += 0.1) {
       const cancelS = leaseS + spareS
-      const budget = cancellationBudget({ lease_s: leaseS, cancel_s: cancelS }, derived)
+      const budget = cancellationBudget({ leaseS, cancellationLimitS: cancelS }, derived)
       const entitlementMs = Math.max(budget.watchFreshMs, budget.leaseTtlMs - budget.leaseMarginMs)
       const goneByMs = (entitlementMs + leaseS * 1000) * (1 + CLOCK_DRIFT)
       assert.ok(goneByMs < cancelS * 1000, `${leaseS}/${cancelS}: ${goneByMs} ms`)
@@ -52,7 +52,7 @@
 
 test("settings of the platform that no grant can serve get the shortest workable one", () => {
   for (const cancelS of [5, 27, 28]) {
-    const times = { lease_s: 27, cancel_s: cancelS }
+    const times = { leaseS: 27, cancellationLimitS: cancelS }
     const budget = cancellationBudget(times, derived)
     assert.equal(budget.leaseTtlMs, 1_500)
     assert.equal(budget.watchFreshMs, 1_500)
@@ -63,15 +63,21 @@
 })
 
 test("operators' grants that break the sum are refused with the field and the sum", () => {
-  const times = { lease_s: 27, cancel_s: 47 }
+  const times = { leaseS: 27, cancellationLimitS: 47 }
   assert.equal(leaseSettingsError(times, withTtl(15_000)), null)
   assert.match(
     leaseSettingsError(times, withTtl(30_000)) ?? "",
     /membership grant-ttl-ms: 30000 ms .* entitlement 29\.60 s \+ lease 27\.00 s .* beyond cancel_s 47\.00 s; at most 20126 ms/,
   )
   assert.equal(leaseSettingsError(times, withTtl(20_126)), null)
-  assert.match(leaseSettingsError({ lease_s: 10, cancel_s: 13 }, withTtl(6_000)) ?? "", /at most 3143 ms/)
-  assert.match(leaseSettingsError({ lease_s: 27, cancel_s: 20 }, withTtl(6_000)) ?? "", /at most 1900 ms/)
+  assert.match(
+    leaseSettingsError({ leaseS: 10, cancellationLimitS: 13 }, withTtl(6_000)) ?? "",
+    /at most 3143 ms/,
+  )
+  assert.match(
+    leaseSettingsError({ leaseS: 27, cancellationLimitS: 20 }, withTtl(6_000)) ?? "",
+    /at most 1900 ms/,
+  )
   assert.match(
     leaseSettingsError(times, { "grant-ttl-ms": 6_000, "grant-margin-ms": 4_000 }) ?? "",
     /grant-margin-ms: a margin of 4000 ms leaves too little of a grant of 6000 ms/,
--- a/packages/settings/test/settings.test.ts
+++ b/packages/settings/test/settings.test.ts
@@ -65,12 +65,12 @@
     { name: "half", cpus: 4, cpus_max: 8, gpus: null, gpus_max: null },
   ]
   const parsed = parsePlatform(JSON.stringify({ ...platform, facts: { ...platform.facts, teams } }), "s.json")
-  const none = { cpus: 0, cpus_max: NO_LIMIT, gpus: 0, gpus_max: NO_LIMIT }
+  const none = { cpus: 0, maxCpus: NO_LIMIT, gpus: 0, maxGpus: NO_LIMIT }
   assert.ok(Result.isSuccess(parsed))
-  assert.deepEqual(parsed.success.facts.teams, [
+  assert.deepEqual(parsed.success.deployment.teams, [
     { name: "guest", ...none },
     { name: "named-only", ...none },
-    { name: "half", cpus: 4, cpus_max: 8, gpus: 0, gpus_max: NO_LIMIT },
+    { name: "half", cpus: 4, maxCpus: 8, gpus: 0, maxGpus: NO_LIMIT },
   ])
   const wrong = [{ name: "guest", cpus_max: -1 }]
   assert.match(check({ ...platform, facts: { ...platform.facts, teams: wrong } }), /facts\.teams/)
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -40,19 +40,19 @@
   constructor(
     private readonly shard: ShardName,
     epoch: ModRevision,
-    private readonly ctx: NodeContext,
+    private readonly node: NodeContext,
     active: () => boolean,
     private readonly events: JobRegistryEvents,
   ) {
-    const { state, membership, time, jobIndex } = ctx
-    this.now = time.monotonicNow
-    this.placementWriter = new PlacementWriter(shard, epoch, state, membership, time.monotonicNow, active, {
+    const { store, membership, clocks, jobIndex } = node
+    this.now = clocks.monotonicNow
+    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, active, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(shard, epoch, state, membership, jobIndex, time.monotonicNow, active, {
-      ended: (ends) => ctx.ended(ends),
-      fold: (page) => ctx.foldJobs(page),
+    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
+      ended: (ends) => node.ended(ends),
+      fold: (page) => node.foldJobs(page),
     })
   }
 
@@ -65,7 +65,7 @@
 
   /** Takes over what a former owner left: the jobs on record, and what its slots say of their tasks. */
   restore(slots: ReadonlyArray<Entry>): void {
-    for (const job of this.ctx.jobIndex.live()) this.jobChanged(job.id, job)
+    for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
     for (const { key: path, value: v, modRevision } of slots) {
@@ -87,7 +87,7 @@
       return
     }
     const { record, page, modRevision } = entry
-    if (shardOf(id, record.spec.deadlineS != null, this.ctx.nodes) !== this.shard) return
+    if (shardOf(id, record.spec.deadlineS != null, this.node.nodes) !== this.shard) return
     if (known === undefined) {
       const job = new JobState(id, record, page, modRevision)
       this.jobs.set(id, job)
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -35,25 +35,25 @@
   /** Hands an empty machine over, in one durable step that also raises its token. */
   lend(session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>): void {
     const { id } = session
-    const { ctx } = this.of
+    const { node } = this.of
     const assignment = this.of.assignments.get(id)
     if (assignment === undefined || assignment.moving || assignment.returning || this.blocks.isEditing(id))
       return
     if (!session.empty(this.finishIsDurable) || session.unreachableSince !== null) return
-    if (ctx.membership.owner(to) === null) return
+    if (node.membership.owner(to) === null) return
     assignment.moving = true
     assignment.assignedJob = null
     const shape = needs.find((n) => n.shard === to)?.shape
     if (shape !== undefined) {
-      const until = addMs(ctx.time.monotonicNow(), LOAN_COUNTS_MS)
+      const until = addMs(node.clocks.monotonicNow(), LOAN_COUNTS_MS)
       this.loans.push({ to, slots: slotsIn(shape, session.type), until })
     }
-    const handoff = session.handoff(ctx.time.monotonicNow())
+    const handoff = session.handoff(node.clocks.monotonicNow())
     this.blocks.edit(id, { kind: "move", to }, (moved) => {
       assignment.moving = false
       if (!moved) return
-      ctx.log.debug("machine lent", { machine: id, to })
-      ctx.handOff(to, id, handoff)
+      node.log.debug("machine lent", { machine: id, to })
+      node.handOff(to, id, handoff)
     })
   }
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -29,7 +29,7 @@
 
 export const teamUse = (shard: ShardView): Map<TeamName, TeamRoom> => {
   const used = new Map<TeamName, TeamRoom>()
-  for (const team of shard.ctx.platform.facts.teams) used.set(team.name, { cores: 0, accelerators: 0 })
+  for (const team of shard.node.platform.deployment.teams) used.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of shard.jobs.values()) {
     const u = used.get(job.request.team)
     if (u === undefined) continue
@@ -50,7 +50,7 @@
   const ending = new Array<number>(HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
-    const executionS = shard.ctx.estimates.executionS(job.request)
+    const executionS = shard.node.estimates.executionS(job.request)
     for (const { runningSince } of job.placements.values()) {
       const ranS = runningSince === null ? 0 : (now - runningSince) / 1000
       // One that overran its estimate may end at any time, or much later.
@@ -62,20 +62,20 @@
 }
 
 export const jobViews = (shard: ShardView, now: MonotonicTime): ReadonlyArray<JobView> => {
-  const wall = shard.ctx.time.wallNow()
+  const wall = shard.node.clocks.wallNow()
   const ahead = new Map<TeamName, number>()
   const views: Array<JobView> = []
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
     if (job.cancelled || job.complete) continue
     const { request } = job
-    const team = shard.ctx.platform.facts.teams.find((t) => t.name === request.team)
+    const team = shard.node.platform.deployment.teams.find((t) => t.name === request.team)
     const suspect = shard.failures.isSuspect(job.id)
     const demand = (ahead.get(request.team) ?? 0) + (job.taskCount - job.done) * request.cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
     if (!suspect) ahead.set(request.team, demand)
     const ageS = Math.max(0, (wall - job.submitted) / 1000)
-    const executionS = shard.ctx.estimates.executionS(request)
+    const executionS = shard.node.estimates.executionS(request)
     const zones = new Map<ZoneName, number>()
     if (request.singleZone || request.spreadZones) {
       for (const placement of job.placements.values()) {
@@ -111,10 +111,10 @@
   executionS: number,
 ): ReadonlyArray<number> => {
   const targets: Array<number> = []
-  for (const { kind, within_s, class: of } of shard.ctx.platform.facts.objectives) {
-    if (of !== jobClass || within_s == null) continue
-    if (kind === "wait") targets.push(within_s)
-    else if (kind === "finished") targets.push(within_s - executionS)
+  for (const { kind, withinS, jobClass: of } of shard.node.platform.deployment.objectives) {
+    if (of !== jobClass || withinS == null) continue
+    if (kind === "wait") targets.push(withinS)
+    else if (kind === "finished") targets.push(withinS - executionS)
   }
   return targets.sort((a, b) => a - b)
 }
@@ -124,7 +124,7 @@
   if (request.deadlineS == null) return null
   const due = request.deadlineS
   const targets = [due]
-  for (const { kind, class: of, times } of shard.ctx.platform.facts.objectives)
+  for (const { kind, jobClass: of, deadlineMultiple: times } of shard.node.platform.deployment.objectives)
     if (kind === "deadline" && of === request.jobClass && times != null && times > 1)
       targets.push(due * times)
   const target = nextTarget(
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -64,7 +64,7 @@
         continue
       }
       if (priorityRank[request.priority] >= highest) continue
-      if (isFirstOfStarved(placement, shard.ctx.time.wallNow(), now)) continue
+      if (isFirstOfStarved(placement, shard.node.clocks.wallNow(), now)) continue
       const saves = request.checkpointIntervalS > 0
       const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
       const on = victims.get(view.id) ?? []
@@ -89,7 +89,7 @@
       stopped.add(placement)
       placement.job.stop(placement, { why: "preempted", leewayS: savesS + 1, since: now })
       stoppedOn(placement.machine)
-      shard.ctx.log.debug("task preempted", { task: placement.task, machine: placement.machine })
+      shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
   }
   const left = (usable: (v: Victim<Placement>) => boolean) => (machine: MachineId) =>
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -24,9 +24,9 @@
   slotsIn(request, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
 
 /** What a team's limit leaves a part beyond what its own tasks use, however much other parts give up. */
-const reachable = ({ cpus_max, gpus_max }: Team, use: TeamRoom): TeamRoom => ({
-  cores: cpus_max - use.cores,
-  accelerators: gpus_max - use.accelerators,
+const reachable = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, use: TeamRoom): TeamRoom => ({
+  cores: cpusMax - use.cores,
+  accelerators: gpusMax - use.accelerators,
 })
 const tasksWithin = (request: JobSpec, room: TeamRoom): number =>
   slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
@@ -49,7 +49,7 @@
   unused: number,
 ): ReadonlyArray<QuotaDemand> => {
   const beyondUse = new Map<TeamName, TeamRoom>()
-  for (const team of shard.ctx.platform.facts.teams)
+  for (const team of shard.node.platform.deployment.teams)
     beyondUse.set(team.name, reachable(team, used.get(team.name) ?? NOTHING))
   const out = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
@@ -65,7 +65,7 @@
     const starved = isStarved(job) && startable < Math.min(wanting, tasksToBegin(job))
     const rank = starved ? STARVED_RANK : job.rank
     const since = shard.jobs.get(id)?.submitted ?? 0
-    const need: QuotaDemand = { shard: shard.shard, team: request.team, rank, since }
+    const need: QuotaDemand = { shard: shard.name, team: request.team, rank, since }
     const before = out.get(request.team)
     if (before === undefined || goesFirst(need, before)) out.set(request.team, need)
   }
@@ -86,14 +86,14 @@
       ? 0
       : Math.min(limit, Math.ceil(amount / (limit * CLAIM_STEP)) * limit * CLAIM_STEP)
   const claims: Array<TeamClaim> = []
-  for (const { name, cpus_max, gpus_max } of shard.ctx.platform.facts.teams) {
+  for (const { name, maxCpus: cpusMax, maxGpus: gpusMax } of shard.node.platform.deployment.teams) {
     const use = used.get(name) ?? NOTHING
     const more = planned.get(name) ?? NOTHING
     claims.push({
-      shard: shard.shard,
+      shard: shard.name,
       team: name,
-      cpus: inSteps(use.cores + more.cores, cpus_max),
-      gpus: inSteps(use.accelerators + more.accelerators, gpus_max),
+      cpus: inSteps(use.cores + more.cores, cpusMax),
+      gpus: inSteps(use.accelerators + more.accelerators, gpusMax),
     })
   }
   return claims
@@ -124,8 +124,8 @@
   quotas: ReadonlyArray<QuotaDemand>,
   unused: number,
 ): ShareNeed => {
-  const wall = shard.ctx.time.wallNow()
-  const now = shard.ctx.time.monotonicNow()
+  const wall = shard.node.clocks.wallNow()
+  const now = shard.node.clocks.monotonicNow()
   const demand = new Demand()
   const starved = new Demand()
   const attainable = reachable(team, use)
@@ -148,7 +148,7 @@
   }
   const asking = quotas.filter((q) => q.team === team.name)
   const others = (of: Demand) =>
-    asking.some((q) => goesFirst(q, { shard: shard.shard, team: team.name, rank: of.rank, since: of.since }))
+    asking.some((q) => goesFirst(q, { shard: shard.name, team: team.name, rank: of.rank, since: of.since }))
   const need = (of: Demand, asked: ShareNeed["asked"]): ShareNeed => ({
     used: amountOf(use),
     wanted: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -90,17 +90,17 @@
   // --- renting ------------------------------------------------------------------
 
   rental(rental: PlannedRental): void {
-    const { ctx } = this.of
-    const name = ctx.nextRentalRequestId()
+    const { node } = this.of
+    const name = node.nextRentalRequestId()
     const { type, zone, spot } = rental.offer
-    const answered = ctx.fleet.asking(type.name, zone, spot)
+    const answered = node.inventory.asking(type.name, zone, spot)
     this.pendingRentals.set(name, rental)
     const settled = Effect.sync(() => {
       answered()
       this.pendingRentals.delete(name)
       this.events.changed()
     })
-    ctx.fork(Effect.ensuring(this.carryOut(name, rental, answered), settled))
+    node.fork(Effect.ensuring(this.carryOut(name, rental, answered), settled))
   }
 
   private carryOut(
@@ -109,14 +109,14 @@
     answered: () => void,
   ) {
     return Effect.gen({ self: this }, function* () {
-      const { ctx } = this.of
+      const { node } = this.of
       const { type, zone, spot } = offer
       const request = { requestId: name, machineType: type.name, zone, spot, count }
       // The same name until it is answered: a lost answer then rents nothing twice.
       for (let tries = 0; tries < 20 && !this.over(); tries++) {
-        const rented = ctx.time.wallNow()
-        const stillWanted = () => !this.over() && !ctx.fleet.isRefused(type.name, zone, spot)
-        const answer = yield* Effect.result(ctx.cloud.rent(request, stillWanted))
+        const rented = node.clocks.wallNow()
+        const stillWanted = () => !this.over() && !node.inventory.isRefused(type.name, zone, spot)
+        const answer = yield* Effect.result(node.cloud.rent(request, stillWanted))
         if (Result.isFailure(answer)) {
           if (answer.failure.status === 400) return
           yield* Effect.sleep(400)
@@ -125,9 +125,9 @@
         const outcome = answer.success
         if (outcome.kind === "dropped") return
         const got = outcome.kind === "rented" ? outcome.machines : []
-        if (got.length < count) ctx.fleet.refuse(type.name, zone, spot)
-        else ctx.fleet.granted(type.name, zone, spot)
-        const note = got.length > 0 ? ctx.log.info : ctx.log.debug
+        if (got.length < count) node.inventory.refuse(type.name, zone, spot)
+        else node.inventory.granted(type.name, zone, spot)
+        const note = got.length > 0 ? node.log.info : node.log.debug
         note("hired", { name, type: type.name, zone, spot, asked: count, got: got.length, for: assignedJob })
         answered()
         if (got.length === 0) return
@@ -150,17 +150,17 @@
   /** Machines that the cloud lists and no record knows: rented by a node that died, or there from the start. */
   private adopt() {
     return Effect.gen({ self: this }, function* () {
-      const { fleet, membership, time, machineIndex, log } = this.of.ctx
+      const { inventory, membership, clocks, machineIndex, log } = this.of.node
       const unknown = (m: ListedMachine) =>
         !this.recording.has(m.id) &&
         machineIndex.get(m.id) === undefined &&
         !machineIndex.gone.has(m.id) &&
         (m.ageS >= ADOPT_AFTER_S || m.status === "running")
-      if (!fleet.listedHere.some(unknown)) return
+      if (!inventory.listedHere.some(unknown)) return
       const fresh = yield* Effect.result(membership.readBarrier.since)
       if (Result.isFailure(fresh)) return
       const groups = new Map<string, Array<ListedMachine>>()
-      for (const listed of fleet.listedHere) {
+      for (const listed of inventory.listedHere) {
         if (!unknown(listed)) continue
         const group = originFor(ADOPTED, listed)
         const of = groups.get(group)
@@ -172,7 +172,7 @@
         const ids = group.map((m) => m.id)
         for (const id of ids) this.recording.add(id)
         log.info("machines adopted", { count: ids.length, machineType, zone, spot, first: ids[0] })
-        const rentedAt = time.wallNow() - ageS * 1000
+        const rentedAt = clocks.wallNow() - ageS * 1000
         this.blocks.add({ machineType, zone, spot, rentedAt, ids }, true, () => {
           for (const id of ids) this.recording.delete(id)
         })
@@ -186,7 +186,7 @@
     const assignment = this.of.assignments.get(session.id)
     if (assignment === undefined || assignment.returning) return
     assignment.returning = true
-    this.of.ctx.log.info("machine given back", { machine: session.id, why, tasks: session.placements.size })
+    this.of.node.log.info("machine given back", { machine: session.id, why, tasks: session.placements.size })
     this.leaving.set(session.id, session)
     this.leave.notify()
   }
@@ -201,7 +201,7 @@
           continue
         }
         const batch = [...this.leaving.values()].slice(0, RETURN_SIZE)
-        const gone = yield* Effect.result(this.of.ctx.cloud.remove(batch.map((s) => s.id)))
+        const gone = yield* Effect.result(this.of.node.cloud.remove(batch.map((s) => s.id)))
         if (this.over()) return
         if (Result.isFailure(gone)) {
           yield* Effect.sleep(400)
@@ -211,7 +211,7 @@
           this.leaving.delete(session.id)
           // Whether we gave it back or the cloud took it: its place is free now.
           const { machineType: build, zone: site, spot: loaners } = session.entry
-          this.of.ctx.fleet.granted(build, site, loaners)
+          this.of.node.inventory.granted(build, site, loaners)
           this.events.deleted(session)
           this.blocks.edit(session.id, { kind: "remove" })
         }
@@ -227,7 +227,7 @@
         if (this.over()) return
         if (!this.active()) continue
         this.check()
-        if (this.of.shard === DEADLINE_SHARD) yield* this.adopt()
+        if (this.of.name === DEADLINE_SHARD) yield* this.adopt()
       }
     })
   }
@@ -235,9 +235,9 @@
   /** Which machines are gone, broken or of no use any more? */
   private check(): void {
     const { of } = this
-    const now = of.ctx.time.monotonicNow()
-    const { machines: needs } = of.ctx.demandRegistry(of.shard)
-    const windowMs = of.ctx.operators.provisioning["window-s"] * 1000
+    const now = of.node.clocks.monotonicNow()
+    const { machines: needs } = of.node.demandRegistry(of.name)
+    const windowMs = of.node.operators.provisioning["window-s"] * 1000
     let spotUp = false
     for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
     const wanted = this.queuedShapes()
@@ -293,21 +293,22 @@
   }
 
   private brokenBy(session: WorkerSession, rentedAt: MonotonicTime, now: MonotonicTime): string | null {
-    const { fleet, platform } = this.of.ctx
-    const lagMs = platform.facts.cloud.list_lag_s * 1000
-    const listed = fleet.listed.get(session.id)
+    const { inventory, platform } = this.of.node
+    const lagMs = platform.deployment.cloud.listLagS * 1000
+    const listed = inventory.listed.get(session.id)
     const heldMs = now - rentedAt
-    const listIsNew = fleet.listedAt > addMs(now, -3 * lagMs - 4_000 - fleet.pollMs)
+    const listIsNew = inventory.listedAt > addMs(now, -3 * lagMs - 4_000 - inventory.pollMs)
     // Gone by the list and silent: asking for its deletion proves it gone, which the list alone does not.
     if (listed === undefined && listIsNew && session.silentMs(now) > 4_000) {
-      const shouldBeListed = fleet.everListed.has(session.id) || heldMs > 4 * lagMs + 2_000 + fleet.pollMs
+      const shouldBeListed =
+        inventory.everListed.has(session.id) || heldMs > 4 * lagMs + 2_000 + inventory.pollMs
       if (shouldBeListed) return "vanished"
     }
     if (listed?.status === "failed") return "failed"
     if (this.of.failures.isFaulty(session.id)) return "faulty"
     // The time it was warned of is over, and its next report overdue: sooner known than by the lagging list.
     const { warningUntil } = session
-    const overdueMs = REPORT_OVERDUE * 1000 * platform.facts.workers.report_s
+    const overdueMs = REPORT_OVERDUE * 1000 * platform.deployment.workers.heartbeatIntervalS
     if (warningUntil !== null && now > warningUntil && session.silentMs(now) > overdueMs) return "taken back"
     // A new owner hasn't heard machines that are long up either: the list has to say that it still boots.
     const overdue = heldMs > session.type.bootS * NEVER_BOOTED * 1000
@@ -321,7 +322,7 @@
   /** What of the queued work that no limit holds back an idle machine could take. */
   private queuedShapes() {
     const heldBack = this.events.heldBack()
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     const shapes = []
     for (const job of this.of.jobs.values())
       if (this.of.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -26,23 +26,23 @@
   readonly platform: Platform
   readonly operators: Operators
   readonly nodes: number
-  readonly state: StoreClient
+  readonly store: StoreClient
   readonly cloud: CloudClient
-  readonly exchange: HttpClient["Service"]
+  readonly httpClient: HttpClient["Service"]
   /** Commands to workers under way from this node. */
-  readonly commands: InFlight
+  readonly commandsInFlight: InFlight
   /** Sends them, or has them sent by the node that a worker reports to. */
   readonly commandForwarder: CommandForwarder
   readonly membership: Membership
-  readonly fleet: CloudInventory
+  readonly inventory: CloudInventory
   readonly machineIndex: MachineIndex
   readonly estimates: RunTimeEstimates
-  readonly time: Clocks
+  readonly clocks: Clocks
   readonly log: Log
   readonly nextRentalRequestId: () => RentalRequestId
   /** What other parts lack, as far as we have heard. */
   readonly demandRegistry: (except: ShardName) => ShardDemand
-  readonly publish: (shard: ShardName, demand: ShardDemand) => void
+  readonly publish: (shard: ShardName, demandOfOthers: ShardDemand) => void
   /** Tells a machine's new owner of it before the watch does. */
   readonly handOff: (to: ShardName, id: MachineId, by: MachineHandoff | null) => void
   readonly jobIndex: JobIndex
@@ -69,8 +69,8 @@
 
 /** What there is of a part to look at: enough to plan from. */
 export interface ShardView {
-  readonly shard: ShardName
-  readonly ctx: NodeContext
+  readonly name: ShardName
+  readonly node: NodeContext
   readonly jobs: ReadonlyMap<JobId, JobState>
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly assignments: ReadonlyMap<MachineId, MachineAssignment>
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -57,23 +57,23 @@
   private endListening: Array<() => void> = []
 
   constructor(
-    readonly shard: ShardName,
+    readonly name: ShardName,
     readonly epoch: ModRevision,
-    readonly ctx: NodeContext,
+    readonly node: NodeContext,
   ) {
-    const { state, membership, machineIndex, time } = ctx
+    const { store, membership, machineIndex, clocks } = node
     const active = () => this.ready && this.active
     this.blocks = new MachineRecordWriter(
-      shard,
+      name,
       epoch,
       membership.shards,
-      state,
+      store,
       membership,
       machineIndex,
-      time.monotonicNow,
+      clocks.monotonicNow,
       active,
     )
-    this.registry = new JobRegistry(shard, epoch, ctx, active, {
+    this.registry = new JobRegistry(name, epoch, node, active, {
       durable: (placements) => this.placed(placements),
       arrived: (request) => this.planning.arrived(request),
       changed: () => this.planSignal.notify(),
@@ -83,7 +83,7 @@
       ready: () => this.ready,
     })
     this.workers = new WorkerCommunication({
-      ctx,
+      node: this.node,
       machines: this.machines,
       registry: this.registry,
       blocks: this.blocks,
@@ -131,7 +131,7 @@
     this.planSignal.notify()
   }
   private get active(): boolean {
-    return !this.over && this.ctx.membership.holdsLease()
+    return !this.over && this.node.membership.holdsLease()
   }
 
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
@@ -148,14 +148,14 @@
 
   private takeOver() {
     return Effect.gen({ self: this }, function* () {
-      const { membership, machineIndex } = this.ctx
+      const { membership, machineIndex } = this.node
       const { replica } = membership
       // Every job and machine of this part that a former owner acted on is in
       // the mirror once it has reached our epoch.
-      while (replica.revision < this.epoch || this.ctx.fleet.catalog() === null) yield* Effect.sleep(20)
+      while (replica.revision < this.epoch || this.node.inventory.catalog() === null) yield* Effect.sleep(20)
       let entries: ReadonlyArray<Entry> = []
       for (;;) {
-        const read = yield* Effect.result(this.ctx.state.list(keys.slots(this.shard)))
+        const read = yield* Effect.result(this.node.store.list(keys.slots(this.name)))
         if (Result.isSuccess(read)) {
           entries = read.success.items
           break
@@ -163,7 +163,7 @@
         yield* Effect.sleep(200)
       }
       if (this.over) return
-      const now = this.ctx.time.monotonicNow()
+      const now = this.node.clocks.monotonicNow()
       for (const entry of machineIndex.all()) this.machineChanged(entry.id, entry)
       this.registry.restore(entries)
       for (const job of this.jobs.values()) {
@@ -178,12 +178,12 @@
         this.registry.settle(job)
       }
       this.endListening = [
-        this.ctx.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
+        this.node.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
         machineIndex.listen((id, entry) => this.machineChanged(id, entry)),
       ]
       this.ready = true
-      this.ctx.log.info("part ready", {
-        shard: this.shard,
+      this.node.log.info("part ready", {
+        shard: this.name,
         epoch: this.epoch,
         jobs: this.jobs.size,
         machines: this.machines.size,
@@ -195,19 +195,19 @@
 
   private machineChanged(id: MachineId, entry: MachineEntry | null): void {
     const session = this.machines.get(id)
-    if (entry === null || entry.shard !== this.shard) {
+    if (entry === null || entry.shard !== this.name) {
       if (session !== undefined) this.dropMachine(session, entry === null ? "deleted" : "moved")
       return
     }
     if (session !== undefined) return session.update(entry)
-    const type = this.ctx.fleet.catalog()?.get(entry.machineType)
+    const type = this.node.inventory.catalog()?.get(entry.machineType)
     if (type === undefined) return
-    const now = this.ctx.time.monotonicNow()
-    const { lease_s, report_s } = this.ctx.platform.facts.workers
+    const now = this.node.clocks.monotonicNow()
+    const { leaseS, heartbeatIntervalS: reportS } = this.node.platform.deployment.workers
     const fresh = this.rentals.isOurs(id)
-    const times = { leaseS: lease_s, reportS: report_s }
+    const times = { leaseS, reportS }
     this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
-    const age = Math.max(0, this.ctx.time.wallNow() - entry.rentedAt)
+    const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
     const assignedJob = this.rentals.takeAssignedJob(id)
     this.assignments.set(id, {
       assignedJob: assignedJob !== null && this.jobs.has(assignedJob) ? assignedJob : null,
@@ -230,7 +230,7 @@
 
   // --- workers --------------------------------------------------------------
 
-  report(body: Heartbeat, via: NodeName | null, answer: Respond): void {
+  receiveHeartbeat(body: Heartbeat, via: NodeName | null, answer: Respond): void {
     this.workers.report(body, via, answer)
   }
   /** The whole of a report that repeats the last word of its machine; null: that was another one. */
@@ -258,7 +258,7 @@
       for (;;) {
         yield* this.planSignal.wait(TICK_MS)
         if (this.over) return
-        const began = this.ctx.time.monotonicNow()
+        const began = this.node.clocks.monotonicNow()
         if (this.active) {
           const look = began >= addMs(this.lookedAt, LOOK_MS)
           if (look) {
@@ -271,20 +271,20 @@
         }
         this.workers.answerReady()
         // Reports, grants and health checks must not wait for plans.
-        const tookMs = this.ctx.time.monotonicNow() - began
+        const tookMs = this.node.clocks.monotonicNow() - began
         yield* Effect.sleep(Math.max(PLAN_SPACING_MS, PLAN_REST * tookMs))
       }
     })
   }
 
   private checkLeases(): void {
-    const now = this.ctx.time.monotonicNow()
+    const now = this.node.clocks.monotonicNow()
     for (const session of this.machines.values()) {
       if ((!session.up && session.placements.size === 0) || !session.leaseOver(now)) continue
       const tasks = session.placements.size
       const ended = session.expireLease()
       if (ended.length > 0 || tasks === 0)
-        this.ctx.log.info("machine's lease is over", { machine: session.id, tasks })
+        this.node.log.info("machine's lease is over", { machine: session.id, tasks })
       this.workers.apply(session, ended)
       // What is left may still start there: only the machine's deletion frees it at once.
       if (session.placements.size > 0) this.rentals.giveBack(session, "silent with a start under way")
@@ -293,7 +293,7 @@
 
   /** A machine about to be taken back: whatever can save does so in time, the rest runs on until the end. */
   private checkWarnings(): void {
-    const now = this.ctx.time.monotonicNow()
+    const now = this.node.clocks.monotonicNow()
     for (const session of this.machines.values()) {
       if (session.warningUntil === null) continue
       const leftS = (session.warningUntil - now) / 1000
@@ -310,7 +310,7 @@
 
   /** The former owner tells us of a machine that is now ours. */
   acceptHandoff(id: MachineId, by: MachineHandoff): void {
-    this.machines.get(id)?.acceptHandoff(by, this.ctx.time.monotonicNow())
+    this.machines.get(id)?.acceptHandoff(by, this.node.clocks.monotonicNow())
     this.planSignal.notify()
   }
 
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -88,15 +88,15 @@
 
   constructor(private readonly host: ShardPlanningHost) {
     const { shard, epoch, changed } = host
-    const { platform, membership, state, time } = shard.ctx
+    const { platform, membership, store, clocks } = shard.node
     const { replica } = membership
     this.shares = new QuotaAllocation(
-      shard.shard,
+      shard.name,
       epoch,
-      platform.facts.teams,
+      platform.deployment.teams,
       replica,
-      state,
-      time.monotonicNow,
+      store,
+      clocks.monotonicNow,
       changed,
     )
   }
@@ -106,31 +106,31 @@
     const { shard } = this.host
     const within = startTargets(shard, request.jobClass, request.estimatedRunS)[0] ?? null
     let soonestBoot = Number.POSITIVE_INFINITY
-    for (const type of shard.ctx.fleet.catalog()?.values() ?? [])
+    for (const type of shard.node.inventory.catalog()?.values() ?? [])
       soonestBoot = Math.min(soonestBoot, type.bootS)
     if (within === null || within >= soonestBoot) return
-    this.arrivals.learn(request.taskCount * request.cores, request.image, shard.ctx.time.monotonicNow())
+    this.arrivals.learn(request.taskCount * request.cores, request.image, shard.node.clocks.monotonicNow())
     this.reserveRank = Math.max(this.reserveRank, priorityRank[request.priority])
   }
   reserve(): Reserve {
     return {
       rank: this.reserveRank,
-      cores: this.arrivals.reserveCores(this.host.shard.ctx.time.monotonicNow()),
+      cores: this.arrivals.reserveCores(this.host.shard.node.clocks.monotonicNow()),
       images: this.arrivals.images(),
     }
   }
   /** Some work needed machines that spot couldn't give, not long ago. */
   onDemandNeeded(): boolean {
-    return this.host.shard.ctx.time.monotonicNow() < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
+    return this.host.shard.node.clocks.monotonicNow() < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
   }
 
   /** `makesRoom`: running tasks of lower rank may be stopped this time. */
   planOnce(makesRoom: boolean): void {
     const { shard } = this.host
-    const { ctx } = shard
-    const now = ctx.time.monotonicNow()
+    const { node } = shard
+    const now = node.clocks.monotonicNow()
     const used = teamUse(shard)
-    const { machines: needs, quotas, claims } = ctx.demandRegistry(shard.shard)
+    const { machines: needs, quotas, claims } = node.demandRegistry(shard.name)
     const unused = unusedCores(shard, used)
     this.adjustShares(used, quotas, unused)
     const teams = this.teamRooms(used, claims)
@@ -156,19 +156,19 @@
       machines,
       teams: teams.startable,
       limits: teams.rentable,
-      types: [...(ctx.fleet.catalog()?.values() ?? [])],
-      maxOnDemandCostRatio: ctx.operators.provisioning["dearest-steady"],
+      types: [...(node.inventory.catalog()?.values() ?? [])],
+      maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
       reserve,
       othersWait: needs.length > 0,
       load: () => this.load(now),
-      market: ctx.fleet.market(),
+      market: node.inventory.market(),
       rentalSize: RENTAL_SIZE,
-      deploymentS: ctx.operators.provisioning["deployment-s"],
+      deploymentS: node.operators.provisioning["deployment-s"],
     })
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
-    ctx.publish(shard.shard, {
-      machines: machineNeeds(shard.shard, decided.unplaced),
+    node.publish(shard.name, {
+      machines: machineNeeds(shard.name, decided.unplaced),
       quotas: quotaNeeds(shard, jobs, teams.startable, used, unused).filter(
         ({ team }) => !this.shares.yields(team),
       ),
@@ -182,7 +182,7 @@
     claims: Parameters<QuotaAllocation["beyond"]>[2],
   ): TeamRooms {
     const rooms: TeamRooms = { startable: new Map(), rentable: new Map() }
-    for (const team of this.host.shard.ctx.platform.facts.teams) {
+    for (const team of this.host.shard.node.platform.deployment.teams) {
       const { cores, accelerators } = used.get(team.name) ?? NOTHING
       const beyond = this.shares.beyond(team, { cpus: cores, gpus: accelerators }, claims)
       rooms.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
@@ -203,7 +203,7 @@
     const changes = this.shares.adjust((team) =>
       shareNeed(shard, team, used.get(team.name) ?? NOTHING, quotas, unused),
     )
-    for (const change of changes) shard.ctx.fork(change)
+    for (const change of changes) shard.node.fork(change)
   }
   private lendAll(lent: Iterable<Lent>, needs: ReadonlyArray<MachineDemand>): void {
     const { shard, lending } = this.host
@@ -233,17 +233,17 @@
   }
 
   private hasMostMachines(): boolean {
-    const { machines, ctx } = this.host.shard
+    const { machines, node } = this.host.shard
     const ours = machines.size
-    return ours > 1 && ctx.membership.shards.every((shard) => ctx.machineIndex.size(shard) <= ours)
+    return ours > 1 && node.membership.shards.every((shard) => node.machineIndex.size(shard) <= ours)
   }
   /** How much of the machines that could be lent to somebody is ours to lend. */
   private shareOfFleet(): number {
-    const { shard, machines, ctx } = this.host.shard
+    const { name: shard, machines, node } = this.host.shard
     const all =
       shard === DEADLINE_SHARD
-        ? ctx.machineIndex.total
-        : ctx.machineIndex.total - ctx.machineIndex.size(DEADLINE_SHARD)
+        ? node.machineIndex.total
+        : node.machineIndex.total - node.machineIndex.size(DEADLINE_SHARD)
     return all === 0 ? 1 : Math.min(1, machines.size / all)
   }
 
@@ -312,8 +312,8 @@
     }
     let queued = 0
     for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queued
-    shard.ctx.log.debug("part status", {
-      shard: shard.shard,
+    shard.node.log.debug("part status", {
+      shard: shard.name,
       jobs: shard.jobs.size,
       queued,
       ...states,
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -27,7 +27,7 @@
 
 /** What the exchange with the workers needs of its part. */
 export interface WorkerCommunicationHost {
-  readonly ctx: NodeContext
+  readonly node: NodeContext
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly registry: JobRegistry
   readonly blocks: MachineRecordWriter
@@ -54,10 +54,10 @@
   private readonly renewableMs: number
 
   constructor(private readonly of: WorkerCommunicationHost) {
-    const { time, platform, operators } = of.ctx
-    const budget = cancellationBudget(platform.facts.workers, operators.membership)
+    const { clocks, platform, operators } = of.node
+    const budget = cancellationBudget(platform.deployment.workers, operators.membership)
     this.renewableMs = Math.max(0, budget.cancelMs - budget.worstCaseMs)
-    this.deferred = new DeferredReplies(time.monotonicNow, (session) => this.answer(session))
+    this.deferred = new DeferredReplies(clocks.monotonicNow, (session) => this.answer(session))
   }
 
   /**
@@ -82,13 +82,13 @@
   private heard(body: Heartbeat): WorkerSession | null {
     const session = this.of.machines.get(body.machineId)
     if (!this.of.mayAct() || session === undefined) return null
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     const begins = !session.up
     const outcomes = session.observe(body, "heartbeat", now)
     if (outcomes === null) {
       // A late copy says nothing, and nobody waits for its answer. Or the
       // worker began anew: then its reports would be taken for copies for ever.
-      if (session.silentMs(now) > 1_500 * this.of.ctx.platform.facts.workers.report_s)
+      if (session.silentMs(now) > 1_500 * this.of.node.platform.deployment.workers.heartbeatIntervalS)
         this.inspect(session, body)
       return null
     }
@@ -99,7 +99,7 @@
   private answer(session: WorkerSession): OutgoingResponse {
     // While its report was held, the machine may have gone, or our right to speak.
     if (!this.of.mayAct() || this.of.machines.get(session.id) !== session) return NOT_OURS
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     if (this.leaseMustEnd(session, now)) {
       this.afterBody(session)
       return NOT_OURS
@@ -127,7 +127,7 @@
     if (this.inspecting.has(session.id)) return
     this.inspecting.add(session.id)
     const since = session.counters()
-    const { exchange, time, fork } = this.of.ctx
+    const { httpClient, clocks, fork } = this.of.node
     const call = {
       address: body.address,
       method: "GET",
@@ -136,15 +136,15 @@
     } as const
     fork(
       Effect.gen({ self: this }, function* () {
-        const reply = yield* Effect.result(exchange.call(call))
+        const reply = yield* Effect.result(httpClient.call(call))
         const decoded = Result.isSuccess(reply) ? decodeHeartbeat(reply.success.body) : null
         if (decoded === null || Result.isFailure(decoded) || this.of.machines.get(session.id) !== session)
           return
         if (decoded.success.machineId !== session.id) return
-        const outcomes = session.observe(decoded.success, "direct", time.monotonicNow())
+        const outcomes = session.observe(decoded.success, "direct", clocks.monotonicNow())
         if (outcomes !== null) this.apply(session, outcomes)
-        else if (session.restarted(decoded.success, since, time.monotonicNow()))
-          this.of.ctx.log.info("worker began anew", {
+        else if (session.restarted(decoded.success, since, clocks.monotonicNow()))
+          this.of.node.log.info("worker began anew", {
             machine: session.id,
             agentEpoch: decoded.success.agentEpoch,
           })
@@ -156,7 +156,7 @@
   private afterBody(session: WorkerSession): void {
     if (session.needsHigherToken() && !this.of.blocks.isEditing(session.id)) {
       if (session.unreachableSince !== null)
-        this.of.ctx.log.info("machine has to show that it hears", { machine: session.id })
+        this.of.node.log.info("machine has to show that it hears", { machine: session.id })
       this.of.blocks.edit(session.id, { kind: "fence" }, (done) => {
         if (done) session.tokenRaised()
       })
@@ -167,18 +167,18 @@
   /** Carries over to the jobs what a body, or the end of a lease, says of their tasks. */
   apply(session: WorkerSession, outcomes: ReadonlyArray<Outcome>): void {
     if (outcomes.length === 0) return
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     let roomChanged = false
     for (const outcome of outcomes) {
       const { placement } = outcome
       const { job } = placement
       if (outcome.kind === "running") {
         job.began(placement, now)
-        this.of.ctx.log.debug("task runs", {
+        this.of.node.log.debug("task runs", {
           task: placement.task,
           jobClass: job.request.jobClass,
           machine: session.id,
-          waitedS: (this.of.ctx.time.wallNow() - job.submitted) / 1000,
+          waitedS: (this.of.node.clocks.wallNow() - job.submitted) / 1000,
           fetchedS: (now - placement.placedAt) / 1000,
         })
         continue
@@ -190,12 +190,12 @@
         job.notBefore = null
         this.of.failures.succeeded(job.id, session.id)
         if (placement.runningSince !== null && placement.stop === null)
-          this.of.ctx.estimates.learn(job.request, (now - placement.runningSince) / 1000)
+          this.of.node.estimates.learn(job.request, (now - placement.runningSince) / 1000)
       } else {
         job.clear(placement)
         const pauseMs = this.pauseAfter(outcome.cause, job, session, now)
         if (pauseMs > 0) job.notBefore = addMs(now, pauseMs)
-        this.of.ctx.log.debug("task cleared", {
+        this.of.node.log.debug("task cleared", {
           task: placement.task,
           machine: session.id,
           cause: outcome.cause,
@@ -214,11 +214,11 @@
     return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(7, job.refusals))
   }
   private failed(job: JobState, session: WorkerSession, now: MonotonicTime): number {
-    const { failures, ctx } = this.of
+    const { failures, node } = this.of
     const suspectBefore = failures.isSuspect(job.id)
     const pauseMs = failures.failed(job.id, session.id, now)
     if (!suspectBefore && failures.isSuspect(job.id))
-      ctx.log.info("job fails wherever it runs", { job: job.id })
+      node.log.info("job fails wherever it runs", { job: job.id })
     return pauseMs
   }
   private roomChanged(): void {
@@ -229,10 +229,10 @@
   /** Sends what can't wait for the next report straight to the workers. */
   pushCommands(): void {
     if (!this.of.holdsLease()) return
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     for (const session of this.awaitingCommands) {
       // Whoever has to wait is told with the next answer, or when a command has been answered.
-      this.mustWait = this.of.ctx.commands.full
+      this.mustWait = this.of.node.commandsInFlight.full
       if (this.mustWait) return
       if (this.deferred.has(session)) {
         this.deferred.answerNow(session)
@@ -240,7 +240,7 @@
       }
       if (session.commandsInFlight || session.address === null || session.agentEpoch === null) continue
       this.awaitingCommands.delete(session)
-      if (now >= session.commandsPausedUntil) this.of.ctx.fork(this.sendCommands(session))
+      if (now >= session.commandsPausedUntil) this.of.node.fork(this.sendCommands(session))
     }
   }
   /** The machine has something to be told before its next report. */
@@ -262,7 +262,7 @@
 
   private sendCommands(session: WorkerSession) {
     return Effect.suspend(() => {
-      const now = this.of.ctx.time.monotonicNow()
+      const now = this.of.node.clocks.monotonicNow()
       const { address, agentEpoch, token } = session
       if (session.commandsInFlight || address === null || agentEpoch === null || !this.of.holdsLease())
         return Effect.void
@@ -270,7 +270,7 @@
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.sending(commands, now)
       const batch = { fencingToken: token, agentEpoch, commands }
-      return Effect.map(this.of.ctx.commandForwarder.send(address, batch, session.via), (outcome) => {
+      return Effect.map(this.of.node.commandForwarder.send(address, batch, session.via), (outcome) => {
         const sure = outcome.status === 200 || outcome.status === 409 || outcome.status === NOT_SENT
         session.sent(commands, token, sure)
         if (this.of.isOver() || this.of.machines.get(session.id) !== session) return
@@ -279,7 +279,7 @@
     })
   }
   private replied(session: WorkerSession, heartbeat: Heartbeat | null): void {
-    const now = this.of.ctx.time.monotonicNow()
+    const now = this.of.node.clocks.monotonicNow()
     if (heartbeat === null) {
       session.commandsPausedUntil = addMs(now, COMMANDS_BACKOFF_MS)
       return
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -25,14 +25,14 @@
   const record = { spec: request, submittedAt: NOW - ageS * 1000, cancelled: false } as unknown as JobRecord
   return new JobState(id, record, keys.jobPage(0, 0), 1 as ModRevision)
 }
-const team = { name: red, cpus: 50, cpus_max: 320, gpus: 0, gpus_max: 0 } as unknown as Team
+const team = { name: red, cpus: 50, maxCpus: 320, gpus: 0, maxGpus: 0 } as unknown as Team
 const teams = [team]
 const shard = (...jobs: ReadonlyArray<JobState>): ShardView =>
   ({
-    shard: "part-0",
+    name: "part-0",
     jobs: new Map(jobs.map((j) => [j.id, j])),
     failures: new FailureTracker(),
-    ctx: { time: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { facts: { teams } } },
+    node: { clocks: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { deployment: { teams } } },
   }) as unknown as ShardView
 const asks = (rank: number): QuotaDemand => ({ shard: "deadline" as ShardName, team: red, rank, since: 0 })
 const use = { cores: 20, accelerators: 0 }
--- a/packages/testkit/src/golden-recording.ts
+++ b/packages/testkit/src/golden-recording.ts
@@ -173,7 +173,7 @@
   private platform = ""
 
   readonly watch = (world: World): void => {
-    this.platform = JSON.stringify(world.platform(1))
+    this.platform = JSON.stringify(world.platformFile(1))
     this.watchRequests(world)
     world.state.listeners.push((path, value) => {
       if (value === null) return
--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/measure.ts
@@ -13,7 +13,7 @@
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
 import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
-import { teamFrom } from "@sorreltally/settings"
+import { NO_LIMIT } from "@sorreltally/settings"
 import { Cloud } from "./cloud.ts"
 import { LoopbackNet } from "./loopback-net.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
@@ -138,14 +138,25 @@
     sites: ZONES,
   }) as unknown as WireMachineType
 const types = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
-const teams = ["red", "blue"].map((name) =>
-  teamFrom({ name: name as TeamName, cpus: 5_000 * scale, cpus_max: 25_000 * scale }),
-)
+const teams = ["red", "blue"].map((name) => ({
+  name,
+  cpus: 5_000 * scale,
+  cpus_max: 25_000 * scale,
+  gpus: 0,
+  gpus_max: NO_LIMIT,
+}))
+const ruledTeams = teams.map(({ name, cpus, cpus_max, gpus, gpus_max }) => ({
+  name: name as TeamName,
+  cpus,
+  maxCpus: cpus_max,
+  gpus,
+  maxGpus: gpus_max,
+}))
 const limits = { rps: 150, write_rps: 15, value_kb: 8, txn_ops: 8 }
 
 const sim = new Sim(1)
 const net = new LoopbackNet(sim)
-const rules = new Rules(sim, teams as never, types, TIMES.cancel_s)
+const rules = new Rules(sim, ruledTeams, types, TIMES.cancel_s)
 const names = Array.from({ length: NODES }, (_, i) => `host-${i}` as NodeName)
 new StateService(sim, net, limits)
 const cloud = new Cloud(sim, net, rules, {
--- a/packages/testkit/src/rules.ts
+++ b/packages/testkit/src/rules.ts
@@ -87,7 +87,7 @@
     const used = (this.used.get(request.owner) ?? 0) + (other === undefined ? request.cores : 0)
     this.used.set(request.owner, used)
     const team = this.teams.find((t) => t.name === request.owner)!
-    if (used > team.cpus_max + 1e-6) this.say("quota", `${team.name} uses ${used} of ${team.cpus_max}`)
+    if (used > team.maxCpus + 1e-6) this.say("quota", `${team.name} uses ${used} of ${team.maxCpus}`)
   }
   ended(job: string, index: number, machine: string): void {
     if (this.places.get(`${job}/${index}`)?.machine !== machine) return
@@ -111,7 +111,7 @@
     return users.isAccepted(job) && users.finalState(job) === null && !users.askedToCancel.has(job)
   }
   limitOf(team: string): number {
-    return this.teams.find(({ name }) => name === team)?.cpus_max ?? 0
+    return this.teams.find(({ name }) => name === team)?.maxCpus ?? 0
   }
   /** A rule that is checked elsewhere was broken. */
   report(rule: string, what: string): void {
@@ -130,7 +130,7 @@
   }
   /** Teams that have a limit. */
   limitedTeams(): ReadonlyArray<string> {
-    return this.teams.filter(({ cpus_max }) => isLimited(cpus_max)).map(({ name }) => name)
+    return this.teams.filter(({ maxCpus }) => isLimited(maxCpus)).map(({ name }) => name)
   }
   /** Machines on which tasks of the job are. */
   machinesOf(job: string): ReadonlySet<string> {
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -7,11 +7,17 @@
   type Log,
   type NodeName,
   NoResponseError,
-  type TeamName,
   type WireMachineType,
   withTimeout,
 } from "@sorreltally/protocol"
-import { defaultOperators, type Platform, teamFrom } from "@sorreltally/settings"
+import {
+  defaultOperators,
+  NO_LIMIT,
+  type Platform,
+  platformFromWire,
+  type Team,
+  type WirePlatform,
+} from "@sorreltally/settings"
 import { Effect, Exit, Random } from "effect"
 import { Cloud } from "./cloud.ts"
 import type { Deployment, Setup } from "./deployment.ts"
@@ -93,8 +99,8 @@
       machineType("small", 8, 32, 0.6, 0.12, 6, setup.zones),
       machineType("large", 32, 128, 3, 0.6, 12, setup.zones),
     ]
-    this.rules = new Rules(this.sim, this.platform(0).facts.teams, types, setup.workers.cancel_s)
-    this.state = new StateService(this.sim, this.net, this.platform(0).facts.state)
+    this.rules = new Rules(this.sim, this.platform(0).deployment.teams, types, setup.workers.cancel_s)
+    this.state = new StateService(this.sim, this.net, this.platformFile(0).facts.state)
     this.cloud = new Cloud(this.sim, this.net, this.rules, {
       types,
       capacity: setup.capacity,
@@ -119,8 +125,17 @@
     look()
   }
 
-  /** The settings file that the platform hands to one controller. */
+  /** The settings of one controller. A limit of 0 stays one here: the stand-in's teams have no GPUs. */
   platform(index: number): Platform {
+    const file = this.platformFile(index)
+    const platform = platformFromWire(file)
+    const teams = file.facts.teams.map(({ name, cpus, cpus_max, gpus, gpus_max }): Team => {
+      return { name, cpus: cpus!, maxCpus: cpus_max!, gpus: gpus!, maxGpus: gpus_max! }
+    })
+    return { ...platform, deployment: { ...platform.deployment, teams } }
+  }
+  /** The settings file that the platform hands to one controller. */
+  platformFile(index: number): WirePlatform {
     const { zones, teamMax, stateRps, stateWrites, sockets, cores } = this.setup
     const peers = this.names
       .filter((_, i) => i !== index)
@@ -137,7 +152,7 @@
         teams: [
           { name: "red", cpus: teamMax / 2, cpus_max: teamMax, gpus: 0, gpus_max: 0 },
           { name: "blue", cpus: teamMax / 2, cpus_max: teamMax, gpus: 0, gpus_max: 0 },
-          teamFrom({ name: "guest" as TeamName, cpus: 0, cpus_max: 0 }),
+          { name: "guest", cpus: 0, cpus_max: NO_LIMIT, gpus: 0, gpus_max: NO_LIMIT },
         ],
         objectives: [{ kind: "wait", class: "bulk", within_s: 60, share: 0.9 }],
         workers: this.setup.workers,
@@ -146,7 +161,7 @@
         machine_limits: { cores, mem_mb: 300, fd_limit: sockets },
         time_bound_ms: 1000,
       },
-    } as unknown as Platform
+    } as unknown as WirePlatform
   }
 
   // --- controllers ------------------------------------------------------------
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -170,7 +170,57 @@
 // --- settings ---------------------------------------------------------------------
 
 /** The platform's settings file. */
-export const platformAgain: Again = (text) => JSON.stringify(orThrow(parsePlatform(text, "settings.json")))
+export const platformAgain: Again = (text) => {
+  const platform = orThrow(parsePlatform(text, "settings.json"))
+  const { deployment } = platform
+  const { workers, store, cloud, machineLimits } = deployment
+  return JSON.stringify({
+    node_name: platform.nodeName,
+    area: platform.zone,
+    listen: platform.listenAddress,
+    back: platform.peerListenAddress,
+    peers: platform.peers.map(({ nodeName, zone, address }) => ({
+      node_name: nodeName,
+      area: zone,
+      peer_addr: address,
+    })),
+    outside: { cloud: platform.services.cloud, state: platform.services.store },
+    facts: {
+      zones: deployment.zones,
+      teams: deployment.teams.map(({ name, cpus, maxCpus, gpus, maxGpus }) => ({
+        name,
+        cpus,
+        cpus_max: maxCpus,
+        gpus,
+        gpus_max: maxGpus,
+      })),
+      objectives: deployment.objectives.map(({ kind, jobClass, withinS, share }) => ({
+        kind,
+        class: jobClass,
+        within_s: withinS,
+        share,
+      })),
+      workers: {
+        report_s: workers.heartbeatIntervalS,
+        lease_s: workers.leaseS,
+        cancel_s: workers.cancellationLimitS,
+      },
+      state: {
+        rps: store.requestsPerSecond,
+        write_rps: store.writesPerSecond,
+        value_kb: store.valueKb,
+        txn_ops: store.maxOperations,
+      },
+      cloud: { rps: cloud.requestsPerSecond, list_lag_s: cloud.listLagS },
+      machine_limits: {
+        cores: machineLimits.cores,
+        mem_mb: machineLimits.memoryMb,
+        fd_limit: machineLimits.fileDescriptors,
+      },
+      time_bound_ms: deployment.clockSkewMs,
+    },
+  })
+}
 /** The operators' file: every setting, by section and name. */
 export const operatorsOf = (text: string): unknown => orThrow(parseOperators(text, "operators.sexp"))
 
--- a/packages/testkit/test/user-rules.test.ts
+++ b/packages/testkit/test/user-rules.test.ts
@@ -12,7 +12,7 @@
 
 const harness = () => {
   const sim = new Sim(1)
-  const teams = [{ name: "red", cpus: 8, cpus_max: 16, gpus: 0, gpus_max: 0 }]
+  const teams = [{ name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }]
   const type = { name: "small", cores: 8 } as unknown as WireMachineType
   const rules = new Rules(sim, teams as never, [type], CANCEL_S)
   const users = rules.users
--- a/packages/testkit/test/waiting-rule.test.ts
+++ b/packages/testkit/test/waiting-rule.test.ts
@@ -36,7 +36,7 @@
   flush_s: 0,
 }
 const CANCEL_S = 47
-const TEAM = { name: "red", cpus: 8, cpus_max: 16, gpus: 0, gpus_max: 0 }
+const TEAM = { name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }
 
 /** One machine under a controller that answers every report and never gives a command. */
 const idleService = (more: Record<string, unknown>) => {
--- a/scenarios/not-done.sexp
+++ b/scenarios/not-done.sexp
@@ -4,5 +4,5 @@
   (at 25 (take-spot 2 6)) (at 40 (take-spot 2 0)) (at 41 (submit pieces 10 cores 4 run 10 urgency high due 40))
   (expect (all-over))
   (guard "packages/jobs/src/job-state.ts"
-    "return this.finishedCount === this.pieces"
-    "return this.finishedCount + this.placements.size === this.pieces && this.finishedCount > 0"))
+    "return this.finishedCount === this.taskCount"
+    "return this.finishedCount + this.placements.size === this.taskCount && this.finishedCount > 0"))
--- a/scenarios/went-back.sexp
+++ b/scenarios/went-back.sexp
@@ -7,4 +7,4 @@
   (expect (withdrawn 2) (all-over))
   (guard "packages/api/src/users.ts"
     "if (found.record.cancelled)"
-    "if (found.record.cancelled && this.time.monotonicNow() < 0)"))
+    "if (found.record.cancelled && this.clocks.monotonicNow() < 0)"))
