--- a/packages/planner/src/lend.ts
+++ b/packages/planner/src/lend.ts
@@ -10,7 +10,7 @@
   spareCores,
   type TaskShape,
 } from "./model.ts"
-import { isStarved, STARVED_RANK } from "./overdue.ts"
+import { isStarved, STARVED_RANK } from "./starvation.ts"
 
 /** Queued tasks that a part has no room for, as it tells the other parts. */
 export interface MachineDemand {
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,5 +1,6 @@
 /** Which queued tasks go to which machines that are up. */
 import type { ZoneName } from "@sorreltally/protocol"
+import { hasRoom, type Kind, type Slot, tasksOn } from "./bins.ts"
 import { roomOf } from "./limits.ts"
 import {
   allowed,
@@ -12,7 +13,6 @@
   slotsIn,
   zoneAllowance,
 } from "./model.ts"
-import { hasRoom, type Kind, type Slot, tasksOn } from "./slots.ts"
 
 /** Seconds of fetching that other work rather takes than room beside the reserve's images. */
 const RESERVED_S = 4
--- a/packages/planner/src/plan.ts
+++ b/packages/planner/src/plan.ts
@@ -1,6 +1,6 @@
 /** One plan: what starts where, what is rented, and what is given back. */
 import type { JobId, MachineId, ZoneName } from "@sorreltally/protocol"
-import { releaseIdle, releaseOne } from "./give-back.ts"
+import { byKind, hasRoom, isIdle, type Slot, slotOf, unusedCores } from "./bins.ts"
 import { startTooLate } from "./lateness.ts"
 import { LimitRoom, roomOf } from "./limits.ts"
 import {
@@ -14,11 +14,11 @@
   type Unplaced,
 } from "./model.ts"
 import { inTiers } from "./order.ts"
-import { isOverdue, tasksToBegin } from "./overdue.ts"
 import { expectOnUp, type Floor, placeJob } from "./placement.ts"
 import { onDemandHelps, spotOpen, wanted } from "./provisioning.ts"
+import { releaseIdle, releaseOne } from "./release.ts"
 import { planRentals } from "./renting.ts"
-import { byKind, hasRoom, isIdle, type Slot, slotOf, unusedCores } from "./slots.ts"
+import { isOverdue, tasksToBegin } from "./starvation.ts"
 import { canWait, runsOf } from "./yielding.ts"
 
 export const plan = (snapshot: Snapshot): Plan => {
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -1,7 +1,8 @@
 /** How many machines a job needs beyond those that it has: the deadline formula, or the base fleet. */
+
+import type { Kind } from "./bins.ts"
 import { extraResources, newMachinesComeInTime } from "./deadline.ts"
 import { allowed, EPSILON, type JobView, minus, type Snapshot, slotsIn } from "./model.ts"
-import type { Kind } from "./slots.ts"
 
 /** What a job counts on beyond the machines that are up, in slots. */
 export interface Provision {
--- a/packages/planner/src/give-back.ts
+++ b/packages/planner/src/release.ts
@@ -1,8 +1,8 @@
 /** Machines that jobs give back to the pool, one at a time each. */
 import type { JobId, MachineId } from "@sorreltally/protocol"
+import { isIdle, type Slot } from "./bins.ts"
 import { canGiveBack } from "./deadline.ts"
 import { type JobView, slotsIn } from "./model.ts"
-import { isIdle, type Slot } from "./slots.ts"
 
 export const releaseOne = (
   job: JobView,
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,5 +1,6 @@
 /** Which kinds of machine are asked for: the cheapest for the work, spot before steady. */
 import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/protocol"
+import { type Kind, slotOf } from "./bins.ts"
 import {
   allowed,
   EPSILON,
@@ -13,7 +14,6 @@
   slotsIn,
   zoneAllowance,
 } from "./model.ts"
-import { type Kind, slotOf } from "./slots.ts"
 
 /** Above any price: steady machines are the fall-back once every fitting kind of spot is refused. */
 const ON_DEMAND_PENALTY = 1e6
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/lend.test.ts
@@ -3,7 +3,7 @@
 import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/protocol"
 import { lend, lendableTo, type MachineDemand } from "../src/lend.ts"
 import type { JobView, MachineView, TaskShape } from "../src/model.ts"
-import { STARVED_RANK } from "../src/overdue.ts"
+import { STARVED_RANK } from "../src/starvation.ts"
 
 const type = { name: "m", cores: 8, accelerators: 0, memGb: 64, imagePullGbPerS: 1 } as unknown as MachineType
 const machine: MachineView = {
