--- a/packages/planner/src/bins.ts
+++ b/packages/planner/src/bins.ts
@@ -1,11 +1,11 @@
 /** Free room on machines, as a plan fills it. */
 import { type JobSpec, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/protocol"
-import { EPSILON, type MachineView, type Room, slotsIn } from "./model.ts"
+import { type Capacity, EPSILON, type MachineView, slotsIn } from "./model.ts"
 
-export interface Slot {
+export interface Bin {
   readonly machine: MachineView
   readonly reserved: boolean
-  free: Room
+  free: Capacity
   /** Tasks that may still be placed there, however small they are. */
   tasksLeft: number
 }
@@ -14,7 +14,7 @@
  * Guards against machines with so many tiny tasks that their reports exceed what a
  * body may hold: such reports are refused, and the lease is lost.
  */
-export const slotOf = (machine: MachineView): Slot => ({
+export const binOf = (machine: MachineView): Bin => ({
   machine,
   reserved: machine.reserved,
   free: machine.free,
@@ -22,23 +22,23 @@
 })
 
 /** Can anything more be placed there? */
-export const hasRoom = ({ free, tasksLeft }: Slot): boolean => free.cores > EPSILON && tasksLeft > 0
+export const hasCapacity = ({ free, tasksLeft }: Bin): boolean => free.cores > EPSILON && tasksLeft > 0
 
 /** How many tasks of a job can still be placed there. */
-export const tasksOn = (request: JobSpec, { free, tasksLeft }: Slot): number =>
-  Math.min(slotsIn(request, free), Math.max(0, tasksLeft))
+export const tasksFitting = (spec: JobSpec, { free, tasksLeft }: Bin): number =>
+  Math.min(slotsIn(spec, free), Math.max(0, tasksLeft))
 
 /** Machines alike in all that decides whether a job may run there. */
-export interface Kind {
+export interface MachineGroup {
   readonly type: MachineType
   readonly zone: ZoneName
   readonly spot: boolean
   /** Those that still have room. */
-  slots: Array<Slot>
+  slots: Array<Bin>
 }
 
-export const byKind = (slots: Iterable<Slot>): Array<Kind> => {
-  const kinds = new Map<string, Kind>()
+export const byKind = (slots: Iterable<Bin>): Array<MachineGroup> => {
+  const kinds = new Map<string, MachineGroup>()
   for (const slot of slots) {
     const { type, zone, spot } = slot.machine
     const name = `${type.name}|${zone}|${spot}`
@@ -50,12 +50,12 @@
 }
 
 /** Room that is kept in reserve is of use. */
-export const unusedCores = (up: ReadonlyArray<Slot>): number => {
+export const unusedCores = (up: ReadonlyArray<Bin>): number => {
   let cores = 0
   for (const { free, reserved } of up) if (!reserved) cores += free.cores
   return cores
 }
 
 /** Nothing runs there, and no queued task is placed or expected there: each of those replaces `free`. */
-export const isIdle = ({ machine, free }: Slot): boolean =>
-  machine.state === "up" && machine.busyTasks === 0 && free === machine.free
+export const isIdle = ({ machine, free }: Bin): boolean =>
+  machine.state === "ready" && machine.busyTasks === 0 && free === machine.free
--- a/packages/planner/src/deadline.ts
+++ b/packages/planner/src/deadline.ts
@@ -32,7 +32,7 @@
 }
 
 /** May the job give a machine with this many slots back and still meet its deadline? */
-export const canGiveBack = (
+export const canRelease = (
   input: Pick<DeadlineInput, "pendingTasks" | "resources" | "executionTime" | "timeLeft">,
   slotsOfMachine: number,
 ): boolean =>
--- a/packages/planner/src/lateness.ts
+++ b/packages/planner/src/lateness.ts
@@ -21,9 +21,14 @@
 }
 
 /** Queued tasks of a job that running ones won't make room for in time; `ahead`: cores of the jobs that go first. */
-export const startTooLate = (job: JobView, pending: number, ahead: number, snapshot: Snapshot): number => {
+export const tasksStartingTooLate = (
+  job: JobView,
+  pending: number,
+  ahead: number,
+  snapshot: Snapshot,
+): number => {
   const withinS = startsWithinS(job)
   if (withinS === null) return 0
   const freed = coresFreedWithin(snapshot, withinS, job.executionS) - ahead
-  return Math.max(0, pending - Math.floor(Math.max(0, freed) / job.request.cores))
+  return Math.max(0, pending - Math.floor(Math.max(0, freed) / job.spec.cores))
 }
--- a/packages/planner/src/lend.ts
+++ b/packages/planner/src/lend.ts
@@ -1,11 +1,11 @@
 import type { MachineId, ShardName, TeamName } from "@sorreltally/protocol"
 import {
   allowed,
+  type Capacity,
   fits,
   type JobView,
   type MachineView,
   type Reserve,
-  type Room,
   slotsIn,
   spareCores,
   type TaskShape,
@@ -51,7 +51,7 @@
   readonly claims: ReadonlyArray<TeamClaim>
 }
 
-export interface Lent {
+export interface MachineLoan {
   readonly machine: MachineId
   readonly to: ShardName
 }
@@ -74,7 +74,7 @@
 const mostUrgentOwnWork = (jobs: ReadonlyArray<JobView>, machine: KindOfMachine): WorkUrgency => {
   let most: WorkUrgency = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
   for (const job of jobs) {
-    if (job.queued === 0 || !job.mayStart || !allowed(job.request, machine)) continue
+    if (job.queued === 0 || !job.mayStart || !allowed(job.spec, machine)) continue
     const rank = isStarved(job) ? STARVED_RANK : job.rank
     const standing = { rank, since: job.submitted }
     if (rank > most.rank || outranks(standing, most)) most = standing
@@ -96,7 +96,7 @@
 }
 
 /** Those needs to which some machine of ours would be lent once it is empty. */
-export const lendableTo = (
+export const servableDemands = (
   needs: ReadonlyArray<MachineDemand>,
   jobs: ReadonlyArray<JobView>,
   machines: ReadonlyArray<MachineView>,
@@ -124,9 +124,9 @@
   /** Slots lent to a part so lately that its need can't show them yet. */
   lentLately: ReadonlyMap<ShardName, number>,
   reserve: Reserve,
-): ReadonlyArray<Lent> => {
-  const empty = new Set(machines.filter((m) => m.state === "up" && m.busyTasks === 0))
-  const out: Array<Lent> = []
+): ReadonlyArray<MachineLoan> => {
+  const empty = new Set(machines.filter((m) => m.state === "ready" && m.busyTasks === 0))
+  const out: Array<MachineLoan> = []
   if (needs.length === 0 || empty.size === 0) return out
   let spare = spareCores(machines, reserve)
   const urgencyOn = urgencyByMachineKind(jobs)
@@ -184,7 +184,7 @@
     loss: number
   }> = []
   for (const machine of machines) {
-    if (machine.state !== "up" || !allowed(shape, machine)) continue
+    if (machine.state !== "ready" || !allowed(shape, machine)) continue
     const here = victimsOn(machine.id).filter((v) => v.rank < rank)
     const cached = machine.images.has(shape.image)
     if (here.length === 0 || (wholly && here.length < machine.busyTasks)) continue
@@ -194,7 +194,7 @@
       continue
     }
     // One more victim at a time, as an option of its own for each slot gained.
-    let room: Room = machine.free
+    let room: Capacity = machine.free
     let stop: Array<Victim<T>> = []
     for (const victim of here) {
       const before = slotsIn(shape, room)
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -5,42 +5,42 @@
  * room twice.
  */
 import type { TeamName } from "@sorreltally/protocol"
-import { type JobView, type Snapshot, slotsIn, type TeamRoom } from "./model.ts"
+import { type JobView, type QuotaHeadroom, type Snapshot, slotsIn } from "./model.ts"
 
 /** How many tasks of the job a team's room holds; memory isn't limited by team. */
-const tasksWithin = ({ request }: JobView, room: TeamRoom): number =>
-  slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
+const tasksWithin = ({ spec }: JobView, room: QuotaHeadroom): number =>
+  slotsIn(spec, { ...room, memGb: Number.POSITIVE_INFINITY })
 
 /** How many more tasks the job's team may start. */
-export const roomOf = (job: JobView, teams: Snapshot["teams"]): number => {
-  const room = teams.get(job.request.team)
+export const tasksWithinQuota = (job: JobView, teams: Snapshot["teams"]): number => {
+  const room = teams.get(job.spec.team)
   return room === undefined ? 0 : tasksWithin(job, room)
 }
 
 /** Room of every team, used up task by task. */
-export class LimitRoom {
-  private readonly teams = new Map<TeamName, TeamRoom>()
+export class QuotaBudget {
+  private readonly teams = new Map<TeamName, QuotaHeadroom>()
 
-  constructor(private readonly limits: ReadonlyMap<TeamName, TeamRoom>) {
+  constructor(private readonly limits: ReadonlyMap<TeamName, QuotaHeadroom>) {
     for (const [team, room] of limits) this.teams.set(team, { ...room })
   }
 
   /** How many more tasks the job's team may use. */
   tasksLeft(job: JobView): number {
-    const room = this.teams.get(job.request.team)
+    const room = this.teams.get(job.spec.team)
     return room === undefined ? 0 : tasksWithin(job, room)
   }
 
-  take({ request }: JobView, tasks: number): void {
-    const room = this.teams.get(request.team)
+  take({ spec }: JobView, tasks: number): void {
+    const room = this.teams.get(spec.team)
     if (room === undefined) return
-    room.cores -= request.cores * tasks
-    room.accelerators -= request.accelerators * tasks
+    room.cores -= spec.cores * tasks
+    room.accelerators -= spec.accelerators * tasks
   }
 
   /** What was taken of each team's room. */
-  taken(): ReadonlyMap<TeamName, TeamRoom> {
-    const taken = new Map<TeamName, TeamRoom>()
+  taken(): ReadonlyMap<TeamName, QuotaHeadroom> {
+    const taken = new Map<TeamName, QuotaHeadroom>()
     for (const [team, { cores, accelerators }] of this.limits) {
       const left = this.teams.get(team)!
       taken.set(team, { cores: cores - left.cores, accelerators: accelerators - left.accelerators })
--- a/packages/planner/src/model.ts
+++ b/packages/planner/src/model.ts
@@ -13,7 +13,7 @@
   readonly has: (image: ImageName) => boolean
 }
 
-export interface Room {
+export interface Capacity {
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
@@ -32,16 +32,16 @@
   | "spreadZones"
   | "image"
 >
-export const shapeOf = (request: JobSpec): TaskShape => ({
-  cores: request.cores,
-  accelerators: request.accelerators,
-  memGb: request.memGb,
-  machineTypes: request.machineTypes ?? null,
-  zone: request.zone ?? null,
-  spotAllowed: request.spotAllowed,
-  singleZone: request.singleZone,
-  spreadZones: request.spreadZones,
-  image: request.image,
+export const shapeOf = (spec: JobSpec): TaskShape => ({
+  cores: spec.cores,
+  accelerators: spec.accelerators,
+  memGb: spec.memGb,
+  machineTypes: spec.machineTypes ?? null,
+  zone: spec.zone ?? null,
+  spotAllowed: spec.spotAllowed,
+  singleZone: spec.singleZone,
+  spreadZones: spec.spreadZones,
+  image: spec.image,
 })
 
 /** A machine as the planner sees it; `free` counts every task that isn't surely off it. */
@@ -50,23 +50,23 @@
   readonly type: MachineType
   readonly zone: ZoneName
   readonly spot: boolean
-  readonly free: Room
+  readonly free: Capacity
   readonly busyTasks: number
   readonly images: Images
   /** It has room, beside images of the reserve. */
   readonly reserved: boolean
   /**
-   * `up`: can take tasks now; `coming`: rented and not yet overdue; `closing`:
-   * runs what it has and takes nothing new; `away`: none of these.
+   * `ready`: can take tasks now; `booting`: rented, and its boot isn't overdue yet; `draining`:
+   * runs what it has and takes nothing new; `unavailable`: none of these.
    */
-  readonly state: "up" | "coming" | "closing" | "away"
+  readonly state: "ready" | "booting" | "draining" | "unavailable"
   /** The job that it was rented for or given to; null: in the pool. */
   readonly assignedJob: JobId | null
 }
 
 export interface JobView {
   readonly id: JobId
-  readonly request: JobSpec
+  readonly spec: JobSpec
   readonly rank: number
   readonly queued: number
   readonly running: number
@@ -90,7 +90,7 @@
 }
 
 /** What a team may still start, in this part. */
-export interface TeamRoom {
+export interface QuotaHeadroom {
   cores: number
   accelerators: number
 }
@@ -115,7 +115,7 @@
   readonly cores: number
   readonly images: ReadonlySet<ImageName>
 }
-export const isReserved = (free: Room, images: Images, reserve: Reserve): boolean => {
+export const isReserved = (free: Capacity, images: Images, reserve: Reserve): boolean => {
   if (free.cores <= EPSILON) return false
   for (const image of reserve.images) if (images.has(image)) return true
   return false
@@ -123,12 +123,12 @@
 /** Cores that work of lower rank may still take on machines with the reserve's images. */
 export const spareCores = (machines: Iterable<MachineView>, reserve: Reserve): number => {
   let spare = -reserve.cores
-  for (const { state, reserved, free } of machines) if (state === "up" && reserved) spare += free.cores
+  for (const { state, reserved, free } of machines) if (state === "ready" && reserved) spare += free.cores
   return spare
 }
 
 /** What there is to do the work with: cores, and those of the running tasks by the second in which they end. */
-export interface Load {
+export interface ClusterLoad {
   readonly cores: number
   readonly ending: ReadonlyArray<number>
 }
@@ -136,14 +136,14 @@
 export interface Snapshot {
   readonly reserve: Reserve
   /** Other parts lack machines, and can borrow empty ones. */
-  readonly othersWait: boolean
+  readonly otherShardsWait: boolean
   readonly types: ReadonlyArray<MachineType>
-  readonly load: () => Load
+  readonly load: () => ClusterLoad
   readonly jobs: ReadonlyArray<JobView>
   readonly machines: ReadonlyArray<MachineView>
-  readonly teams: ReadonlyMap<TeamName, TeamRoom>
+  readonly teams: ReadonlyMap<TeamName, QuotaHeadroom>
   /** What the teams' limits leave this part, whether its shares cover it yet or not: machines are rented by that. */
-  readonly limits: ReadonlyMap<TeamName, TeamRoom>
+  readonly limits: ReadonlyMap<TeamName, QuotaHeadroom>
   /** Kinds of machine that can be asked for now, those refused lately left out. */
   readonly market: ReadonlyArray<Offer>
   /** Machines that one rental can ask for. */
@@ -169,7 +169,7 @@
   /** Those of them that could start at once if there were room. */
   readonly startable: number
   /** Those of them that start too late for an aim or the deadline unless room is made. */
-  readonly pressing: number
+  readonly urgent: number
 }
 export interface Plan {
   readonly placements: ReadonlyArray<PlannedPlacement>
@@ -181,57 +181,57 @@
   /** Queued tasks for which no machine of ours that is up has room, most urgent job first. */
   readonly unplaced: ReadonlyArray<Unplaced>
   /** What the plan counts on of each team's limit beyond what is used: placed, expected on machines, or rented for. */
-  readonly claims: ReadonlyMap<TeamName, TeamRoom>
+  readonly claims: ReadonlyMap<TeamName, QuotaHeadroom>
   /** Cores on machines that are up for which our queued tasks have no use because of their teams' limits. */
   readonly unusedCores: number
   /** Jobs of which the teams' limits let some queued tasks neither start nor rent. */
-  readonly heldBack: ReadonlySet<JobId>
+  readonly quotaLimited: ReadonlySet<JobId>
   /** Machines that are up, empty and of use to no queued task: none fits, or the teams' limits let none start. */
   readonly idle: ReadonlySet<MachineId>
 }
 
 export const EPSILON = 1e-6
-export const fits = (request: Pick<TaskShape, keyof Room>, room: Room): boolean =>
-  request.cores <= room.cores + EPSILON &&
-  request.accelerators <= room.accelerators + EPSILON &&
-  request.memGb <= room.memGb + EPSILON
-
-export const minus = (room: Room, request: JobSpec, times = 1): Room => ({
-  cores: room.cores - request.cores * times,
-  accelerators: room.accelerators - request.accelerators * times,
-  memGb: room.memGb - request.memGb * times,
+export const fits = (spec: Pick<TaskShape, keyof Capacity>, room: Capacity): boolean =>
+  spec.cores <= room.cores + EPSILON &&
+  spec.accelerators <= room.accelerators + EPSILON &&
+  spec.memGb <= room.memGb + EPSILON
+
+export const minus = (room: Capacity, spec: JobSpec, times = 1): Capacity => ({
+  cores: room.cores - spec.cores * times,
+  accelerators: room.accelerators - spec.accelerators * times,
+  memGb: room.memGb - spec.memGb * times,
 })
 
 /** How many tasks of a job a room holds. */
-export const slotsIn = (request: Pick<TaskShape, keyof Room>, room: Room): number => {
+export const slotsIn = (spec: Pick<TaskShape, keyof Capacity>, room: Capacity): number => {
   const per = (need: number, has: number) => (need <= 0 ? Number.POSITIVE_INFINITY : (has + EPSILON) / need)
   const slots = Math.min(
-    per(request.cores, room.cores),
-    per(request.accelerators, room.accelerators),
-    per(request.memGb, room.memGb),
+    per(spec.cores, room.cores),
+    per(spec.accelerators, room.accelerators),
+    per(spec.memGb, room.memGb),
   )
   return Math.max(0, Math.floor(slots))
 }
 
 /** May the job ever run on this kind of machine? */
 export const allowed = (
-  request: TaskShape,
+  spec: TaskShape,
   kind: { readonly type: MachineType; readonly zone: ZoneName; readonly spot: boolean },
 ): boolean =>
-  (!kind.spot || request.spotAllowed) &&
-  (request.machineTypes == null || request.machineTypes.includes(kind.type.name)) &&
-  (request.zone == null || request.zone === kind.zone) &&
-  fits(request, kind.type)
+  (!kind.spot || spec.spotAllowed) &&
+  (spec.machineTypes == null || spec.machineTypes.includes(kind.type.name)) &&
+  (spec.zone == null || spec.zone === kind.zone) &&
+  fits(spec, kind.type)
 
 /** How many more tasks of a job may be put into a zone, given where its others may be. */
 export const zoneAllowance = (
-  request: JobSpec,
+  spec: JobSpec,
   zones: ReadonlyMap<ZoneName, number>,
   zone: ZoneName,
 ): number => {
-  if (request.singleZone) {
+  if (spec.singleZone) {
     for (const [other, count] of zones) if (count > 0 && other !== zone) return 0
   }
-  if (request.spreadZones) return Math.ceil(request.taskCount / 2) - (zones.get(zone) ?? 0)
+  if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (zones.get(zone) ?? 0)
   return Number.POSITIVE_INFINITY
 }
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,7 +1,7 @@
 /** Which queued tasks go to which machines that are up. */
 import type { ZoneName } from "@sorreltally/protocol"
-import { hasRoom, type Kind, type Slot, tasksOn } from "./bins.ts"
-import { roomOf } from "./limits.ts"
+import { type Bin, hasCapacity, type MachineGroup, tasksFitting } from "./bins.ts"
+import { tasksWithinQuota } from "./limits.ts"
 import {
   allowed,
   EPSILON,
@@ -21,8 +21,8 @@
 const LENDABLE = 0.5
 
 /** Room on machines that are up, as the plan fills it. */
-export interface Floor {
-  readonly kinds: ReadonlyArray<Kind>
+export interface ReadyCapacity {
+  readonly kinds: ReadonlyArray<MachineGroup>
   /** Cores on machines with the reserve's images that work of lower rank may still take. */
   spare: number
 }
@@ -31,13 +31,13 @@
 const roomiestZone = (
   job: JobView,
   zones: ReadonlyMap<ZoneName, number>,
-  kinds: ReadonlyArray<Kind>,
+  kinds: ReadonlyArray<MachineGroup>,
 ): ZoneName | null => {
-  if (!job.request.singleZone || zones.size > 0) return null
+  if (!job.spec.singleZone || zones.size > 0) return null
   const room = new Map<ZoneName, number>()
   for (const kind of kinds) {
     let slots = room.get(kind.zone) ?? 0
-    for (const slot of kind.slots) slots += slotsIn(job.request, slot.free)
+    for (const slot of kind.slots) slots += slotsIn(job.spec, slot.free)
     room.set(kind.zone, slots)
   }
   let best: ZoneName | null = null
@@ -52,26 +52,26 @@
   /** Only where its image is. */
   cached: boolean,
   zones: Map<ZoneName, number>,
-  floor: Floor,
+  floor: ReadyCapacity,
   snapshot: Snapshot,
   placements: Array<PlannedPlacement>,
 ): number => {
-  const { request } = job
-  const team = snapshot.teams.get(request.team)
-  let left = Math.min(most, roomOf(job, snapshot.teams))
+  const { spec } = job
+  const team = snapshot.teams.get(spec.team)
+  let left = Math.min(most, tasksWithinQuota(job, snapshot.teams))
   if (team === undefined || left <= 0) return 0
   const below = job.rank < snapshot.reserve.rank
-  const kinds = floor.kinds.filter((kind) => kind.slots.length > 0 && allowed(request, kind))
+  const kinds = floor.kinds.filter((kind) => kind.slots.length > 0 && allowed(spec, kind))
   const only = roomiestZone(job, zones, kinds)
-  const options: Array<{ readonly slot: Slot; readonly score: number }> = []
+  const options: Array<{ readonly slot: Bin; readonly score: number }> = []
   for (const kind of kinds) {
     if (only !== null && kind.zone !== only) continue
     for (const slot of kind.slots) {
-      if (!fits(request, slot.free) || job.avoids.has(slot.machine.id)) continue
-      if (cached && !slot.machine.images.has(request.image)) continue
+      if (!fits(spec, slot.free) || job.avoids.has(slot.machine.id)) continue
+      if (cached && !slot.machine.images.has(spec.image)) continue
       const kept = below && slot.reserved
-      if (kept && floor.spare < request.cores) continue
-      const lendable = snapshot.othersWait && slot.machine.busyTasks === 0
+      if (kept && floor.spare < spec.cores) continue
+      const lendable = snapshot.otherShardsWait && slot.machine.busyTasks === 0
       const cost = (kept ? RESERVED_S : 0) + (lendable ? job.executionS * LENDABLE : 0)
       options.push({ slot, score: suitability(job, slot) - cost })
     }
@@ -81,29 +81,29 @@
   for (const { slot } of options) {
     if (left <= 0) break
     const { machine } = slot
-    let take = Math.min(left, tasksOn(request, slot), zoneAllowance(request, zones, machine.zone))
-    if (below && slot.reserved) take = Math.min(take, Math.floor((floor.spare + EPSILON) / request.cores))
+    let take = Math.min(left, tasksFitting(spec, slot), zoneAllowance(spec, zones, machine.zone))
+    if (below && slot.reserved) take = Math.min(take, Math.floor((floor.spare + EPSILON) / spec.cores))
     if (take <= 0) continue
-    slot.free = minus(slot.free, request, take)
+    slot.free = minus(slot.free, spec, take)
     slot.tasksLeft -= take
-    if (slot.reserved) floor.spare -= request.cores * take
-    team.cores -= request.cores * take
-    team.accelerators -= request.accelerators * take
+    if (slot.reserved) floor.spare -= spec.cores * take
+    team.cores -= spec.cores * take
+    team.accelerators -= spec.accelerators * take
     zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + take)
     for (let i = 0; i < take; i++) placements.push({ job: job.id, machine: machine.id })
     left -= take
     placed += take
   }
-  if (placed > 0) for (const kind of kinds) kind.slots = kind.slots.filter(hasRoom)
+  if (placed > 0) for (const kind of kinds) kind.slots = kind.slots.filter(hasCapacity)
   return placed
 }
 
 /** The image counts most: a fetch is time that the task, and the room it takes, only wait. Then tight packing. */
-const suitability = (job: JobView, { machine, free }: Slot): number => {
-  const fetchS = machine.images.has(job.request.image)
+const suitability = (job: JobView, { machine, free }: Bin): number => {
+  const fetchS = machine.images.has(job.spec.image)
     ? 0
-    : job.request.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
-  const leftover = (free.cores - job.request.cores) / Math.max(EPSILON, machine.type.cores)
+    : job.spec.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
+  const leftover = (free.cores - job.spec.cores) / Math.max(EPSILON, machine.type.cores)
   const mine = machine.assignedJob === job.id ? 1 : 0
   // Steady machines fill last, so that they empty first and can be given back.
   return -fetchS - 2 * leftover + 0.5 * mine + (machine.spot ? 2 : 0)
@@ -114,24 +114,24 @@
  * else than a machine: for their part's share of the team's limit, mostly.
  * Returns for how many.
  */
-export const expectOnUp = (
+export const reserveOnReady = (
   job: JobView,
   most: number,
   placed: ReadonlyMap<ZoneName, number>,
-  floor: Floor,
+  floor: ReadyCapacity,
   reserve: Snapshot["reserve"],
 ): number => {
-  const { request } = job
+  const { spec } = job
   const zones = new Map(placed)
   let left = most
   for (const kind of floor.kinds) {
     if (left <= 0) break
-    if (!allowed(request, kind)) continue
+    if (!allowed(spec, kind)) continue
     for (const slot of kind.slots) {
       if (slot.reserved && job.rank < reserve.rank) continue
-      const take = Math.min(left, tasksOn(request, slot), zoneAllowance(request, zones, kind.zone))
+      const take = Math.min(left, tasksFitting(spec, slot), zoneAllowance(spec, zones, kind.zone))
       if (take <= 0) continue
-      slot.free = minus(slot.free, request, take)
+      slot.free = minus(slot.free, spec, take)
       slot.tasksLeft -= take
       zones.set(kind.zone, (zones.get(kind.zone) ?? 0) + take)
       left -= take
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -1,6 +1,6 @@
 /** How many machines a job needs beyond those that it has: the deadline formula, or the base fleet. */
 
-import type { Kind } from "./bins.ts"
+import type { MachineGroup } from "./bins.ts"
 import { extraResources, newMachinesComeInTime } from "./deadline.ts"
 import { allowed, EPSILON, type JobView, minus, type Snapshot, slotsIn } from "./model.ts"
 
@@ -16,12 +16,12 @@
  * Slots to ask for beyond what runs and what is coming; takes what it counts
  * on from `coming`. Never more than `most`, which the team's limit allows.
  */
-export const wanted = (
+export const planProvision = (
   job: JobView,
   pending: number,
   running: number,
   most: number,
-  coming: ReadonlyArray<Kind>,
+  coming: ReadonlyArray<MachineGroup>,
   snapshot: Snapshot,
 ): Provision => {
   const needed = (requestedResources: number): number =>
@@ -38,15 +38,15 @@
   const extra = (requested: number): number => Math.min(needed(requested), most - requested)
   // Machines asked for on this job's behalf come first, then room that others left on theirs.
   let requested = 0
-  const kinds = coming.filter((kind) => kind.slots.length > 0 && allowed(job.request, kind))
+  const kinds = coming.filter((kind) => kind.slots.length > 0 && allowed(job.spec, kind))
   for (const own of [true, false]) {
     for (const kind of kinds) {
       for (const slot of kind.slots) {
         if ((slot.machine.assignedJob === job.id) !== own) continue
         const missing = extra(requested)
         if (missing === 0) return { requested, missing }
-        const take = Math.min(missing, slotsIn(job.request, slot.free))
-        slot.free = minus(slot.free, job.request, take)
+        const take = Math.min(missing, slotsIn(job.spec, slot.free))
+        slot.free = minus(slot.free, job.spec, take)
         requested += take
       }
       kind.slots = kind.slots.filter((s) => s.free.cores > EPSILON)
@@ -66,16 +66,16 @@
   return Math.max(0, Math.ceil(pending / rounds) - (rounds > 1 ? running : 0) - requested)
 }
 
-export const spotOpen = (job: JobView, snapshot: Snapshot): boolean =>
-  snapshot.market.some((option) => option.spot && allowed(job.request, option))
+export const spotAvailable = (job: JobView, snapshot: Snapshot): boolean =>
+  snapshot.market.some((option) => option.spot && allowed(job.spec, option))
 
 /**
  * Steady machines cost several times as much. They are the fall-back where
  * what runs now ends too late for the queue, and are asked for no sooner than
  * they have to be: until then spot may open again, or another part lend.
  */
-export const onDemandHelps = (job: JobView, late: number, deploymentS: number): boolean => {
-  if (!job.request.spotAllowed) return true
+export const onDemandJustified = (job: JobView, late: number, deploymentS: number): boolean => {
+  if (!job.spec.spotAllowed) return true
   if (late === 0) return false
   if (job.timeLeftS === null) {
     return (job.startWithinS ?? 2 * deploymentS) - job.ageS < 1.5 * deploymentS
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,15 +1,15 @@
 /** Which kinds of machine are asked for: the cheapest for the work, spot before steady. */
 import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/protocol"
-import { type Kind, slotOf } from "./bins.ts"
+import { binOf, type MachineGroup } from "./bins.ts"
 import {
   allowed,
+  type Capacity,
   EPSILON,
   fits,
   type JobView,
   type MachineView,
   minus,
   type Offer,
-  type Room,
   type Snapshot,
   slotsIn,
   zoneAllowance,
@@ -23,15 +23,15 @@
 
 /** Money for a second of one task's work on a machine that first has to boot. */
 const costOfWork = (job: JobView, missing: number, type: MachineType, price: number): number => {
-  const slots = Math.max(1, Math.min(missing, slotsIn(job.request, type)))
+  const slots = Math.max(1, Math.min(missing, slotsIn(job.spec, type)))
   return (price * (type.bootS + job.executionS)) / (slots * job.executionS)
 }
 /** What that costs at best, whether such machines can be had now or not. */
 const cheapestWork = (job: JobView, missing: number, snapshot: Snapshot): number => {
   let cheapest = Number.POSITIVE_INFINITY
   for (const type of snapshot.types) {
-    if (!fits(job.request, type)) continue
-    const price = job.request.spotAllowed ? Math.min(type.spotPrice, type.onDemandPrice) : type.onDemandPrice
+    if (!fits(job.spec, type)) continue
+    const price = job.spec.spotAllowed ? Math.min(type.spotPrice, type.onDemandPrice) : type.onDemandPrice
     cheapest = Math.min(cheapest, costOfWork(job, missing, type, price))
   }
   return cheapest
@@ -48,15 +48,15 @@
   onDemandAllowed: boolean,
   snapshot: Snapshot,
   rentals: Map<Offer, { count: number; readonly assignedJob: JobId }>,
-  coming: Array<Kind>,
+  coming: Array<MachineGroup>,
 ): number => {
   if (missing <= 0) return 0
   const dearest = snapshot.maxOnDemandCostRatio * cheapestWork(job, missing, snapshot)
   const options: Array<{ readonly option: Offer; readonly cost: number }> = []
   for (const option of snapshot.market) {
-    if (!allowed(job.request, option) || zoneAllowance(job.request, job.zones, option.zone) <= 0) continue
+    if (!allowed(job.spec, option) || zoneAllowance(job.spec, job.zones, option.zone) <= 0) continue
     const work = costOfWork(job, missing, option.type, option.price)
-    if (!option.spot && (!onDemandAllowed || (job.request.spotAllowed && work > dearest))) continue
+    if (!option.spot && (!onDemandAllowed || (job.spec.spotAllowed && work > dearest))) continue
     options.push({ option, cost: work + (option.spot ? 0 : ON_DEMAND_PENALTY) })
   }
   options.sort((a, b) =>
@@ -68,7 +68,7 @@
     if (left <= 0 || cost > limit + EPSILON) break
     if (option.asked) continue
     const asked = rentals.get(option)
-    const per = Math.min(slotsIn(job.request, option.type), MAX_TASKS_ON_MACHINE)
+    const per = Math.min(slotsIn(job.spec, option.type), MAX_TASKS_ON_MACHINE)
     const count = Math.min(Math.ceil(left / per), snapshot.rentalSize - (asked?.count ?? 0))
     if (count <= 0) continue
     if (asked === undefined) rentals.set(option, { count, assignedJob: job.id })
@@ -76,12 +76,17 @@
     const spare = per * count - left
     left -= per * count
     // What the last machine has to spare is there for the jobs that follow.
-    if (spare > 0) leaveToOthers(job, option, minus(option.type, job.request, per - spare), coming)
+    if (spare > 0) leaveToOthers(job, option, minus(option.type, job.spec, per - spare), coming)
   }
   return missing - Math.max(0, left)
 }
 
-const leaveToOthers = (job: JobView, { type, zone, spot }: Offer, free: Room, coming: Array<Kind>): void => {
+const leaveToOthers = (
+  job: JobView,
+  { type, zone, spot }: Offer,
+  free: Capacity,
+  coming: Array<MachineGroup>,
+): void => {
   const machine: MachineView = {
     id: "" as MachineId,
     type,
@@ -91,10 +96,10 @@
     busyTasks: 0,
     images: NO_IMAGES,
     reserved: false,
-    state: "coming",
+    state: "booting",
     assignedJob: job.id,
   }
-  const slot = slotOf(machine)
+  const slot = binOf(machine)
   const alike = coming.find((k) => k.type === type && k.zone === zone && k.spot === spot)
   if (alike === undefined) coming.push({ type, zone, spot, slots: [slot] })
   else alike.slots.push(slot)
--- a/packages/planner/test/deadline.test.ts
+++ b/packages/planner/test/deadline.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { canGiveBack, extraResources, requiredTime } from "../src/deadline.ts"
+import { canRelease, extraResources, requiredTime } from "../src/deadline.ts"
 
 const input = {
   pendingTasks: 10,
@@ -53,11 +53,11 @@
 test("a machine is given back only when one fewer is strictly in time", () => {
   // 4 tasks on 2 slots: (2 + 1) * 20 = 60
   const job = { pendingTasks: 4, resources: 4, executionTime: 20 }
-  assert.equal(canGiveBack({ ...job, timeLeft: 60 }, 2), false)
-  assert.equal(canGiveBack({ ...job, timeLeft: 61 }, 2), true)
+  assert.equal(canRelease({ ...job, timeLeft: 60 }, 2), false)
+  assert.equal(canRelease({ ...job, timeLeft: 61 }, 2), true)
 })
 
 test("the last slot is never given back", () => {
-  assert.equal(canGiveBack({ pendingTasks: 0, resources: 1, executionTime: 20, timeLeft: 1e9 }, 1), false)
-  assert.equal(canGiveBack({ pendingTasks: 3, resources: 2, executionTime: 20, timeLeft: 1e9 }, 2), false)
+  assert.equal(canRelease({ pendingTasks: 0, resources: 1, executionTime: 20, timeLeft: 1e9 }, 1), false)
+  assert.equal(canRelease({ pendingTasks: 3, resources: 2, executionTime: 20, timeLeft: 1e9 }, 2), false)
 })
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/lend.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/protocol"
-import { lend, lendableTo, type MachineDemand } from "../src/lend.ts"
+import { lend, type MachineDemand, servableDemands } from "../src/lend.ts"
 import type { JobView, MachineView, TaskShape } from "../src/model.ts"
 import { STARVED_RANK } from "../src/starvation.ts"
 
@@ -15,7 +15,7 @@
   busyTasks: 0,
   images: new Set(),
   reserved: false,
-  state: "up",
+  state: "ready",
   assignedJob: null,
 }
 const shape = { cores: 4, accelerators: 0, memGb: 1, spotAllowed: true, image: "img" } as unknown as TaskShape
@@ -25,7 +25,7 @@
 /** A job of ours of which nothing began, submitted at that time of day. */
 const ours = (submitted: number, ageS: number): JobView => ({
   id: "run-000001" as JobId,
-  request: { ...shape, taskCount: 4 } as unknown as JobSpec,
+  spec: { ...shape, taskCount: 4 } as unknown as JobSpec,
   rank: HIGH,
   queued: 4,
   running: 0,
@@ -70,7 +70,7 @@
   const starved = ours(5, STARVED_AGE_S)
   const busy = [{ ...machine, busyTasks: 2 }]
   const [older, younger, other] = [need(STARVED_RANK, 4), need(STARVED_RANK, 6), need(0, 9)]
-  assert.deepEqual(lendableTo([older, younger], [starved], busy), [older])
-  assert.deepEqual(lendableTo([other], [], busy), [other])
-  assert.deepEqual(lendableTo([other], [], []), [])
+  assert.deepEqual(servableDemands([older, younger], [starved], busy), [older])
+  assert.deepEqual(servableDemands([other], [], busy), [other])
+  assert.deepEqual(servableDemands([other], [], []), [])
 })
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -9,7 +9,7 @@
   type TeamName,
   type ZoneName,
 } from "@sorreltally/protocol"
-import type { JobView, MachineView, Offer, Snapshot, TeamRoom } from "../src/model.ts"
+import type { JobView, MachineView, Offer, QuotaHeadroom, Snapshot } from "../src/model.ts"
 import { plan } from "../src/plan.ts"
 
 const type = {
@@ -31,13 +31,13 @@
   busyTasks: 0,
   images: new Set(),
   reserved: false,
-  state: "up",
+  state: "ready",
   assignedJob: null,
   ...more,
 })
 const job = (number: number, team: string, more: Partial<JobView> = {}): JobView => ({
   id: `run-${String(number).padStart(6, "0")}` as JobId,
-  request: {
+  spec: {
     cores: 4,
     accelerators: 0,
     memGb: 1,
@@ -64,7 +64,7 @@
   ...more,
 })
 const spot: Offer = { type, zone: "a" as ZoneName, spot: true, price: 1, asked: false, ours: 0 }
-const room = (cores: number): TeamRoom => ({ cores, accelerators: 0 })
+const room = (cores: number): QuotaHeadroom => ({ cores, accelerators: 0 })
 /** What each team may still use of its limit; of that, its share lets it start nothing yet. */
 const snapshot = (
   jobs: ReadonlyArray<JobView>,
@@ -75,7 +75,7 @@
   jobs,
   machines,
   reserve: { rank: 0, cores: 0, images: new Set() },
-  othersWait: false,
+  otherShardsWait: false,
   types: [type],
   load: () => ({ cores: 0, ending: [] }),
   teams: new Map(Object.keys(limits).map((team) => [team as TeamName, room(shares[team] ?? 0)])),
@@ -97,9 +97,11 @@
 
 test("machines that are coming count towards the team's limit, whichever job they are rented for", () => {
   const jobs = [1, 2, 3].map((n) => job(n, "red"))
-  const coming = ["i-1", "i-2", "i-3"].map((id) => machine(id, { state: "coming", assignedJob: jobs[0]!.id }))
+  const coming = ["i-1", "i-2", "i-3"].map((id) =>
+    machine(id, { state: "booting", assignedJob: jobs[0]!.id }),
+  )
   assert.equal(rented(snapshot(jobs, coming, { red: 64 })), 1)
-  assert.equal(rented(snapshot(jobs, [...coming, machine("i-4", { state: "coming" })], { red: 64 })), 0)
+  assert.equal(rented(snapshot(jobs, [...coming, machine("i-4", { state: "booting" })], { red: 64 })), 0)
 })
 
 test("room on machines that are up is used before more are rented within a limit", () => {
@@ -135,12 +137,12 @@
   assert.deepEqual([...decided.assignedJobs], [["i-3", null]])
   assert.deepEqual([...plan(snapshot(jobs, machines, { red: 64 })).idle], [])
   // Nor is a machine of use to a job that mayn't run there.
-  const elsewhere = job(1, "red", { request: { ...jobs[0]!.request, zone: "b" as ZoneName } })
+  const elsewhere = job(1, "red", { spec: { ...jobs[0]!.spec, zone: "b" as ZoneName } })
   assert.deepEqual([...plan(snapshot([elsewhere], [machine("i-1")], { red: 64 })).idle], ["i-1"])
 })
 
 test("what the market can't give one job stays for the others of its team", () => {
-  const elsewhere = job(1, "red", { request: { ...job(1, "red").request, zone: "b" as ZoneName } })
+  const elsewhere = job(1, "red", { spec: { ...job(1, "red").spec, zone: "b" as ZoneName } })
   assert.equal(rented(snapshot([elsewhere, job(2, "red"), job(3, "red")], [], { red: 64 })), 4)
 })
 
@@ -155,7 +157,7 @@
 test("a machine takes only as many tiny tasks as its report can hold", () => {
   const tiny = job(1, "red", {
     queued: 5_000,
-    request: { ...job(1, "red").request, cores: 0.01, memGb: 0.001, taskCount: 5_000 },
+    spec: { ...job(1, "red").spec, cores: 0.01, memGb: 0.001, taskCount: 5_000 },
   })
   const shares = { red: 200 }
   const placed = plan(snapshot([tiny], [machine("i-1"), machine("i-2", { busyTasks: 290 })], shares, shares))
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test"
 import type { JobId, JobSpec } from "@sorreltally/protocol"
 import type { JobView } from "../src/model.ts"
-import { inOrder, nextTarget } from "../src/order.ts"
+import { nextTarget, schedulingOrder } from "../src/order.ts"
 
 const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView => ({
   id: id as JobId,
-  request: { cores: 4 } as JobSpec,
+  spec: { cores: 4 } as JobSpec,
   rank: 1,
   queued,
   running: 0,
@@ -23,8 +23,8 @@
   ...more,
 })
 const idle = (cores: number) => ({ cores, ending: [] })
-const order = (jobs: ReadonlyArray<JobView>, load: Parameters<typeof inOrder>[1]) =>
-  inOrder(jobs, load).map(({ id }) => id as string)
+const order = (jobs: ReadonlyArray<JobView>, load: Parameters<typeof schedulingOrder>[1]) =>
+  schedulingOrder(jobs, load).map(({ id }) => id as string)
 
 test("while all can be in time, what is due first goes first", () => {
   // 40 cores: 10 tasks of 40 core-seconds take 10 s, 20 of them 20 s.
@@ -40,7 +40,7 @@
 })
 
 test("a job counts the more the fewer there are of its class", () => {
-  const of = (jobClass: string) => ({ request: { cores: 4, jobClass } as JobSpec })
+  const of = (jobClass: string) => ({ spec: { cores: 4, jobClass } as JobSpec })
   const jobs = [job("rare", 12, 30, of("rare")), ...["a", "b", "c"].map((id) => job(id, 8, 32, of("common")))]
   // 12 and 3 times 8 s of work on 40 cores: two of the common jobs wait, though smaller.
   assert.deepEqual(order(jobs, idle(40)), ["rare", "c", "a", "b"])
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -20,7 +20,7 @@
   busyTasks: 0,
   images: new Set(),
   reserved: false,
-  state: "up",
+  state: "ready",
   assignedJob: null,
 })
 const request = {
@@ -36,7 +36,7 @@
 } as unknown as JobSpec
 const job = (more: Partial<JobView>): JobView => ({
   id: "run-000001" as JobId,
-  request,
+  spec: request,
   rank: 1,
   queued: 12,
   running: 0,
@@ -56,7 +56,7 @@
   jobs,
   machines,
   reserve: { rank: 0, cores: 0, images: new Set() },
-  othersWait: false,
+  otherShardsWait: false,
   types: [type],
   load: () => ({ cores: 32, ending: [] }),
   teams: new Map([["red" as TeamName, { cores: 100, accelerators: 0 }]]),
@@ -76,10 +76,10 @@
 test("a job that waited long and goes first with some of its tasks stays scattered, and together", () => {
   const machines = [machine("i-1", "a"), machine("i-2", "b")]
   const scatter = { ...request, spreadZones: true }
-  assert.deepEqual(byMachine([job({ ageS: 200, request: scatter })], machines), { "i-1": 6, "i-2": 6 })
-  assert.deepEqual(byMachine([job({ ageS: 200, request: scatter })], machines.slice(1)), { "i-2": 6 })
+  assert.deepEqual(byMachine([job({ ageS: 200, spec: scatter })], machines), { "i-1": 6, "i-2": 6 })
+  assert.deepEqual(byMachine([job({ ageS: 200, spec: scatter })], machines.slice(1)), { "i-2": 6 })
   const together = { ...request, singleZone: true, cores: 2 }
-  assert.deepEqual(byMachine([job({ ageS: 200, request: together })], machines), { "i-1": 8 })
+  assert.deepEqual(byMachine([job({ ageS: 200, spec: together })], machines), { "i-1": 8 })
 })
 
 test("of a job of which nothing began for long, some go before what is due sooner", () => {
@@ -93,10 +93,12 @@
 test("while other parts wait for machines, none that they could borrow is begun for one task", () => {
   const half = { ...machine("i-1", "a"), busyTasks: 1, free: { ...type, cores: 8 } }
   const cached = { ...machine("i-2", "a"), images: new Set(["img"]) } as MachineView
-  const small = job({ queued: 4, request: { ...request, imageGb: 4 } })
+  const small = job({ queued: 4, spec: { ...request, imageGb: 4 } })
   const on = (othersWait: boolean) =>
     new Set(
-      plan({ ...snapshot([small], [half, cached]), othersWait }).placements.map((p) => p.machine as string),
+      plan({ ...snapshot([small], [half, cached]), otherShardsWait: othersWait }).placements.map(
+        (p) => p.machine as string,
+      ),
     )
   assert.deepEqual([...on(false)], ["i-2"])
   assert.deepEqual([...on(true)], ["i-1"])
@@ -111,7 +113,7 @@
       snapshot(
         [
           job({ id: "run-000001" as JobId, startWithinS: 40, ...first }),
-          job({ id: "run-000002" as JobId, startWithinS: 60, request: theirs }),
+          job({ id: "run-000002" as JobId, startWithinS: 60, spec: theirs }),
         ],
         [cached as unknown as MachineView],
       ),
--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -3,7 +3,13 @@
  * Only empty machines change parts, and under load none is ever empty by
  * itself: what ends makes room for what waits here.
  */
-import { allowed, type Lent, type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
+import {
+  allowed,
+  type MachineDemand,
+  type MachineLoan,
+  type MachineView,
+  STARVED_RANK,
+} from "@sorreltally/planner"
 import type { MachineId, ShardName } from "@sorreltally/protocol"
 
 export class Draining {
@@ -31,14 +37,14 @@
       if (chosen !== null) unused -= chosen.type.cores
     }
     const drained = new Set(this.machines.values())
-    return views.map((view) => (drained.has(view.id) ? { ...view, state: "closing" as const } : view))
+    return views.map((view) => (drained.has(view.id) ? { ...view, state: "draining" as const } : view))
   }
 
   /**
    * Machines that are empty by now, for whom they were emptied: they go there
    * whatever waits here, or they would be of use to nobody.
    */
-  *emptied(views: ReadonlyArray<MachineView>): Iterable<Lent> {
+  *emptied(views: ReadonlyArray<MachineView>): Iterable<MachineLoan> {
     for (const [to, machine] of this.machines) {
       const view = views.find(({ id }) => id === machine)
       if (view !== undefined && view.busyTasks === 0) yield { machine, to }
@@ -56,12 +62,12 @@
     unused: number,
   ): MachineView | null {
     const before = this.machines.get(shard)
-    if (before !== undefined && views.some(({ id, state }) => id === before && state === "up")) return null
+    if (before !== undefined && views.some(({ id, state }) => id === before && state === "ready")) return null
     this.machines.delete(shard)
     const taken = new Set(this.machines.values())
     let best: MachineView | null = null
     for (const view of views) {
-      if (view.state !== "up" || taken.has(view.id) || !allowed(shape, view)) continue
+      if (view.state !== "ready" || taken.has(view.id) || !allowed(shape, view)) continue
       if (view.type.cores > unused || (view.reserved && Number.isFinite(unused))) continue
       if (best === null || view.busyTasks < best.busyTasks) best = view
     }
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -14,7 +14,7 @@
 const PUBLISHED_DEMANDS = 4
 const PUBLISHED_STARVED_DEMANDS = 2
 
-export const machineNeeds = (
+export const machineDemands = (
   shard: ShardName,
   unplaced: ReadonlyArray<Unplaced>,
 ): ReadonlyArray<MachineDemand> => [
@@ -23,9 +23,9 @@
     .filter(({ tasks }) => tasks > 0)
     .slice(0, PUBLISHED_DEMANDS)
     .map(
-      ({ job, tasks, pressing }): MachineDemand => ({
+      ({ job, tasks, urgent: pressing }): MachineDemand => ({
         shard,
-        shape: shapeOf(job.request),
+        shape: shapeOf(job.spec),
         rank: job.rank,
         tasks,
         pressing: job.withinGuarantee ? Math.min(pressing, tasks) : 0,
@@ -54,7 +54,7 @@
     .slice(0, PUBLISHED_STARVED_DEMANDS)
     .map(({ first, tasks, since }) => ({
       shard,
-      shape: shapeOf(first.request),
+      shape: shapeOf(first.spec),
       rank: STARVED_RANK,
       tasks,
       pressing: 0,
@@ -62,7 +62,7 @@
     }))
 }
 
-const machinesOf = ({ request }: JobView): string => {
+const machinesOf = ({ spec: request }: JobView): string => {
   const { cores, accelerators, memGb, machineTypes: builds, zone: site, spotAllowed: loaners } = request
   return JSON.stringify([cores, accelerators, memGb, builds ?? null, site ?? null, loaners])
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,14 +1,14 @@
 import { SUSPECT_RANK } from "@sorreltally/jobs"
 import {
+  type ClusterLoad,
   EPSILON,
   isReserved,
   type JobView,
-  type Load,
   type MachineView,
   nextTarget,
+  type QuotaHeadroom,
   REACH,
   type Reserve,
-  type TeamRoom,
 } from "@sorreltally/planner"
 import {
   addMs,
@@ -27,8 +27,8 @@
 /** After a take-over, time in which the machines' first reports come in. */
 const FIRST_REPORTS_MS = 8_000
 
-export const teamUse = (shard: ShardView): Map<TeamName, TeamRoom> => {
-  const used = new Map<TeamName, TeamRoom>()
+export const teamUse = (shard: ShardView): Map<TeamName, QuotaHeadroom> => {
+  const used = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams) used.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of shard.jobs.values()) {
     const u = used.get(job.request.team)
@@ -43,7 +43,7 @@
 const HORIZON_S = 600
 
 /** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
-export const loadOf = (shard: ShardView, now: MonotonicTime): Load => {
+export const loadOf = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
     if (!shard.assignments.get(id)!.returning) cores += type.cores
@@ -85,7 +85,7 @@
     }
     views.push({
       id: job.id,
-      request,
+      spec: request,
       rank: suspect ? SUSPECT_RANK : priorityRank[request.priority],
       queued: shard.failures.startable(job, now),
       running: job.placements.size - job.leaving,
@@ -150,15 +150,15 @@
     const bootingS = (now - assignment.rentedAt) / 1000
     const state =
       assignment.returning || assignment.moving || session.warningUntil !== null
-        ? "away"
+        ? "unavailable"
         : session.usable(now)
           ? assignment.closing
-            ? "closing"
-            : "up"
+            ? "draining"
+            : "ready"
           : session.lastHeard === NEVER &&
               (bootingS < type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_REPORTS_MS))
-            ? "coming"
-            : "away"
+            ? "booting"
+            : "unavailable"
     views.push({
       id: session.id,
       type,
@@ -184,7 +184,7 @@
         busyTasks: 0,
         images: new Set(),
         reserved: false,
-        state: "coming",
+        state: "booting",
         assignedJob: rental.assignedJob,
       })
     }
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -48,7 +48,7 @@
 ): void => {
   const foreign = needs.filter((n) => n.pressing > 0 && !n.shape.singleZone && !n.shape.spreadZones)
   const own = decided.unplaced
-    .filter(({ job }) => !job.request.singleZone && !job.request.spreadZones)
+    .filter(({ job }) => !job.spec.singleZone && !job.spec.spreadZones)
     .slice(0, MOST_JOBS)
   const highest = Math.max(...foreign.map((n) => n.rank), ...own.map(({ job }) => job.rank))
   if (foreign.length === 0 && own.length === 0) return
@@ -94,20 +94,20 @@
   }
   const left = (usable: (v: Victim<Placement>) => boolean) => (machine: MachineId) =>
     (victims.get(machine) ?? []).filter((v) => !stopped.has(v.placement) && usable(v))
-  for (const { job, startable, pressing } of own) {
+  for (const { job, startable, urgent: pressing } of own) {
     // Work that can save gives way to any of higher rank; other work is given
     // up only where it has to be, and only for what a team is guaranteed.
     const forced = job.withinGuarantee ? pressing : 0
     let missing = startable
     for (const view of soon) {
       if (missing <= 0) break
-      if (view.state !== "up" || !allowed(job.request, view)) continue
-      const take = Math.min(missing, slotsIn(job.request, view.free))
-      view.free = minus(view.free, job.request, take)
+      if (view.state !== "ready" || !allowed(job.spec, view)) continue
+      const take = Math.min(missing, slotsIn(job.spec, view.free))
+      view.free = minus(view.free, job.spec, take)
       missing -= take
     }
     if (missing <= 0) continue
-    const shape = shapeOf(job.request)
+    const shape = shapeOf(job.spec)
     const saving = choosePreemptions(
       shape,
       job.rank,
@@ -133,7 +133,7 @@
   for (const need of foreign) {
     let missing = Math.ceil(need.pressing * share) - (lentLately.get(need.shard) ?? 0)
     for (const view of soon) {
-      if (view.state === "up" && view.busyTasks === 0 && allowed(need.shape, view)) {
+      if (view.state === "ready" && view.busyTasks === 0 && allowed(need.shape, view)) {
         missing -= slotsIn(need.shape, view.type)
       }
     }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -8,10 +8,10 @@
   isStarved,
   type JobView,
   type QuotaDemand,
+  type QuotaHeadroom,
   STARVED_RANK,
   slotsIn,
   type TeamClaim,
-  type TeamRoom,
   tasksToBegin,
 } from "@sorreltally/planner"
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
@@ -24,15 +24,15 @@
   slotsIn(request, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
 
 /** What a team's limit leaves a part beyond what its own tasks use, however much other parts give up. */
-const reachable = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, use: TeamRoom): TeamRoom => ({
+const reachable = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, use: QuotaHeadroom): QuotaHeadroom => ({
   cores: cpusMax - use.cores,
   accelerators: gpusMax - use.accelerators,
 })
-const tasksWithin = (request: JobSpec, room: TeamRoom): number =>
+const tasksWithin = (request: JobSpec, room: QuotaHeadroom): number =>
   slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
 
 /** Cores of our machines, up or coming, on which no task is placed. */
-export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, TeamRoom>): number => {
+export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, QuotaHeadroom>): number => {
   let cores = 0
   for (const { type } of shard.machines.values()) cores += type.cores
   for (const { offer, count } of shard.pendingRentals.values()) cores += count * offer.type.cores
@@ -41,19 +41,19 @@
 }
 
 /** Teams whose share here keeps queued tasks from starting that machines have room for. */
-export const quotaNeeds = (
+export const quotaDemands = (
   shard: ShardView,
   jobs: ReadonlyArray<JobView>,
-  teams: ReadonlyMap<TeamName, TeamRoom>,
-  used: ReadonlyMap<TeamName, TeamRoom>,
+  teams: ReadonlyMap<TeamName, QuotaHeadroom>,
+  used: ReadonlyMap<TeamName, QuotaHeadroom>,
   unused: number,
 ): ReadonlyArray<QuotaDemand> => {
-  const beyondUse = new Map<TeamName, TeamRoom>()
+  const beyondUse = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams)
     beyondUse.set(team.name, reachable(team, used.get(team.name) ?? NOTHING))
   const out = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
-    const { id, request, queued } = job
+    const { id, spec: request, queued } = job
     const room = teams.get(request.team)
     const attainable = beyondUse.get(request.team)
     if (room === undefined || attainable === undefined) continue
@@ -78,8 +78,8 @@
 /** What this part counts on of the teams' limits, after a plan. */
 export const teamClaims = (
   shard: ShardView,
-  used: ReadonlyMap<TeamName, TeamRoom>,
-  planned: ReadonlyMap<TeamName, TeamRoom>,
+  used: ReadonlyMap<TeamName, QuotaHeadroom>,
+  planned: ReadonlyMap<TeamName, QuotaHeadroom>,
 ): ReadonlyArray<TeamClaim> => {
   const inSteps = (amount: number, limit: number) =>
     limit <= 0 || !isLimited(limit)
@@ -98,7 +98,7 @@
   }
   return claims
 }
-const NOTHING: TeamRoom = { cores: 0, accelerators: 0 }
+const NOTHING: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
 /** Quota for a number of tasks, and how urgent the most urgent of them are. */
 class Demand {
@@ -117,10 +117,10 @@
 }
 
 /** What one part needs of one team's limit, given what the others ask for. */
-export const shareNeed = (
+export const shareDemand = (
   shard: ShardView,
   team: Team,
-  use: TeamRoom,
+  use: QuotaHeadroom,
   quotas: ReadonlyArray<QuotaDemand>,
   unused: number,
 ): ShareNeed => {
@@ -163,4 +163,4 @@
   return need(demand, "first")
 }
 
-const amountOf = ({ cores, accelerators }: TeamRoom): Amount => ({ cpus: cores, gpus: accelerators })
+const amountOf = ({ cores, accelerators }: QuotaHeadroom): Amount => ({ cpus: cores, gpus: accelerators })
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -2,19 +2,19 @@
 import type { JobState, Placement } from "@sorreltally/jobs"
 import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
-  type Lent,
-  LimitRoom,
-  type Load,
+  type ClusterLoad,
   lend,
-  lendableTo,
   type MachineDemand,
+  type MachineLoan,
   type MachineView,
   type Plan,
   plan,
+  QuotaBudget,
   type QuotaDemand,
+  type QuotaHeadroom,
   type Reserve,
   STARVED_RANK,
-  type TeamRoom,
+  servableDemands,
 } from "@sorreltally/planner"
 import {
   type Attempt,
@@ -34,10 +34,10 @@
 import { Draining } from "./draining.ts"
 import type { JobRegistry } from "./job-registry.ts"
 import type { Lending } from "./lending.ts"
-import { machineNeeds } from "./machine-demand.ts"
+import { machineDemands } from "./machine-demand.ts"
 import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
-import { quotaNeeds, shareNeed, teamClaims, unusedCores } from "./quota-demand.ts"
+import { quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
 import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 
@@ -46,8 +46,15 @@
 /** While refused kinds of spot are asked again, steady machines stay as they were wanted before. */
 const ON_DEMAND_LINGER_MS = 10_000
 const STATUS_EVERY_MS = 15_000
+/** The status line's fields, which are settled: those who read the log rely on them. */
+const LOG_FIELD_OF_STATE = {
+  ready: "up",
+  booting: "coming",
+  draining: "closing",
+  unavailable: "away",
+} as const
 const ATTEMPTS_PER_EPOCH = 2 ** 20
-const NOTHING: TeamRoom = { cores: 0, accelerators: 0 }
+const NOTHING: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
 /** What the plans need of their part beyond its state. */
 export interface ShardPlanningHost {
@@ -64,8 +71,8 @@
 
 /** What the teams' limits leave a part: at once within its shares, and for rentals whether shares cover it yet. */
 interface TeamRooms {
-  readonly startable: Map<TeamName, TeamRoom>
-  readonly rentable: Map<TeamName, TeamRoom>
+  readonly startable: Map<TeamName, QuotaHeadroom>
+  readonly rentable: Map<TeamName, QuotaHeadroom>
 }
 
 export class ShardPlanning {
@@ -75,7 +82,7 @@
   private reserveRank = Number.NEGATIVE_INFINITY
   private onDemandNeededAt: MonotonicTime = NEVER
   private attempts = 0
-  private lately: { readonly at: MonotonicTime; readonly load: Load } | null = null
+  private lately: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
   private statusAt: MonotonicTime = NEVER
   /** The last plan left work without room. */
   workWaits = false
@@ -139,7 +146,7 @@
     const reserve = this.reserve()
     let machines = machineViews(shard, now, reserve, false)
     // Work that its team's limit holds back is no reason to keep a machine from others.
-    const room = new LimitRoom(teams.rentable)
+    const room = new QuotaBudget(teams.rentable)
     const startable = jobs.filter((job) => room.tasksLeft(job) > 0)
     const lent = lend(machines, startable, needs, share, this.host.lending.lentLately(now), reserve)
     if (lent.length > 0) {
@@ -147,7 +154,7 @@
       machines = machineViews(shard, now, reserve, false)
     }
     // Guards against machines that are emptied for others, never lent, and of no use to our own work.
-    const lendable = lendableTo(needs, startable, machines)
+    const lendable = servableDemands(needs, startable, machines)
     const served = needs.filter((need) => need.rank >= STARVED_RANK || lendable.includes(need))
     machines = this.draining.apply(machines, served, this.unusedCores, this.hasMostMachines())
     this.lendAll(this.draining.emptied(machines), needs)
@@ -159,7 +166,7 @@
       types: [...(node.inventory.catalog()?.values() ?? [])],
       maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
       reserve,
-      othersWait: needs.length > 0,
+      otherShardsWait: needs.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
       rentalSize: RENTAL_SIZE,
@@ -168,8 +175,8 @@
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
     node.publish(shard.name, {
-      machines: machineNeeds(shard.name, decided.unplaced),
-      quotas: quotaNeeds(shard, jobs, teams.startable, used, unused).filter(
+      machines: machineDemands(shard.name, decided.unplaced),
+      quotas: quotaDemands(shard, jobs, teams.startable, used, unused).filter(
         ({ team }) => !this.shares.yields(team),
       ),
       claims: teamClaims(shard, used, decided.claims),
@@ -178,7 +185,7 @@
   }
 
   private teamRooms(
-    used: ReadonlyMap<TeamName, TeamRoom>,
+    used: ReadonlyMap<TeamName, QuotaHeadroom>,
     claims: Parameters<QuotaAllocation["beyond"]>[2],
   ): TeamRooms {
     const rooms: TeamRooms = { startable: new Map(), rentable: new Map() }
@@ -195,17 +202,17 @@
     return rooms
   }
   private adjustShares(
-    used: ReadonlyMap<TeamName, TeamRoom>,
+    used: ReadonlyMap<TeamName, QuotaHeadroom>,
     quotas: ReadonlyArray<QuotaDemand>,
     unused: number,
   ): void {
     const { shard } = this.host
     const changes = this.shares.adjust((team) =>
-      shareNeed(shard, team, used.get(team.name) ?? NOTHING, quotas, unused),
+      shareDemand(shard, team, used.get(team.name) ?? NOTHING, quotas, unused),
     )
     for (const change of changes) shard.node.fork(change)
   }
-  private lendAll(lent: Iterable<Lent>, needs: ReadonlyArray<MachineDemand>): void {
+  private lendAll(lent: Iterable<MachineLoan>, needs: ReadonlyArray<MachineDemand>): void {
     const { shard, lending } = this.host
     for (const { machine, to } of lent) {
       const session = shard.machines.get(machine)
@@ -214,7 +221,7 @@
   }
 
   /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
-  private load(now: MonotonicTime): Load {
+  private load(now: MonotonicTime): ClusterLoad {
     if (this.lately === null || now > addMs(this.lately.at, LOAD_EVERY_MS))
       this.lately = { at: now, load: loadOf(this.host.shard, now) }
     return this.lately.load
@@ -260,7 +267,7 @@
     for (const rental of decided.rentals) rentals().rental(rental)
     this.workWaits = decided.unplaced.length > 0
     this.idle = decided.idle
-    this.heldBack = decided.heldBack
+    this.heldBack = decided.quotaLimited
     this.unusedCores = decided.unusedCores
     if (!decided.onDemandNeeded) return
     this.onDemandNeededAt = now
@@ -301,12 +308,13 @@
     if (now < addMs(this.statusAt, STATUS_EVERY_MS)) return
     this.statusAt = now
     const { shard, registry } = this.host
-    const states: Record<string, number> = {}
+    const machinesByState: Record<string, number> = {}
     let free = 0
     let cores = 0
     for (const view of machineViews(shard, now, this.reserve(), true)) {
-      states[view.state] = (states[view.state] ?? 0) + 1
-      if (view.state !== "up") continue
+      const field = LOG_FIELD_OF_STATE[view.state]
+      machinesByState[field] = (machinesByState[field] ?? 0) + 1
+      if (view.state !== "ready") continue
       free += view.free.cores
       cores += view.type.cores
     }
@@ -316,7 +324,7 @@
       shard: shard.name,
       jobs: shard.jobs.size,
       queued,
-      ...states,
+      ...machinesByState,
       free,
       cores,
       slots: registry.slots,
--- a/packages/shard/test/draining.test.ts
+++ b/packages/shard/test/draining.test.ts
@@ -14,7 +14,7 @@
   busyTasks,
   images: new Set(),
   reserved: false,
-  state: "up",
+  state: "ready",
   assignedJob: null,
   ...more,
 })
@@ -28,7 +28,7 @@
     shape: { cores: 2, accelerators: 0, memGb: 1, spotAllowed: true },
   }) as unknown as MachineDemand
 const drained = (views: ReadonlyArray<MachineView>): ReadonlyArray<string> =>
-  views.filter(({ state }) => state === "closing").map(({ id }) => id)
+  views.filter(({ state }) => state === "draining").map(({ id }) => id)
 
 test("a machine is emptied for another part only if its tasks fit into room of no use here", () => {
   const views = [machine("i-1", 3), machine("i-2", 2), machine("i-3", 4)]
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -5,7 +5,7 @@
 import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
 import { type JobRecord, keys } from "@sorreltally/store"
-import { quotaNeeds, shareNeed, teamClaims } from "../src/quota-demand.ts"
+import { quotaDemands, shareDemand, teamClaims } from "../src/quota-demand.ts"
 import type { ShardView } from "../src/shard-context.ts"
 
 const red = "red" as TeamName
@@ -38,26 +38,26 @@
 const use = { cores: 20, accelerators: 0 }
 
 test("what a part wants of a limit is what its tasks use and what machines have room for", () => {
-  const need = shareNeed(shard(job(1, 10)), team, use, [], 30)
+  const need = shareDemand(shard(job(1, 10)), team, use, [], 30)
   assert.deepEqual([need.used.cpus, need.wanted.cpus, need.asked], [20, 48, "no"])
   assert.deepEqual(need.smallestTask, { cpus: 4, gpus: 0 })
   // No machine has room: quota would only lie idle.
-  assert.deepEqual(shareNeed(shard(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
+  assert.deepEqual(shareDemand(shard(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
 })
 
 test("the more urgent part goes first, and so does the one whose work waits longer", () => {
   const mine = shard(job(1, 10, { priority: "standard" }))
-  assert.equal(shareNeed(mine, team, use, [asks(0)], 30).asked, "after")
-  assert.equal(shareNeed(mine, team, use, [asks(3)], 30).asked, "first")
+  assert.equal(shareDemand(mine, team, use, [asks(0)], 30).asked, "after")
+  assert.equal(shareDemand(mine, team, use, [asks(3)], 30).asked, "first")
 })
 
 // Guards against work of low rank that never begins while other parts have more urgent work than the limit holds.
 test("of a job that waited too long a few tasks go before more urgent work of other parts", () => {
-  const need = shareNeed(shard(job(1, 200)), team, use, [asks(3)], 400)
+  const need = shareDemand(shard(job(1, 200)), team, use, [asks(3)], 400)
   // A twentieth of 40 tasks of 4 cores.
   assert.deepEqual([need.wanted.cpus, need.asked], [28, "after"])
-  assert.equal(shareNeed(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
-  assert.equal(shareNeed(shard(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
+  assert.equal(shareDemand(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
+  assert.equal(shareDemand(shard(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
 })
 
 test("what a part counts on of a limit is told in steps", () => {
@@ -72,7 +72,7 @@
   const large = shard(job(1, 200, { cores: 8 }))
   const limit = new Map([[red, { cores: 315, accelerators: 0 }]])
   // 315 of 320 cores are used by this part itself.
-  const need = shareNeed(large, team, { cores: 315, accelerators: 0 }, [asks(0)], 400)
+  const need = shareDemand(large, team, { cores: 315, accelerators: 0 }, [asks(0)], 400)
   assert.deepEqual([need.wanted.cpus, need.smallestTask, need.asked], [315, null, "first"])
   const views = [
     {
@@ -84,6 +84,6 @@
     },
   ] as unknown as ReadonlyArray<JobView>
   const noRoom = new Map([[red, { cores: 0, accelerators: 0 }]])
-  assert.deepEqual(quotaNeeds(large, views, noRoom, limit, 400), [])
-  assert.equal(quotaNeeds(large, views, noRoom, new Map([[red, use]]), 400).length, 1)
+  assert.deepEqual(quotaDemands(large, views, noRoom, limit, 400), [])
+  assert.equal(quotaDemands(large, views, noRoom, new Map([[red, use]]), 400).length, 1)
 })
--- a/scenarios/wrong-place.sexp
+++ b/scenarios/wrong-place.sexp
@@ -8,5 +8,5 @@
   (at 80 (take-spot 2 0))
   (expect (all-over))
   (guard "packages/planner/src/model.ts"
-    "if (request.spreadZones) return Math.ceil(request.taskCount / 2) - (zones.get(zone) ?? 0)"
+    "if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (zones.get(zone) ?? 0)"
     ""))
