--- a/packages/planner/src/bins.ts
+++ b/packages/planner/src/bins.ts
@@ -1,7 +1,10 @@
-/** Free room on machines, as a plan fills it. */
-import { type JobSpec, MAX_TASKS_ON_MACHINE, type MachineType, type ZoneName } from "@sorreltally/protocol"
-import { type Capacity, EPSILON, type MachineView, slotsIn } from "./model.ts"
+/** Machines as bins that one plan fills: what each still holds once earlier decisions of the plan are counted. */
+import { type JobSpec, MAX_TASKS_ON_MACHINE } from "@sorreltally/protocol"
+import { EPSILON, minus, slotsIn } from "./capacity.ts"
+import { machineKindKey } from "./eligibility.ts"
+import type { Capacity, MachineKind, MachineView } from "./input.ts"
 
+/** One machine, as the plan fills it. */
 export interface Bin {
   readonly machine: MachineView
   readonly reserved: boolean
@@ -11,8 +14,8 @@
 }
 
 /**
- * Guards against machines with so many tiny tasks that their reports exceed what a
- * body may hold: such reports are refused, and the lease is lost.
+ * Guards against machines with so many tiny tasks that their heartbeats exceed what a
+ * body may hold: such heartbeats are refused, and the lease is lost.
  */
 export const binOf = (machine: MachineView): Bin => ({
   machine,
@@ -28,31 +31,35 @@
 export const tasksFitting = (spec: JobSpec, { free, tasksLeft }: Bin): number =>
   Math.min(slotsIn(spec, free), Math.max(0, tasksLeft))
 
-/** Machines alike in all that decides whether a job may run there. */
-export interface MachineGroup {
-  readonly type: MachineType
-  readonly zone: ZoneName
-  readonly spot: boolean
-  /** Those that still have room. */
-  slots: Array<Bin>
+/** Takes capacity for that many tasks of a job. */
+export const fill = (bin: Bin, spec: JobSpec, tasks: number): void => {
+  bin.free = minus(bin.free, spec, tasks)
+  bin.tasksLeft -= tasks
 }
 
-export const byKind = (slots: Iterable<Bin>): Array<MachineGroup> => {
-  const kinds = new Map<string, MachineGroup>()
-  for (const slot of slots) {
-    const { type, zone, spot } = slot.machine
-    const name = `${type.name}|${zone}|${spot}`
-    const kind = kinds.get(name)
-    if (kind === undefined) kinds.set(name, { type, zone, spot, slots: [slot] })
-    else kind.slots.push(slot)
+/** Machines alike in all that decides whether a job may run there, so that this is judged once for all of them. */
+export interface MachineGroup extends MachineKind {
+  /** Those that still have capacity. */
+  bins: Array<Bin>
+}
+
+/** Groups in the order of their first machines. */
+export const groupByKind = (bins: Iterable<Bin>): Array<MachineGroup> => {
+  const groups = new Map<string, MachineGroup>()
+  for (const bin of bins) {
+    const { type, zone, spot } = bin.machine
+    const key = machineKindKey(bin.machine)
+    const group = groups.get(key)
+    if (group === undefined) groups.set(key, { type, zone, spot, bins: [bin] })
+    else group.bins.push(bin)
   }
-  return [...kinds.values()]
+  return [...groups.values()]
 }
 
-/** Room that is kept in reserve is of use. */
-export const unusedCores = (up: ReadonlyArray<Bin>): number => {
+/** Free cores that no decision of the plan counts on; those of the reserve are of use, and left out. */
+export const unusedCores = (ready: ReadonlyArray<Bin>): number => {
   let cores = 0
-  for (const { free, reserved } of up) if (!reserved) cores += free.cores
+  for (const { free, reserved } of ready) if (!reserved) cores += free.cores
   return cores
 }
 
--- a/packages/planner/src/deadline.ts
+++ b/packages/planner/src/deadline.ts
@@ -1,47 +1,69 @@
 /**
- * The deadline formula of the paper's Spot Instance-Aware Provisioning
- * Algorithm (section 4.6, Algorithm 1), with the readings that docs/design.md
- * lists. Everything is counted in task slots; times are in seconds.
+ * The deadline formula of the paper's Spot Instance-Aware Provisioning Algorithm (section 4.6,
+ * Algorithm 1), with the readings that docs/design.md lists. Names are the paper's: `resources` are
+ * task slots, not machines; all times are in seconds. Pure arithmetic: it knows no job, machine or clock.
  */
+
+/** The formula's inputs, lines 2 to 5 and 10 of Algorithm 1. */
 export interface DeadlineInput {
+  /** Tasks in the queue. */
   readonly pendingTasks: number
-  /** Slots the job holds. */
+  /** Slots available to the job. */
   readonly resources: number
-  /** Slots on machines that were asked for and are still coming. */
+  /** Slots on machines that were asked for and are still booting. */
   readonly requestedResources: number
+  /** The updated estimate of a task's run time. */
   readonly executionTime: number
+  /** Until the job's deadline; below 0 once it is missed. */
   readonly timeLeft: number
+  /** From asking for a machine until it takes tasks. */
   readonly deploymentTime: number
 }
 
-/** How long the queued tasks still take; those that run have to end first, hence the extra round. */
+/**
+ * Line 6: (⌈pendingTasks / resources⌉ + 1) × executionTime. Running tasks have to end before queued
+ * ones start, hence the extra round; endless without any slot.
+ */
 export const requiredTime = (pendingTasks: number, resources: number, executionTime: number): number =>
   resources <= 0 ? Number.POSITIVE_INFINITY : (Math.ceil(pendingTasks / resources) + 1) * executionTime
 
+/** Lines 8 and 9: rounds of a task's run time, α until the deadline and β until new machines take tasks. */
+const roundsLeft = ({
+  executionTime,
+  timeLeft,
+  deploymentTime,
+}: Pick<DeadlineInput, "executionTime" | "timeLeft" | "deploymentTime">): {
+  readonly alpha: number
+  readonly beta: number
+} => ({ alpha: Math.floor(timeLeft / executionTime), beta: Math.floor(deploymentTime / executionTime) })
+
+/** Line 11, α − β > 0: machines asked for now take tasks before the deadline. */
+export const newMachinesComeInTime = (
+  executionTime: number,
+  timeLeft: number,
+  deploymentTime: number,
+): boolean => {
+  const { alpha, beta } = roundsLeft({ executionTime, timeLeft, deploymentTime })
+  return alpha - beta > 0
+}
+
+/** Lines 7 to 16: slots to ask for so that the deadline is met, from 0 to `pendingTasks`. */
 export const extraResources = (input: DeadlineInput): number => {
-  const { pendingTasks, resources, requestedResources, executionTime, timeLeft, deploymentTime } = input
+  const { pendingTasks, resources, requestedResources, executionTime, timeLeft } = input
   if (pendingTasks === 0 || requiredTime(pendingTasks, resources, executionTime) <= timeLeft) return 0
-  const alpha = Math.floor(timeLeft / executionTime)
-  const beta = Math.floor(deploymentTime / executionTime)
-  const total = resources + requestedResources
+  const { alpha, beta } = roundsLeft(input)
+  const totalResources = resources + requestedResources
   const extra =
     alpha - beta > 0
-      ? Math.ceil(((1 - alpha) * total + pendingTasks) / (alpha - beta))
-      : pendingTasks - (beta + 1) * total
+      ? Math.ceil(((1 - alpha) * totalResources + pendingTasks) / (alpha - beta))
+      : pendingTasks - (beta + 1) * totalResources
   return Math.max(0, Math.min(extra, pendingTasks))
 }
 
-/** May the job give a machine with this many slots back and still meet its deadline? */
+/** Lines 22 to 25: may the job release a machine with this many slots and still meet its deadline? */
 export const canRelease = (
   input: Pick<DeadlineInput, "pendingTasks" | "resources" | "executionTime" | "timeLeft">,
   slotsOfMachine: number,
 ): boolean =>
   input.resources > 1 &&
   requiredTime(input.pendingTasks, input.resources - slotsOfMachine, input.executionTime) < input.timeLeft
-
-/** The paper's test that machines asked for now are up before the deadline: alpha - beta > 0. */
-export const newMachinesComeInTime = (
-  executionTime: number,
-  timeLeft: number,
-  deploymentTime: number,
-): boolean => Math.floor(timeLeft / executionTime) - Math.floor(deploymentTime / executionTime) > 0
--- a/packages/planner/src/lateness.ts
+++ b/packages/planner/src/lateness.ts
@@ -1,17 +1,16 @@
-/** How much of the queue comes too late, given what runs now. */
-import type { JobView, Snapshot } from "./model.ts"
+/** How much of a job's queue starts too late, given what runs now. */
+import type { ClusterLoad, JobView } from "./input.ts"
 
-/** Seconds left in which a queued task should start; null: too late for any aim, or none. */
+/** Seconds left in which a queued task should start; null: too late for any objective, or none. */
 const startsWithinS = (job: JobView): number | null => {
   if (job.startWithinS !== null && job.ageS < job.startWithinS) return job.startWithinS - job.ageS
   if (job.timeLeftS !== null && job.timeLeftS > job.executionS) return job.timeLeftS - job.executionS
   return null
 }
 
-/** Cores that come free within that time as running tasks end, counting the room that then comes free again. */
-const coresFreedWithin = (snapshot: Snapshot, withinS: number, executionS: number): number => {
+/** Cores that come free within that time as running tasks end, counting those again that come free again. */
+const coresFreedWithin = ({ ending }: ClusterLoad, withinS: number, executionS: number): number => {
   let cores = 0
-  const { ending } = snapshot.load()
   const last = Math.min(ending.length, Math.floor(withinS))
   for (let s = 0; s < last; s++) {
     const ended = ending[s] ?? 0
@@ -20,15 +19,18 @@
   return cores
 }
 
-/** Queued tasks of a job that running ones won't make room for in time; `ahead`: cores of the jobs that go first. */
+/**
+ * Queued tasks of a job that running ones won't make capacity for in time; `backlogCores`: what the
+ * queued tasks of the jobs before it take. `load` is called only where the job has an aim left.
+ */
 export const tasksStartingTooLate = (
   job: JobView,
-  pending: number,
-  ahead: number,
-  snapshot: Snapshot,
+  queued: number,
+  backlogCores: number,
+  load: () => ClusterLoad,
 ): number => {
   const withinS = startsWithinS(job)
   if (withinS === null) return 0
-  const freed = coresFreedWithin(snapshot, withinS, job.executionS) - ahead
-  return Math.max(0, pending - Math.floor(Math.max(0, freed) / job.spec.cores))
+  const freed = coresFreedWithin(load(), withinS, job.executionS) - backlogCores
+  return Math.max(0, queued - Math.floor(Math.max(0, freed) / job.spec.cores))
 }
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -1,44 +1,45 @@
 /**
  * What the teams' limits still allow, over all jobs of a plan. Each task that
- * a plan places, expects on a machine or rents a machine for takes its part
- * of the team's room, so that the jobs of one team never count on the same
- * room twice.
+ * a plan places, expects on a machine or rents a machine for takes its share
+ * of the team's headroom, so that the jobs of one team never count on the same
+ * headroom twice.
  */
-import type { TeamName } from "@sorreltally/protocol"
-import { type JobView, type QuotaHeadroom, type Snapshot, slotsIn } from "./model.ts"
+import type { JobSpec, TeamName } from "@sorreltally/protocol"
+import { slotsIn } from "./capacity.ts"
+import type { JobView, QuotaHeadroom, Snapshot } from "./input.ts"
 
-/** How many tasks of the job a team's room holds; memory isn't limited by team. */
-const tasksWithin = ({ spec }: JobView, room: QuotaHeadroom): number =>
-  slotsIn(spec, { ...room, memGb: Number.POSITIVE_INFINITY })
+/** How many tasks of a job a team's headroom holds; memory isn't limited by team. */
+export const tasksWithinHeadroom = (spec: JobSpec, headroom: QuotaHeadroom): number =>
+  slotsIn(spec, { ...headroom, memGb: Number.POSITIVE_INFINITY })
 
-/** How many more tasks the job's team may start. */
-export const tasksWithinQuota = (job: JobView, teams: Snapshot["teams"]): number => {
-  const room = teams.get(job.spec.team)
-  return room === undefined ? 0 : tasksWithin(job, room)
+/** How many more tasks the job's team may start; 0 for a team without a limit's record. */
+export const tasksWithinQuota = ({ spec }: JobView, teams: Snapshot["teams"]): number => {
+  const headroom = teams.get(spec.team)
+  return headroom === undefined ? 0 : tasksWithinHeadroom(spec, headroom)
 }
 
-/** Room of every team, used up task by task. */
+/** Headroom of every team, used up task by task; the map that it is made from stays as it is. */
 export class QuotaBudget {
   private readonly teams = new Map<TeamName, QuotaHeadroom>()
 
   constructor(private readonly limits: ReadonlyMap<TeamName, QuotaHeadroom>) {
-    for (const [team, room] of limits) this.teams.set(team, { ...room })
+    for (const [team, headroom] of limits) this.teams.set(team, { ...headroom })
   }
 
   /** How many more tasks the job's team may use. */
   tasksLeft(job: JobView): number {
-    const room = this.teams.get(job.spec.team)
-    return room === undefined ? 0 : tasksWithin(job, room)
+    return tasksWithinQuota(job, this.teams)
   }
 
+  /** Takes what that many tasks of the job use. */
   take({ spec }: JobView, tasks: number): void {
-    const room = this.teams.get(spec.team)
-    if (room === undefined) return
-    room.cores -= spec.cores * tasks
-    room.accelerators -= spec.accelerators * tasks
+    const headroom = this.teams.get(spec.team)
+    if (headroom === undefined) return
+    headroom.cores -= spec.cores * tasks
+    headroom.accelerators -= spec.accelerators * tasks
   }
 
-  /** What was taken of each team's room. */
+  /** What was taken of each team's headroom. */
   taken(): ReadonlyMap<TeamName, QuotaHeadroom> {
     const taken = new Map<TeamName, QuotaHeadroom>()
     for (const [team, { cores, accelerators }] of this.limits) {
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -1,95 +1,132 @@
-import type { ClusterLoad, JobView } from "./model.ts"
+/** The order in which a plan serves jobs. It decides no placement: only who chooses first. */
+import type { JobClassName } from "@sorreltally/protocol"
+import type { ClusterLoad, JobView } from "./input.ts"
 
-/** Part of a run that has to fit into the time left for a job to count as in time: estimates are often half off. */
+/**
+ * Share of a run that has to fit into the time left for a job to count as feasible:
+ * owners' estimates are often half off.
+ */
 export const REACH = 0.5
 
+/** Without any aim, a job counts as due this long after its submission. */
+const DEFAULT_DUE_S = 600
+
 /** The first of several times, in order, that can still be met at this age; the last one where none can. */
 export const nextTarget = (targets: ReadonlyArray<number>, ageS: number, neededS: number): number | null => {
   for (const target of targets) if (target - ageS > neededS) return target
   return targets.at(-1) ?? null
 }
 
+/** It can't meet its deadline any more, even if its run times are overestimated. */
 const isInfeasible = (job: JobView): boolean =>
   job.timeLeftS !== null && job.timeLeftS < job.executionS * REACH
 
+/** A job with what decides its place. */
+interface Entry {
+  readonly job: JobView
+  readonly infeasible: boolean
+  /** Its deadline is given up so that more jobs meet theirs. */
+  deferred: boolean
+  readonly dueS: number
+}
+
 /**
- * Higher priority first, then work within its team's guarantee, then what is
- * due first; work past saving goes last. Where not all can be in time, jobs
- * are counted, not tasks: the largest wait for the others (`dropped`).
+ * Higher priority first, then work within its team's guarantee, then earliest due first; infeasible
+ * work goes last. Where not all can be in time, jobs are counted, not tasks: the largest are
+ * deferred for the others.
  */
 export const schedulingOrder = (jobs: ReadonlyArray<JobView>, load: ClusterLoad): ReadonlyArray<JobView> =>
   schedulingTiers(jobs, load).flat()
 
-/** The same, by what mustn't be changed for anything: rank, and who is past saving or waits for the others. */
+/** The same, by what mustn't be changed for anything: rank, and who is infeasible or deferred. */
 export const schedulingTiers = (
   jobs: ReadonlyArray<JobView>,
   load: ClusterLoad,
 ): ReadonlyArray<ReadonlyArray<JobView>> => {
-  const keyed = jobs.map((job) => ({
-    job,
-    infeasible: isInfeasible(job) ? 1 : 0,
-    deferred: 0,
-    due: job.timeLeftS ?? (job.startWithinS ?? 600) - job.ageS,
-  }))
-  keyed.sort(
+  const entries = jobs.map(
+    (job): Entry => ({
+      job,
+      infeasible: isInfeasible(job),
+      deferred: false,
+      dueS: job.timeLeftS ?? (job.startWithinS ?? DEFAULT_DUE_S) - job.ageS,
+    }),
+  )
+  entries.sort(
     (a, b) =>
       b.job.rank - a.job.rank ||
-      a.infeasible - b.infeasible ||
+      Number(a.infeasible) - Number(b.infeasible) ||
       Number(b.job.withinGuarantee) - Number(a.job.withinGuarantee) ||
-      a.due - b.due ||
+      a.dueS - b.dueS ||
       (a.job.id < b.job.id ? -1 : 1),
   )
-  deferLargest(keyed, load)
-  // Stable: within each group the order stays.
-  keyed.sort((a, b) => b.job.rank - a.job.rank || a.infeasible - b.infeasible || a.deferred - b.deferred)
+  deferLargest(entries, load)
+  // Stable: within each tier the order stays.
+  entries.sort(
+    (a, b) =>
+      b.job.rank - a.job.rank ||
+      Number(a.infeasible) - Number(b.infeasible) ||
+      Number(a.deferred) - Number(b.deferred),
+  )
+  return inTiers(entries)
+}
+
+const inTiers = (entries: ReadonlyArray<Entry>): ReadonlyArray<ReadonlyArray<JobView>> => {
   const tiers = new Map<string, Array<JobView>>()
-  for (const { job, infeasible, deferred } of keyed) {
-    const name = `${job.rank}|${infeasible}|${deferred}`
-    const tier = tiers.get(name)
-    if (tier === undefined) tiers.set(name, [job])
+  for (const { job, infeasible, deferred } of entries) {
+    const key = `${job.rank}|${infeasible}|${deferred}`
+    const tier = tiers.get(key)
+    if (tier === undefined) tiers.set(key, [job])
     else tier.push(job)
   }
   return [...tiers.values()]
 }
 
-interface Keyed {
-  readonly job: JobView
-  readonly infeasible: number
-  deferred: number
+/** A job that is to meet its deadline so far. */
+interface KeptJob {
+  readonly entry: Entry
+  /** Core-seconds. */
+  readonly work: number
+  readonly cost: number
 }
 
 /**
  * In order of due times, the last task of a job starts when the machines have
  * taken in all queued work up to it, and runs its time; where that is after
  * the job is due, the job so far that takes the most work
- * for what it counts is left for later (after Moore and Hodgson's rule for the
- * least number of late jobs). The aims are shares of a class, so a job counts
+ * for what it counts is deferred (after Moore and Hodgson's rule for the
+ * least number of late jobs). The objectives are shares of a class, so a job counts
  * the more the fewer there are of its class. Neither work of higher priority
- * nor what a team is guaranteed is left out for others.
+ * nor what a team is guaranteed is deferred for others.
  */
-const deferLargest = (keyed: ReadonlyArray<Keyed>, { cores }: ClusterLoad): void => {
+const deferLargest = (entries: ReadonlyArray<Entry>, { cores }: ClusterLoad): void => {
   if (cores <= 0) return
-  let ahead = 0
-  const alike = new Map<string, number>()
-  for (const { job } of keyed) alike.set(job.spec.jobClass, (alike.get(job.spec.jobClass) ?? 0) + 1)
+  const ofClass = new Map<JobClassName, number>()
+  for (const { job } of entries) ofClass.set(job.spec.jobClass, (ofClass.get(job.spec.jobClass) ?? 0) + 1)
+  /** Core-seconds of queued work up to the job at hand. */
+  let backlog = 0
   let rank: number | null = null
-  let kept: Array<{ readonly of: Keyed; readonly work: number; readonly cost: number }> = []
-  for (const of of keyed) {
-    const { job, infeasible } = of
+  let kept: Array<KeptJob> = []
+  for (const entry of entries) {
+    const { job, infeasible } = entry
     if (job.rank !== rank) kept = []
     rank = job.rank
-    if (infeasible === 1 || job.queued === 0) continue
+    if (infeasible || job.queued === 0) continue
     const work = job.queued * job.spec.cores * job.executionS
-    ahead += work
+    backlog += work
     if (job.timeLeftS === null || job.withinGuarantee) continue
-    kept.push({ of, work, cost: work * (alike.get(job.spec.jobClass) ?? 1) })
-    while (kept.length > 0 && ahead / cores + job.executionS > job.timeLeftS) {
-      let dearest = 0
-      for (const [i, { cost }] of kept.entries()) if (cost > kept[dearest]!.cost) dearest = i
-      const [out] = kept.splice(dearest, 1)
-      out!.of.deferred = 1
-      ahead -= out!.work
-      if (out!.of === of) break
+    kept.push({ entry, work, cost: work * (ofClass.get(job.spec.jobClass) ?? 1) })
+    while (kept.length > 0 && backlog / cores + job.executionS > job.timeLeftS) {
+      const [costliest] = kept.splice(indexOfCostliest(kept), 1)
+      costliest!.entry.deferred = true
+      backlog -= costliest!.work
+      if (costliest!.entry === entry) break
     }
   }
 }
+
+/** Of equally costly ones, the first. */
+const indexOfCostliest = (kept: ReadonlyArray<KeptJob>): number => {
+  let costliest = 0
+  for (const [i, { cost }] of kept.entries()) if (cost > kept[costliest]!.cost) costliest = i
+  return costliest
+}
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,141 +1,147 @@
-/** Which queued tasks go to which machines that are up. */
+/** Which queued tasks of one job go to which ready machines. */
 import type { ZoneName } from "@sorreltally/protocol"
-import { type Bin, hasCapacity, type MachineGroup, tasksFitting } from "./bins.ts"
+import { type Bin, fill, hasCapacity, type MachineGroup, tasksFitting } from "./bins.ts"
+import { EPSILON, fits, slotsIn } from "./capacity.ts"
+import { allowed, zoneAllowance } from "./eligibility.ts"
+import type { ReadyCapacity } from "./fleet.ts"
+import type { JobView, Reserve, Snapshot } from "./input.ts"
 import { tasksWithinQuota } from "./limits.ts"
-import {
-  allowed,
-  EPSILON,
-  fits,
-  type JobView,
-  minus,
-  type PlannedPlacement,
-  type Snapshot,
-  slotsIn,
-  zoneAllowance,
-} from "./model.ts"
+import type { PlannedPlacement } from "./output.ts"
 
-/** Seconds of fetching that other work rather takes than room beside the reserve's images. */
-const RESERVED_S = 4
+/** Seconds of fetching an image that other work rather takes than capacity beside the reserve's images. */
+const RESERVED_PENALTY_S = 4
 
-/** Part of a run that it is worth to leave a machine empty that another part waits for. */
-const LENDABLE = 0.5
+/** Share of a run that it is worth to leave a machine empty that another shard waits for. */
+const LENDABLE_PENALTY = 0.5
 
-/** Room on machines that are up, as the plan fills it. */
-export interface ReadyCapacity {
-  readonly kinds: ReadonlyArray<MachineGroup>
-  /** Cores on machines with the reserve's images that work of lower rank may still take. */
-  spare: number
+/** What to place, and where it may go. */
+export interface PlacementRequest {
+  readonly job: JobView
+  readonly maxTasks: number
+  /** Only where its image is cached. */
+  readonly cachedOnly: boolean
+  /** Its uncleared tasks by zone; those placed are added. */
+  readonly zones: Map<ZoneName, number>
 }
 
-/** For a job whose tasks stay together and of which none is placed: the zone with the most room. */
+/** For a job whose tasks stay in one zone and of which none is placed: the zone with the most capacity. */
 const roomiestZone = (
   job: JobView,
   zones: ReadonlyMap<ZoneName, number>,
-  kinds: ReadonlyArray<MachineGroup>,
+  groups: ReadonlyArray<MachineGroup>,
 ): ZoneName | null => {
   if (!job.spec.singleZone || zones.size > 0) return null
-  const room = new Map<ZoneName, number>()
-  for (const kind of kinds) {
-    let slots = room.get(kind.zone) ?? 0
-    for (const slot of kind.slots) slots += slotsIn(job.spec, slot.free)
-    room.set(kind.zone, slots)
+  const slotsByZone = new Map<ZoneName, number>()
+  for (const group of groups) {
+    let slots = slotsByZone.get(group.zone) ?? 0
+    for (const bin of group.bins) slots += slotsIn(job.spec, bin.free)
+    slotsByZone.set(group.zone, slots)
   }
   let best: ZoneName | null = null
-  for (const [zone, slots] of room) if (best === null || slots > (room.get(best) ?? 0)) best = zone
+  for (const [zone, slots] of slotsByZone)
+    if (best === null || slots > (slotsByZone.get(best) ?? 0)) best = zone
   return best
 }
 
-/** Returns how many of its tasks found room. */
+/** Is the reserve kept from this job? */
+const isBelowReserve = (job: JobView, reserve: Reserve): boolean => job.rank < reserve.rank
+
+/** Bins that a task of the job fits into, best first. */
+const rankedBins = (
+  { job, cachedOnly, zones }: PlacementRequest,
+  groups: ReadonlyArray<MachineGroup>,
+  ready: ReadyCapacity,
+  snapshot: Snapshot,
+): ReadonlyArray<{ readonly bin: Bin; readonly score: number }> => {
+  const { spec } = job
+  const belowReserve = isBelowReserve(job, snapshot.reserve)
+  const onlyZone = roomiestZone(job, zones, groups)
+  const ranked: Array<{ readonly bin: Bin; readonly score: number }> = []
+  for (const group of groups) {
+    if (onlyZone !== null && group.zone !== onlyZone) continue
+    for (const bin of group.bins) {
+      if (!fits(spec, bin.free) || job.avoids.has(bin.machine.id)) continue
+      if (cachedOnly && !bin.machine.images.has(spec.image)) continue
+      const reserved = belowReserve && bin.reserved
+      if (reserved && ready.spareCores < spec.cores) continue
+      const lendable = snapshot.otherShardsWait && bin.machine.busyTasks === 0
+      const penalty = (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY : 0)
+      ranked.push({ bin, score: suitability(job, bin) - penalty })
+    }
+  }
+  return ranked.sort((a, b) => b.score - a.score)
+}
+
+/** The image counts most: a fetch is time that the task, and the capacity it takes, only wait. Then tight packing. */
+const suitability = (job: JobView, { machine, free }: Bin): number => {
+  const fetchS = machine.images.has(job.spec.image)
+    ? 0
+    : job.spec.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
+  const leftover = (free.cores - job.spec.cores) / Math.max(EPSILON, machine.type.cores)
+  const assigned = machine.assignedJob === job.id ? 1 : 0
+  // On-demand machines fill last, so that they empty first and can be released.
+  return -fetchS - 2 * leftover + 0.5 * assigned + (machine.spot ? 2 : 0)
+}
+
+/** Places queued tasks of a job, within its team's headroom in `snapshot.teams`; returns how many. */
 export const placeJob = (
-  job: JobView,
-  most: number,
-  /** Only where its image is. */
-  cached: boolean,
-  zones: Map<ZoneName, number>,
-  floor: ReadyCapacity,
+  request: PlacementRequest,
+  ready: ReadyCapacity,
   snapshot: Snapshot,
   placements: Array<PlannedPlacement>,
 ): number => {
+  const { job, maxTasks, zones } = request
   const { spec } = job
   const team = snapshot.teams.get(spec.team)
-  let left = Math.min(most, tasksWithinQuota(job, snapshot.teams))
-  if (team === undefined || left <= 0) return 0
-  const below = job.rank < snapshot.reserve.rank
-  const kinds = floor.kinds.filter((kind) => kind.slots.length > 0 && allowed(spec, kind))
-  const only = roomiestZone(job, zones, kinds)
-  const options: Array<{ readonly slot: Bin; readonly score: number }> = []
-  for (const kind of kinds) {
-    if (only !== null && kind.zone !== only) continue
-    for (const slot of kind.slots) {
-      if (!fits(spec, slot.free) || job.avoids.has(slot.machine.id)) continue
-      if (cached && !slot.machine.images.has(spec.image)) continue
-      const kept = below && slot.reserved
-      if (kept && floor.spare < spec.cores) continue
-      const lendable = snapshot.otherShardsWait && slot.machine.busyTasks === 0
-      const cost = (kept ? RESERVED_S : 0) + (lendable ? job.executionS * LENDABLE : 0)
-      options.push({ slot, score: suitability(job, slot) - cost })
-    }
-  }
-  options.sort((a, b) => b.score - a.score)
-  let placed = 0
-  for (const { slot } of options) {
+  const limit = Math.min(maxTasks, tasksWithinQuota(job, snapshot.teams))
+  if (team === undefined || limit <= 0) return 0
+  const belowReserve = isBelowReserve(job, snapshot.reserve)
+  const groups = ready.groups.filter((group) => group.bins.length > 0 && allowed(spec, group))
+  let left = limit
+  for (const { bin } of rankedBins(request, groups, ready, snapshot)) {
     if (left <= 0) break
-    const { machine } = slot
-    let take = Math.min(left, tasksFitting(spec, slot), zoneAllowance(spec, zones, machine.zone))
-    if (below && slot.reserved) take = Math.min(take, Math.floor((floor.spare + EPSILON) / spec.cores))
+    const { machine } = bin
+    let take = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, zones, machine.zone))
+    if (belowReserve && bin.reserved)
+      take = Math.min(take, Math.floor((ready.spareCores + EPSILON) / spec.cores))
     if (take <= 0) continue
-    slot.free = minus(slot.free, spec, take)
-    slot.tasksLeft -= take
-    if (slot.reserved) floor.spare -= spec.cores * take
+    fill(bin, spec, take)
+    if (bin.reserved) ready.spareCores -= spec.cores * take
     team.cores -= spec.cores * take
     team.accelerators -= spec.accelerators * take
     zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + take)
     for (let i = 0; i < take; i++) placements.push({ job: job.id, machine: machine.id })
     left -= take
-    placed += take
   }
-  if (placed > 0) for (const kind of kinds) kind.slots = kind.slots.filter(hasCapacity)
-  return placed
-}
-
-/** The image counts most: a fetch is time that the task, and the room it takes, only wait. Then tight packing. */
-const suitability = (job: JobView, { machine, free }: Bin): number => {
-  const fetchS = machine.images.has(job.spec.image)
-    ? 0
-    : job.spec.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
-  const leftover = (free.cores - job.spec.cores) / Math.max(EPSILON, machine.type.cores)
-  const mine = machine.assignedJob === job.id ? 1 : 0
-  // Steady machines fill last, so that they empty first and can be given back.
-  return -fetchS - 2 * leftover + 0.5 * mine + (machine.spot ? 2 : 0)
+  if (left < limit) for (const group of groups) group.bins = group.bins.filter(hasCapacity)
+  return limit - left
 }
 
 /**
- * Takes room on machines that are up for queued tasks that wait for something
- * else than a machine: for their part's share of the team's limit, mostly.
- * Returns for how many.
+ * Takes capacity on ready machines for queued tasks that wait for something else than a machine: for
+ * their shard's quota allocation, mostly. Returns for how many.
  */
 export const reserveOnReady = (
   job: JobView,
-  most: number,
-  placed: ReadonlyMap<ZoneName, number>,
-  floor: ReadyCapacity,
-  reserve: Snapshot["reserve"],
+  maxTasks: number,
+  placedByZone: ReadonlyMap<ZoneName, number>,
+  ready: ReadyCapacity,
+  reserve: Reserve,
 ): number => {
   const { spec } = job
-  const zones = new Map(placed)
-  let left = most
-  for (const kind of floor.kinds) {
+  const zones = new Map(placedByZone)
+  let left = maxTasks
+  for (const group of ready.groups) {
     if (left <= 0) break
-    if (!allowed(spec, kind)) continue
-    for (const slot of kind.slots) {
-      if (slot.reserved && job.rank < reserve.rank) continue
-      const take = Math.min(left, tasksFitting(spec, slot), zoneAllowance(spec, zones, kind.zone))
+    if (!allowed(spec, group)) continue
+    for (const bin of group.bins) {
+      if (bin.reserved && isBelowReserve(job, reserve)) continue
+      const take = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, zones, group.zone))
       if (take <= 0) continue
-      slot.free = minus(slot.free, spec, take)
-      slot.tasksLeft -= take
-      zones.set(kind.zone, (zones.get(kind.zone) ?? 0) + take)
+      fill(bin, spec, take)
+      zones.set(group.zone, (zones.get(group.zone) ?? 0) + take)
       left -= take
     }
   }
-  return most - left
+  return maxTasks - left
 }
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,91 +1,102 @@
-/** Which kinds of machine are asked for: the cheapest for the work, spot before steady. */
+/** Which kinds of machine are asked for: the cheapest for the work, spot before on-demand. */
 import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/protocol"
 import { binOf, type MachineGroup } from "./bins.ts"
-import {
-  allowed,
-  type Capacity,
-  EPSILON,
-  fits,
-  type JobView,
-  type MachineView,
-  minus,
-  type Offer,
-  type Snapshot,
-  slotsIn,
-  zoneAllowance,
-} from "./model.ts"
+import { EPSILON, fits, minus, slotsIn } from "./capacity.ts"
+import { allowed, zoneAllowance } from "./eligibility.ts"
+import type { Capacity, JobView, MachineView, Offer, Snapshot } from "./input.ts"
 
-/** Above any price: steady machines are the fall-back once every fitting kind of spot is refused. */
+/** Above any price: on-demand machines are the fall-back once every fitting kind of spot is refused. */
 const ON_DEMAND_PENALTY = 1e6
 
 /** A kind that costs at most this much more is asked as well, rather than waiting for the cheapest one's answer. */
 const ABOUT_AS_CHEAP = 1.1
 
+/** Rentals planned so far, by what is asked for; the first job to ask has the machines assigned. */
+export type RentalsByOffer = Map<Offer, { count: number; readonly assignedJob: JobId }>
+
 /** Money for a second of one task's work on a machine that first has to boot. */
-const costOfWork = (job: JobView, missing: number, type: MachineType, price: number): number => {
-  const slots = Math.max(1, Math.min(missing, slotsIn(job.spec, type)))
+const costOfWork = (job: JobView, shortfall: number, type: MachineType, price: number): number => {
+  const slots = Math.max(1, Math.min(shortfall, slotsIn(job.spec, type)))
   return (price * (type.bootS + job.executionS)) / (slots * job.executionS)
 }
+
 /** What that costs at best, whether such machines can be had now or not. */
-const cheapestWork = (job: JobView, missing: number, snapshot: Snapshot): number => {
+const cheapestWork = (job: JobView, shortfall: number, types: ReadonlyArray<MachineType>): number => {
   let cheapest = Number.POSITIVE_INFINITY
-  for (const type of snapshot.types) {
+  for (const type of types) {
     if (!fits(job.spec, type)) continue
     const price = job.spec.spotAllowed ? Math.min(type.spotPrice, type.onDemandPrice) : type.onDemandPrice
-    cheapest = Math.min(cheapest, costOfWork(job, missing, type, price))
+    cheapest = Math.min(cheapest, costOfWork(job, shortfall, type, price))
   }
   return cheapest
 }
 
+interface RankedOffer {
+  readonly offer: Offer
+  readonly cost: number
+}
+
+/** Offers that the job may use, the cheapest first; of equally cheap ones, the zone with fewer of our machines. */
+const rankedOffers = (
+  job: JobView,
+  shortfall: number,
+  onDemandAllowed: boolean,
+  snapshot: Snapshot,
+): ReadonlyArray<RankedOffer> => {
+  const maxOnDemandCost = snapshot.maxOnDemandCostRatio * cheapestWork(job, shortfall, snapshot.types)
+  const ranked: Array<RankedOffer> = []
+  for (const offer of snapshot.market) {
+    if (!allowed(job.spec, offer) || zoneAllowance(job.spec, job.zones, offer.zone) <= 0) continue
+    const cost = costOfWork(job, shortfall, offer.type, offer.price)
+    if (!offer.spot && (!onDemandAllowed || (job.spec.spotAllowed && cost > maxOnDemandCost))) continue
+    ranked.push({ offer, cost: cost + (offer.spot ? 0 : ON_DEMAND_PENALTY) })
+  }
+  return ranked.sort((a, b) =>
+    Math.abs(a.cost - b.cost) < EPSILON ? a.offer.ours - b.offer.ours : a.cost - b.cost,
+  )
+}
+
 /**
- * Asks for the cheapest kind that fits: spot before steady, the zone with
- * fewer of our machines before others. What one rental can't hold is asked of
- * kinds about as cheap. Returns for how many of the missing tasks it asked.
+ * Asks for the cheapest kind that fits. What one rental can't hold is asked of
+ * kinds about as cheap. Returns for how many of the tasks it asked.
  */
 export const planRentals = (
   job: JobView,
-  missing: number,
+  shortfall: number,
   onDemandAllowed: boolean,
   snapshot: Snapshot,
-  rentals: Map<Offer, { count: number; readonly assignedJob: JobId }>,
-  coming: Array<MachineGroup>,
+  rentals: RentalsByOffer,
+  booting: Array<MachineGroup>,
 ): number => {
-  if (missing <= 0) return 0
-  const dearest = snapshot.maxOnDemandCostRatio * cheapestWork(job, missing, snapshot)
-  const options: Array<{ readonly option: Offer; readonly cost: number }> = []
-  for (const option of snapshot.market) {
-    if (!allowed(job.spec, option) || zoneAllowance(job.spec, job.zones, option.zone) <= 0) continue
-    const work = costOfWork(job, missing, option.type, option.price)
-    if (!option.spot && (!onDemandAllowed || (job.spec.spotAllowed && work > dearest))) continue
-    options.push({ option, cost: work + (option.spot ? 0 : ON_DEMAND_PENALTY) })
-  }
-  options.sort((a, b) =>
-    Math.abs(a.cost - b.cost) < EPSILON ? a.option.ours - b.option.ours : a.cost - b.cost,
-  )
-  const limit = (options[0]?.cost ?? 0) * ABOUT_AS_CHEAP
-  let left = missing
-  for (const { option, cost } of options) {
-    if (left <= 0 || cost > limit + EPSILON) break
-    if (option.asked) continue
-    const asked = rentals.get(option)
-    const per = Math.min(slotsIn(job.spec, option.type), MAX_TASKS_ON_MACHINE)
-    const count = Math.min(Math.ceil(left / per), snapshot.rentalSize - (asked?.count ?? 0))
+  if (shortfall <= 0) return 0
+  const offers = rankedOffers(job, shortfall, onDemandAllowed, snapshot)
+  const maxCost = (offers[0]?.cost ?? 0) * ABOUT_AS_CHEAP
+  let left = shortfall
+  for (const { offer, cost } of offers) {
+    if (left <= 0 || cost > maxCost + EPSILON) break
+    if (offer.asked) continue
+    const planned = rentals.get(offer)
+    const tasksEach = Math.min(slotsIn(job.spec, offer.type), MAX_TASKS_ON_MACHINE)
+    const count = Math.min(Math.ceil(left / tasksEach), snapshot.rentalSize - (planned?.count ?? 0))
     if (count <= 0) continue
-    if (asked === undefined) rentals.set(option, { count, assignedJob: job.id })
-    else asked.count += count
-    const spare = per * count - left
-    left -= per * count
+    if (planned === undefined) rentals.set(offer, { count, assignedJob: job.id })
+    else planned.count += count
+    const spare = tasksEach * count - left
+    left -= tasksEach * count
     // What the last machine has to spare is there for the jobs that follow.
-    if (spare > 0) leaveToOthers(job, option, minus(option.type, job.spec, per - spare), coming)
+    if (spare > 0) leaveToOthers(job, offer, minus(offer.type, job.spec, tasksEach - spare), booting)
   }
-  return missing - Math.max(0, left)
+  return shortfall - Math.max(0, left)
 }
 
+const NO_IMAGES = { has: () => false }
+
+/** Adds the free capacity of a machine to be rented to the booting ones. */
 const leaveToOthers = (
   job: JobView,
   { type, zone, spot }: Offer,
   free: Capacity,
-  coming: Array<MachineGroup>,
+  booting: Array<MachineGroup>,
 ): void => {
   const machine: MachineView = {
     id: "" as MachineId,
@@ -99,9 +110,8 @@
     state: "booting",
     assignedJob: job.id,
   }
-  const slot = binOf(machine)
-  const alike = coming.find((k) => k.type === type && k.zone === zone && k.spot === spot)
-  if (alike === undefined) coming.push({ type, zone, spot, slots: [slot] })
-  else alike.slots.push(slot)
+  const bin = binOf(machine)
+  const alike = booting.find((group) => group.type === type && group.zone === zone && group.spot === spot)
+  if (alike === undefined) booting.push({ type, zone, spot, bins: [bin] })
+  else alike.bins.push(bin)
 }
-const NO_IMAGES = { has: () => false }
--- a/packages/planner/src/starvation.ts
+++ b/packages/planner/src/starvation.ts
@@ -1,31 +1,35 @@
 /**
- * Order by rank, due time and size alone would let what is low, late or large
- * wait for ever. Of a job of which nothing has begun for long, some tasks go
- * before all others: first on the machines of its part, and where these don't
- * do, for other parts' machines and quota as well.
+ * Order by rank, due time and size alone would starve what is low, late or
+ * large. Of a job of which nothing has begun for long, some tasks go
+ * before all others: first on the machines of its shard, and where these don't
+ * do, on other shards' machines and quota as well.
  */
-import type { JobView } from "./model.ts"
+import type { JobView } from "./input.ts"
 
+/** Age at which a job that never began goes first on its own shard's machines. */
 const OVERDUE_S = 90
 /**
- * Machines that change parts cost image fetches and writes; users expect even
- * the largest jobs to begin within four minutes.
+ * Age at which it goes first across all shards. Machines that change shards cost image fetches and
+ * writes; users expect even the largest jobs to begin within four minutes.
  */
 const STARVED_S = 150
 /** Share of a job's queued tasks that then go first. */
 const TO_BEGIN = 0.05
-/** Above the rank of any urgency. */
+/** Above the rank of any priority. */
 export const STARVED_RANK = 100
 
 type Waiting = Pick<JobView, "unbegun" | "queued" | "ageS">
 
-/** Some of its tasks go first on its own part's machines. */
+/** Some of its tasks go first on its own shard's machines. */
 export const isOverdue = ({ unbegun, queued, ageS }: Waiting): boolean =>
   unbegun && queued > 0 && ageS > OVERDUE_S
 
-/** Some of its tasks go first across all parts. */
+/** Some of its tasks go first across all shards. */
 export const isStarved = ({ unbegun, queued, ageS }: Waiting): boolean =>
   unbegun && queued > 0 && hasWaitedTooLong(ageS)
+
+/** Is a job of this age starved if nothing of it began? */
 export const hasWaitedTooLong = (ageS: number): boolean => ageS > STARVED_S
 
+/** How many of its queued tasks go first; at least one. */
 export const tasksToBegin = ({ queued }: Pick<Waiting, "queued">): number => Math.ceil(queued * TO_BEGIN)
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -9,7 +9,7 @@
   type TeamName,
   type ZoneName,
 } from "@sorreltally/protocol"
-import type { JobView, MachineView, Offer, QuotaHeadroom, Snapshot } from "../src/model.ts"
+import type { JobView, MachineView, Offer, QuotaHeadroom, Snapshot } from "../src/input.ts"
 import { plan } from "../src/plan.ts"
 
 const type = {
--- a/packages/planner/test/lend.test.ts
+++ b/packages/planner/test/loans.test.ts
@@ -1,8 +1,9 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec, MachineId, MachineType, ShardName, ZoneName } from "@sorreltally/protocol"
-import { lend, type MachineDemand, servableDemands } from "../src/lend.ts"
-import type { JobView, MachineView, TaskShape } from "../src/model.ts"
+import type { MachineDemand } from "../src/demand.ts"
+import type { JobView, MachineView, TaskShape } from "../src/input.ts"
+import { lend, servableDemands } from "../src/loans.ts"
 import { STARVED_RANK } from "../src/starvation.ts"
 
 const type = { name: "m", cores: 8, accelerators: 0, memGb: 64, imagePullGbPerS: 1 } as unknown as MachineType
@@ -49,7 +50,14 @@
   since,
 })
 const lent = (jobs: ReadonlyArray<JobView>, of: MachineDemand): number =>
-  lend([machine], jobs, [of], 1, new Map(), { rank: 0, cores: 0, images: new Set() }).length
+  lend({
+    machines: [machine],
+    jobs,
+    demands: [of],
+    share: 1,
+    lentLately: new Map(),
+    reserve: { rank: 0, cores: 0, images: new Set() },
+  }).length
 
 test("a machine is lent to more urgent work, and to any where there is none of ours", () => {
   assert.equal(lent([], need(0, 5)), 1)
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec } from "@sorreltally/protocol"
-import type { JobView } from "../src/model.ts"
+import type { JobView } from "../src/input.ts"
 import { nextTarget, schedulingOrder } from "../src/order.ts"
 
 const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView => ({
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec, MachineId, MachineType, TeamName, ZoneName } from "@sorreltally/protocol"
-import type { JobView, MachineView, Snapshot } from "../src/model.ts"
+import type { JobView, MachineView, Snapshot } from "../src/input.ts"
 import { plan } from "../src/plan.ts"
 
 const type = {
--- a/packages/shard/src/arrivals.ts
+++ b/packages/shard/src/arrivals.ts
@@ -1,43 +1,49 @@
+/**
+ * How much capacity is kept free for jobs that have to start sooner than a machine boots, learned
+ * from those that came. It keeps sums only, and reads no clock itself.
+ */
 import { type ImageName, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 
-/** Weight of the newest arrival; about the last twenty count. */
-const NEWEST = 0.1
+/** Weight of the newest arrival in the running means; about the last twenty count. */
+const NEWEST_WEIGHT = 0.1
+/** The first arrival counts as if so many had come before it, of no size. */
 const FIRST_WEIGHT = 3
-const RECENT = 20
+/** Arrivals whose images are remembered. */
+const MAX_RECENT_IMAGES = 20
 /** Usual gaps between arrivals after which no more are expected. */
-const OVERDUE = 4
+const MAX_USUAL_GAPS = 4
 
-/**
- * How much room jobs that have to start sooner than a machine boots ask for as
- * they arrive: that much is kept free, so that the next one finds it.
- */
+/** Arrivals of such jobs at one shard: size, spread of sizes, gaps and images. */
 export class Arrivals {
-  private mean = 0
+  private meanCores = 0
   private variance = 0
   private seen = 0
   private gapMs = 0
   private lastAt = NEVER
+  private readonly recentImages: Array<ImageName> = []
 
-  private readonly recent: Array<ImageName> = []
-
+  /** A job came that asks for so many cores. */
   learn(cores: number, image: ImageName, now: MonotonicTime): void {
-    if (this.seen > 0) this.gapMs += Math.max(NEWEST, 1 / (this.seen + 1)) * (now - this.lastAt - this.gapMs)
+    if (this.seen > 0)
+      this.gapMs += Math.max(NEWEST_WEIGHT, 1 / (this.seen + 1)) * (now - this.lastAt - this.gapMs)
     this.lastAt = now
-    this.recent.push(image)
-    if (this.recent.length > RECENT) this.recent.shift()
-    const weight = Math.max(NEWEST, 1 / (this.seen + FIRST_WEIGHT))
-    const off = cores - this.mean
-    this.mean += weight * off
-    this.variance = (1 - weight) * (this.variance + weight * off * off)
+    this.recentImages.push(image)
+    if (this.recentImages.length > MAX_RECENT_IMAGES) this.recentImages.shift()
+    const weight = Math.max(NEWEST_WEIGHT, 1 / (this.seen + FIRST_WEIGHT))
+    const deviation = cores - this.meanCores
+    this.meanCores += weight * deviation
+    this.variance = (1 - weight) * (this.variance + weight * deviation * deviation)
     this.seen++
   }
+
+  /** Images of the last arrivals. */
   images(): ReadonlySet<ImageName> {
-    return new Set(this.recent)
+    return new Set(this.recentImages)
   }
-  /** One arrival of more than usual size. */
+
+  /** Cores for one arrival of more than usual size; 0 once they stop coming. */
   reserveCores(now: MonotonicTime): number {
-    // Once they stop coming, there is nothing to keep room for.
-    const overdue = (now - this.lastAt) / Math.max(1, this.gapMs)
-    return overdue > OVERDUE ? 0 : this.mean + Math.sqrt(this.variance)
+    const usualGaps = (now - this.lastAt) / Math.max(1, this.gapMs)
+    return usualGaps > MAX_USUAL_GAPS ? 0 : this.meanCores + Math.sqrt(this.variance)
   }
 }
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -1,4 +1,4 @@
-/** What a part asks of the others: machines for queued tasks that its own have no room for. */
+/** What a shard asks of the others: machines for queued tasks that its own have no capacity for. */
 import {
   isStarved,
   type JobView,
@@ -10,48 +10,59 @@
 } from "@sorreltally/planner"
 import type { ShardName } from "@sorreltally/protocol"
 
-/** The most urgent needs are told, and the kinds of machine that most jobs that waited too long wait for. */
-const PUBLISHED_DEMANDS = 4
-const PUBLISHED_STARVED_DEMANDS = 2
+/** The most urgent demands are published, and the kinds of machine that most starved jobs wait for. */
+const MAX_PUBLISHED_DEMANDS = 4
+const MAX_PUBLISHED_STARVED_DEMANDS = 2
 
+/** The shard's demands after a plan: those of starved jobs, then the others in scheduling order. */
 export const machineDemands = (
   shard: ShardName,
   unplaced: ReadonlyArray<Unplaced>,
 ): ReadonlyArray<MachineDemand> => [
-  ...starvedNeeds(shard, unplaced),
+  ...starvedDemands(shard, unplaced),
   ...unplaced
     .filter(({ tasks }) => tasks > 0)
-    .slice(0, PUBLISHED_DEMANDS)
+    .slice(0, MAX_PUBLISHED_DEMANDS)
     .map(
-      ({ job, tasks, urgent: pressing }): MachineDemand => ({
+      ({ job, tasks, urgent }): MachineDemand => ({
         shard,
         shape: shapeOf(job.spec),
         rank: job.rank,
         tasks,
-        pressing: job.withinGuarantee ? Math.min(pressing, tasks) : 0,
+        pressing: job.withinGuarantee ? Math.min(urgent, tasks) : 0,
         since: job.submitted,
       }),
     ),
 ]
 
+/** Starved jobs that fit the same machines ask together. */
+interface StarvedGroup {
+  readonly first: JobView
+  tasks: number
+  since: number
+}
+
 /**
- * Guards against jobs that never begin because other parts have all machines
+ * Guards against jobs that never begin because other shards have all machines
  * and more urgent work, or as urgent: for some of their tasks machines are lent
- * before any other work. Jobs that fit the same machines ask together.
+ * before any other work.
  */
-const starvedNeeds = (shard: ShardName, unplaced: ReadonlyArray<Unplaced>): ReadonlyArray<MachineDemand> => {
-  const byKind = new Map<string, { readonly first: JobView; tasks: number; since: number }>()
+const starvedDemands = (
+  shard: ShardName,
+  unplaced: ReadonlyArray<Unplaced>,
+): ReadonlyArray<MachineDemand> => {
+  const groups = new Map<string, StarvedGroup>()
   for (const { job, tasks } of unplaced) {
     if (tasks === 0 || !isStarved(job)) continue
-    const kind = machinesOf(job)
-    const alike = byKind.get(kind) ?? { first: job, tasks: 0, since: job.submitted }
-    alike.tasks += Math.min(tasks, tasksToBegin(job))
-    alike.since = Math.min(alike.since, job.submitted)
-    byKind.set(kind, alike)
+    const key = eligibleMachinesKey(job)
+    const group = groups.get(key) ?? { first: job, tasks: 0, since: job.submitted }
+    group.tasks += Math.min(tasks, tasksToBegin(job))
+    group.since = Math.min(group.since, job.submitted)
+    groups.set(key, group)
   }
-  return [...byKind.values()]
+  return [...groups.values()]
     .sort((a, b) => b.tasks - a.tasks)
-    .slice(0, PUBLISHED_STARVED_DEMANDS)
+    .slice(0, MAX_PUBLISHED_STARVED_DEMANDS)
     .map(({ first, tasks, since }) => ({
       shard,
       shape: shapeOf(first.spec),
@@ -62,7 +73,8 @@
     }))
 }
 
-const machinesOf = ({ spec: request }: JobView): string => {
-  const { cores, accelerators, memGb, machineTypes: builds, zone: site, spotAllowed: loaners } = request
-  return JSON.stringify([cores, accelerators, memGb, builds ?? null, site ?? null, loaners])
+/** Equal for jobs that fit the same machines. */
+const eligibleMachinesKey = ({ spec }: JobView): string => {
+  const { cores, accelerators, memGb, machineTypes, zone, spotAllowed } = spec
+  return JSON.stringify([cores, accelerators, memGb, machineTypes ?? null, zone ?? null, spotAllowed])
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,4 +1,5 @@
-import { SUSPECT_RANK } from "@sorreltally/jobs"
+/** What the planner is shown of a shard: its jobs, machines, load and quota use at one moment. It changes none of them. */
+import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   type ClusterLoad,
   EPSILON,
@@ -12,36 +13,42 @@
 } from "@sorreltally/planner"
 import {
   addMs,
+  type JobClassName,
   type JobSpec,
   type MachineId,
   type MonotonicTime,
   NEVER,
   priorityRank,
   type TeamName,
+  type WallTime,
   type ZoneName,
 } from "@sorreltally/protocol"
-import type { ShardView } from "./shard-context.ts"
+import type { WorkerSession } from "@sorreltally/workers"
+import type { MachineAssignment, ShardView } from "./shard-context.ts"
 
-/** Times `startup_s` after which a boot no longer counts as coming: the design's weak spot, see docs/design.md. */
+/** Times a type's boot time after which a machine no longer counts as booting: the design's weak spot, see docs/design.md. */
 const OVERDUE_BOOT = 1.6
-/** After a take-over, time in which the machines' first reports come in. */
-const FIRST_REPORTS_MS = 8_000
+/** After a failover, time in which the machines' first heartbeats come in. */
+const FIRST_HEARTBEATS_MS = 8_000
+/** Running tasks that end later than this are as good as never ending to the planner. */
+const HORIZON_S = 600
 
+/**
+ * What each team uses of its limit here. Every placement counts until it is cleared, whether its
+ * machine can be reached or not: what is counted off too early would let the team start beyond its limit.
+ */
 export const teamUse = (shard: ShardView): Map<TeamName, QuotaHeadroom> => {
   const used = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams) used.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of shard.jobs.values()) {
-    const u = used.get(job.request.team)
-    if (u === undefined) continue
-    u.cores += job.request.cores * job.placements.size
-    u.accelerators += job.request.accelerators * job.placements.size
+    const use = used.get(job.request.team)
+    if (use === undefined) continue
+    use.cores += job.request.cores * job.placements.size
+    use.accelerators += job.request.accelerators * job.placements.size
   }
   return used
 }
 
-/** Running tasks that end later than this are as good as never ending to the planner. */
-const HORIZON_S = 600
-
 /** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
 export const loadOf = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
   let cores = 0
@@ -61,122 +68,148 @@
   return { cores, ending }
 }
 
+/** The jobs that aren't over, oldest first. */
 export const jobViews = (shard: ShardView, now: MonotonicTime): ReadonlyArray<JobView> => {
   const wall = shard.node.clocks.wallNow()
-  const ahead = new Map<TeamName, number>()
+  /** Cores that each team's jobs ask for, up to the one at hand. */
+  const demandedCores = new Map<TeamName, number>()
   const views: Array<JobView> = []
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
     if (job.cancelled || job.complete) continue
-    const { request } = job
-    const team = shard.node.platform.deployment.teams.find((t) => t.name === request.team)
-    const suspect = shard.failures.isSuspect(job.id)
-    const demand = (ahead.get(request.team) ?? 0) + (job.taskCount - job.done) * request.cores
+    const { team, cores } = job.request
+    const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
-    if (!suspect) ahead.set(request.team, demand)
-    const ageS = Math.max(0, (wall - job.submitted) / 1000)
-    const executionS = shard.node.estimates.executionS(request)
-    const zones = new Map<ZoneName, number>()
-    if (request.singleZone || request.spreadZones) {
-      for (const placement of job.placements.values()) {
-        const zone = shard.machines.get(placement.machine)?.entry.zone
-        if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1)
-      }
-    }
-    views.push({
-      id: job.id,
-      spec: request,
-      rank: suspect ? SUSPECT_RANK : priorityRank[request.priority],
-      queued: shard.failures.startable(job, now),
-      running: job.placements.size - job.leaving,
-      zones,
-      timeLeftS: timeLeft(shard, request, ageS, executionS),
-      ageS,
-      submitted: job.submitted,
-      executionS,
-      startWithinS: nextTarget(startTargets(shard, request.jobClass, executionS), ageS, 0),
-      unbegun: job.unbegun && !suspect,
-      withinGuarantee: !suspect && team !== undefined && demand <= team.cpus,
-      mayStart: job.notBefore === null || now >= job.notBefore,
-      avoids: shard.failures.avoidedBy(job.id, now),
-    })
+    if (!shard.failures.isSuspect(job.id)) demandedCores.set(team, demanded)
+    views.push(jobView(shard, job, demanded, wall, now))
   }
   return views
 }
 
-/** Seconds after submission within which the aims want tasks of a lane started, soonest first. */
+/** `demandedCores`: what its team's jobs up to it ask for. */
+const jobView = (
+  shard: ShardView,
+  job: JobState,
+  demandedCores: number,
+  wall: WallTime,
+  now: MonotonicTime,
+): JobView => {
+  const { id, request: spec, submitted } = job
+  const team = shard.node.platform.deployment.teams.find(({ name }) => name === spec.team)
+  const suspect = shard.failures.isSuspect(id)
+  const ageS = Math.max(0, (wall - submitted) / 1000)
+  const executionS = shard.node.estimates.executionS(spec)
+  return {
+    id,
+    spec,
+    rank: suspect ? SUSPECT_RANK : priorityRank[spec.priority],
+    queued: shard.failures.startable(job, now),
+    running: job.placements.size - job.leaving,
+    zones: tasksByZone(shard, job),
+    timeLeftS: timeLeftS(shard, spec, ageS, executionS),
+    ageS,
+    submitted,
+    executionS,
+    startWithinS: nextTarget(startTargets(shard, spec.jobClass, executionS), ageS, 0),
+    unbegun: job.unbegun && !suspect,
+    withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
+    mayStart: job.notBefore === null || now >= job.notBefore,
+    avoids: shard.failures.avoidedBy(id, now),
+  }
+}
+
+/** Uncleared tasks by zone; counted only for jobs that zones matter to. */
+const tasksByZone = (shard: ShardView, { request, placements }: JobState): ReadonlyMap<ZoneName, number> => {
+  const zones = new Map<ZoneName, number>()
+  if (!request.singleZone && !request.spreadZones) return zones
+  for (const placement of placements.values()) {
+    const zone = shard.machines.get(placement.machine)?.entry.zone
+    if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1)
+  }
+  return zones
+}
+
+/** Seconds after submission within which the objectives want tasks of a class started, soonest first. */
 export const startTargets = (
   shard: ShardView,
-  jobClass: string,
+  jobClass: JobClassName,
   executionS: number,
 ): ReadonlyArray<number> => {
   const targets: Array<number> = []
-  for (const { kind, withinS, jobClass: of } of shard.node.platform.deployment.objectives) {
-    if (of !== jobClass || withinS == null) continue
+  for (const objective of shard.node.platform.deployment.objectives) {
+    const { kind, withinS } = objective
+    if (objective.jobClass !== jobClass || withinS == null) continue
     if (kind === "wait") targets.push(withinS)
     else if (kind === "finished") targets.push(withinS - executionS)
   }
   return targets.sort((a, b) => a - b)
 }
 
-/** A deadline that is missed may still have aims at a multiple of it. */
-const timeLeft = (shard: ShardView, request: JobSpec, ageS: number, executionS: number): number | null => {
-  if (request.deadlineS == null) return null
-  const due = request.deadlineS
-  const targets = [due]
-  for (const { kind, jobClass: of, deadlineMultiple: times } of shard.node.platform.deployment.objectives)
-    if (kind === "deadline" && of === request.jobClass && times != null && times > 1)
-      targets.push(due * times)
-  const target = nextTarget(
-    targets.sort((a, b) => a - b),
-    ageS,
-    executionS * REACH,
-  )
-  return (target ?? due) - ageS
+/** Seconds until the next target; a deadline that is missed may still have objectives at a multiple of it. */
+const timeLeftS = (shard: ShardView, spec: JobSpec, ageS: number, executionS: number): number | null => {
+  const { deadlineS, jobClass } = spec
+  if (deadlineS == null) return null
+  const targets = [deadlineS]
+  for (const objective of shard.node.platform.deployment.objectives) {
+    const { kind, deadlineMultiple } = objective
+    if (kind !== "deadline" || objective.jobClass !== jobClass) continue
+    if (deadlineMultiple != null && deadlineMultiple > 1) targets.push(deadlineS * deadlineMultiple)
+  }
+  targets.sort((a, b) => a - b)
+  return (nextTarget(targets, ageS, executionS * REACH) ?? deadlineS) - ageS
 }
 
+/** The shard's machines, and those of rentals that haven't been answered yet. */
 export const machineViews = (
   shard: ShardView,
   now: MonotonicTime,
   reserve: Reserve,
-  /** Also those in the pool without any room: nothing can be placed there, or given back. */
-  full: boolean,
+  /** Also those in the pool without free capacity: nothing can be placed there, or released. */
+  includeFull: boolean,
 ): ReadonlyArray<MachineView> => {
   const views: Array<MachineView> = []
   for (const session of shard.machines.values()) {
     const assignment = shard.assignments.get(session.id)!
-    if (!full && assignment.assignedJob === null && session.free.cores <= EPSILON) continue
-    const { type, entry } = session
-    const bootingS = (now - assignment.rentedAt) / 1000
-    const state =
-      assignment.returning || assignment.moving || session.warningUntil !== null
-        ? "unavailable"
-        : session.usable(now)
-          ? assignment.closing
-            ? "draining"
-            : "ready"
-          : session.lastHeard === NEVER &&
-              (bootingS < type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_REPORTS_MS))
-            ? "booting"
-            : "unavailable"
+    if (!includeFull && assignment.assignedJob === null && session.free.cores <= EPSILON) continue
     views.push({
       id: session.id,
-      type,
-      zone: entry.zone,
-      spot: entry.spot,
+      type: session.type,
+      zone: session.entry.zone,
+      spot: session.entry.spot,
       free: session.free,
       busyTasks: session.placements.size,
       images: session.images,
       reserved: isReserved(session.free, session.images, reserve),
-      state,
+      state: machineState(session, assignment, now),
       assignedJob: assignment.assignedJob,
     })
   }
-  for (const [name, rental] of shard.pendingRentals) {
-    for (let i = 0; i < rental.count; i++) {
-      const { type, zone, spot } = rental.offer
+  return [...views, ...pendingRentalViews(shard)]
+}
+
+/** A machine that was never heard of is booting until that is overdue, or until a new owner has waited for its first heartbeat. */
+const machineState = (
+  session: WorkerSession,
+  assignment: MachineAssignment,
+  now: MonotonicTime,
+): MachineView["state"] => {
+  if (assignment.returning || assignment.moving || session.warningUntil !== null) return "unavailable"
+  if (session.usable(now)) return assignment.closing ? "draining" : "ready"
+  if (session.lastHeard !== NEVER) return "unavailable"
+  const bootingS = (now - assignment.rentedAt) / 1000
+  const booting =
+    bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_HEARTBEATS_MS)
+  return booting ? "booting" : "unavailable"
+}
+
+/** They have no ids yet: each stands under its request's id and a number. */
+const pendingRentalViews = (shard: ShardView): ReadonlyArray<MachineView> => {
+  const views: Array<MachineView> = []
+  for (const [requestId, { offer, count, assignedJob }] of shard.pendingRentals) {
+    const { type, zone, spot } = offer
+    for (let i = 0; i < count; i++) {
       views.push({
-        id: `${name}/${i}` as MachineId,
+        id: `${requestId}/${i}` as MachineId,
         type,
         zone,
         spot,
@@ -185,7 +218,7 @@
         images: new Set(),
         reserved: false,
         state: "booting",
-        assignedJob: rental.assignedJob,
+        assignedJob,
       })
     }
   }
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -1,3 +1,8 @@
+/**
+ * Stops running work of lower rank where work of higher rank would otherwise come too late. It only
+ * marks placements as to be stopped: their capacity counts as taken until their workers show them
+ * gone, so a stop that is late or lost delays work, and never runs a task twice.
+ */
 import type { Placement } from "@sorreltally/jobs"
 import {
   allowed,
@@ -6,9 +11,10 @@
   type MachineDemand,
   type MachineView,
   minus,
-  type Plan,
+  type PreemptionRequest,
   shapeOf,
   slotsIn,
+  type Unplaced,
   type Victim,
 } from "@sorreltally/planner"
 import {
@@ -21,10 +27,12 @@
 } from "@sorreltally/protocol"
 import type { ShardView } from "./shard-context.ts"
 
-/** Room is made for this many jobs at a time, the most urgent ones. */
-const MOST_JOBS = 6
+/** Capacity is made for this many jobs at a time, the most urgent ones. */
+const MAX_JOBS = 6
 /** The first tasks of a job that waited too long run at least this long: users count no shorter start. */
-const FIRST_RUNS_MS = 30_000
+const MIN_FIRST_RUN_MS = 30_000
+/** Added to the time that a checkpoint takes, as a task's grace period. */
+const GRACE_MARGIN_S = 1
 
 /**
  * Guards against a job that waited too long, is placed ahead of all other work
@@ -33,120 +41,155 @@
 const isFirstOfStarved = ({ job, runningSince }: Placement, wall: WallTime, now: MonotonicTime): boolean =>
   job.done === 0 &&
   hasWaitedTooLong((wall - job.submitted) / 1000) &&
-  (runningSince === null || now < addMs(runningSince, FIRST_RUNS_MS))
-
-/** Stops work of lower rank where work of higher rank would otherwise come too late. */
-export const preempt = (
-  shard: ShardView,
-  decided: Plan,
-  needs: ReadonlyArray<MachineDemand>,
-  share: number,
-  lentLately: ReadonlyMap<ShardName, number>,
-  views: ReadonlyArray<MachineView>,
-  now: MonotonicTime,
-  stoppedOn: (machine: MachineId) => void,
-): void => {
-  const foreign = needs.filter((n) => n.pressing > 0 && !n.shape.singleZone && !n.shape.spreadZones)
-  const own = decided.unplaced
-    .filter(({ job }) => !job.spec.singleZone && !job.spec.spreadZones)
-    .slice(0, MOST_JOBS)
-  const highest = Math.max(...foreign.map((n) => n.rank), ...own.map(({ job }) => job.rank))
+  (runningSince === null || now < addMs(runningSince, MIN_FIRST_RUN_MS))
+
+/** Would capacity freed machine by machine be of use? Not where tasks are bound to zones. */
+const isZoneBound = ({ singleZone, spreadZones }: MachineDemand["shape"]): boolean =>
+  singleZone || spreadZones
+
+/** What work is preempted for, and among which machines. */
+export interface PreemptionInput {
+  /** Our own queued tasks without capacity, most urgent job first. */
+  readonly unplaced: ReadonlyArray<Unplaced>
+  /** Demands of other shards that some machine of ours could serve. */
+  readonly demands: ReadonlyArray<MachineDemand>
+  /** Our fair share of each of these, 0 to 1. */
+  readonly share: number
+  /** Slots lent to a shard so lately that its demand can't show them yet. */
+  readonly lentLately: ReadonlyMap<ShardName, number>
+  /** All machines, full ones as well, before the plan at hand. */
+  readonly machines: ReadonlyArray<MachineView>
+  readonly now: MonotonicTime
+  /** The machine has a command to be sent before its next heartbeat. */
+  readonly commandsDue: (machine: MachineId) => void
+}
+
+/** A machine as it will be; its capacity is taken task by task. */
+type FutureMachine = { -readonly [K in keyof MachineView]: MachineView[K] }
+
+type Victims = Map<MachineId, Array<Victim<Placement>>>
+
+/** Preempts for our own unplaced tasks first, then for other shards' urgent ones. */
+export const preempt = (shard: ShardView, input: PreemptionInput): void => {
+  const foreign = input.demands.filter((demand) => demand.pressing > 0 && !isZoneBound(demand.shape))
+  const own = input.unplaced.filter(({ job }) => !isZoneBound(job.spec)).slice(0, MAX_JOBS)
   if (foreign.length === 0 && own.length === 0) return
-  const victims = new Map<MachineId, Array<Victim<Placement>>>()
-  // What is being stopped already is as good as gone.
-  const soon = views.map((view) => {
+  const maxRank = Math.max(...foreign.map(({ rank }) => rank), ...own.map(({ job }) => job.rank))
+  const pass = new PreemptionPass(shard, input, maxRank)
+  if (!pass.hasVictims) return
+  for (const unplaced of own) pass.makeCapacityFor(unplaced)
+  for (const demand of foreign) pass.emptyMachinesFor(demand)
+}
+
+/** One pass over the shard's machines; what it stops is never chosen again in the same pass. */
+class PreemptionPass {
+  private readonly victims: Victims = new Map()
+  private readonly stopped = new Set<Placement>()
+  private readonly machines: ReadonlyArray<FutureMachine>
+
+  constructor(
+    private readonly shard: ShardView,
+    private readonly input: PreemptionInput,
+    maxRank: number,
+  ) {
+    this.machines = input.machines.map((view) => this.onceStopped(view, maxRank))
+    for (const onMachine of this.victims.values())
+      onMachine.sort((a, b) => a.lossCoreS / a.shape.cores - b.lossCoreS / b.shape.cores)
+  }
+
+  get hasVictims(): boolean {
+    return this.victims.size > 0
+  }
+
+  /** The machine without what is being stopped already, which is as good as gone; collects its victims. */
+  private onceStopped(view: MachineView, maxRank: number): FutureMachine {
+    const { now } = this.input
     let { free, busyTasks } = view
-    for (const placement of shard.machines.get(view.id)?.placements.values() ?? []) {
+    const victims: Array<Victim<Placement>> = []
+    for (const placement of this.shard.machines.get(view.id)?.placements.values() ?? []) {
       const { request } = placement.job
       if (placement.stop !== null) {
         busyTasks--
         free = minus(free, request, -1)
         continue
       }
-      if (priorityRank[request.priority] >= highest) continue
-      if (isFirstOfStarved(placement, shard.node.clocks.wallNow(), now)) continue
-      const saves = request.checkpointIntervalS > 0
-      const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
-      const on = victims.get(view.id) ?? []
-      victims.set(view.id, on)
-      on.push({
-        placement,
-        machine: view.id,
-        shape: shapeOf(request),
-        rank: priorityRank[request.priority],
-        lossCoreS: (saves ? Math.min(ranS, request.checkpointSaveS) : ranS) * request.cores,
-        savesS: saves ? request.checkpointSaveS : 0,
-      })
+      if (priorityRank[request.priority] >= maxRank) continue
+      if (isFirstOfStarved(placement, this.shard.node.clocks.wallNow(), now)) continue
+      victims.push(victimOf(placement, now))
     }
+    if (victims.length > 0) this.victims.set(view.id, victims)
     return { ...view, free, busyTasks }
-  })
-  if (victims.size === 0) return
-  for (const on of victims.values())
-    on.sort((a, b) => a.lossCoreS / a.shape.cores - b.lossCoreS / b.shape.cores)
-  const stopped = new Set<Placement>()
-  const stopAll = (chosen: ReadonlyArray<Victim<Placement>>) => {
-    for (const { placement, savesS } of chosen) {
-      stopped.add(placement)
-      placement.job.stop(placement, { reason: "preempted", leewayS: savesS + 1, since: now })
-      stoppedOn(placement.machine)
-      shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
-    }
   }
-  const left = (usable: (v: Victim<Placement>) => boolean) => (machine: MachineId) =>
-    (victims.get(machine) ?? []).filter((v) => !stopped.has(v.placement) && usable(v))
-  for (const { job, startable, urgent: pressing } of own) {
-    // Work that can save gives way to any of higher rank; other work is given
-    // up only where it has to be, and only for what a team is guaranteed.
-    const forced = job.withinGuarantee ? pressing : 0
-    let missing = startable
-    for (const view of soon) {
-      if (missing <= 0) break
-      if (view.state !== "ready" || !allowed(job.spec, view)) continue
-      const take = Math.min(missing, slotsIn(job.spec, view.free))
-      view.free = minus(view.free, job.spec, take)
-      missing -= take
+
+  /**
+   * Work that can save gives way to any of higher rank; other work is given
+   * up only where it has to be, and only for what a team is guaranteed.
+   */
+  makeCapacityFor({ job, startable, urgent }: Unplaced): void {
+    const missing = startable - this.takeFree(job.spec, startable)
+    if (missing <= 0) return
+    const forced = job.withinGuarantee ? urgent : 0
+    const request = { shape: shapeOf(job.spec), rank: job.rank, wholeMachines: false }
+    const saving = this.choose({ ...request, tasks: missing }, ({ savesS }) => savesS > 0)
+    if (saving.length > 0) this.stop(saving)
+    else if (forced > 0) this.stop(this.choose({ ...request, tasks: Math.min(missing, forced) }, () => true))
+  }
+
+  /** Other shards can use a machine only once it is empty. */
+  emptyMachinesFor({ shard, shape, rank, pressing }: MachineDemand): void {
+    let missing = Math.ceil(pressing * this.input.share) - (this.input.lentLately.get(shard) ?? 0)
+    for (const machine of this.machines) {
+      if (machine.state === "ready" && machine.busyTasks === 0 && allowed(shape, machine))
+        missing -= slotsIn(shape, machine.type)
     }
-    if (missing <= 0) continue
-    const shape = shapeOf(job.spec)
-    const saving = choosePreemptions(
-      shape,
-      job.rank,
-      missing,
-      soon,
-      left((v) => v.savesS > 0),
-      false,
-    )
-    if (saving.length > 0) stopAll(saving)
-    else if (forced > 0) {
-      stopAll(
-        choosePreemptions(
-          shape,
-          job.rank,
-          Math.min(missing, forced),
-          soon,
-          left(() => true),
-          false,
-        ),
-      )
+    if (missing <= 0) return
+    this.stop(this.choose({ shape, rank, tasks: missing, wholeMachines: true }, () => true))
+  }
+
+  /** Takes free capacity for up to that many tasks; returns for how many. */
+  private takeFree(spec: Unplaced["job"]["spec"], tasks: number): number {
+    let left = tasks
+    for (const machine of this.machines) {
+      if (left <= 0) break
+      if (machine.state !== "ready" || !allowed(spec, machine)) continue
+      const take = Math.min(left, slotsIn(spec, machine.free))
+      machine.free = minus(machine.free, spec, take)
+      left -= take
     }
+    return tasks - left
   }
-  for (const need of foreign) {
-    let missing = Math.ceil(need.pressing * share) - (lentLately.get(need.shard) ?? 0)
-    for (const view of soon) {
-      if (view.state === "ready" && view.busyTasks === 0 && allowed(need.shape, view)) {
-        missing -= slotsIn(need.shape, view.type)
-      }
+
+  private choose(
+    request: Omit<PreemptionRequest<Placement>, "machines" | "victimsOn">,
+    usable: (victim: Victim<Placement>) => boolean,
+  ): ReadonlyArray<Victim<Placement>> {
+    const victimsOn = (machine: MachineId) =>
+      (this.victims.get(machine) ?? []).filter((v) => !this.stopped.has(v.placement) && usable(v))
+    return choosePreemptions({ ...request, machines: this.machines, victimsOn })
+  }
+
+  private stop(chosen: ReadonlyArray<Victim<Placement>>): void {
+    const { now, commandsDue } = this.input
+    for (const { placement, savesS } of chosen) {
+      this.stopped.add(placement)
+      placement.job.stop(placement, { reason: "preempted", leewayS: savesS + GRACE_MARGIN_S, since: now })
+      commandsDue(placement.machine)
+      this.shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
-    if (missing <= 0) continue
-    stopAll(
-      choosePreemptions(
-        need.shape,
-        need.rank,
-        missing,
-        soon,
-        left(() => true),
-        true,
-      ),
-    )
+  }
+}
+
+/** What stopping a placement costs; a task that saves loses at most what its checkpoint takes. */
+const victimOf = (placement: Placement, now: MonotonicTime): Victim<Placement> => {
+  const { request } = placement.job
+  const saves = request.checkpointIntervalS > 0
+  const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
+  return {
+    placement,
+    machine: placement.machine,
+    shape: shapeOf(request),
+    rank: priorityRank[request.priority],
+    lossCoreS: (saves ? Math.min(ranS, request.checkpointSaveS) : ranS) * request.cores,
+    savesS: saves ? request.checkpointSaveS : 0,
   }
 }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -1,6 +1,7 @@
 /**
- * What a part needs of the teams' limits: what it uses, what its queued tasks
- * could use, and which part goes first where the limits aren't enough for all.
+ * What a shard needs of the teams' limits: what it uses, what its queued tasks
+ * could use, and which shard goes first where the limits aren't enough for all. It asks and
+ * answers; the quota allocations themselves change only by their conditional writes.
  */
 import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
@@ -13,69 +14,80 @@
   slotsIn,
   type TeamClaim,
   tasksToBegin,
+  tasksWithinHeadroom,
 } from "@sorreltally/planner"
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
 import type { Amount, ShareNeed } from "@sorreltally/quota"
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { ShardView } from "./shard-context.ts"
 
+/** Claims are published in steps of this share of a limit, so that not every task that ends is news. */
+const CLAIM_STEP = 1 / 32
+
+const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
+
 /** Tasks of a job that so many cores hold, whatever else they need. */
-const slotsInCores = (request: JobSpec, cores: number): number =>
-  slotsIn(request, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
+const slotsInCores = (spec: JobSpec, cores: number): number =>
+  slotsIn(spec, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
 
-/** What a team's limit leaves a part beyond what its own tasks use, however much other parts give up. */
-const reachable = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, use: QuotaHeadroom): QuotaHeadroom => ({
-  cores: cpusMax - use.cores,
-  accelerators: gpusMax - use.accelerators,
+/** What a team's limit leaves a shard beyond what its own tasks use, however much other shards give up. */
+const attainableQuota = ({ maxCpus, maxGpus }: Team, use: QuotaHeadroom): QuotaHeadroom => ({
+  cores: maxCpus - use.cores,
+  accelerators: maxGpus - use.accelerators,
 })
-const tasksWithin = (request: JobSpec, room: QuotaHeadroom): number =>
-  slotsIn(request, { ...room, memGb: Number.POSITIVE_INFINITY })
 
-/** Cores of our machines, up or coming, on which no task is placed. */
+const amountOf = ({ cores, accelerators }: QuotaHeadroom): Amount => ({ cpus: cores, gpus: accelerators })
+
+/** Cores of our machines, ready or booting, on which no task is placed. */
 export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, QuotaHeadroom>): number => {
   let cores = 0
   for (const { type } of shard.machines.values()) cores += type.cores
   for (const { offer, count } of shard.pendingRentals.values()) cores += count * offer.type.cores
-  for (const u of used.values()) cores -= u.cores
+  for (const use of used.values()) cores -= use.cores
   return Math.max(0, cores)
 }
 
-/** Teams whose share here keeps queued tasks from starting that machines have room for. */
+/** What a shard's demand for quota is made from. */
+export interface QuotaDemandInput {
+  readonly jobs: ReadonlyArray<JobView>
+  /** What the teams may still start within this shard's allocations. */
+  readonly startable: ReadonlyMap<TeamName, QuotaHeadroom>
+  readonly used: ReadonlyMap<TeamName, QuotaHeadroom>
+  /** Cores of machines on which no task is placed. */
+  readonly unusedCores: number
+}
+
+/** Teams whose allocation here keeps queued tasks from starting that machines have capacity for. */
 export const quotaDemands = (
   shard: ShardView,
-  jobs: ReadonlyArray<JobView>,
-  teams: ReadonlyMap<TeamName, QuotaHeadroom>,
-  used: ReadonlyMap<TeamName, QuotaHeadroom>,
-  unused: number,
+  { jobs, startable, used, unusedCores }: QuotaDemandInput,
 ): ReadonlyArray<QuotaDemand> => {
-  const beyondUse = new Map<TeamName, QuotaHeadroom>()
+  const attainableByTeam = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams)
-    beyondUse.set(team.name, reachable(team, used.get(team.name) ?? NOTHING))
-  const out = new Map<TeamName, QuotaDemand>()
+    attainableByTeam.set(team.name, attainableQuota(team, used.get(team.name) ?? NO_QUOTA))
+  const demands = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
-    const { id, spec: request, queued } = job
-    const room = teams.get(request.team)
-    const attainable = beyondUse.get(request.team)
-    if (room === undefined || attainable === undefined) continue
-    // Guards against other parts that wait for ours to start tasks which no quota of theirs could make room for.
-    const wanting = Math.min(queued, slotsInCores(request, unused), tasksWithin(request, attainable))
-    if (wanting === 0) continue
-    const startable = tasksWithin(request, room)
-    if (startable >= wanting) continue
-    const starved = isStarved(job) && startable < Math.min(wanting, tasksToBegin(job))
+    const { id, spec, queued } = job
+    const { team } = spec
+    const headroom = startable.get(team)
+    const attainable = attainableByTeam.get(team)
+    if (headroom === undefined || attainable === undefined) continue
+    // Guards against other shards that wait for ours to start tasks which no quota of theirs could make room for.
+    const wanted = Math.min(queued, slotsInCores(spec, unusedCores), tasksWithinHeadroom(spec, attainable))
+    if (wanted === 0) continue
+    const withinShare = tasksWithinHeadroom(spec, headroom)
+    if (withinShare >= wanted) continue
+    const starved = isStarved(job) && withinShare < Math.min(wanted, tasksToBegin(job))
     const rank = starved ? STARVED_RANK : job.rank
     const since = shard.jobs.get(id)?.submitted ?? 0
-    const need: QuotaDemand = { shard: shard.name, team: request.team, rank, since }
-    const before = out.get(request.team)
-    if (before === undefined || goesFirst(need, before)) out.set(request.team, need)
+    const demand: QuotaDemand = { shard: shard.name, team, rank, since }
+    const before = demands.get(team)
+    if (before === undefined || goesFirst(demand, before)) demands.set(team, demand)
   }
-  return [...out.values()]
+  return [...demands.values()]
 }
 
-/** Claims are told in steps of this share of a limit, so that not every task that ends is news. */
-const CLAIM_STEP = 1 / 32
-
-/** What this part counts on of the teams' limits, after a plan. */
+/** What this shard counts on of the teams' limits, after a plan. */
 export const teamClaims = (
   shard: ShardView,
   used: ReadonlyMap<TeamName, QuotaHeadroom>,
@@ -85,23 +97,20 @@
     limit <= 0 || !isLimited(limit)
       ? 0
       : Math.min(limit, Math.ceil(amount / (limit * CLAIM_STEP)) * limit * CLAIM_STEP)
-  const claims: Array<TeamClaim> = []
-  for (const { name, maxCpus: cpusMax, maxGpus: gpusMax } of shard.node.platform.deployment.teams) {
-    const use = used.get(name) ?? NOTHING
-    const more = planned.get(name) ?? NOTHING
-    claims.push({
+  return shard.node.platform.deployment.teams.map(({ name, maxCpus, maxGpus }) => {
+    const use = used.get(name) ?? NO_QUOTA
+    const more = planned.get(name) ?? NO_QUOTA
+    return {
       shard: shard.name,
       team: name,
-      cpus: inSteps(use.cores + more.cores, cpusMax),
-      gpus: inSteps(use.accelerators + more.accelerators, gpusMax),
-    })
-  }
-  return claims
+      cpus: inSteps(use.cores + more.cores, maxCpus),
+      gpus: inSteps(use.accelerators + more.accelerators, maxGpus),
+    }
+  })
 }
-const NOTHING: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
 /** Quota for a number of tasks, and how urgent the most urgent of them are. */
-class Demand {
+class QueuedQuota {
   cpus = 0
   gpus = 0
   rank = -1
@@ -116,51 +125,63 @@
   }
 }
 
-/** What one part needs of one team's limit, given what the others ask for. */
-export const shareDemand = (
-  shard: ShardView,
-  team: Team,
-  use: QuotaHeadroom,
-  quotas: ReadonlyArray<QuotaDemand>,
-  unused: number,
-): ShareNeed => {
+/** What the queued tasks of one team could use here. */
+interface TeamQueue {
+  readonly all: QueuedQuota
+  /** Of starved jobs, the tasks that go first. */
+  readonly starved: QueuedQuota
+  readonly smallestTask: JobSpec | null
+}
+
+/** Beyond what machines have capacity for, quota would only lie idle, and be asked back: such tasks don't count. */
+const teamQueue = (shard: ShardView, team: Team, use: QuotaHeadroom, unusedCores: number): TeamQueue => {
   const wall = shard.node.clocks.wallNow()
   const now = shard.node.clocks.monotonicNow()
-  const demand = new Demand()
-  const starved = new Demand()
-  const attainable = reachable(team, use)
-  let left = unused
-  let smallest: JobSpec | null = null
+  const all = new QueuedQuota()
+  const starved = new QueuedQuota()
+  const attainable = attainableQuota(team, use)
+  let coresLeft = unusedCores
+  let smallestTask: JobSpec | null = null
   for (const job of shard.jobs.values()) {
-    const { request } = job
+    const { request: spec } = job
     const queued = shard.failures.startable(job, now)
-    if (request.team !== team.name || job.cancelled || queued === 0) continue
-    if (tasksWithin(request, attainable) === 0) continue
-    // Beyond what machines have room for, a share would only lie idle, and be asked back.
-    const tasks = Math.min(queued, slotsInCores(request, left))
+    if (spec.team !== team.name || job.cancelled || queued === 0) continue
+    if (tasksWithinHeadroom(spec, attainable) === 0) continue
+    const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
     if (tasks === 0) continue
-    left -= tasks * request.cores
+    coresLeft -= tasks * spec.cores
     const suspect = shard.failures.isSuspect(job.id)
-    demand.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[request.priority])
+    all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
     const waiting = { unbegun: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
-    if (smallest === null || request.cores < smallest.cores) smallest = request
+    if (smallestTask === null || spec.cores < smallestTask.cores) smallestTask = spec
   }
-  const asking = quotas.filter((q) => q.team === team.name)
-  const others = (of: Demand) =>
-    asking.some((q) => goesFirst(q, { shard: shard.name, team: team.name, rank: of.rank, since: of.since }))
-  const need = (of: Demand, asked: ShareNeed["asked"]): ShareNeed => ({
+  return { all, starved, smallestTask }
+}
+
+/** What one shard needs of one team's limit, given what the others ask for. */
+export const shareDemand = (
+  shard: ShardView,
+  team: Team,
+  use: QuotaHeadroom,
+  quotas: ReadonlyArray<QuotaDemand>,
+  unusedCores: number,
+): ShareNeed => {
+  const { all, starved, smallestTask } = teamQueue(shard, team, use, unusedCores)
+  const others = quotas.filter((demand) => demand.team === team.name)
+  const anyBefore = ({ rank, since }: QueuedQuota) =>
+    others.some((demand) => goesFirst(demand, { shard: shard.name, team: team.name, rank, since }))
+  const need = (queue: QueuedQuota, asked: ShareNeed["asked"]): ShareNeed => ({
     used: amountOf(use),
-    wanted: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
-    smallestTask: smallest === null ? null : { cpus: smallest.cores, gpus: smallest.accelerators },
+    wanted: { cpus: use.cores + queue.cpus, gpus: use.accelerators + queue.gpus },
+    smallestTask:
+      smallestTask === null ? null : { cpus: smallestTask.cores, gpus: smallestTask.accelerators },
     asked,
   })
-  if (asking.length === 0) return need(demand, "no")
-  if (!others(demand)) return need(demand, "after")
-  // Guards against work of low rank that never begins while other parts have more urgent work than
+  if (others.length === 0) return need(all, "no")
+  if (!anyBefore(all)) return need(all, "after")
+  // Guards against work of low rank that never begins while other shards have more urgent work than
   // the limit holds: some tasks of a job that waited too long go before it.
-  if (starved.cpus + starved.gpus > 0 && !others(starved)) return need(starved, "after")
-  return need(demand, "first")
+  if (starved.cpus + starved.gpus > 0 && !anyBefore(starved)) return need(starved, "after")
+  return need(all, "first")
 }
-
-const amountOf = ({ cores, accelerators }: QuotaHeadroom): Amount => ({ cpus: cores, gpus: accelerators })
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -1,8 +1,11 @@
-/** One part's plans: what the planner is shown of the part, and how its decisions are carried out. */
-import type { JobState, Placement } from "@sorreltally/jobs"
+/**
+ * One shard's plans: what the planner is shown of the shard, and what becomes of its decisions. It
+ * reads the clock and the store's replica for the planner, which does neither.
+ */
 import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
   type ClusterLoad,
+  type JobView,
   lend,
   type MachineDemand,
   type MachineLoan,
@@ -13,11 +16,11 @@
   type QuotaDemand,
   type QuotaHeadroom,
   type Reserve,
+  type ShardDemand,
   STARVED_RANK,
   servableDemands,
 } from "@sorreltally/planner"
 import {
-  type Attempt,
   addMs,
   type JobId,
   type JobSpec,
@@ -27,7 +30,6 @@
   NEVER,
   priorityRank,
   type TeamName,
-  taskId,
 } from "@sorreltally/protocol"
 import { QuotaAllocation } from "@sorreltally/quota"
 import { Arrivals } from "./arrivals.ts"
@@ -35,69 +37,82 @@
 import type { JobRegistry } from "./job-registry.ts"
 import type { Lending } from "./lending.ts"
 import { machineDemands } from "./machine-demand.ts"
+import { PlanExecution } from "./plan-execution.ts"
 import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
 import { quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
 import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
+import { logShardStatus } from "./shard-status.ts"
 
 /** The load of the machines is counted anew this often. */
 const LOAD_EVERY_MS = 700
-/** While refused kinds of spot are asked again, steady machines stay as they were wanted before. */
+/** While refused kinds of spot are asked again, on-demand machines stay as they were wanted before. */
 const ON_DEMAND_LINGER_MS = 10_000
+/** Between two status lines. */
 const STATUS_EVERY_MS = 15_000
-/** The status line's fields, which are settled: those who read the log rely on them. */
-const LOG_FIELD_OF_STATE = {
-  ready: "up",
-  booting: "coming",
-  draining: "closing",
-  unavailable: "away",
-} as const
-const ATTEMPTS_PER_EPOCH = 2 ** 20
-const NOTHING: QuotaHeadroom = { cores: 0, accelerators: 0 }
+const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
-/** What the plans need of their part beyond its state. */
-export interface ShardPlanningHost {
+/** What the plans need of their shard beyond its state. */
+export interface ShardPlanningOptions {
   readonly shard: ShardView
+  /** The shard epoch of this owner. */
   readonly epoch: ModRevision
   readonly registry: JobRegistry
   readonly lending: Lending
   readonly rentals: () => Rentals
-  /** The machine has something to be told before its next report. */
+  /** The machine has a command to be sent before its next heartbeat. */
   readonly commandsDue: (machine: MachineId) => void
   /** There may be something to plan. */
   readonly changed: () => void
 }
 
-/** What the teams' limits leave a part: at once within its shares, and for rentals whether shares cover it yet. */
-interface TeamRooms {
+/** What the teams' limits leave a shard: at once within its allocations, and for rentals whether these cover it yet. */
+interface TeamHeadroom {
   readonly startable: Map<TeamName, QuotaHeadroom>
   readonly rentable: Map<TeamName, QuotaHeadroom>
 }
 
+/** What the steps of one plan have in common. */
+interface PlanContext {
+  readonly now: MonotonicTime
+  /** What the other shards published. */
+  readonly others: ShardDemand
+  /** What each team's tasks use here. */
+  readonly used: ReadonlyMap<TeamName, QuotaHeadroom>
+  /** Cores of our machines on which no task is placed. */
+  readonly unusedCores: number
+  readonly headroom: TeamHeadroom
+  readonly jobs: ReadonlyArray<JobView>
+  /** How much of what others demand is ours to lend, 0 to 1. */
+  readonly share: number
+  readonly reserve: Reserve
+}
+
+/** The planning of one shard for as long as this node owns it. */
 export class ShardPlanning {
-  private readonly shares: QuotaAllocation
+  private readonly quotas: QuotaAllocation
+  private readonly execution: PlanExecution
   private readonly draining = new Draining()
   private readonly arrivals = new Arrivals()
   private reserveRank = Number.NEGATIVE_INFINITY
   private onDemandNeededAt: MonotonicTime = NEVER
-  private attempts = 0
-  private lately: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
+  private lastLoad: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
   private statusAt: MonotonicTime = NEVER
-  /** The last plan left work without room. */
+  /** The last plan left work without capacity. */
   workWaits = false
   /** Empty machines that the last plan found no use for. */
   idle: ReadonlySet<MachineId> = new Set()
   /** Jobs that it found held back by their teams' limits. */
   heldBack: ReadonlySet<JobId> = new Set()
-  /** Room on machines that are up for which it found none. */
+  /** Free cores on ready machines for which it found no use. */
   private unusedCores = 0
 
-  constructor(private readonly host: ShardPlanningHost) {
-    const { shard, epoch, changed } = host
+  constructor(private readonly options: ShardPlanningOptions) {
+    const { shard, epoch, registry, rentals, changed } = options
     const { platform, membership, store, clocks } = shard.node
     const { replica } = membership
-    this.shares = new QuotaAllocation(
+    this.quotas = new QuotaAllocation(
       shard.name,
       epoch,
       platform.deployment.teams,
@@ -106,147 +121,209 @@
       clocks.monotonicNow,
       changed,
     )
+    this.execution = new PlanExecution({ shard, epoch, registry, quotas: this.quotas, rentals })
   }
 
-  /** A job came: jobs like it may need room sooner than a machine boots. */
-  arrived(request: JobSpec): void {
-    const { shard } = this.host
-    const within = startTargets(shard, request.jobClass, request.estimatedRunS)[0] ?? null
-    let soonestBoot = Number.POSITIVE_INFINITY
+  /** A job came: jobs like it may need capacity sooner than a machine boots. */
+  arrived(spec: JobSpec): void {
+    const { shard } = this.options
+    const withinS = startTargets(shard, spec.jobClass, spec.estimatedRunS)[0] ?? null
+    let soonestBootS = Number.POSITIVE_INFINITY
     for (const type of shard.node.inventory.catalog()?.values() ?? [])
-      soonestBoot = Math.min(soonestBoot, type.bootS)
-    if (within === null || within >= soonestBoot) return
-    this.arrivals.learn(request.taskCount * request.cores, request.image, shard.node.clocks.monotonicNow())
-    this.reserveRank = Math.max(this.reserveRank, priorityRank[request.priority])
+      soonestBootS = Math.min(soonestBootS, type.bootS)
+    if (withinS === null || withinS >= soonestBootS) return
+    this.arrivals.learn(spec.taskCount * spec.cores, spec.image, shard.node.clocks.monotonicNow())
+    this.reserveRank = Math.max(this.reserveRank, priorityRank[spec.priority])
   }
+
+  /** What is kept free for such jobs now. */
   reserve(): Reserve {
     return {
       rank: this.reserveRank,
-      cores: this.arrivals.reserveCores(this.host.shard.node.clocks.monotonicNow()),
+      cores: this.arrivals.reserveCores(this.options.shard.node.clocks.monotonicNow()),
       images: this.arrivals.images(),
     }
   }
-  /** Some work needed machines that spot couldn't give, not long ago. */
+
+  /** Some work needed machines that spot couldn't provide, not long ago. */
   onDemandNeeded(): boolean {
-    return this.host.shard.node.clocks.monotonicNow() < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
+    const now = this.options.shard.node.clocks.monotonicNow()
+    return now < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
   }
 
-  /** `makesRoom`: running tasks of lower rank may be stopped this time. */
-  planOnce(makesRoom: boolean): void {
-    const { shard } = this.host
-    const { node } = shard
-    const now = node.clocks.monotonicNow()
-    const used = teamUse(shard)
-    const { machines: needs, quotas, claims } = node.demandRegistry(shard.name)
-    const unused = unusedCores(shard, used)
-    this.adjustShares(used, quotas, unused)
-    const teams = this.teamRooms(used, claims)
-    const jobs = jobViews(shard, now)
-    const share = this.shareOfFleet()
-    const reserve = this.reserve()
-    let machines = machineViews(shard, now, reserve, false)
+  /** `mayPreempt`: running tasks of lower rank may be stopped this time. */
+  planOnce(mayPreempt: boolean): void {
+    const context = this.prepare()
+    const { now } = context
     // Work that its team's limit holds back is no reason to keep a machine from others.
-    const room = new QuotaBudget(teams.rentable)
-    const startable = jobs.filter((job) => room.tasksLeft(job) > 0)
-    const lent = lend(machines, startable, needs, share, this.host.lending.lentLately(now), reserve)
-    if (lent.length > 0) {
-      this.lendAll(lent, needs)
-      machines = machineViews(shard, now, reserve, false)
-    }
-    // Guards against machines that are emptied for others, never lent, and of no use to our own work.
-    const lendable = servableDemands(needs, startable, machines)
-    const served = needs.filter((need) => need.rank >= STARVED_RANK || lendable.includes(need))
-    machines = this.draining.apply(machines, served, this.unusedCores, this.hasMostMachines())
-    this.lendAll(this.draining.emptied(machines), needs)
-    const decided = plan({
-      jobs,
-      machines,
-      teams: teams.startable,
-      limits: teams.rentable,
-      types: [...(node.inventory.catalog()?.values() ?? [])],
-      maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
-      reserve,
-      otherShardsWait: needs.length > 0,
-      load: () => this.load(now),
-      market: node.inventory.market(),
-      rentalSize: RENTAL_SIZE,
-      deploymentS: node.operators.provisioning["deployment-s"],
-    })
-    this.carryOut(decided, now)
-    if (makesRoom) this.makeRoom(decided, lendable, share, now)
-    node.publish(shard.name, {
-      machines: machineDemands(shard.name, decided.unplaced),
-      quotas: quotaDemands(shard, jobs, teams.startable, used, unused).filter(
-        ({ team }) => !this.shares.yields(team),
-      ),
-      claims: teamClaims(shard, used, decided.claims),
-    })
+    const budget = new QuotaBudget(context.headroom.rentable)
+    const rentableJobs = context.jobs.filter((job) => budget.tasksLeft(job) > 0)
+    const lent = this.lendEmptyMachines(context, rentableJobs)
+    const servable = servableDemands(context.others.machines, rentableJobs, lent)
+    const machines = this.drainMachines(context, servable, lent)
+    const decided = this.plan(context, machines)
+    this.execution.carryOut(decided, now)
+    this.remember(decided, now)
+    if (mayPreempt) this.preempt(decided, servable, context)
+    this.publish(decided, context)
     this.logStatus(now)
   }
 
-  private teamRooms(
-    used: ReadonlyMap<TeamName, QuotaHeadroom>,
-    claims: Parameters<QuotaAllocation["beyond"]>[2],
-  ): TeamRooms {
-    const rooms: TeamRooms = { startable: new Map(), rentable: new Map() }
-    for (const team of this.host.shard.node.platform.deployment.teams) {
-      const { cores, accelerators } = used.get(team.name) ?? NOTHING
-      const beyond = this.shares.beyond(team, { cpus: cores, gpus: accelerators }, claims)
-      rooms.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
-      const share = this.shares.share(team)
-      rooms.startable.set(team.name, {
-        cores: share.cpus - cores,
-        accelerators: share.gpus - accelerators,
-      })
+  /** Quota allocations are adjusted first, so that the plan may use what they gained. */
+  private prepare(): PlanContext {
+    const { shard } = this.options
+    const now = shard.node.clocks.monotonicNow()
+    const used = teamUse(shard)
+    const others = shard.node.demandRegistry(shard.name)
+    const unused = unusedCores(shard, used)
+    this.adjustQuotas(used, others.quotas, unused)
+    return {
+      now,
+      others,
+      used,
+      unusedCores: unused,
+      headroom: this.teamHeadroom(used, others.claims),
+      jobs: jobViews(shard, now),
+      share: this.shareOfFleet(),
+      reserve: this.reserve(),
     }
-    return rooms
   }
-  private adjustShares(
+
+  private adjustQuotas(
     used: ReadonlyMap<TeamName, QuotaHeadroom>,
     quotas: ReadonlyArray<QuotaDemand>,
     unused: number,
   ): void {
-    const { shard } = this.host
-    const changes = this.shares.adjust((team) =>
-      shareDemand(shard, team, used.get(team.name) ?? NOTHING, quotas, unused),
+    const { shard } = this.options
+    const changes = this.quotas.adjust((team) =>
+      shareDemand(shard, team, used.get(team.name) ?? NO_QUOTA, quotas, unused),
     )
     for (const change of changes) shard.node.fork(change)
   }
-  private lendAll(lent: Iterable<MachineLoan>, needs: ReadonlyArray<MachineDemand>): void {
-    const { shard, lending } = this.host
-    for (const { machine, to } of lent) {
+
+  private teamHeadroom(
+    used: ReadonlyMap<TeamName, QuotaHeadroom>,
+    claims: ShardDemand["claims"],
+  ): TeamHeadroom {
+    const headroom: TeamHeadroom = { startable: new Map(), rentable: new Map() }
+    for (const team of this.options.shard.node.platform.deployment.teams) {
+      const { cores, accelerators } = used.get(team.name) ?? NO_QUOTA
+      const beyond = this.quotas.beyond(team, { cpus: cores, gpus: accelerators }, claims)
+      headroom.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
+      const share = this.quotas.share(team)
+      headroom.startable.set(team.name, {
+        cores: share.cpus - cores,
+        accelerators: share.gpus - accelerators,
+      })
+    }
+    return headroom
+  }
+
+  /** The machines that the plan may use once those lent are left out. */
+  private lendEmptyMachines(
+    { now, others, share, reserve }: PlanContext,
+    jobs: ReadonlyArray<JobView>,
+  ): ReadonlyArray<MachineView> {
+    const { shard, lending } = this.options
+    const demands = others.machines
+    const machines = machineViews(shard, now, reserve, false)
+    const lentLately = lending.lentLately(now)
+    const loans = lend({ machines, jobs, demands, share, lentLately, reserve })
+    if (loans.length === 0) return machines
+    this.lendAll(loans, demands)
+    return machineViews(shard, now, reserve, false)
+  }
+
+  /** Guards against machines that are drained for others, never lent, and of no use to our own work. */
+  private drainMachines(
+    { others }: PlanContext,
+    servable: ReadonlyArray<MachineDemand>,
+    machines: ReadonlyArray<MachineView>,
+  ): ReadonlyArray<MachineView> {
+    const drained = this.draining.apply({
+      machines,
+      demands: others.machines.filter((need) => need.rank >= STARVED_RANK || servable.includes(need)),
+      unusedCores: this.unusedCores,
+      forStarved: this.hasMostMachines(),
+    })
+    this.lendAll(this.draining.emptied(drained), others.machines)
+    return drained
+  }
+
+  private lendAll(loans: Iterable<MachineLoan>, demands: ReadonlyArray<MachineDemand>): void {
+    const { shard, lending } = this.options
+    for (const { machine, to } of loans) {
       const session = shard.machines.get(machine)
-      if (session !== undefined) lending.lend(session, to, needs)
+      if (session !== undefined) lending.lend(session, to, demands)
     }
   }
 
+  private plan(context: PlanContext, machines: ReadonlyArray<MachineView>): Plan {
+    const { node } = this.options.shard
+    const { now, others, headroom, jobs, reserve } = context
+    return plan({
+      jobs,
+      machines,
+      teams: headroom.startable,
+      limits: headroom.rentable,
+      types: [...(node.inventory.catalog()?.values() ?? [])],
+      maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
+      reserve,
+      otherShardsWait: others.machines.length > 0,
+      load: () => this.load(now),
+      market: node.inventory.market(),
+      rentalSize: RENTAL_SIZE,
+      deploymentS: node.operators.provisioning["deployment-s"],
+    })
+  }
+
   /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
   private load(now: MonotonicTime): ClusterLoad {
-    if (this.lately === null || now > addMs(this.lately.at, LOAD_EVERY_MS))
-      this.lately = { at: now, load: loadOf(this.host.shard, now) }
-    return this.lately.load
+    if (this.lastLoad === null || now > addMs(this.lastLoad.at, LOAD_EVERY_MS))
+      this.lastLoad = { at: now, load: loadOf(this.options.shard, now) }
+    return this.lastLoad.load
+  }
+
+  /** What the next plans and those who ask in between need of this one. */
+  private remember(decided: Plan, now: MonotonicTime): void {
+    this.workWaits = decided.unplaced.length > 0
+    this.idle = decided.idle
+    this.heldBack = decided.quotaLimited
+    this.unusedCores = decided.unusedCores
+    if (decided.onDemandNeeded) this.onDemandNeededAt = now
   }
 
-  private makeRoom(
-    decided: Plan,
-    needs: ReadonlyArray<MachineDemand>,
-    share: number,
-    now: MonotonicTime,
+  private preempt(
+    { unplaced }: Plan,
+    demands: ReadonlyArray<MachineDemand>,
+    { share, now }: PlanContext,
   ): void {
-    if (decided.unplaced.length === 0 && !needs.some((n) => n.pressing > 0)) return
-    const { shard, lending, commandsDue } = this.host
-    const views: ReadonlyArray<MachineView> = machineViews(shard, now, this.reserve(), true)
-    preempt(shard, decided, needs, share, lending.lentLately(now), views, now, commandsDue)
+    if (unplaced.length === 0 && !demands.some(({ pressing }) => pressing > 0)) return
+    const { shard, lending, commandsDue } = this.options
+    const machines = machineViews(shard, now, this.reserve(), true)
+    const lentLately = lending.lentLately(now)
+    preempt(shard, { unplaced, demands, share, lentLately, machines, now, commandsDue })
+  }
+
+  private publish(decided: Plan, { jobs, used, unusedCores: unused, headroom }: PlanContext): void {
+    const { shard } = this.options
+    const quotaInput = { jobs, startable: headroom.startable, used, unusedCores: unused }
+    shard.node.publish(shard.name, {
+      machines: machineDemands(shard.name, decided.unplaced),
+      quotas: quotaDemands(shard, quotaInput).filter(({ team }) => !this.quotas.yields(team)),
+      claims: teamClaims(shard, used, decided.claims),
+    })
   }
 
   private hasMostMachines(): boolean {
-    const { machines, node } = this.host.shard
+    const { machines, node } = this.options.shard
     const ours = machines.size
     return ours > 1 && node.membership.shards.every((shard) => node.machineIndex.size(shard) <= ours)
   }
+
   /** How much of the machines that could be lent to somebody is ours to lend. */
   private shareOfFleet(): number {
-    const { name: shard, machines, node } = this.host.shard
+    const { name: shard, machines, node } = this.options.shard
     const all =
       shard === DEADLINE_SHARD
         ? node.machineIndex.total
@@ -254,80 +331,10 @@
     return all === 0 ? 1 : Math.min(1, machines.size / all)
   }
 
-  private carryOut(decided: Plan, now: MonotonicTime): void {
-    const { shard, rentals } = this.host
-    for (const { job: id, machine } of decided.placements) {
-      const job = shard.jobs.get(id)
-      if (job !== undefined) this.place(job, machine, now)
-    }
-    for (const [machine, assignedJob] of decided.assignedJobs) {
-      const assignment = shard.assignments.get(machine)
-      if (assignment !== undefined) assignment.assignedJob = assignedJob
-    }
-    for (const rental of decided.rentals) rentals().rental(rental)
-    this.workWaits = decided.unplaced.length > 0
-    this.idle = decided.idle
-    this.heldBack = decided.quotaLimited
-    this.unusedCores = decided.unusedCores
-    if (!decided.onDemandNeeded) return
-    this.onDemandNeededAt = now
-    for (const assignment of shard.assignments.values()) assignment.closing = false
-  }
-
-  /** Places the job's next queued task. */
-  private place(job: JobState, machine: MachineId, now: MonotonicTime): void {
-    const { shard, epoch, registry } = this.host
-    const session = shard.machines.get(machine)
-    if (session === undefined || session.agentEpoch === null) return
-    const index = job.nextQueued()
-    if (index === null) return
-    // The epoch makes attempts of different owners differ, the counter those of one.
-    const attempt = (epoch * ATTEMPTS_PER_EPOCH + ++this.attempts) as Attempt
-    const placement: Placement = {
-      job,
-      index,
-      task: taskId(job.id, index),
-      machine,
-      agentEpoch: session.agentEpoch,
-      attempt,
-      durable: false,
-      inherited: false,
-      stop: null,
-      placedAt: now,
-      runningSince: null,
-      unacknowledgedStarts: 0,
-    }
-    job.place(placement)
-    session.hold(placement)
-    registry.place(placement)
-    this.shares.started(job.request.team)
-  }
-
-  /** Once in a while, for those on call: how much room this part has and what waits for it. */
   private logStatus(now: MonotonicTime): void {
     if (now < addMs(this.statusAt, STATUS_EVERY_MS)) return
     this.statusAt = now
-    const { shard, registry } = this.host
-    const machinesByState: Record<string, number> = {}
-    let free = 0
-    let cores = 0
-    for (const view of machineViews(shard, now, this.reserve(), true)) {
-      const field = LOG_FIELD_OF_STATE[view.state]
-      machinesByState[field] = (machinesByState[field] ?? 0) + 1
-      if (view.state !== "ready") continue
-      free += view.free.cores
-      cores += view.type.cores
-    }
-    let queued = 0
-    for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queued
-    shard.node.log.debug("shard status", {
-      shard: shard.name,
-      jobs: shard.jobs.size,
-      queued,
-      ...machinesByState,
-      free,
-      cores,
-      slots: registry.slots,
-    })
+    const { shard, registry } = this.options
+    logShardStatus(shard, registry, machineViews(shard, now, this.reserve(), true))
   }
 }
--- /dev/null
+++ b/packages/shard/src/shard-status.ts
@@ -0,0 +1,42 @@
+/** Once in a while, for those on call: how much capacity a shard has and what waits for it. */
+
+import type { MachineView } from "@sorreltally/planner"
+import type { JobRegistry } from "./job-registry.ts"
+import type { ShardView } from "./shard-context.ts"
+
+/** The status line's fields, which are settled: those who read the log rely on them. */
+const LOG_FIELD_OF_STATE = {
+  ready: "up",
+  booting: "coming",
+  draining: "closing",
+  unavailable: "away",
+} as const
+
+/** `machines`: all of the shard's, full ones as well. */
+export const logShardStatus = (
+  shard: ShardView,
+  registry: JobRegistry,
+  machines: ReadonlyArray<MachineView>,
+): void => {
+  const machinesByState: Record<string, number> = {}
+  let free = 0
+  let cores = 0
+  for (const view of machines) {
+    const field = LOG_FIELD_OF_STATE[view.state]
+    machinesByState[field] = (machinesByState[field] ?? 0) + 1
+    if (view.state !== "ready") continue
+    free += view.free.cores
+    cores += view.type.cores
+  }
+  let queued = 0
+  for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queued
+  shard.node.log.debug("shard status", {
+    shard: shard.name,
+    jobs: shard.jobs.size,
+    queued,
+    ...machinesByState,
+    free,
+    cores,
+    slots: registry.slots,
+  })
+}
--- a/packages/shard/test/draining.test.ts
+++ b/packages/shard/test/draining.test.ts
@@ -32,37 +32,110 @@
 
 test("a machine is emptied for another part only if its tasks fit into room of no use here", () => {
   const views = [machine("i-1", 3), machine("i-2", 2), machine("i-3", 4)]
-  assert.deepEqual(drained(new Draining().apply(views, [need("part-1", 1)], 7, true)), [])
-  assert.deepEqual(drained(new Draining().apply(views, [need("part-1", 1)], 8, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, [], 100, true)), [])
+  assert.deepEqual(
+    drained(
+      new Draining().apply({
+        machines: views,
+        demands: [need("part-1", 1)],
+        unusedCores: 7,
+        forStarved: true,
+      }),
+    ),
+    [],
+  )
+  assert.deepEqual(
+    drained(
+      new Draining().apply({
+        machines: views,
+        demands: [need("part-1", 1)],
+        unusedCores: 8,
+        forStarved: true,
+      }),
+    ),
+    ["i-2"],
+  )
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: views, demands: [], unusedCores: 100, forStarved: true })),
+    [],
+  )
   // The same room isn't counted for two parts.
   const two = [need("part-1", 1), need("part-2", 1)]
-  assert.deepEqual(drained(new Draining().apply(views, two, 15, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, two, 16, true)), ["i-1", "i-2"])
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: views, demands: two, unusedCores: 15, forStarved: true })),
+    ["i-2"],
+  )
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: views, demands: two, unusedCores: 16, forStarved: true })),
+    ["i-1", "i-2"],
+  )
   const reserved = views.map((view) => ({ ...view, reserved: true }))
-  assert.deepEqual(drained(new Draining().apply(reserved, two, 100, true)), [])
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: reserved, demands: two, unusedCores: 100, forStarved: true })),
+    [],
+  )
 })
 
 test("for jobs that waited too long the part with the most machines empties one in any case", () => {
   const views = [machine("i-1", 3), machine("i-2", 2)]
   const starved = [need("part-1", STARVED_RANK)]
-  assert.deepEqual(drained(new Draining().apply(views, starved, 0, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, starved, 0, false)), [])
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: views, demands: starved, unusedCores: 0, forStarved: true })),
+    ["i-2"],
+  )
+  assert.deepEqual(
+    drained(new Draining().apply({ machines: views, demands: starved, unusedCores: 0, forStarved: false })),
+    [],
+  )
 })
 
 test("the machine stays chosen until it is gone, or nobody asks any more", () => {
   const draining = new Draining()
-  draining.apply([machine("i-1", 3), machine("i-2", 2)], [need("part-1", 1)], 8, true)
+  draining.apply({
+    machines: [machine("i-1", 3), machine("i-2", 2)],
+    demands: [need("part-1", 1)],
+    unusedCores: 8,
+    forStarved: true,
+  })
   const later = [machine("i-1", 1), machine("i-2", 2)]
-  assert.deepEqual(drained(draining.apply(later, [need("part-1", 1)], 0, true)), ["i-2"])
-  assert.deepEqual(drained(draining.apply(later.slice(0, 1), [need("part-1", 1)], 8, true)), ["i-1"])
-  assert.deepEqual(drained(draining.apply(later, [], 8, true)), [])
+  assert.deepEqual(
+    drained(
+      draining.apply({ machines: later, demands: [need("part-1", 1)], unusedCores: 0, forStarved: true }),
+    ),
+    ["i-2"],
+  )
+  assert.deepEqual(
+    drained(
+      draining.apply({
+        machines: later.slice(0, 1),
+        demands: [need("part-1", 1)],
+        unusedCores: 8,
+        forStarved: true,
+      }),
+    ),
+    ["i-1"],
+  )
+  assert.deepEqual(
+    drained(draining.apply({ machines: later, demands: [], unusedCores: 8, forStarved: true })),
+    [],
+  )
 })
 
 test("a machine that was emptied goes to the part for which it was", () => {
   const draining = new Draining()
   const starved = [need("part-1", STARVED_RANK)]
-  assert.deepEqual([...draining.emptied(draining.apply([machine("i-1", 1)], starved, 0, true))], [])
-  const empty = draining.apply([machine("i-1", 0)], starved, 0, true)
+  assert.deepEqual(
+    [
+      ...draining.emptied(
+        draining.apply({ machines: [machine("i-1", 1)], demands: starved, unusedCores: 0, forStarved: true }),
+      ),
+    ],
+    [],
+  )
+  const empty = draining.apply({
+    machines: [machine("i-1", 0)],
+    demands: starved,
+    unusedCores: 0,
+    forStarved: true,
+  })
   assert.deepEqual([...draining.emptied(empty)], [{ machine: "i-1", to: "part-1" }])
 })
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -77,13 +77,17 @@
   const views = [
     {
       id: "run-000001",
-      request: { team: red, cores: 8, accelerators: 0, memGb: 1 },
+      spec: { team: red, cores: 8, accelerators: 0, memGb: 1 },
       queued: 40,
       rank: 1,
       ageS: 10,
     },
   ] as unknown as ReadonlyArray<JobView>
   const noRoom = new Map([[red, { cores: 0, accelerators: 0 }]])
-  assert.deepEqual(quotaDemands(large, views, noRoom, limit, 400), [])
-  assert.equal(quotaDemands(large, views, noRoom, new Map([[red, use]]), 400).length, 1)
+  assert.deepEqual(quotaDemands(large, { jobs: views, startable: noRoom, used: limit, unusedCores: 400 }), [])
+  assert.equal(
+    quotaDemands(large, { jobs: views, startable: noRoom, used: new Map([[red, use]]), unusedCores: 400 })
+      .length,
+    1,
+  )
 })
--- a/scenarios/wrong-place-kind.sexp
+++ b/scenarios/wrong-place-kind.sexp
@@ -3,4 +3,4 @@
   (at 1 (submit pieces 10 cores 4 run 15))
   (at 25 (submit pieces 6 cores 4 run 15 spot no) (submit pieces 6 cores 4 run 15 zone a spot no))
   (expect (all-over))
-  (guard "packages/planner/src/model.ts" "(!kind.spot || spec.spotAllowed) &&" ""))
+  (guard "packages/planner/src/eligibility.ts" "(!kind.spot || spec.spotAllowed) &&" ""))
--- a/scenarios/wrong-place.sexp
+++ b/scenarios/wrong-place.sexp
@@ -7,6 +7,6 @@
   (at 60 (submit pieces 6 cores 4 run 25 together yes) (submit pieces 7 cores 4 run 25 scatter yes due 200))
   (at 80 (take-spot 2 0))
   (expect (all-over))
-  (guard "packages/planner/src/model.ts"
+  (guard "packages/planner/src/eligibility.ts"
     "if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (zones.get(zone) ?? 0)"
     ""))
