--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -1,29 +1,14 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec } from "@sorreltally/protocol"
-import type { JobView } from "../src/input.ts"
+import type { ClusterLoad, JobView } from "../src/input.ts"
 import { nextTarget, schedulingOrder } from "../src/order.ts"
+import { job as jobOf } from "./builders.ts"
 
-const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView => ({
-  id: id as JobId,
-  spec: { cores: 4 } as JobSpec,
-  rank: 1,
-  queued,
-  running: 0,
-  zones: new Map(),
-  timeLeftS,
-  ageS: 0,
-  submitted: 0,
-  executionS: 10,
-  startWithinS: null,
-  unbegun: true,
-  withinGuarantee: false,
-  mayStart: true,
-  avoids: new Set(),
-  ...more,
-})
+const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView =>
+  jobOf(id as JobId, { spec: { cores: 4 } as JobSpec, queued, timeLeftS, ...more })
 const idle = (cores: number) => ({ cores, ending: [] })
-const order = (jobs: ReadonlyArray<JobView>, load: Parameters<typeof schedulingOrder>[1]) =>
+const order = (jobs: ReadonlyArray<JobView>, load: ClusterLoad) =>
   schedulingOrder(jobs, load).map(({ id }) => id as string)
 
 test("while all can be in time, what is due first goes first", () => {
@@ -31,7 +16,7 @@
   assert.deepEqual(order([job("b", 10, 30), job("a", 10, 20)], idle(40)), ["a", "b"])
 })
 
-test("where not all can be in time, the largest waits for the others", () => {
+test("where not all can be in time, the largest is deferred for the others", () => {
   const jobs = [job("large", 30, 25), job("small", 5, 30), job("next", 10, 32)]
   // 30, 5 and 10 s of work on 40 cores, and each runs 10 s.
   assert.deepEqual(order(jobs, idle(40)), ["small", "next", "large"])
@@ -42,13 +27,13 @@
 test("a job counts the more the fewer there are of its class", () => {
   const of = (jobClass: string) => ({ spec: { cores: 4, jobClass } as JobSpec })
   const jobs = [job("rare", 12, 30, of("rare")), ...["a", "b", "c"].map((id) => job(id, 8, 32, of("common")))]
-  // 12 and 3 times 8 s of work on 40 cores: two of the common jobs wait, though smaller.
+  // 12 and 3 times 8 s of work on 40 cores: two of the common jobs are deferred, though smaller.
   assert.deepEqual(order(jobs, idle(40)), ["rare", "c", "a", "b"])
   assert.deepEqual(order(jobs.slice(0, 2), idle(40)), ["rare", "a"])
   assert.deepEqual(order([...jobs, job("d", 5, 36, of("other"))], idle(40)), ["rare", "c", "d", "a", "b"])
 })
 
-test("work past saving goes last, and no higher priority or guarantee is left out", () => {
+test("infeasible work goes last, and no higher priority or guarantee is deferred", () => {
   const jobs = [
     job("late", 1, 4),
     job("low", 5, 30, { rank: 0 }),
@@ -59,7 +44,7 @@
   assert.deepEqual(order(jobs, idle(40)), ["high", "owed", "free", "late", "low"])
 })
 
-test("after a missed aim the next one counts", () => {
+test("after a missed target the next one counts", () => {
   assert.equal(nextTarget([70, 180], 30, 0), 70)
   assert.equal(nextTarget([70, 180], 70, 0), 180)
   assert.equal(nextTarget([70, 180], 175, 10), 180)
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -1,93 +1,62 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { FailureTracker, JobState } from "@sorreltally/jobs"
-import { type JobView, type QuotaDemand, STARVED_RANK } from "@sorreltally/planner"
-import type { JobId, JobSpec, ModRevision, ShardName, TeamName } from "@sorreltally/protocol"
-import type { Team } from "@sorreltally/settings"
-import { type JobRecord, keys } from "@sorreltally/store"
+import { type JobView, type QuotaDemand, type QuotaHeadroom, STARVED_RANK } from "@sorreltally/planner"
+import type { ShardName } from "@sorreltally/protocol"
 import { quotaDemands, shareDemand, teamClaims } from "../src/quota-demand.ts"
-import type { ShardView } from "../src/shard-context.ts"
+import { job, red, shardOf, team } from "./builders.ts"
 
-const red = "red" as TeamName
-const NOW = 1_000_000
-const job = (number: number, ageS: number, more: Partial<JobSpec> = {}): JobState => {
-  const id = `run-${String(number).padStart(6, "0")}` as JobId
-  const request = {
-    id,
-    taskCount: 40,
-    cores: 4,
-    accelerators: 0,
-    memGb: 1,
-    team: red,
-    priority: "standard",
-    ...more,
-  }
-  const record = { spec: request, submittedAt: NOW - ageS * 1000, cancelled: false } as unknown as JobRecord
-  return new JobState(id, record, keys.jobPage(0, 0), 1 as ModRevision)
-}
-const team = { name: red, cpus: 50, maxCpus: 320, gpus: 0, maxGpus: 0 } as unknown as Team
-const teams = [team]
-const shard = (...jobs: ReadonlyArray<JobState>): ShardView =>
-  ({
-    name: "part-0",
-    jobs: new Map(jobs.map((j) => [j.id, j])),
-    failures: new FailureTracker(),
-    node: { clocks: { wallNow: () => NOW, monotonicNow: () => 0 }, platform: { deployment: { teams } } },
-  }) as unknown as ShardView
+/** Another shard lacks quota of the same team. */
 const asks = (rank: number): QuotaDemand => ({ shard: "deadline" as ShardName, team: red, rank, since: 0 })
-const use = { cores: 20, accelerators: 0 }
+const cores = (of: number): QuotaHeadroom => ({ cores: of, accelerators: 0 })
+const use = cores(20)
 
-test("what a part wants of a limit is what its tasks use and what machines have room for", () => {
-  const need = shareDemand(shard(job(1, 10)), team, use, [], 30)
-  assert.deepEqual([need.used.cpus, need.wanted.cpus, need.asked], [20, 48, "no"])
-  assert.deepEqual(need.smallestTask, { cpus: 4, gpus: 0 })
-  // No machine has room: quota would only lie idle.
-  assert.deepEqual(shareDemand(shard(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
+test("what a shard wants of a limit is what its tasks use and what machines have capacity for", () => {
+  const share = shareDemand(shardOf(job(1, 10)), team, use, [], 30)
+  assert.deepEqual([share.used.cpus, share.wanted.cpus, share.asked], [20, 48, "no"])
+  assert.deepEqual(share.smallestTask, { cpus: 4, gpus: 0 })
+  // No machine has capacity: quota would only lie idle.
+  assert.deepEqual(shareDemand(shardOf(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
 })
 
-test("the more urgent part goes first, and so does the one whose work waits longer", () => {
-  const mine = shard(job(1, 10, { priority: "standard" }))
-  assert.equal(shareDemand(mine, team, use, [asks(0)], 30).asked, "after")
-  assert.equal(shareDemand(mine, team, use, [asks(3)], 30).asked, "first")
+test("the more urgent shard goes first, and so does the one whose work waits longer", () => {
+  const shard = shardOf(job(1, 10, { priority: "standard" }))
+  assert.equal(shareDemand(shard, team, use, [asks(0)], 30).asked, "after")
+  assert.equal(shareDemand(shard, team, use, [asks(3)], 30).asked, "first")
 })
 
-// Guards against work of low rank that never begins while other parts have more urgent work than the limit holds.
-test("of a job that waited too long a few tasks go before more urgent work of other parts", () => {
-  const need = shareDemand(shard(job(1, 200)), team, use, [asks(3)], 400)
+// Guards against work of low rank that never begins while other shards have more urgent work than the limit holds.
+test("of a starved job a few tasks go before more urgent work of other shards", () => {
+  const share = shareDemand(shardOf(job(1, 200)), team, use, [asks(3)], 400)
   // A twentieth of 40 tasks of 4 cores.
-  assert.deepEqual([need.wanted.cpus, need.asked], [28, "after"])
-  assert.equal(shareDemand(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
-  assert.equal(shareDemand(shard(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
+  assert.deepEqual([share.wanted.cpus, share.asked], [28, "after"])
+  assert.equal(shareDemand(shardOf(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
+  assert.equal(shareDemand(shardOf(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
 })
 
-test("what a part counts on of a limit is told in steps", () => {
-  const claimed = (cores: number) =>
-    teamClaims(shard(), new Map([[red, use]]), new Map([[red, { cores, accelerators: 0 }]]))[0]?.cpus
+test("what a shard counts on of a limit is published in steps", () => {
+  const claimed = (planned: number) =>
+    teamClaims(shardOf(), new Map([[red, use]]), new Map([[red, cores(planned)]]))[0]?.cpus
   // Steps of 10 cores, a 32nd of the limit.
   assert.deepEqual([0, 1, 10, 11, 999].map(claimed), [20, 30, 30, 40, 320])
 })
 
 // Guards against a remainder of a limit that nobody uses: it is kept for tasks which it can't start.
-test("quota is neither asked for nor held for tasks that no other part's quota could make room for", () => {
-  const large = shard(job(1, 200, { cores: 8 }))
-  const limit = new Map([[red, { cores: 315, accelerators: 0 }]])
-  // 315 of 320 cores are used by this part itself.
-  const need = shareDemand(large, team, { cores: 315, accelerators: 0 }, [asks(0)], 400)
-  assert.deepEqual([need.wanted.cpus, need.smallestTask, need.asked], [315, null, "first"])
-  const views = [
-    {
-      id: "run-000001",
-      spec: { team: red, cores: 8, accelerators: 0, memGb: 1 },
-      queued: 40,
-      rank: 1,
-      ageS: 10,
-    },
+test("quota is neither asked for nor held for tasks that no other shard's quota could make room for", () => {
+  const large = shardOf(job(1, 200, { cores: 8 }))
+  // 315 of 320 cores are used by this shard itself.
+  const share = shareDemand(large, team, cores(315), [asks(0)], 400)
+  assert.deepEqual([share.wanted.cpus, share.smallestTask, share.asked], [315, null, "first"])
+  const spec = { team: red, cores: 8, accelerators: 0, memGb: 1 }
+  const jobs = [
+    { id: "run-000001", spec, queued: 40, rank: 1, ageS: 10 },
   ] as unknown as ReadonlyArray<JobView>
-  const noRoom = new Map([[red, { cores: 0, accelerators: 0 }]])
-  assert.deepEqual(quotaDemands(large, { jobs: views, startable: noRoom, used: limit, unusedCores: 400 }), [])
-  assert.equal(
-    quotaDemands(large, { jobs: views, startable: noRoom, used: new Map([[red, use]]), unusedCores: 400 })
-      .length,
-    1,
-  )
+  const demandsWhenUsed = (used: QuotaHeadroom) =>
+    quotaDemands(large, {
+      jobs,
+      startable: new Map([[red, cores(0)]]),
+      used: new Map([[red, used]]),
+      unusedCores: 400,
+    })
+  assert.deepEqual(demandsWhenUsed(cores(315)), [])
+  assert.equal(demandsWhenUsed(use).length, 1)
 })
