--- a/packages/planner/src/bins.ts
+++ b/packages/planner/src/bins.ts
@@ -1,7 +1,7 @@
 /** Machines as bins that one plan fills: what each still holds once earlier decisions of the plan are counted. */
 import { type JobSpec, MAX_TASKS_ON_MACHINE } from "@sorreltally/protocol"
 import { EPSILON, minus, slotsIn } from "./capacity.ts"
-import { machineKindKey } from "./eligibility.ts"
+import { type MachineKindKey, machineKindKey } from "./eligibility.ts"
 import type { Capacity, MachineKind, MachineView } from "./input.ts"
 
 /** One machine, as the plan fills it. */
@@ -45,7 +45,7 @@
 
 /** Groups in the order of their first machines. */
 export const groupByKind = (bins: Iterable<Bin>): Array<MachineGroup> => {
-  const groups = new Map<string, MachineGroup>()
+  const groups = new Map<MachineKindKey, MachineGroup>()
   for (const bin of bins) {
     const { type, zone, spot } = bin.machine
     const key = machineKindKey(bin.machine)
--- a/packages/planner/src/demand-pass.ts
+++ b/packages/planner/src/demand-pass.ts
@@ -131,7 +131,12 @@
     // What is ready needs no boot: it stays for all that spot has no room for and that starts too late.
     this.onDemandNeeded ||=
       headroom > 0 && (lateTasks > 0 || (shortfall > 0 && onDemand)) && !spotAvailable(job, snapshot)
-    const rented = planRentals(job, shortfall, onDemand, snapshot, this.rentals, fleet.booting)
+    const rented = planRentals(
+      { job, shortfall, onDemandAllowed: onDemand },
+      snapshot,
+      this.rentals,
+      fleet.booting,
+    )
     // What the market can't give a job stays for the others of its team.
     this.rentable.take(job, onReady + requested + rented)
   }
--- a/packages/planner/src/eligibility.ts
+++ b/packages/planner/src/eligibility.ts
@@ -1,5 +1,6 @@
 /** Which machines and zones a job's tasks may use, whatever is free there. */
 import type { JobSpec, ZoneName } from "@sorreltally/protocol"
+import type { Brand } from "effect"
 import { fits } from "./capacity.ts"
 import type { MachineKind, TaskShape } from "./input.ts"
 
@@ -36,5 +37,9 @@
   return Number.POSITIVE_INFINITY
 }
 
+/** Names a kind of machine within one plan. */
+export type MachineKindKey = string & Brand.Brand<"MachineKindKey">
+
 /** Equal for machines alike in all that decides whether a job may run there. */
-export const machineKindKey = ({ type, zone, spot }: MachineKind): string => `${type.name}|${zone}|${spot}`
+export const machineKindKey = ({ type, zone, spot }: MachineKind): MachineKindKey =>
+  `${type.name}|${zone}|${spot}` as MachineKindKey
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -12,7 +12,7 @@
   ZoneName,
 } from "@sorreltally/protocol"
 
-/** The images cached on a machine: a set, or anything else that can tell. */
+/** The images cached on a machine: a set, or anything else that can be asked. */
 export interface Images {
   readonly has: (image: ImageName) => boolean
 }
--- a/packages/planner/src/loans.ts
+++ b/packages/planner/src/loans.ts
@@ -5,7 +5,7 @@
 import type { MachineId, ShardName } from "@sorreltally/protocol"
 import { slotsIn } from "./capacity.ts"
 import type { MachineDemand } from "./demand.ts"
-import { allowed, machineKindKey } from "./eligibility.ts"
+import { allowed, type MachineKindKey, machineKindKey } from "./eligibility.ts"
 import type { JobView, MachineKind, MachineView, Reserve } from "./input.ts"
 import { spareCores } from "./reserve.ts"
 import { isStarved, STARVED_RANK } from "./starvation.ts"
@@ -42,7 +42,7 @@
 
 /** The same for many machines: of a few kinds, each of which is looked at once. */
 const urgencyByMachineKind = (jobs: ReadonlyArray<JobView>): ((machine: MachineKind) => WorkUrgency) => {
-  const byKind = new Map<string, WorkUrgency>()
+  const byKind = new Map<MachineKindKey, WorkUrgency>()
   return (machine) => {
     const kind = machineKindKey(machine)
     const known = byKind.get(kind)
@@ -60,7 +60,7 @@
   machines: ReadonlyArray<MachineView>,
 ): ReadonlyArray<MachineDemand> => {
   if (demands.length === 0) return demands
-  const kinds = new Map<string, MachineKind>()
+  const kinds = new Map<MachineKindKey, MachineKind>()
   for (const machine of machines) kinds.set(machineKindKey(machine), machine)
   const urgencyOn = urgencyByMachineKind(jobs)
   const serves = (demand: MachineDemand, kind: MachineKind) =>
@@ -92,17 +92,21 @@
   const loans: Array<MachineLoan> = []
   if (demands.length === 0 || empty.size === 0) return loans
   let spare = spareCores(machines, reserve)
+  /** Work below the reserve's rank gets only what the reserve can spare. */
+  const sparedFor = (demand: MachineDemand, machine: MachineView): boolean => {
+    if (demand.rank >= reserve.rank || !machine.reserved) return true
+    if (spare < machine.free.cores) return false
+    spare -= machine.free.cores
+    return true
+  }
   const urgencyOn = urgencyByMachineKind(jobs)
   for (const demand of [...demands].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
     let left = Math.ceil(demand.tasks * share) - (lentLately.get(demand.shard) ?? 0)
-    const cached = (m: MachineView) => Number(m.images.has(demand.shape.image))
+    const cached = (machine: MachineView) => Number(machine.images.has(demand.shape.image))
     for (const machine of [...empty].sort((a, b) => cached(b) - cached(a))) {
       if (left <= 0) break
       if (!allowed(demand.shape, machine) || !outranks(demand, urgencyOn(machine))) continue
-      if (demand.rank < reserve.rank && machine.reserved) {
-        if (spare < machine.free.cores) continue
-        spare -= machine.free.cores
-      }
+      if (!sparedFor(demand, machine)) continue
       empty.delete(machine)
       loans.push({ machine: machine.id, to: demand.shard })
       left -= slotsIn(demand.shape, machine.type)
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -46,27 +46,37 @@
 /** Is the reserve kept from this job? */
 const isBelowReserve = (job: JobView, reserve: Reserve): boolean => job.rank < reserve.rank
 
+/** How well a bin suits a task of the job; null: it can't go there, or mustn't. */
+const scoreOf = (
+  { job, cachedOnly }: PlacementRequest,
+  bin: Bin,
+  ready: ReadyCapacity,
+  snapshot: Snapshot,
+): number | null => {
+  const { machine } = bin
+  if (!fits(job.spec, bin.free) || job.avoids.has(machine.id)) return null
+  if (cachedOnly && !machine.images.has(job.spec.image)) return null
+  const reserved = isBelowReserve(job, snapshot.reserve) && bin.reserved
+  if (reserved && ready.spareCores < job.spec.cores) return null
+  const lendable = snapshot.otherShardsWait && machine.busyTasks === 0
+  const penalty = (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY : 0)
+  return suitability(job, bin) - penalty
+}
+
 /** Bins that a task of the job fits into, best first. */
 const rankedBins = (
-  { job, cachedOnly, zones }: PlacementRequest,
+  request: PlacementRequest,
   groups: ReadonlyArray<MachineGroup>,
   ready: ReadyCapacity,
   snapshot: Snapshot,
 ): ReadonlyArray<{ readonly bin: Bin; readonly score: number }> => {
-  const { spec } = job
-  const belowReserve = isBelowReserve(job, snapshot.reserve)
-  const onlyZone = roomiestZone(job, zones, groups)
+  const onlyZone = roomiestZone(request.job, request.zones, groups)
   const ranked: Array<{ readonly bin: Bin; readonly score: number }> = []
   for (const group of groups) {
     if (onlyZone !== null && group.zone !== onlyZone) continue
     for (const bin of group.bins) {
-      if (!fits(spec, bin.free) || job.avoids.has(bin.machine.id)) continue
-      if (cachedOnly && !bin.machine.images.has(spec.image)) continue
-      const reserved = belowReserve && bin.reserved
-      if (reserved && ready.spareCores < spec.cores) continue
-      const lendable = snapshot.otherShardsWait && bin.machine.busyTasks === 0
-      const penalty = (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY : 0)
-      ranked.push({ bin, score: suitability(job, bin) - penalty })
+      const score = scoreOf(request, bin, ready, snapshot)
+      if (score !== null) ranked.push({ bin, score })
     }
   }
   return ranked.sort((a, b) => b.score - a.score)
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -31,6 +31,14 @@
   return cheapest
 }
 
+/** The tasks of a job for which machines are to be rented. */
+export interface RentalDemand {
+  readonly job: JobView
+  /** How many. */
+  readonly shortfall: number
+  readonly onDemandAllowed: boolean
+}
+
 interface RankedOffer {
   readonly offer: Offer
   readonly cost: number
@@ -38,9 +46,7 @@
 
 /** Offers that the job may use, the cheapest first; of equally cheap ones, the zone with fewer of our machines. */
 const rankedOffers = (
-  job: JobView,
-  shortfall: number,
-  onDemandAllowed: boolean,
+  { job, shortfall, onDemandAllowed }: RentalDemand,
   snapshot: Snapshot,
 ): ReadonlyArray<RankedOffer> => {
   const maxOnDemandCost = snapshot.maxOnDemandCostRatio * cheapestWork(job, shortfall, snapshot.types)
@@ -61,15 +67,14 @@
  * kinds about as cheap. Returns for how many of the tasks it asked.
  */
 export const planRentals = (
-  job: JobView,
-  shortfall: number,
-  onDemandAllowed: boolean,
+  demand: RentalDemand,
   snapshot: Snapshot,
   rentals: RentalsByOffer,
   booting: Array<MachineGroup>,
 ): number => {
+  const { job, shortfall } = demand
   if (shortfall <= 0) return 0
-  const offers = rankedOffers(job, shortfall, onDemandAllowed, snapshot)
+  const offers = rankedOffers(demand, snapshot)
   const maxCost = (offers[0]?.cost ?? 0) * ABOUT_AS_CHEAP
   let left = shortfall
   for (const { offer, cost } of offers) {
--- a/packages/planner/src/victims.ts
+++ b/packages/planner/src/victims.ts
@@ -45,7 +45,7 @@
 const totalLoss = <T>(victims: ReadonlyArray<Victim<T>>): number =>
   victims.reduce((sum, { lossCoreS }) => sum + lossCoreS, 0)
 
-/** One more victim at a time, as an option of its own for each time that slots are gained. */
+/** One more victim at a time, as an option of its own for each time that slots are added. */
 const incrementalOptions = <T>(
   shape: TaskShape,
   free: Capacity,
--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -56,7 +56,7 @@
   }
 
   /**
-   * The one that is empty soonest, as far as the number of its tasks tells,
+   * The one that is empty soonest, as far as the number of its tasks shows,
    * and whose tasks the unused cores can take. It stays chosen until it is
    * gone. Returns one that is newly chosen, else null.
    */
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -169,7 +169,7 @@
     this.logStatus(now)
   }
 
-  /** Quota allocations are adjusted first, so that the plan may use what they gained. */
+  /** Quota allocations are adjusted first, so that the plan may use what was added to them. */
   private prepare(): PlanContext {
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
