--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -90,7 +90,7 @@
    */
   readonly startWithinS: number | null
   /** No task of it ever began. */
-  readonly unbegun: boolean
+  readonly notStarted: boolean
   /** What its team has queued up to it lies within the team's guaranteed cores. */
   readonly withinGuarantee: boolean
   /** False until the time before which it mustn't start. */
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -21,7 +21,7 @@
 const isInfeasible = (job: JobView): boolean =>
   job.timeLeftS !== null && job.timeLeftS < job.executionS * REACH
 
-/** A job with what decides its place. */
+/** A job with what decides its place in the order. */
 interface Entry {
   readonly job: JobView
   readonly infeasible: boolean
@@ -33,12 +33,9 @@
 /**
  * Higher priority first, then work within its team's guarantee, then earliest due first; infeasible
  * work goes last. Where not all can be in time, jobs are counted, not tasks: the largest are
- * deferred for the others.
+ * deferred for the others. In tiers, by what mustn't be changed for anything: rank, and who is
+ * infeasible or deferred.
  */
-export const schedulingOrder = (jobs: ReadonlyArray<JobView>, load: ClusterLoad): ReadonlyArray<JobView> =>
-  schedulingTiers(jobs, load).flat()
-
-/** The same, by what mustn't be changed for anything: rank, and who is infeasible or deferred. */
 export const schedulingTiers = (
   jobs: ReadonlyArray<JobView>,
   load: ClusterLoad,
--- a/packages/planner/src/starvation.ts
+++ b/packages/planner/src/starvation.ts
@@ -18,15 +18,15 @@
 /** Above the rank of any priority. */
 export const STARVED_RANK = 100
 
-type Waiting = Pick<JobView, "unbegun" | "queued" | "ageS">
+type Waiting = Pick<JobView, "notStarted" | "queued" | "ageS">
 
 /** Some of its tasks go first on its own shard's machines. */
-export const isOverdue = ({ unbegun, queued, ageS }: Waiting): boolean =>
-  unbegun && queued > 0 && ageS > OVERDUE_S
+export const isOverdue = ({ notStarted, queued, ageS }: Waiting): boolean =>
+  notStarted && queued > 0 && ageS > OVERDUE_S
 
 /** Some of its tasks go first across all shards. */
-export const isStarved = ({ unbegun, queued, ageS }: Waiting): boolean =>
-  unbegun && queued > 0 && hasWaitedTooLong(ageS)
+export const isStarved = ({ notStarted, queued, ageS }: Waiting): boolean =>
+  notStarted && queued > 0 && hasWaitedTooLong(ageS)
 
 /** Is a job of this age starved if nothing of it began? */
 export const hasWaitedTooLong = (ageS: number): boolean => ageS > STARVED_S
--- a/packages/planner/test/builders.ts
+++ b/packages/planner/test/builders.ts
@@ -73,7 +73,7 @@
   submitted: 0,
   executionS: 10,
   startWithinS: null,
-  unbegun: true,
+  notStarted: true,
   withinGuarantee: false,
   mayStart: true,
   avoids: new Set(),
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -2,14 +2,16 @@
 import { test } from "node:test"
 import type { JobId, JobSpec } from "@sorreltally/protocol"
 import type { ClusterLoad, JobView } from "../src/input.ts"
-import { nextTarget, schedulingOrder } from "../src/order.ts"
+import { nextTarget, schedulingTiers } from "../src/order.ts"
 import { job as jobOf } from "./builders.ts"
 
 const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView =>
   jobOf(id as JobId, { spec: { cores: 4 } as JobSpec, queued, timeLeftS, ...more })
 const idle = (cores: number) => ({ cores, ending: [] })
 const order = (jobs: ReadonlyArray<JobView>, load: ClusterLoad) =>
-  schedulingOrder(jobs, load).map(({ id }) => id as string)
+  schedulingTiers(jobs, load)
+    .flat()
+    .map(({ id }) => id as string)
 
 test("while all can be in time, what is due first goes first", () => {
   // 40 cores: 10 tasks of 40 core-seconds take 10 s, 20 of them 20 s.
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -111,7 +111,7 @@
     submitted,
     executionS,
     startWithinS: nextTarget(startTargets(shard, spec.jobClass, executionS), ageS, 0),
-    unbegun: job.unbegun && !suspect,
+    notStarted: job.unbegun && !suspect,
     withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
     mayStart: job.notBefore === null || now >= job.notBefore,
     avoids: shard.failures.avoidedBy(id, now),
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -152,7 +152,7 @@
     coresLeft -= tasks * spec.cores
     const suspect = shard.failures.isSuspect(job.id)
     all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
-    const waiting = { unbegun: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
+    const waiting = { notStarted: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
     if (smallestTask === null || spec.cores < smallestTask.cores) smallestTask = spec
   }
