--- a/packages/shard/test/draining.test.ts
+++ b/packages/shard/test/draining.test.ts
@@ -1,68 +1,58 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { type MachineDemand, type MachineView, STARVED_RANK } from "@sorreltally/planner"
-import type { MachineId, MachineType, ZoneName } from "@sorreltally/protocol"
 import { Draining } from "../src/draining.ts"
+import { machine, machineDemand } from "./builders.ts"
 
-const type = { name: "m", cores: 8, accelerators: 0, memGb: 32 } as unknown as MachineType
-const machine = (id: string, busyTasks: number, more: Partial<MachineView> = {}): MachineView => ({
-  id: id as MachineId,
-  type,
-  zone: "a" as ZoneName,
-  spot: true,
-  free: { cores: 8 - 2 * busyTasks, accelerators: 0, memGb: 32 },
-  busyTasks,
-  images: new Set(),
-  reserved: false,
-  state: "up",
-  assignedJob: null,
-  ...more,
-})
-const need = (shard: string, rank: number): MachineDemand =>
-  ({
-    shard,
-    rank,
-    tasks: 4,
-    pressing: 0,
-    since: 0,
-    shape: { cores: 2, accelerators: 0, memGb: 1, spotAllowed: true },
-  }) as unknown as MachineDemand
+const asked = [machineDemand("part-1", 1)]
+const starved = [machineDemand("part-1", STARVED_RANK)]
 const drained = (views: ReadonlyArray<MachineView>): ReadonlyArray<string> =>
-  views.filter(({ state }) => state === "closing").map(({ id }) => id)
+  views.filter(({ state }) => state === "draining").map(({ id }) => id)
+
+/** One plan's step. */
+const apply = (
+  draining: Draining,
+  machines: ReadonlyArray<MachineView>,
+  demands: ReadonlyArray<MachineDemand>,
+  unusedCores: number,
+  forStarved = true,
+) => draining.apply({ machines, demands, unusedCores, forStarved })
+
+/** The ids drained in the first plan. */
+const first = (...input: [ReadonlyArray<MachineView>, ReadonlyArray<MachineDemand>, number, boolean?]) =>
+  drained(apply(new Draining(), ...input))
 
-test("a machine is emptied for another part only if its tasks fit into room of no use here", () => {
-  const views = [machine("i-1", 3), machine("i-2", 2), machine("i-3", 4)]
-  assert.deepEqual(drained(new Draining().apply(views, [need("part-1", 1)], 7, true)), [])
-  assert.deepEqual(drained(new Draining().apply(views, [need("part-1", 1)], 8, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, [], 100, true)), [])
-  // The same room isn't counted for two parts.
-  const two = [need("part-1", 1), need("part-2", 1)]
-  assert.deepEqual(drained(new Draining().apply(views, two, 15, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, two, 16, true)), ["i-1", "i-2"])
-  const reserved = views.map((view) => ({ ...view, reserved: true }))
-  assert.deepEqual(drained(new Draining().apply(reserved, two, 100, true)), [])
+test("a machine is drained for another shard only if its tasks fit into capacity of no use here", () => {
+  const machines = [machine("i-1", 3), machine("i-2", 2), machine("i-3", 4)]
+  assert.deepEqual(first(machines, asked, 7), [])
+  assert.deepEqual(first(machines, asked, 8), ["i-2"])
+  assert.deepEqual(first(machines, [], 100), [])
+  // The same capacity isn't counted for two shards.
+  const two = [...asked, machineDemand("part-2", 1)]
+  assert.deepEqual(first(machines, two, 15), ["i-2"])
+  assert.deepEqual(first(machines, two, 16), ["i-1", "i-2"])
+  const reserved = machines.map((view) => ({ ...view, reserved: true }))
+  assert.deepEqual(first(reserved, two, 100), [])
 })
 
-test("for jobs that waited too long the part with the most machines empties one in any case", () => {
-  const views = [machine("i-1", 3), machine("i-2", 2)]
-  const starved = [need("part-1", STARVED_RANK)]
-  assert.deepEqual(drained(new Draining().apply(views, starved, 0, true)), ["i-2"])
-  assert.deepEqual(drained(new Draining().apply(views, starved, 0, false)), [])
+test("for starved jobs the shard with the most machines drains one in any case", () => {
+  const machines = [machine("i-1", 3), machine("i-2", 2)]
+  assert.deepEqual(first(machines, starved, 0, true), ["i-2"])
+  assert.deepEqual(first(machines, starved, 0, false), [])
 })
 
 test("the machine stays chosen until it is gone, or nobody asks any more", () => {
   const draining = new Draining()
-  draining.apply([machine("i-1", 3), machine("i-2", 2)], [need("part-1", 1)], 8, true)
+  apply(draining, [machine("i-1", 3), machine("i-2", 2)], asked, 8)
   const later = [machine("i-1", 1), machine("i-2", 2)]
-  assert.deepEqual(drained(draining.apply(later, [need("part-1", 1)], 0, true)), ["i-2"])
-  assert.deepEqual(drained(draining.apply(later.slice(0, 1), [need("part-1", 1)], 8, true)), ["i-1"])
-  assert.deepEqual(drained(draining.apply(later, [], 8, true)), [])
+  assert.deepEqual(drained(apply(draining, later, asked, 0)), ["i-2"])
+  assert.deepEqual(drained(apply(draining, later.slice(0, 1), asked, 8)), ["i-1"])
+  assert.deepEqual(drained(apply(draining, later, [], 8)), [])
 })
 
-test("a machine that was emptied goes to the part for which it was", () => {
+test("a machine that was drained goes to the shard that it was drained for", () => {
   const draining = new Draining()
-  const starved = [need("part-1", STARVED_RANK)]
-  assert.deepEqual([...draining.emptied(draining.apply([machine("i-1", 1)], starved, 0, true))], [])
-  const empty = draining.apply([machine("i-1", 0)], starved, 0, true)
+  assert.deepEqual([...draining.emptied(apply(draining, [machine("i-1", 1)], starved, 0))], [])
+  const empty = apply(draining, [machine("i-1", 0)], starved, 0)
   assert.deepEqual([...draining.emptied(empty)], [{ machine: "i-1", to: "part-1" }])
 })
