--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,4 +1,7 @@
-/** Codec between controllers and the cloud (protocol, "Controller nodes -> cloud"). */
+/**
+ * Codec between controllers and the cloud (protocol, "Controller nodes -> cloud"). The wire's names stand
+ * in the wire types only; a body that doesn't decode is an error of the cloud, for its client to handle.
+ */
 import { Result, Schema } from "effect"
 import { Address, MachineId, MachineTypeName, type RentalRequestId, ZoneName } from "./ids.ts"
 
@@ -19,17 +22,23 @@
 /** A machine type as the catalog lists it, and as the catalog record stores it. */
 export type WireMachineType = typeof WireMachineType.Type
 
-/** A type of machine that the cloud rents. Prices are per hour. */
+/** A type of machine that the cloud rents. */
 export interface MachineType {
   readonly name: MachineTypeName
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
+  /** Room for images, in GB. */
   readonly cacheGb: number
+  /** Nominal rate of image fetches, give or take a third; fetches at the same time may share it. */
   readonly imagePullGbPerS: number
+  /** Per hour, charged by the second from the rental request on. */
   readonly onDemandPrice: number
+  /** Per hour, as of the catalog; it moves, also for machines rented before. */
   readonly spotPrice: number
+  /** Nominal time from the rental request to the worker's first heartbeat. */
   readonly bootS: number
+  /** Zones that offer this type. */
   readonly zones: ReadonlyArray<ZoneName>
 }
 
@@ -43,18 +52,25 @@
   held_s: amount,
 })
 
-/** A machine as the cloud's list shows it; the list lags. */
+/**
+ * A machine as the cloud's list shows it. The list lags (`cloud.list_lag_s`, at times twice that): absence
+ * from it proves nothing about a machine.
+ */
 export interface ListedMachine {
   readonly id: MachineId
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
+  /** `booting`, `running` or `failed`. */
   readonly status: string
+  /** Seconds since the rental request, at the moment that the list describes. */
   readonly ageS: number
 }
 /** One page of the cloud's list of machines. */
 export interface MachinePage {
+  /** In the order of their ids, which is that of their creation. */
   readonly machines: ReadonlyArray<ListedMachine>
+  /** Whether the list goes on after this page. */
   readonly hasMore: boolean
 }
 
@@ -64,6 +80,7 @@
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
+  /** How many machines; the cloud takes at most 50, and may rent fewer. */
   readonly count: number
 }
 
@@ -101,11 +118,11 @@
   sites: type.zones,
 })
 
-/** Decodes the answer of `GET /catalog`. */
+/** Decodes the response of `GET /catalog`; fails with the issue of the schema. */
 export const decodeCatalog = (body: unknown) =>
   Result.map(decodeWireCatalog(body), ({ builds }) => builds.map(machineTypeFromWire))
 
-/** Decodes the answer of `GET /machines`. */
+/** Decodes the response of `GET /machines`; fails with the issue of the schema. */
 export const decodeMachinePage = (body: unknown) =>
   Result.map(
     decodeWireMachinePage(body),
@@ -130,8 +147,8 @@
   loaners: spot,
   how_many: count,
 })
-/** Decodes the answer of `POST /machines`: the machines that were rented. */
+/** Decodes the response of `POST /machines`, the machines that were rented; fails with the issue of the schema. */
 export const decodeRental = (body: unknown) => Result.map(decodeWireRental(body), ({ hosts }) => hosts)
 
-/** The body of `POST /machines/delete`. */
+/** The body of `POST /machines/delete`: at most 100 machines; ids that the cloud doesn't know are ignored. */
 export const encodeDeletion = (machineIds: ReadonlyArray<MachineId>) => ({ hosts: machineIds })
--- a/packages/protocol/src/heartbeat-decoder.ts
+++ b/packages/protocol/src/heartbeat-decoder.ts
@@ -1,4 +1,8 @@
-/** Decoder of workers' heartbeats. */
+/**
+ * Decoder of the heartbeats of workers, and of the same body in responses of `/orders` and `/inspect`
+ * (protocol, "POST /v1/report"). One pass, one object a task and one a heartbeat: it decides whether a body
+ * is well formed, never whether it is new, or believed.
+ */
 import { Data, Result } from "effect"
 import { TASK_ID } from "./ids.ts"
 import {
@@ -10,7 +14,7 @@
   type WireTask,
 } from "./workers.ts"
 
-/** A body that should be a heartbeat and is none; the message names the field. */
+/** A body that should be a heartbeat and is none; the message names the wire field. */
 export class InvalidHeartbeatError extends Data.TaggedError("InvalidHeartbeatError")<{
   readonly message: string
 }> {}
@@ -58,8 +62,10 @@
 })
 
 /**
- * Checks a heartbeat by hand: a controller takes hundreds a second on a tenth of a core, and a
- * general decoder costs more than all that is done with them.
+ * Decodes a heartbeat; fields that the protocol doesn't name are ignored, statuses and causes that it
+ * doesn't name are kept. Fails for a field that is missing or of another type.
+ * Checked by hand: a controller takes hundreds a second on a tenth of a core, and a general decoder
+ * costs more than all that is done with them.
  */
 export const decodeHeartbeat = (body: unknown): Result.Result<Heartbeat, InvalidHeartbeatError> => {
   const invalid = (what: string) => Result.fail(new InvalidHeartbeatError({ message: `report: ${what}` }))
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/users.ts
@@ -1,4 +1,8 @@
-/** Codec between users and controllers: submissions, and what users are told of their jobs (protocol, "Users -> controller nodes"). */
+/**
+ * Codec between users and controllers: submissions, and the view of a job that a user is shown (protocol,
+ * "Users -> controller nodes"). Job records store the wire form of a job, so it may gain fields and never
+ * lose one.
+ */
 import { Result, Schema } from "effect"
 import { ImageName, JobClassName, JobId, MachineTypeName, TeamName, ZoneName } from "./ids.ts"
 
@@ -7,10 +11,10 @@
 const maybe = <S extends Schema.Top>(schema: S) => Schema.optionalKey(Schema.NullOr(schema))
 
 const Priority = Schema.Literals(["production", "high", "standard", "best_effort"])
-/** Priority of a job; work of a higher one may preempt work of a lower one. */
-export type Urgency = typeof Priority.Type
-/** Higher goes first. */
-export const priorityRank: Record<Urgency, number> = { production: 3, high: 2, standard: 1, best_effort: 0 }
+/** Priority of a job; work of a higher one may preempt work of a lower one (protocol, "Preemption"). */
+export type Priority = typeof Priority.Type
+/** Order of the priorities: the higher rank goes first. */
+export const priorityRank: Record<Priority, number> = { production: 3, high: 2, standard: 1, best_effort: 0 }
 
 /** A job as it is submitted, and as job records store it. */
 export const WireJob = Schema.Struct({
@@ -35,6 +39,7 @@
   flush_s: amount,
   due_s: maybe(positive),
 })
+/** A job in the wire's names. */
 export type WireJob = typeof WireJob.Type
 
 /** A job as its user described it; resources are those of one task. */
@@ -43,11 +48,13 @@
   readonly jobClass: JobClassName
   readonly team: TeamName
   readonly shape: "batch"
-  readonly priority: Urgency
+  readonly priority: Priority
+  /** Tasks are numbered from 0; at most 100,000. */
   readonly taskCount: number
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
+  /** The image that a machine has to hold before a task of the job can start, and its size. */
   readonly image: ImageName
   readonly imageGb: number
   /** The only machine types allowed; null or absent: any. */
@@ -60,13 +67,13 @@
   readonly spreadZones: boolean
   /** Whether tasks may run on spot machines. */
   readonly spotAllowed: boolean
-  /** The owner's estimate of a task's run time. */
+  /** The owner's estimate of a task's run time without the image fetch; often wrong by half. */
   readonly estimatedRunS: number
-  /** Progress between two checkpoints; 0: tasks never save. */
+  /** Progress between two checkpoints, in seconds; 0: tasks never save. */
   readonly checkpointIntervalS: number
-  /** Time that a stopped task needs to save. */
+  /** Seconds that a stopped task needs to save. */
   readonly checkpointSaveS: number
-  /** Deadline, counted from the submission; null or absent: none. */
+  /** Deadline in seconds from the submission; null or absent: none. */
   readonly deadlineS?: number | null
 }
 
@@ -123,7 +130,7 @@
 /** Decodes the body of a submission; a failure's message names the wire field. */
 export const decodeJobSpec = (body: unknown) => Result.map(decodeWireJob(body), jobSpecFromWire)
 
-/** What a job is doing. */
+/** Status of a job; `done` and `cancelled` are final (protocol, "GET /v1/jobs/{id}"). */
 export type JobStatus = "queued" | "running" | "done" | "cancelled"
 /** A job as its user is shown it; tasks done and running are for display. */
 export interface JobView {
@@ -133,7 +140,7 @@
   readonly running?: number
 }
 
-/** The body that tells a user of a job. */
+/** The body of a 200 or 201 about a job. */
 export const encodeJobView = ({ status, ...view }: JobView) => ({
   id: view.id,
   status: status === "cancelled" ? "withdrawn" : status,
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,6 +1,7 @@
 /**
  * Codec between controllers and workers: heartbeats, the replies to them, and commands sent to a
  * worker's own address (protocol, "Workers -> controller nodes" and "Controller nodes -> workers").
+ * The wire's names stand in the wire types only. heartbeat-decoder.ts decodes heartbeats.
  */
 import type {
   Address,
@@ -15,7 +16,7 @@
   ZoneName,
 } from "./ids.ts"
 
-/** The protocol's limit on a body, and on a line of an answer to workers or users. */
+/** The protocol's limit on a request body, and on a line of a response to workers or users, in bytes. */
 export const BODY_LIMIT = 64 * 1024
 /** Generous sizes in JSON of a task in a heartbeat, and of a command. */
 const TASK_BYTES = 110
@@ -58,6 +59,7 @@
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
+  /** Rises when the worker's lease expires: all its former tasks are gone then. */
   readonly agentEpoch: AgentEpoch
   /** Counts the worker's messages; within an agent epoch the larger one is the newer message. */
   readonly sequence: SequenceNumber
@@ -65,6 +67,7 @@
   readonly fencingToken: FencingToken
   /** Seconds until the cloud takes a spot machine away; null or absent without a notice. */
   readonly preemptionNoticeS?: number | null
+  /** All tasks on the machine, exited ones until they are purged. */
   readonly tasks: ReadonlyArray<ReportedTask>
 }
 
@@ -83,7 +86,9 @@
 
 /** The owner's reply to a heartbeat. */
 export interface HeartbeatReply {
+  /** The worker drops the reply, and doesn't renew its lease, when it has seen a higher token. */
   readonly fencingToken: FencingToken
+  /** Executed in order. */
   readonly commands: ReadonlyArray<Command>
 }
 /** Commands sent straight to a worker; it executes none of them in another agent epoch. */
