--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -161,7 +161,7 @@
       for (const { id, heartbeat, whole } of takeBatch(items, ({ heartbeat }) => sizeOf(heartbeat))) {
         const before = whole ? undefined : this.answered.get(heartbeat.machineId)
         if (before !== undefined && before.owner === owner && isRepeat(heartbeat, before.heartbeat))
-          repeats.push({ id, repeat: { ...heartbeat, since: before.heartbeat.sequence } })
+          repeats.push({ id, repeat: { ...heartbeat, repeatedSequence: before.heartbeat.sequence } })
         else heartbeats.push({ id, heartbeat })
       }
       const sentAt = clocks.wallNow()
--- a/packages/peers/src/codec-heartbeats.ts
+++ b/packages/peers/src/codec-heartbeats.ts
@@ -196,15 +196,15 @@
   repeat.agentEpoch,
   repeat.sequence,
   repeat.fencingToken,
-  repeat.since,
+  repeat.repeatedSequence,
 ]
 const unpackRepeat = ([
   machineId,
   agentEpoch,
   sequence,
   fencingToken,
-  since,
-]: PackedRepeat): RepeatedHeartbeat => ({ machineId, agentEpoch, sequence, fencingToken, since })
+  repeatedSequence,
+]: PackedRepeat): RepeatedHeartbeat => ({ machineId, agentEpoch, sequence, fencingToken, repeatedSequence })
 
 /** The body of a message that forwards heartbeats. */
 export const packHeartbeats = (message: ForwardedHeartbeats): PackedHeartbeats => ({
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -39,7 +39,7 @@
     const assignment = this.of.assignments.get(id)
     if (assignment === undefined || assignment.moving || assignment.returning || this.blocks.isEditing(id))
       return
-    if (!session.empty(this.finishIsDurable) || session.unreachableSince !== null) return
+    if (!session.isEmpty(this.finishIsDurable) || session.unreachableSince !== null) return
     if (node.membership.owner(to) === null) return
     assignment.moving = true
     assignment.assignedJob = null
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -149,9 +149,9 @@
     const { type, entry } = session
     const bootingS = (now - assignment.rentedAt) / 1000
     const state =
-      assignment.returning || assignment.moving || session.warningUntil !== null
+      assignment.returning || assignment.moving || session.preemptionAt !== null
         ? "away"
-        : session.usable(now)
+        : session.isSchedulable(now)
           ? assignment.closing
             ? "closing"
             : "up"
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -247,7 +247,7 @@
     const { machines: needs } = of.node.demandRegistry(of.name)
     const windowMs = of.node.operators.provisioning["window-s"] * 1000
     let spotUp = false
-    for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
+    for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.isUp
     const wanted = this.queuedShapes()
     // Another part would rent a dear one of its own in its place.
     const wantedBy = ({ type, entry }: WorkerSession) => {
@@ -263,7 +263,7 @@
         this.release(session, broken)
         continue
       }
-      if (!session.up) continue
+      if (!session.isUp) continue
       const heldMs = now - assignment.rentedAt
       // Held to the end of its window; renewed when it is of use then.
       const within = heldMs < LEAST_CHARGE_MS - 2.5 * TICK_MS || heldMs % windowMs <= windowMs - 2.5 * TICK_MS
@@ -315,9 +315,9 @@
     if (listed?.status === "failed") return "failed"
     if (this.of.failures.isFaulty(session.id)) return "faulty"
     // The time it was warned of is over, and its next report overdue: sooner known than by the lagging list.
-    const { warningUntil } = session
+    const { preemptionAt } = session
     const overdueMs = REPORT_OVERDUE * 1000 * platform.deployment.workers.heartbeatIntervalS
-    if (warningUntil !== null && now > warningUntil && session.silentMs(now) > overdueMs) return "preempted"
+    if (preemptionAt !== null && now > preemptionAt && session.silentMs(now) > overdueMs) return "preempted"
     // A new owner hasn't heard machines that are long up either: the list has to say that it still boots.
     const overdue = heldMs > session.type.bootS * NEVER_BOOTED * 1000
     if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && listIsNew)
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -203,9 +203,9 @@
     const type = this.node.inventory.catalog()?.get(entry.machineType)
     if (type === undefined) return
     const now = this.node.clocks.monotonicNow()
-    const { leaseS, heartbeatIntervalS: reportS } = this.node.platform.deployment.workers
+    const { leaseS, heartbeatIntervalS } = this.node.platform.deployment.workers
     const fresh = this.rentals.isOurs(id)
-    const times = { leaseS, reportS }
+    const times = { leaseS, heartbeatIntervalS }
     this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
     const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
     const assignedJob = this.rentals.takeAssignedJob(id)
@@ -235,7 +235,7 @@
   }
   /** The whole of a report that repeats the last word of its machine; null: that was another one. */
   repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
-    return this.machines.get(repeat.machineId)?.repeated(repeat) ?? null
+    return this.machines.get(repeat.machineId)?.expandRepeat(repeat) ?? null
   }
 
   // --- what became durable ----------------------------------------------------
@@ -280,7 +280,7 @@
   private checkLeases(): void {
     const now = this.node.clocks.monotonicNow()
     for (const session of this.machines.values()) {
-      if ((!session.up && session.placements.size === 0) || !session.leaseOver(now)) continue
+      if ((!session.isUp && session.placements.size === 0) || !session.isLeaseExpired(now)) continue
       const tasks = session.placements.size
       const ended = session.expireLease()
       if (ended.length > 0 || tasks === 0)
@@ -295,8 +295,8 @@
   private checkWarnings(): void {
     const now = this.node.clocks.monotonicNow()
     for (const session of this.machines.values()) {
-      if (session.warningUntil === null) continue
-      const leftS = (session.warningUntil - now) / 1000
+      if (session.preemptionAt === null) continue
+      const leftS = (session.preemptionAt - now) / 1000
       for (const placement of session.placements.values()) {
         const { checkpointIntervalS: snapshotS, checkpointSaveS } = placement.job.request
         if (placement.stop !== null || snapshotS === 0) continue
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -83,7 +83,7 @@
     const session = this.of.machines.get(body.machineId)
     if (!this.of.mayAct() || session === undefined) return null
     const now = this.of.node.clocks.monotonicNow()
-    const begins = !session.up
+    const begins = !session.isUp
     const outcomes = session.observe(body, "heartbeat", now)
     if (outcomes === null) {
       // A late copy says nothing, and nobody waits for its answer. Or the
@@ -105,7 +105,7 @@
       return NOT_OURS
     }
     const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
-    session.answering(commands, now)
+    session.recordReply(commands, now)
     this.awaitingCommands.delete(session)
     this.afterBody(session)
     const reply = encodeHeartbeatReply({ fencingToken: session.token, commands })
@@ -118,7 +118,7 @@
    * raised, the lease must not be renewed beyond what `cancel_s` leaves.
    */
   private leaseMustEnd(session: WorkerSession, now: MonotonicTime): boolean {
-    const since = session.cancelledStartMayCome()
+    const since = session.pendingCancelledStartSince()
     return since !== null && now > addMs(since, this.renewableMs)
   }
 
@@ -143,7 +143,7 @@
         if (decoded.success.machineId !== session.id) return
         const outcomes = session.observe(decoded.success, "direct", clocks.monotonicNow())
         if (outcomes !== null) this.apply(session, outcomes)
-        else if (session.restarted(decoded.success, since, clocks.monotonicNow()))
+        else if (session.acceptRestart(decoded.success, since, clocks.monotonicNow()))
           this.of.node.log.info("worker restarted", {
             machine: session.id,
             agentEpoch: decoded.success.agentEpoch,
@@ -161,7 +161,7 @@
         if (done) session.tokenRaised()
       })
     }
-    if (session.warningUntil !== null) this.of.changed()
+    if (session.preemptionAt !== null) this.of.changed()
   }
 
   /** Carries over to the jobs what a body, or the end of a lease, says of their tasks. */
@@ -268,11 +268,11 @@
         return Effect.void
       const commands = session.commands(now, (task) => this.of.registry.finishIsDurable(task))
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
-      session.sending(commands, now)
+      session.recordDirectCommands(commands, now)
       const batch = { fencingToken: token, agentEpoch, commands }
       return Effect.map(this.of.node.commandForwarder.send(address, batch, session.via), (outcome) => {
         const sure = outcome.status === 200 || outcome.status === 409 || outcome.status === NOT_SENT
-        session.sent(commands, token, sure)
+        session.recordDirectResult(commands, token, sure)
         if (this.of.isOver() || this.of.machines.get(session.id) !== session) return
         this.replied(session, outcome.heartbeat)
       })
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -35,10 +35,10 @@
   return commands.length <= MAX_COMMANDS ? commands : mostUrgent(commands)
 }
 
-const URGENCY: Record<Command["kind"], number> = { stop: 0, start: 1, purge: 2 }
+const COMMAND_ORDER: Record<Command["kind"], number> = { stop: 0, start: 1, purge: 2 }
 /** Guards against an answer that exceeds what a line may hold: what doesn't fit goes with the next one. */
 const mostUrgent = (commands: ReadonlyArray<Command>): ReadonlyArray<Command> =>
-  [...commands].sort((a, b) => URGENCY[a.kind] - URGENCY[b.kind]).slice(0, MAX_COMMANDS)
+  [...commands].sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind]).slice(0, MAX_COMMANDS)
 
 /** For a task that the worker shows, though no durable placement accounts for it. */
 const commandForOrphan = (task: ReportedTask, { placements, mayPurge }: CommandInputs): Command | null => {
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -15,7 +15,7 @@
 
 export interface LeaseTimes {
   readonly leaseS: number
-  readonly reportS: number
+  readonly heartbeatIntervalS: number
 }
 
 /** What the state service holds of one machine. */
@@ -55,7 +55,7 @@
   readonly sequence: SequenceNumber
   readonly fencingToken: FencingToken
   /** The sequence number of the heartbeat that it repeats. */
-  readonly since: SequenceNumber
+  readonly repeatedSequence: SequenceNumber
 }
 
 /** What a report or answer says about a placement. */
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -2,7 +2,6 @@
 import {
   type Address,
   type AgentEpoch,
-  type Attempt,
   addMs,
   type Command,
   type FencingToken,
@@ -28,17 +27,17 @@
   Outcome,
   RepeatedHeartbeat,
 } from "./model.ts"
-import { StartTracker } from "./start-tracker.ts"
+import { type StartEvidence, StartTracker } from "./start-tracker.ts"
 
 /** Steady clocks drift apart by at most this share; both ends may. */
 const DRIFT = 2 * 0.0005
 const LEASE_MARGIN_MS = 1_000
 /** A worker that reported within so many report intervals, and hears us, gets work. */
-const USABLE_REPORTS = 2.5
+const SCHEDULABLE_INTERVALS = 2.5
 /** Exited tasks that a worker may have to go on reporting until its token is raised to forget them. */
-const MOST_UNFORGETTABLE = 24
+const MAX_UNPURGEABLE_TASKS = 24
 /** How often a worker was told to start a task, and nothing came of it, until it is taken to receive nothing. */
-const IGNORED_STARTS = 2
+const MAX_UNACKNOWLEDGED_STARTS = 2
 
 /**
  * What an owner knows of one machine and may conclude from it. The one hard
@@ -51,10 +50,10 @@
   private sequence = -1 as SequenceNumber
   private seenToken = 0 as FencingToken
   lastHeard: MonotonicTime = NEVER
-  private lastAnswered: MonotonicTime
-  warningUntil: MonotonicTime | null = null
+  private lastAnsweredAt: MonotonicTime
+  preemptionAt: MonotonicTime | null = null
   /** When a report came, not the answer to a command. */
-  private reportedAt: MonotonicTime = NEVER
+  private lastHeartbeatAt: MonotonicTime = NEVER
   /** When a body came that is surely no late copy. */
   private provenAt: MonotonicTime = NEVER
   /**
@@ -72,9 +71,9 @@
   private minAgentEpoch = 0 as AgentEpoch
   private readonly starts = new StartTracker()
   /** The token was raised since the worker seems to receive nothing. */
-  private raisedSince = false
+  private raisedSinceUnreachable = false
   /** Exited tasks that can't be forgotten until the worker has seen a higher token. */
-  private unforgettable = 0
+  private unpurgeableCount = 0
   commandsInFlight = false
   /** The node through which its last report came; null: it came to the owner itself. */
   via: NodeName | null = null
@@ -91,7 +90,7 @@
     now: MonotonicTime,
   ) {
     // A former owner may have answered a report just before we took over.
-    this.lastAnswered = now
+    this.lastAnsweredAt = now
     const { cores, accelerators, memGb } = type
     this.free = { cores, accelerators, memGb }
     this.cache = new ImageCache(type.cacheGb)
@@ -107,14 +106,14 @@
     return Math.max(this.epoch, this.recorded.token) as FencingToken
   }
   /** The worker has shown that it heard of our token: older commands are dead. */
-  get confirmed(): boolean {
+  get tokenConfirmed(): boolean {
     return this.seenToken === this.token
   }
   /** Images that it has, least recently used first, with their sizes. */
   get images(): ReadonlyMap<ImageName, number> {
     return this.cache.sizes
   }
-  get up(): boolean {
+  get isUp(): boolean {
     return this.agentEpoch !== null
   }
   silentMs(now: MonotonicTime): number {
@@ -160,34 +159,34 @@
       if (
         this.agentEpoch !== null &&
         source === "heartbeat" &&
-        this.lastAnswered > addMs(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
+        this.lastAnsweredAt > addMs(now, -this.times.heartbeatIntervalS * 1_000 * SCHEDULABLE_INTERVALS)
       )
         this.unreachableSince ??= now
       // A session's lease runs from its beginning, before any report of it was
       // answered: we may hear of it by way of /orders first.
-      this.lastAnswered = now
+      this.lastAnsweredAt = now
       this.agentEpoch = body.agentEpoch
       this.cache.clear()
-      this.starts.sessionBegan()
+      this.starts.resetForNewSession()
     }
     this.sequence = body.sequence
     this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
-    if (source === "heartbeat") this.reportedAt = now
-    const proven = source === "direct" || this.confirmed || this.fresh
+    if (source === "heartbeat") this.lastHeartbeatAt = now
+    const proven = source === "direct" || this.tokenConfirmed || this.fresh
     if (proven) this.provenAt = now
-    if (this.unreachableSince !== null && this.confirmed && this.raisedSince) {
+    if (this.unreachableSince !== null && this.tokenConfirmed && this.raisedSinceUnreachable) {
       this.unreachableSince = null
-      this.raisedSince = false
+      this.raisedSinceUnreachable = false
     }
-    this.warningUntil =
+    this.preemptionAt =
       typeof body.preemptionNoticeS === "number" ? addMs(now, body.preemptionNoticeS * 1000) : null
-    this.starts.tokenShown(body.fencingToken)
+    this.starts.tokenSeen(body.fencingToken)
     this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
     this.tasksListedAt = body.sequence
-    for (const { taskId, attempt } of body.tasks) this.starts.shown(taskId, attempt)
-    this.starts.keepDirect((task) => this.reportedTasks.has(task) || this.placements.has(task))
+    for (const { taskId, attempt } of body.tasks) this.starts.recordReported(taskId, attempt)
+    this.starts.pruneDirectStarts((task) => this.reportedTasks.has(task) || this.placements.has(task))
 
     for (const placement of [...this.placements.values()]) {
       if (placement.agentEpoch !== body.agentEpoch) {
@@ -195,7 +194,7 @@
         // tenure are refused. A late copy may tell of a tenure of the worker's former self.
         if (placement.agentEpoch < body.agentEpoch && proven) this.clear(placement, "lease ended", outcomes)
         // Placed before the worker began anew, and nothing sent then can take effect any more.
-        if (placement.agentEpoch > body.agentEpoch && this.confirmed && this.unreachableSince === null)
+        if (placement.agentEpoch > body.agentEpoch && this.tokenConfirmed && this.unreachableSince === null)
           this.clear(placement, "worker began anew", outcomes)
         continue
       }
@@ -204,9 +203,14 @@
         // Not there, and no start that could still bring it: only then is a
         // task that should leave surely gone.
         const going = placement.stop !== null || placement.inherited
-        if (going && this.settled(placement.task, placement.attempt, source, now)) {
+        const { task, attempt } = placement
+        if (going && this.starts.cannotTakeEffect(task, attempt, this.startEvidence(source, now))) {
           this.clear(placement, "never started", outcomes)
-        } else if (!going && source === "heartbeat" && placement.unacknowledgedStarts >= IGNORED_STARTS) {
+        } else if (
+          !going &&
+          source === "heartbeat" &&
+          placement.unacknowledgedStarts >= MAX_UNACKNOWLEDGED_STARTS
+        ) {
           this.unreachableSince ??= now
         }
       } else if (reported.phase === "exited") {
@@ -225,15 +229,22 @@
   }
 
   /** The report in full, if the last word of this machine was the report that it repeats. */
-  repeated({ machineId, agentEpoch, sequence, fencingToken, since }: RepeatedHeartbeat): Heartbeat | null {
-    if (this.address === null || this.agentEpoch !== agentEpoch || this.tasksListedAt !== since) return null
-    const { machineType: build, zone: site, spot: loaners } = this.recorded
+  expandRepeat({
+    machineId,
+    agentEpoch,
+    sequence,
+    fencingToken,
+    repeatedSequence,
+  }: RepeatedHeartbeat): Heartbeat | null {
+    if (this.address === null || this.agentEpoch !== agentEpoch || this.tasksListedAt !== repeatedSequence)
+      return null
+    const { machineType, zone, spot } = this.recorded
     return {
       machineId,
       address: this.address,
-      machineType: build,
-      zone: site,
-      spot: loaners,
+      machineType,
+      zone,
+      spot,
       agentEpoch,
       sequence,
       fencingToken,
@@ -254,7 +265,7 @@
    * has to show a raised token before its former tasks count as gone, since
    * commands to its former self may still be under way.
    */
-  restarted(
+  acceptRestart(
     body: Heartbeat,
     since: { readonly agentEpoch: AgentEpoch; readonly sequence: SequenceNumber },
     now: MonotonicTime,
@@ -269,35 +280,24 @@
     this.seenToken = body.fencingToken
     this.address = body.address
     this.lastHeard = now
-    this.lastAnswered = now
+    this.lastAnsweredAt = now
     this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
     this.tasksListedAt = body.sequence
     this.cache.clear()
-    this.starts.workerRestarted()
+    this.starts.resetForRestart()
     this.unreachableSince = now
-    this.raisedSince = false
+    this.raisedSinceUnreachable = false
     return true
   }
 
-  /** No start of this attempt can still take effect, as far as the last body tells. */
-  private settled(
-    task: TaskId,
-    attempt: Attempt,
-    source: "heartbeat" | "direct",
-    now: MonotonicTime,
-  ): boolean {
-    const { token, confirmed, sequence } = this
-    return this.starts.isSettled(task, attempt, {
-      token,
-      confirmed,
-      sequence,
-      isReport: source === "heartbeat",
-      now,
-    })
+  /** What the latest message proves about the starts that were sent before it. */
+  private startEvidence(source: "heartbeat" | "direct", now: MonotonicTime): StartEvidence {
+    const { token, tokenConfirmed, sequence } = this
+    return { token, tokenConfirmed, sequence, isHeartbeat: source === "heartbeat", now }
   }
   /** Its token was raised. */
   tokenRaised(): void {
-    this.raisedSince = this.unreachableSince !== null
+    this.raisedSinceUnreachable = this.unreachableSince !== null
   }
 
   /**
@@ -305,9 +305,9 @@
    * worker has seen a higher one; or it has to show that it hears.
    */
   needsHigherToken(): boolean {
-    if (this.unreachableSince !== null && !this.raisedSince) return true
-    if (this.unforgettable > MOST_UNFORGETTABLE) return true
-    if (!this.starts.hasUnanswered(this.token)) return false
+    if (this.unreachableSince !== null && !this.raisedSinceUnreachable) return true
+    if (this.unpurgeableCount > MAX_UNPURGEABLE_TASKS) return true
+    if (!this.starts.hasUnansweredStart(this.token)) return false
     for (const placement of this.placements.values()) if (placement.stop !== null) return true
     for (const { taskId, phase } of this.reportedTasks.values())
       if (phase === "exited" && !this.placements.has(taskId)) return true
@@ -330,8 +330,8 @@
    * The worker's lease has ended when a full lease time has passed since we
    * last received a report that we answered: it was sent before that.
    */
-  leaseOver(now: MonotonicTime): boolean {
-    return now > addMs(this.lastAnswered, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
+  isLeaseExpired(now: MonotonicTime): boolean {
+    return now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
   }
   /**
    * After `leaseOver`: whatever still comes from the ended tenure is old. A worker that began anew
@@ -353,16 +353,16 @@
     return outcomes
   }
   /** Heard recently enough, and surely hearing us, to be given work. */
-  usable(now: MonotonicTime): boolean {
-    const recently = addMs(now, -this.times.reportS * 1_000 * USABLE_REPORTS)
+  isSchedulable(now: MonotonicTime): boolean {
+    const recently = addMs(now, -this.times.heartbeatIntervalS * 1_000 * SCHEDULABLE_INTERVALS)
     // A worker that reaches no controller still answers commands, and loses all at its lease:
     // only its reports show that it can keep what it is given.
-    const reports = this.reportedAt > recently
+    const reports = this.lastHeartbeatAt > recently
     return this.agentEpoch !== null && this.unreachableSince === null && this.provenAt > recently && reports
   }
 
   /** Nothing is, or may come to be, on this machine whose owner we would have to be. */
-  empty(finishIsDurable: (task: TaskId) => boolean): boolean {
+  isEmpty(finishIsDurable: (task: TaskId) => boolean): boolean {
     if (this.placements.size > 0 || this.commandsInFlight) return false
     for (const { taskId, phase, exitReason } of this.reportedTasks.values()) {
       if (phase !== "exited" || (exitReason === "done" && !finishIsDurable(taskId))) return false
@@ -388,7 +388,7 @@
     this.sequence = by.sequence
     this.lastHeard = addMs(now, -by.silentMs)
     this.provenAt = this.lastHeard
-    this.reportedAt = this.lastHeard
+    this.lastHeartbeatAt = this.lastHeard
     for (const [image, gb] of by.images) this.cache.use(image, gb)
   }
 
@@ -396,18 +396,19 @@
   commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
     const { agentEpoch, reportedTasks, placements } = this
     if (agentEpoch === null) return []
-    this.unforgettable = 0
+    this.unpurgeableCount = 0
     const mayPurge = (task: ReportedTask) =>
       (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, now)
     return commandsFor({ agentEpoch, tasks: reportedTasks, placements, mayPurge, now })
   }
-  /** Forgetting too early would let a late start, or a copy of one, run the task once more. */
+  /** Purging too early would let a late start, or a duplicate of one, run the task once more. */
   private mayPurge({ taskId, attempt }: ReportedTask, now: MonotonicTime): boolean {
-    if (!this.starts.mayPurge(taskId, attempt, this.token, this.confirmed, now)) {
-      if (this.starts.wasSentUnder(taskId, attempt, this.token)) this.unforgettable++
+    const evidence = this.startEvidence("direct", now)
+    if (!this.starts.mayPurge(taskId, attempt, evidence)) {
+      if (this.starts.wasSentUnderToken(taskId, attempt, this.token)) this.unpurgeableCount++
       return false
     }
-    return this.settled(taskId, attempt, "direct", now)
+    return this.starts.cannotTakeEffect(taskId, attempt, evidence)
   }
 
   /**
@@ -415,12 +416,12 @@
    * went out by `/orders`, without an answer, under a token that the worker still
    * accepts. Null: no such start is under way.
    */
-  cancelledStartMayCome(): MonotonicTime | null {
+  pendingCancelledStartSince(): MonotonicTime | null {
     let since: MonotonicTime | null = null
     for (const { job, stop, agentEpoch, task, attempt } of this.placements.values()) {
       if (!job.cancelled || stop === null || agentEpoch !== this.agentEpoch) continue
       if (
-        this.starts.mayBeUnderWay(task, attempt, this.token) &&
+        this.starts.mayBeInTransit(task, attempt, this.token) &&
         this.reportedTasks.get(task)?.attempt !== attempt
       )
         since = since === null ? stop.since : (Math.min(since, stop.since) as MonotonicTime)
@@ -429,28 +430,28 @@
   }
 
   /** The answer to a report is about to be sent. */
-  answering(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
-    this.lastAnswered = now
-    this.starts.dropOldAnswers(now)
+  recordReply(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
+    this.lastAnsweredAt = now
+    this.starts.dropExpiredReplies(now)
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
-      this.starts.inAnswer(taskId, attempt, this.sequence, now)
+      this.starts.recordStartInReply(taskId, attempt, this.sequence, now)
       const placement = this.placements.get(taskId)
       if (placement !== undefined) placement.unacknowledgedStarts++
     }
   }
   /** Commands are about to be sent to the worker's own address. */
-  sending(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
+  recordDirectCommands(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.commandsInFlight = true
     for (const { kind, taskId, attempt } of commands)
-      if (kind === "start") this.starts.sending(taskId, attempt, this.token, now)
+      if (kind === "start") this.starts.recordDirectStart(taskId, attempt, this.token, now)
   }
   /** They were answered, or given up. */
-  sent(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
+  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
     this.commandsInFlight = false
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
-      this.starts.sent(taskId, attempt, token, answered)
+      this.starts.recordDirectResult(taskId, attempt, token, answered)
       const placement = this.placements.get(taskId)
       if (!answered && placement !== undefined) placement.unacknowledgedStarts++
     }
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -30,7 +30,7 @@
     entry,
     type,
     EPOCH as ModRevision,
-    { leaseS: 27, reportS: 3 },
+    { leaseS: 27, heartbeatIntervalS: 3 },
     fresh,
     at(0),
   )
@@ -90,12 +90,12 @@
 test("a session's lease runs from its beginning, heard of by way of an order or not", () => {
   const s = session()
   s.observe(heartbeat(1), "heartbeat", at(1))
-  s.answering([], at(1))
-  assert.equal(s.leaseOver(at(27)), false)
+  s.recordReply([], at(1))
+  assert.equal(s.isLeaseExpired(at(27)), false)
   // Guards against ran_twice: the worker started tenure 2 unheard, at 28 s at the latest.
   s.observe(heartbeat(2, { agentEpoch: 2 }), "direct", at(28))
-  assert.equal(s.leaseOver(at(40)), false)
-  assert.equal(s.leaseOver(at(57)), true)
+  assert.equal(s.isLeaseExpired(at(40)), false)
+  assert.equal(s.isLeaseExpired(at(57)), true)
 })
 
 test("an older body changes nothing", () => {
@@ -110,12 +110,12 @@
   s.observe(heartbeat(1), "heartbeat", at(1))
   const placement = place(s)
   const start = s.commands(at(1), durable)
-  s.sending(start, at(1))
+  s.recordDirectCommands(start, at(1))
   stop(placement)
   // The start is under way: its absence proves nothing.
   assert.deepEqual(s.observe(heartbeat(2), "heartbeat", at(2)), [])
   // It got no answer: it may come minutes later, until a higher token was seen.
-  s.sent(start, s.token, false)
+  s.recordDirectResult(start, s.token, false)
   assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(9)), [])
   assert.equal(s.needsHigherToken(), true)
   s.update({ ...entry, token: 20 as FencingToken })
@@ -131,7 +131,7 @@
   const s = session()
   s.observe(heartbeat(1), "heartbeat", at(1))
   const placement = place(s)
-  s.answering(s.commands(at(1), durable), at(1))
+  s.recordReply(s.commands(at(1), durable), at(1))
   stop(placement)
   assert.deepEqual(s.observe(heartbeat(2), "direct", at(1.5)), [])
   assert.deepEqual(
@@ -182,23 +182,23 @@
   s.observe(heartbeat(1), "heartbeat", at(1))
   const lost = place(s)
   const commands = s.commands(at(2), durable)
-  s.sending(commands, at(2))
-  s.sent(commands, s.token, false)
+  s.recordDirectCommands(commands, at(2))
+  s.recordDirectResult(commands, s.token, false)
   assert.deepEqual(s.expireLease(), [])
   assert.deepEqual([...s.placements.values()], [lost])
   assert.equal(s.clearAll("machine deleted").length, 1)
   const heard = session()
   heard.observe(heartbeat(1), "heartbeat", at(1))
   place(heard)
-  heard.sending(commands, at(2))
-  heard.sent(commands, heard.token, true)
+  heard.recordDirectCommands(commands, at(2))
+  heard.recordDirectResult(commands, heard.token, true)
   assert.equal(heard.expireLease().length, 1)
   // The answer got lost, and a report shows the task: its start is no longer under way.
   const shown = session()
   shown.observe(heartbeat(1), "heartbeat", at(1))
   place(shown)
-  shown.sending(commands, at(2))
-  shown.sent(commands, shown.token, false)
+  shown.recordDirectCommands(commands, at(2))
+  shown.recordDirectResult(commands, shown.token, false)
   const running = { taskId: "run-000001/0", attempt: 9, phase: "running" }
   shown.observe(heartbeat(2, { tasks: [running] }), "heartbeat", at(3))
   assert.equal(shown.expireLease().length, 1)
@@ -208,9 +208,9 @@
   const s = session(false)
   s.observe(heartbeat(40, { fencingToken: 2 }), "heartbeat", at(1))
   s.observe(heartbeat(41, { fencingToken: 2 }), "heartbeat", at(2))
-  assert.equal(s.usable(at(2)), false)
+  assert.equal(s.isSchedulable(at(2)), false)
   s.observe(heartbeat(42), "heartbeat", at(3))
-  assert.equal(s.usable(at(3)), true)
+  assert.equal(s.isSchedulable(at(3)), true)
 })
 
 test("an inherited placement is never started anew, and cleared once its machine surely lacks it", () => {
@@ -229,16 +229,16 @@
 test("a machine that loses a lease we answered for gets no work until it shows a raised token", () => {
   const s = session()
   s.observe(heartbeat(1), "heartbeat", at(1))
-  s.answering([], at(1))
+  s.recordReply([], at(1))
   s.observe(heartbeat(2, { agentEpoch: 2 }), "heartbeat", at(2))
-  assert.equal(s.usable(at(2)), false)
+  assert.equal(s.isSchedulable(at(2)), false)
   assert.equal(s.needsHigherToken(), true)
   s.update({ ...entry, token: 20 as FencingToken })
   s.tokenRaised()
   s.observe(heartbeat(3, { agentEpoch: 2 }), "heartbeat", at(3))
-  assert.equal(s.usable(at(3)), false)
+  assert.equal(s.isSchedulable(at(3)), false)
   s.observe(heartbeat(4, { agentEpoch: 2, fencingToken: 20 }), "heartbeat", at(4))
-  assert.equal(s.usable(at(4)), true)
+  assert.equal(s.isSchedulable(at(4)), true)
 })
 
 test("a start that no report ever shows means that the machine hears nothing", () => {
@@ -246,10 +246,10 @@
   s.observe(heartbeat(1), "heartbeat", at(1))
   place(s)
   for (const tick of [2, 3, 4]) {
-    s.answering(s.commands(at(tick), durable), at(tick))
+    s.recordReply(s.commands(at(tick), durable), at(tick))
     s.observe(heartbeat(tick), "heartbeat", at(tick))
   }
-  assert.equal(s.usable(at(5)), false)
+  assert.equal(s.isSchedulable(at(5)), false)
 })
 
 test("a worker that began anew is believed by way of /inspect, its former tasks gone once it shows a raised token", () => {
@@ -258,8 +258,8 @@
   place(s)
   const before = s.counters()
   assert.equal(s.observe(heartbeat(1), "heartbeat", at(9)), null)
-  assert.equal(s.restarted(heartbeat(2), before, at(9)), true)
-  assert.equal(s.usable(at(9)), false)
+  assert.equal(s.acceptRestart(heartbeat(2), before, at(9)), true)
+  assert.equal(s.isSchedulable(at(9)), false)
   s.update({ ...entry, token: 20 as FencingToken })
   s.tokenRaised()
   assert.deepEqual(s.observe(heartbeat(3), "heartbeat", at(10)), [])
@@ -276,8 +276,8 @@
     s.observe(heartbeat(1), "heartbeat", at(1))
     s.release(place(s))
     const start = [{ kind: "start", taskId: "run-000001/0" as TaskId, attempt: 9 as Attempt }] as const
-    s.sending(start, at(1))
-    s.sent(start, s.token, true)
+    s.recordDirectCommands(start, at(1))
+    s.recordDirectResult(start, s.token, true)
     const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason }]
     s.observe(heartbeat(2, { tasks }), "heartbeat", at(60))
     assert.deepEqual(s.commands(at(60), durable), [])
@@ -307,8 +307,8 @@
   s.observe(heartbeat(1), "heartbeat", at(1))
   const taskIds = Array.from({ length: 25 }, (_, i) => `run-000001/${i}` as TaskId)
   const starts = taskIds.map((taskId) => ({ kind: "start" as const, taskId, attempt: 9 as Attempt }))
-  s.sending(starts, at(1))
-  s.sent(starts, s.token, true)
+  s.recordDirectCommands(starts, at(1))
+  s.recordDirectResult(starts, s.token, true)
   const tasks = taskIds.map((taskId) => ({ taskId, attempt: 9, phase: "exited", exitReason: "done" }))
   s.observe(heartbeat(2, { tasks }), "heartbeat", at(30))
   s.commands(at(30), durable)
@@ -327,11 +327,11 @@
       agentEpoch: 1,
       sequence,
       fencingToken: EPOCH,
-      since,
+      repeatedSequence: since,
     }) as unknown as RepeatedHeartbeat
   const tasks = [{ taskId: "run-000001/0", attempt: 9, phase: "exited", exitReason: "done" }]
   const on = session()
-  assert.equal(on.repeated(repeat(5, 4)), null)
+  assert.equal(on.expandRepeat(repeat(5, 4)), null)
   on.acceptHandoff(
     {
       address: "10.1.0.1:9000",
@@ -342,10 +342,10 @@
     } as unknown as MachineHandoff,
     at(1),
   )
-  assert.equal(on.repeated(repeat(5, 4)), null)
+  assert.equal(on.expandRepeat(repeat(5, 4)), null)
   on.observe(heartbeat(5, { tasks }), "heartbeat", at(2))
-  assert.deepEqual(on.repeated(repeat(6, 5))?.tasks, tasks)
-  assert.equal(on.repeated(repeat(6, 4)), null)
+  assert.deepEqual(on.expandRepeat(repeat(6, 5))?.tasks, tasks)
+  assert.equal(on.expandRepeat(repeat(6, 4)), null)
   on.observe(heartbeat(6), "direct", at(3))
-  assert.equal(on.repeated(repeat(7, 5)), null)
+  assert.equal(on.expandRepeat(repeat(7, 5)), null)
 })
