--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -204,9 +204,10 @@
     if (type === undefined) return
     const now = this.node.clocks.monotonicNow()
     const { leaseS, heartbeatIntervalS } = this.node.platform.deployment.workers
-    const fresh = this.rentals.isOurs(id)
+    const rentedInEpoch = this.rentals.isOurs(id)
     const times = { leaseS, heartbeatIntervalS }
-    this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
+    const shardEpoch = this.epoch
+    this.machines.set(id, new WorkerSession({ entry, type, shardEpoch, times, rentedInEpoch, now }))
     const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
     const assignedJob = this.rentals.takeAssignedJob(id)
     this.assignments.set(id, {
--- a/packages/workers/src/image-cache.ts
+++ b/packages/workers/src/image-cache.ts
@@ -1,16 +1,19 @@
+/** A model of a machine's image cache: an estimate for the planner, never a proof that an image is there. */
 import type { ImageName } from "@sorreltally/protocol"
 
 /** The images that a machine probably has: the most recently used ones that fit its cache. */
 export class ImageCache {
-  /** With their sizes, least recently used first. */
+  /** Sizes in GB, least recently used first. */
   private readonly images = new Map<ImageName, number>()
   private usedGb = 0
 
   constructor(private readonly capacityGb: number) {}
 
+  /** Sizes in GB by image, least recently used first. */
   get sizes(): ReadonlyMap<ImageName, number> {
     return this.images
   }
+  /** A task that needs the image runs; the oldest images make room for it. */
   use(image: ImageName, gb: number): void {
     if (this.images.delete(image)) this.usedGb -= gb
     this.images.set(image, gb)
@@ -21,6 +24,7 @@
       this.usedGb -= size
     }
   }
+  /** The worker began a session: what its machine holds is unknown. */
   clear(): void {
     this.images.clear()
     this.usedGb = 0
--- a/packages/workers/src/index.ts
+++ b/packages/workers/src/index.ts
@@ -1,5 +1,3 @@
-export * from "./commands.ts"
-export * from "./image-cache.ts"
+/** The worker of a machine as its owner sees it; the classes that a session is made of stay inside. */
 export * from "./model.ts"
-export * from "./start-tracker.ts"
 export * from "./worker-session.ts"
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -1,3 +1,4 @@
+/** The data that describe a worker's machine to its owner; no logic stands here. */
 import type { Placement } from "@sorreltally/jobs"
 import type {
   Address,
@@ -13,12 +14,27 @@
 } from "@sorreltally/protocol"
 import type { MachineBlock, StoreKey } from "@sorreltally/store"
 
+/** Times that the platform sets for all workers, in seconds. */
 export interface LeaseTimes {
+  /** A worker kills all its tasks when the last answered heartbeat was sent longer ago than this. */
   readonly leaseS: number
+  /** Interval of heartbeats, give or take a quarter. */
   readonly heartbeatIntervalS: number
 }
 
-/** What the state service holds of one machine. */
+/** What happened within so many heartbeat intervals counts as recent. */
+export const RECENT_INTERVALS = 2.5
+
+/** How a message of a worker came: as its heartbeat, or as the response to a request of ours. */
+export type MessageSource = "heartbeat" | "direct"
+
+/** Where a worker's messages stand: of two, the one with the larger (agent epoch, sequence) is newer. */
+export interface MessageCounters {
+  readonly agentEpoch: AgentEpoch
+  readonly sequence: SequenceNumber
+}
+
+/** What the store holds of one machine. */
 export interface MachineEntry {
   readonly id: MachineId
   /** The record that it stands in. */
@@ -39,12 +55,14 @@
   memGb: number
 }
 
-/** Hearsay of a machine's former owner: good enough to send orders, no proof of anything. */
+/** Unverified state from a machine's former owner: enough to send commands, no proof of anything. */
 export interface MachineHandoff {
   readonly address: Address
   readonly agentEpoch: AgentEpoch
   readonly sequence: SequenceNumber
+  /** Milliseconds since the former owner's latest message from it. */
   readonly silentMs: number
+  /** Images that it probably holds, with their sizes in GB, least recently used first. */
   readonly images: ReadonlyArray<readonly [ImageName, number]>
 }
 
@@ -58,9 +76,11 @@
   readonly repeatedSequence: SequenceNumber
 }
 
-/** What a report or answer says about a placement. */
+/** What happened to a placement, as a message of its worker or the end of a lease shows it. */
 export type Outcome =
+  /** Completed; its result is kept. */
   | { readonly kind: "done"; readonly placement: Placement }
-  /** Off the machine without a result; `cause` is the worker's word, or ours when the task just went. */
+  /** Surely off the machine without a result; `cause` is the worker's exit reason, or says how we know. */
   | { readonly kind: "cleared"; readonly placement: Placement; readonly cause: string }
+  /** Seen running for the first time. */
   | { readonly kind: "running"; readonly placement: Placement }
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -1,3 +1,8 @@
+/**
+ * What the owner of a machine knows of its worker: it takes in the worker's messages and gives the commands
+ * to send. What a message proves is decided by the modules that it puts together; the session must never
+ * let go of a task that may still be on the machine.
+ */
 import type { Placement } from "@sorreltally/jobs"
 import {
   type Address,
@@ -13,447 +18,333 @@
   type MonotonicTime,
   NEVER,
   type NodeName,
-  type ReportedTask,
-  type SequenceNumber,
   type TaskId,
 } from "@sorreltally/protocol"
-import { commandsFor } from "./commands.ts"
 import { ImageCache } from "./image-cache.ts"
+import { LatestMessage } from "./latest-message.ts"
 import type {
   FreeRoom,
   LeaseTimes,
   MachineEntry,
   MachineHandoff,
+  MessageCounters,
+  MessageSource,
   Outcome,
   RepeatedHeartbeat,
 } from "./model.ts"
+import { PlacedTasks } from "./placed-tasks.ts"
+import { verdictOn } from "./placement-verdict.ts"
+import { Reachability } from "./reachability.ts"
+import { ReportedTasks } from "./reported-tasks.ts"
 import { type StartEvidence, StartTracker } from "./start-tracker.ts"
+import { WorkerCommands } from "./worker-commands.ts"
+import { WorkerLease } from "./worker-lease.ts"
 
-/** Steady clocks drift apart by at most this share; both ends may. */
-const DRIFT = 2 * 0.0005
-const LEASE_MARGIN_MS = 1_000
-/** A worker that reported within so many report intervals, and hears us, gets work. */
-const SCHEDULABLE_INTERVALS = 2.5
-/** Exited tasks that a worker may have to go on reporting until its token is raised to forget them. */
-const MAX_UNPURGEABLE_TASKS = 24
-/** How often a worker was told to start a task, and nothing came of it, until it is taken to receive nothing. */
-const MAX_UNACKNOWLEDGED_STARTS = 2
+/** What a session is made of. */
+export interface WorkerSessionOptions {
+  readonly entry: MachineEntry
+  readonly type: MachineType
+  /** Epoch of the shard under which this node owns the machine; commands carry at least this token. */
+  readonly shardEpoch: ModRevision
+  readonly times: LeaseTimes
+  /** Rented under this epoch: no message of the machine can be older than that. */
+  readonly rentedInEpoch: boolean
+  readonly now: MonotonicTime
+}
 
-/**
- * What an owner knows of one machine and may conclude from it. The one hard
- * question is when a task is surely *off* the machine; everything here that
- * answers it says why.
- */
+/** What an owner knows of one machine and may conclude from it. */
 export class WorkerSession {
+  /** Where the worker takes direct commands; null: not known yet. */
   address: Address | null = null
-  agentEpoch: AgentEpoch | null = null
-  private sequence = -1 as SequenceNumber
-  private seenToken = 0 as FencingToken
-  lastHeard: MonotonicTime = NEVER
-  private lastAnsweredAt: MonotonicTime
+  /** When the cloud takes the machine away, by the worker's preemption notice; null: no notice. */
   preemptionAt: MonotonicTime | null = null
-  /** When a report came, not the answer to a command. */
-  private lastHeartbeatAt: MonotonicTime = NEVER
-  /** When a body came that is surely no late copy. */
-  private provenAt: MonotonicTime = NEVER
-  /**
-   * Since when the worker seems not to hear us: it gets no work until it has
-   * shown a token that we raised after this.
-   */
-  unreachableSince: MonotonicTime | null = null
-  reportedTasks = new Map<TaskId, ReportedTask>()
-  /** Counter of the body that listed them; null: nothing of this session did. */
-  private tasksListedAt: SequenceNumber | null = null
-  readonly placements = new Map<TaskId, Placement>()
-  readonly free: FreeRoom
-  private readonly cache: ImageCache
-  /** Tenures below this one have surely ended. */
-  private minAgentEpoch = 0 as AgentEpoch
-  private readonly starts = new StartTracker()
-  /** The token was raised since the worker seems to receive nothing. */
-  private raisedSinceUnreachable = false
-  /** Exited tasks that can't be forgotten until the worker has seen a higher token. */
-  private unpurgeableCount = 0
-  commandsInFlight = false
-  /** The node through which its last report came; null: it came to the owner itself. */
+  /** The node that forwarded the latest heartbeat; null: it came to the owner itself. */
   via: NodeName | null = null
+  /** No direct commands before this moment: the last ones got no response. */
   commandsPausedUntil: MonotonicTime = NEVER
 
-  constructor(
-    readonly id: MachineId,
-    private recorded: MachineEntry,
-    readonly type: MachineType,
-    private readonly epoch: ModRevision,
-    private readonly times: LeaseTimes,
-    /** Rented under this epoch: nothing that it says can be older than that. */
-    private readonly fresh: boolean,
-    now: MonotonicTime,
-  ) {
-    // A former owner may have answered a report just before we took over.
-    this.lastAnsweredAt = now
-    const { cores, accelerators, memGb } = type
-    this.free = { cores, accelerators, memGb }
+  private recorded: MachineEntry
+  private readonly latest = new LatestMessage()
+  private readonly lease: WorkerLease
+  private readonly reachability: Reachability
+  private readonly placed: PlacedTasks
+  private readonly cache: ImageCache
+  private readonly reported = new ReportedTasks()
+  private readonly starts = new StartTracker()
+  private readonly workerCommands: WorkerCommands
+
+  constructor(private readonly options: WorkerSessionOptions) {
+    const { entry, type, times, now } = options
+    this.recorded = entry
+    this.lease = new WorkerLease(times, now)
+    this.reachability = new Reachability(times)
+    this.placed = new PlacedTasks(type)
+    this.workerCommands = new WorkerCommands(this.starts, this.placed.byTask)
     this.cache = new ImageCache(type.cacheGb)
   }
 
+  get id(): MachineId {
+    return this.recorded.id
+  }
+  get type(): MachineType {
+    return this.options.type
+  }
+  /** What the store holds of the machine. */
   get entry(): MachineEntry {
     return this.recorded
   }
   update(entry: MachineEntry): void {
     this.recorded = entry
   }
+  /** The fencing token of commands to the worker. */
   get token(): FencingToken {
-    return Math.max(this.epoch, this.recorded.token) as FencingToken
+    return Math.max(this.options.shardEpoch, this.recorded.token) as FencingToken
   }
-  /** The worker has shown that it heard of our token: older commands are dead. */
-  get tokenConfirmed(): boolean {
-    return this.seenToken === this.token
+  /** The worker has shown that it has seen our token: it refuses older commands. */
+  private get tokenConfirmed(): boolean {
+    return this.latest.seenToken === this.token
   }
-  /** Images that it has, least recently used first, with their sizes. */
-  get images(): ReadonlyMap<ImageName, number> {
-    return this.cache.sizes
+  /** Agent epoch of the current session; null: none is known, or the last one has surely ended. */
+  get agentEpoch(): AgentEpoch | null {
+    return this.latest.agentEpoch
   }
   get isUp(): boolean {
     return this.agentEpoch !== null
   }
+  /** Where the worker's messages stand; one below is old, or from a worker that restarted. */
+  counters(): MessageCounters {
+    return this.latest.counters()
+  }
+  /** Images that the machine probably holds, least recently used first, with their sizes in GB. */
+  get images(): ReadonlyMap<ImageName, number> {
+    return this.cache.sizes
+  }
+  /** The placements of tasks that may be on the machine. */
+  get placements(): Map<TaskId, Placement> {
+    return this.placed.byTask
+  }
+  /** The room that those leave. */
+  get free(): Readonly<FreeRoom> {
+    return this.placed.free
+  }
+  /** When the latest message arrived; `NEVER` before the first one. */
+  get lastHeard(): MonotonicTime {
+    return this.reachability.lastHeard
+  }
   silentMs(now: MonotonicTime): number {
     return now - this.lastHeard
   }
+  /** Since when the worker seems to receive nothing; null: it isn't known to. */
+  get unreachableSince(): MonotonicTime | null {
+    return this.reachability.unreachableSince
+  }
+  /** Heard of recently enough, and surely receiving commands, to be given work. */
+  isSchedulable(now: MonotonicTime): boolean {
+    return this.isUp && this.reachability.isSchedulable(now)
+  }
 
   /** A task may be here from now on. */
   hold(placement: Placement): void {
-    this.placements.set(placement.task, placement)
-    this.take(placement, 1)
+    this.placed.add(placement)
   }
+  /** The task is surely off the machine, or has its result. */
   release(placement: Placement): void {
-    if (this.placements.get(placement.task) !== placement) return
-    this.placements.delete(placement.task)
-    this.take(placement, -1)
-  }
-  private take({ job }: Placement, times: number): void {
-    this.free.cores -= times * job.request.cores
-    this.free.accelerators -= times * job.request.accelerators
-    this.free.memGb -= times * job.request.memGb
+    this.placed.remove(placement)
   }
 
   /**
-   * Takes in a report, or the body of an `/orders` or `/inspect` answer.
-   * Returns null for one that is older than what we know.
+   * Takes in a heartbeat, or the same body in the response to a direct request.
+   * Returns null for one that is older than what is known.
    */
-  observe(
-    body: Heartbeat,
-    source: "heartbeat" | "direct",
+  observe(heartbeat: Heartbeat, source: MessageSource, now: MonotonicTime): ReadonlyArray<Outcome> | null {
+    if (this.latest.isOutdated(heartbeat, source)) return null
+    if (this.latest.beginsSession(heartbeat)) this.beginSession(source, now)
+    this.latest.accept(heartbeat)
+    const proven = source === "direct" || this.tokenConfirmed || this.options.rentedInEpoch
+    this.reachability.recordMessage(source, proven, now)
+    if (this.tokenConfirmed) this.reachability.recordTokenConfirmed()
+    this.preemptionAt =
+      typeof heartbeat.preemptionNoticeS === "number" ? addMs(now, heartbeat.preemptionNoticeS * 1000) : null
+    this.address = heartbeat.address
+    this.reported.list(heartbeat)
+    this.trackStarts(heartbeat)
+    return this.takeOutcomes(heartbeat, source, proven, now)
+  }
+  /** The first message of a session; the former one, if any, lost its lease. */
+  private beginSession(source: MessageSource, now: MonotonicTime): void {
+    // It lost a lease that we kept renewing: our replies didn't reach it.
+    if (this.isUp && source === "heartbeat" && this.lease.wasRecentlyRenewed(now))
+      this.reachability.markUnreachable(now)
+    // A session's lease runs from its beginning, before any heartbeat of it was
+    // answered: we may first hear of it by the response to a direct request.
+    this.lease.renew(now)
+    this.cache.clear()
+    this.starts.resetForNewSession()
+  }
+  private trackStarts({ fencingToken, tasks }: Heartbeat): void {
+    this.starts.tokenSeen(fencingToken)
+    for (const { taskId, attempt } of tasks) this.starts.recordReported(taskId, attempt)
+    this.starts.pruneDirectStarts((task) => this.reported.byId.has(task) || this.placements.has(task))
+  }
+  private takeOutcomes(
+    heartbeat: Heartbeat,
+    source: MessageSource,
+    proven: boolean,
     now: MonotonicTime,
-  ): ReadonlyArray<Outcome> | null {
-    if (body.agentEpoch < this.minAgentEpoch) return null
-    if (this.agentEpoch !== null) {
-      if (body.agentEpoch < this.agentEpoch) return null
-      if (body.agentEpoch === this.agentEpoch && body.sequence <= this.sequence) return null
-    }
-    // A worker keeps the highest token over all its sessions. One that began anew counts from the
-    // start: what its former self reported under an older token looks newer by the counters alone.
-    if (source === "heartbeat" && body.fencingToken < this.seenToken) return null
+  ): ReadonlyArray<Outcome> {
+    if (this.placements.size === 0) return []
+    const { starts, reachability } = this
+    const reportedTasks = this.reported.byId
+    const startEvidence = this.startEvidence(source, now)
+    const evidence = { heartbeat, source, proven, reportedTasks, starts, startEvidence, reachability }
     const outcomes: Array<Outcome> = []
-    if (this.agentEpoch === null || body.agentEpoch > this.agentEpoch) {
-      // It lost a lease that we kept answering for: our answers didn't reach it.
-      if (
-        this.agentEpoch !== null &&
-        source === "heartbeat" &&
-        this.lastAnsweredAt > addMs(now, -this.times.heartbeatIntervalS * 1_000 * SCHEDULABLE_INTERVALS)
-      )
-        this.unreachableSince ??= now
-      // A session's lease runs from its beginning, before any report of it was
-      // answered: we may hear of it by way of /orders first.
-      this.lastAnsweredAt = now
-      this.agentEpoch = body.agentEpoch
-      this.cache.clear()
-      this.starts.resetForNewSession()
-    }
-    this.sequence = body.sequence
-    this.seenToken = body.fencingToken
-    this.address = body.address
-    this.lastHeard = now
-    if (source === "heartbeat") this.lastHeartbeatAt = now
-    const proven = source === "direct" || this.tokenConfirmed || this.fresh
-    if (proven) this.provenAt = now
-    if (this.unreachableSince !== null && this.tokenConfirmed && this.raisedSinceUnreachable) {
-      this.unreachableSince = null
-      this.raisedSinceUnreachable = false
-    }
-    this.preemptionAt =
-      typeof body.preemptionNoticeS === "number" ? addMs(now, body.preemptionNoticeS * 1000) : null
-    this.starts.tokenSeen(body.fencingToken)
-    this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
-    this.tasksListedAt = body.sequence
-    for (const { taskId, attempt } of body.tasks) this.starts.recordReported(taskId, attempt)
-    this.starts.pruneDirectStarts((task) => this.reportedTasks.has(task) || this.placements.has(task))
-
     for (const placement of [...this.placements.values()]) {
-      if (placement.agentEpoch !== body.agentEpoch) {
-        // The tenure rose: the worker killed and forgot all it had, and starts under the former
-        // tenure are refused. A late copy may tell of a tenure of the worker's former self.
-        if (placement.agentEpoch < body.agentEpoch && proven) this.clear(placement, "lease ended", outcomes)
-        // Placed before the worker began anew, and nothing sent then can take effect any more.
-        if (placement.agentEpoch > body.agentEpoch && this.tokenConfirmed && this.unreachableSince === null)
-          this.clear(placement, "worker began anew", outcomes)
-        continue
-      }
-      const reported = this.reportedTasks.get(placement.task)
-      if (reported === undefined || reported.attempt !== placement.attempt) {
-        // Not there, and no start that could still bring it: only then is a
-        // task that should leave surely gone.
-        const going = placement.stop !== null || placement.inherited
-        const { task, attempt } = placement
-        if (going && this.starts.cannotTakeEffect(task, attempt, this.startEvidence(source, now))) {
-          this.clear(placement, "never started", outcomes)
-        } else if (
-          !going &&
-          source === "heartbeat" &&
-          placement.unacknowledgedStarts >= MAX_UNACKNOWLEDGED_STARTS
-        ) {
-          this.unreachableSince ??= now
-        }
-      } else if (reported.phase === "exited") {
-        if (reported.exitReason === "done") {
+      const verdict = verdictOn(placement, evidence)
+      switch (verdict.kind) {
+        case "unchanged":
+          break
+        case "startIgnored":
+          reachability.markUnreachable(now)
+          break
+        case "running":
+          this.cache.use(placement.job.request.image, placement.job.request.imageGb)
+          outcomes.push(verdict)
+          break
+        case "done":
+        case "cleared":
           this.release(placement)
-          outcomes.push({ kind: "done", placement })
-        } else if (proven) {
-          this.clear(placement, reported.exitReason ?? "exited", outcomes)
-        }
-      } else if (reported.phase === "running" && placement.runningSince === null) {
-        this.cache.use(placement.job.request.image, placement.job.request.imageGb)
-        outcomes.push({ kind: "running", placement })
+          outcomes.push(verdict)
       }
     }
     return outcomes
   }
-
-  /** The report in full, if the last word of this machine was the report that it repeats. */
-  expandRepeat({
-    machineId,
-    agentEpoch,
-    sequence,
-    fencingToken,
-    repeatedSequence,
-  }: RepeatedHeartbeat): Heartbeat | null {
-    if (this.address === null || this.agentEpoch !== agentEpoch || this.tasksListedAt !== repeatedSequence)
-      return null
-    const { machineType, zone, spot } = this.recorded
-    return {
-      machineId,
-      address: this.address,
-      machineType,
-      zone,
-      spot,
-      agentEpoch,
-      sequence,
-      fencingToken,
-      preemptionNoticeS: null,
-      tasks: [...this.reportedTasks.values()],
-    }
+  /** What the latest message proves about the starts that were sent before it. */
+  private startEvidence(source: MessageSource, now: MonotonicTime): StartEvidence {
+    const { token, tokenConfirmed } = this
+    const { sequence } = this.latest
+    return { token, tokenConfirmed, sequence, isHeartbeat: source === "heartbeat", now }
   }
 
-  /** Where this session stands; a body below it is old, or from a worker that began anew. */
-  counters(): { readonly agentEpoch: AgentEpoch; readonly sequence: SequenceNumber } {
-    return this.agentEpoch === null
-      ? { agentEpoch: this.minAgentEpoch, sequence: -1 as SequenceNumber }
-      : { agentEpoch: this.agentEpoch, sequence: this.sequence }
+  /** The heartbeat in full, if the worker's latest message was the one that it repeats. */
+  expandRepeat(repeat: RepeatedHeartbeat): Heartbeat | null {
+    if (this.address === null || this.agentEpoch !== repeat.agentEpoch) return null
+    return this.reported.expandRepeat(repeat, this.recorded, this.address)
   }
+
   /**
-   * The worker answered `/inspect`, asked at `since`, with lower counters than
-   * it had by then. Only reports can be late copies: this one began anew. It
-   * has to show a raised token before its former tasks count as gone, since
-   * commands to its former self may still be under way.
+   * The worker answered an inspection, requested when its counters were `before`, with lower ones.
+   * Only heartbeats can be late copies: this worker restarted. It has to show a raised token
+   * before its former tasks count as gone, since commands sent before may still be in transit.
+   * Returns false, and changes nothing, when the counters aren't lower.
    */
-  acceptRestart(
-    body: Heartbeat,
-    since: { readonly agentEpoch: AgentEpoch; readonly sequence: SequenceNumber },
-    now: MonotonicTime,
-  ): boolean {
-    const below =
-      body.agentEpoch < since.agentEpoch ||
-      (body.agentEpoch === since.agentEpoch && body.sequence < since.sequence)
-    if (!below) return false
-    this.agentEpoch = body.agentEpoch
-    this.minAgentEpoch = body.agentEpoch
-    this.sequence = body.sequence
-    this.seenToken = body.fencingToken
-    this.address = body.address
-    this.lastHeard = now
-    this.lastAnsweredAt = now
-    this.reportedTasks = new Map(body.tasks.map((task) => [task.taskId, task]))
-    this.tasksListedAt = body.sequence
+  acceptRestart(heartbeat: Heartbeat, before: MessageCounters, now: MonotonicTime): boolean {
+    const isBelow =
+      heartbeat.agentEpoch < before.agentEpoch ||
+      (heartbeat.agentEpoch === before.agentEpoch && heartbeat.sequence < before.sequence)
+    if (!isBelow) return false
+    this.latest.acceptRestart(heartbeat)
+    this.lease.renew(now)
+    this.reachability.recordRestart(now)
+    this.address = heartbeat.address
+    this.reported.list(heartbeat)
     this.cache.clear()
     this.starts.resetForRestart()
-    this.unreachableSince = now
-    this.raisedSinceUnreachable = false
     return true
   }
 
-  /** What the latest message proves about the starts that were sent before it. */
-  private startEvidence(source: "heartbeat" | "direct", now: MonotonicTime): StartEvidence {
-    const { token, tokenConfirmed, sequence } = this
-    return { token, tokenConfirmed, sequence, isHeartbeat: source === "heartbeat", now }
-  }
-  /** Its token was raised. */
+  /** The store holds a higher token for the machine. */
   tokenRaised(): void {
-    this.raisedSinceUnreachable = this.unreachableSince !== null
+    this.reachability.recordTokenRaised()
   }
-
   /**
-   * A start got lost under the current token, and nothing is sure until the
-   * worker has seen a higher one; or it has to show that it hears.
+   * A start got lost under the current token, and nothing is certain until the
+   * worker has seen a higher one; or it has to show that it receives commands.
    */
   needsHigherToken(): boolean {
-    if (this.unreachableSince !== null && !this.raisedSinceUnreachable) return true
-    if (this.unpurgeableCount > MAX_UNPURGEABLE_TASKS) return true
-    if (!this.starts.hasUnansweredStart(this.token)) return false
-    for (const placement of this.placements.values()) if (placement.stop !== null) return true
-    for (const { taskId, phase } of this.reportedTasks.values())
-      if (phase === "exited" && !this.placements.has(taskId)) return true
-    return false
+    return (
+      this.reachability.needsHigherToken() ||
+      this.workerCommands.needHigherToken(this.token, this.reported.byId)
+    )
   }
 
-  private clear(placement: Placement, cause: string, outcomes: Array<Outcome>): void {
+  private clear(placement: Placement, cause: string): Outcome {
     this.release(placement)
-    outcomes.push({ kind: "cleared", placement, cause })
+    return { kind: "cleared", placement, cause }
   }
-
-  /** All tasks are gone: the machine was deleted (answered), or its lease has surely run out. */
+  /** All tasks are gone: the machine's deletion was answered, or its lease has surely expired. */
   clearAll(cause: string): ReadonlyArray<Outcome> {
-    const outcomes: Array<Outcome> = []
-    for (const placement of [...this.placements.values()]) this.clear(placement, cause, outcomes)
-    return outcomes
+    return [...this.placements.values()].map((placement) => this.clear(placement, cause))
   }
-
-  /**
-   * The worker's lease has ended when a full lease time has passed since we
-   * last received a report that we answered: it was sent before that.
-   */
+  /** The worker has surely lost its lease, and with it all its tasks. */
   isLeaseExpired(now: MonotonicTime): boolean {
-    return now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
+    return this.lease.isExpired(now)
   }
   /**
-   * After `leaseOver`: whatever still comes from the ended tenure is old. A worker that began anew
-   * counts its sessions from the start, and may take a command to its former self: a task whose
-   * direct start got no answer stays placed until the machine is heard again, or deleted.
+   * After `isLeaseExpired`: whatever still arrives from the ended agent epoch is old. A worker that
+   * restarted counts its sessions from the start, and may execute a command sent before: a task whose
+   * direct start got no response stays placed until the machine is heard of again, or deleted.
    */
   expireLease(): ReadonlyArray<Outcome> {
-    let last = this.agentEpoch ?? 0
+    let last: number = this.agentEpoch ?? 0
     for (const placement of this.placements.values()) last = Math.max(last, placement.agentEpoch)
-    this.minAgentEpoch = (last + 1) as AgentEpoch
-    this.agentEpoch = null
-    this.reportedTasks.clear()
-    this.tasksListedAt = null
+    this.latest.endSessions(last)
+    this.reported.clear()
     this.cache.clear()
-    const outcomes: Array<Outcome> = []
-    for (const placement of [...this.placements.values()])
-      if (!this.starts.isUnanswered(placement.task, placement.attempt))
-        this.clear(placement, "lease ended", outcomes)
-    return outcomes
-  }
-  /** Heard recently enough, and surely hearing us, to be given work. */
-  isSchedulable(now: MonotonicTime): boolean {
-    const recently = addMs(now, -this.times.heartbeatIntervalS * 1_000 * SCHEDULABLE_INTERVALS)
-    // A worker that reaches no controller still answers commands, and loses all at its lease:
-    // only its reports show that it can keep what it is given.
-    const reports = this.lastHeartbeatAt > recently
-    return this.agentEpoch !== null && this.unreachableSince === null && this.provenAt > recently && reports
+    return [...this.placements.values()]
+      .filter(({ task, attempt }) => !this.starts.isUnanswered(task, attempt))
+      .map((placement) => this.clear(placement, "lease ended"))
   }
 
-  /** Nothing is, or may come to be, on this machine whose owner we would have to be. */
+  /** No task is, or may come to be, on this machine that needs its present owner. */
   isEmpty(finishIsDurable: (task: TaskId) => boolean): boolean {
-    if (this.placements.size > 0 || this.commandsInFlight) return false
-    for (const { taskId, phase, exitReason } of this.reportedTasks.values()) {
-      if (phase !== "exited" || (exitReason === "done" && !finishIsDurable(taskId))) return false
-    }
-    return true
+    return this.placements.size === 0 && !this.commandsInFlight && this.reported.areAllOver(finishIsDurable)
   }
-  /** What the machine's next owner wants to know, to use it before its next report. */
+  /** What the machine's next owner needs to use it before its next heartbeat; null: nothing of use. */
   handoff(now: MonotonicTime): MachineHandoff | null {
-    if (this.agentEpoch === null || this.address === null || this.unreachableSince !== null) return null
-    const { address, agentEpoch, sequence } = this
-    return {
-      address,
-      agentEpoch,
-      sequence,
-      silentMs: this.silentMs(now),
-      images: [...this.images],
-    }
-  }
-  acceptHandoff(by: MachineHandoff, now: MonotonicTime): void {
-    if (this.agentEpoch !== null) return
-    this.address = by.address
-    this.agentEpoch = by.agentEpoch
-    this.sequence = by.sequence
-    this.lastHeard = addMs(now, -by.silentMs)
-    this.provenAt = this.lastHeard
-    this.lastHeartbeatAt = this.lastHeard
-    for (const [image, gb] of by.images) this.cache.use(image, gb)
+    const { address, agentEpoch } = this
+    if (agentEpoch === null || address === null || this.unreachableSince !== null) return null
+    const { sequence } = this.latest
+    return { address, agentEpoch, sequence, silentMs: this.silentMs(now), images: [...this.images] }
+  }
+  /** Takes over what the former owner knew, unless the worker was heard of already. */
+  acceptHandoff(handoff: MachineHandoff, now: MonotonicTime): void {
+    if (this.isUp) return
+    this.address = handoff.address
+    this.latest.acceptHandoff(handoff)
+    this.reachability.recordHandoff(handoff.silentMs, now)
+    for (const [image, gb] of handoff.images) this.cache.use(image, gb)
   }
 
-  /** What the worker should be told now, given what it last said. */
+  /** Commands were sent to the worker's own address, and have neither a response nor been given up. */
+  get commandsInFlight(): boolean {
+    return this.workerCommands.inFlight
+  }
+  /** The commands to send now, given the worker's latest message. */
   commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
-    const { agentEpoch, reportedTasks, placements } = this
-    if (agentEpoch === null) return []
-    this.unpurgeableCount = 0
-    const mayPurge = (task: ReportedTask) =>
-      (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, now)
-    return commandsFor({ agentEpoch, tasks: reportedTasks, placements, mayPurge, now })
-  }
-  /** Purging too early would let a late start, or a duplicate of one, run the task once more. */
-  private mayPurge({ taskId, attempt }: ReportedTask, now: MonotonicTime): boolean {
+    if (this.agentEpoch === null) return []
     const evidence = this.startEvidence("direct", now)
-    if (!this.starts.mayPurge(taskId, attempt, evidence)) {
-      if (this.starts.wasSentUnderToken(taskId, attempt, this.token)) this.unpurgeableCount++
-      return false
-    }
-    return this.starts.cannotTakeEffect(taskId, attempt, evidence)
+    return this.workerCommands.due(this.agentEpoch, this.reported.byId, evidence, finishIsDurable)
   }
-
   /**
-   * Since when a start of a cancelled task may still reach the worker: one that
-   * went out by `/orders`, without an answer, under a token that the worker still
-   * accepts. Null: no such start is under way.
+   * Since when a start of a cancelled task may still reach the worker: one that was sent
+   * directly, without a response, under a token that the worker still accepts. Null: no such
+   * start is in transit.
    */
   pendingCancelledStartSince(): MonotonicTime | null {
-    let since: MonotonicTime | null = null
-    for (const { job, stop, agentEpoch, task, attempt } of this.placements.values()) {
-      if (!job.cancelled || stop === null || agentEpoch !== this.agentEpoch) continue
-      if (
-        this.starts.mayBeInTransit(task, attempt, this.token) &&
-        this.reportedTasks.get(task)?.attempt !== attempt
-      )
-        since = since === null ? stop.since : (Math.min(since, stop.since) as MonotonicTime)
-    }
-    return since
+    return this.workerCommands.pendingCancelledStartSince(this.agentEpoch, this.token, this.reported.byId)
   }
 
-  /** The answer to a report is about to be sent. */
+  /** The reply to a heartbeat is about to be sent. */
   recordReply(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
-    this.lastAnsweredAt = now
-    this.starts.dropExpiredReplies(now)
-    for (const { kind, taskId, attempt } of commands) {
-      if (kind !== "start") continue
-      this.starts.recordStartInReply(taskId, attempt, this.sequence, now)
-      const placement = this.placements.get(taskId)
-      if (placement !== undefined) placement.unacknowledgedStarts++
-    }
+    this.lease.renew(now)
+    this.workerCommands.recordReply(commands, this.latest.sequence, now)
   }
   /** Commands are about to be sent to the worker's own address. */
   recordDirectCommands(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
-    this.commandsInFlight = true
-    for (const { kind, taskId, attempt } of commands)
-      if (kind === "start") this.starts.recordDirectStart(taskId, attempt, this.token, now)
+    this.workerCommands.recordDirect(commands, this.token, now)
   }
-  /** They were answered, or given up. */
+  /** They were answered, or surely never sent (`answered`), or given up with their outcome unknown. */
   recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
-    this.commandsInFlight = false
-    for (const { kind, taskId, attempt } of commands) {
-      if (kind !== "start") continue
-      this.starts.recordDirectResult(taskId, attempt, token, answered)
-      const placement = this.placements.get(taskId)
-      if (!answered && placement !== undefined) placement.unacknowledgedStarts++
-    }
+    this.workerCommands.recordDirectResult(commands, token, answered)
   }
 }
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -6,7 +6,6 @@
   FencingToken,
   Heartbeat,
   JobId,
-  MachineId,
   MachineType,
   ModRevision,
   MonotonicTime,
@@ -25,15 +24,14 @@
 const entry = { id: "i-1", block: "s/block/deadline.1", token: 3, spot: true } as unknown as MachineEntry
 const type = { name: "g8", cores: 8, accelerators: 0, memGb: 32, cacheGb: 10 } as unknown as MachineType
 const session = (fresh = true) =>
-  new WorkerSession(
-    "i-1" as MachineId,
+  new WorkerSession({
     entry,
     type,
-    EPOCH as ModRevision,
-    { leaseS: 27, heartbeatIntervalS: 3 },
-    fresh,
-    at(0),
-  )
+    shardEpoch: EPOCH as ModRevision,
+    times: { leaseS: 27, heartbeatIntervalS: 3 },
+    rentedInEpoch: fresh,
+    now: at(0),
+  })
 const heartbeat = (sequence: number, more: Partial<Record<keyof Heartbeat, unknown>> = {}): Heartbeat =>
   ({
     machineId: "i-1",
--- a/scenarios/late-reports.sexp
+++ b/scenarios/late-reports.sexp
@@ -4,4 +4,4 @@
   (at 32 (machines-receive-nothing 8 24)) (at 33 (cancel 2)) (at 33 (submit pieces 8 cores 8 run 20 due 60))
   (at 90 (machines-send-nothing 3 30)) (at 94 (hang 3 25)) (at 100 (crash host-0 4)) (at 102 (reboot 3 0.3)) (at 105 (submit pieces 12 cores 4 run 30 due 200)) (at 120 (crash host-1 3))
   (expect (all-over) (served) (happened "late reports of an earlier session" 5))
-  (guard "packages/workers/src/worker-session.ts" "if (body.agentEpoch === this.agentEpoch && body.sequence <= this.sequence) return null" ""))
+  (guard "packages/workers/src/latest-message.ts" "if (heartbeat.agentEpoch === this.agentEpoch && heartbeat.sequence <= this.sequence) return true" ""))
