--- a/packages/protocol/src/clocks.ts
+++ b/packages/protocol/src/clocks.ts
@@ -4,7 +4,7 @@
 
 /** The two clocks of a process, readable from synchronous code. */
 export interface Clocks {
-  /** Milliseconds on the steady clock: for leases, timeouts and every other duration. */
+  /** Milliseconds on the monotonic clock: for leases, timeouts and every other duration. */
   readonly monotonicNow: () => MonotonicTime
   /** Milliseconds of the time of day: only for what other nodes or users compare. */
   readonly wallNow: () => WallTime
--- a/packages/protocol/src/heartbeat-decoder.ts
+++ b/packages/protocol/src/heartbeat-decoder.ts
@@ -72,6 +72,7 @@
   if (typeof body !== "object" || body === null || Array.isArray(body)) return invalid("not an object")
   const field = invalidField(body as Record<string, unknown>)
   if (field !== null) return invalid(field)
+  // Each field was checked above; a schema that returned the type would cost a second pass.
   const wire = body as WireHeartbeat
   return Result.succeed({
     machineId: wire.host,
--- a/packages/protocol/src/ids.ts
+++ b/packages/protocol/src/ids.ts
@@ -76,7 +76,7 @@
 export const LeaseId = count.pipe(Schema.brand("LeaseId"))
 export type LeaseId = typeof LeaseId.Type
 
-/** Milliseconds on this process's steady clock: comparable only within it. */
+/** Milliseconds on this process's monotonic clock: comparable only within it. */
 export type MonotonicTime = number & { readonly MonotonicTime: unique symbol }
 /** Milliseconds of the time of day: comparable between nodes within the settings' bound. */
 export type WallTime = number & { readonly WallTime: unique symbol }
--- a/packages/workers/src/placement-verdict.ts
+++ b/packages/workers/src/placement-verdict.ts
@@ -59,6 +59,7 @@
     startEvidence.tokenConfirmed &&
     reachability.unreachableSince === null
   )
+    // The text stands in the log, and operators may search for it.
     return cleared(placement, "worker began anew")
   return UNCHANGED
 }
--- a/packages/workers/src/worker-lease.ts
+++ b/packages/workers/src/worker-lease.ts
@@ -5,7 +5,7 @@
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import { type LeaseTimes, RECENT_INTERVALS } from "./model.ts"
 
-/** Steady clocks drift apart by at most this share; both ends may. */
+/** Monotonic clocks drift apart by at most this share; both ends may. */
 const DRIFT = 2 * 0.0005
 const LEASE_MARGIN_MS = 1_000
 
