--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -22,9 +22,6 @@
   readonly heartbeatIntervalS: number
 }
 
-/** What happened within so many heartbeat intervals counts as recent. */
-export const RECENT_INTERVALS = 2.5
-
 /** How a message of a worker came: as its heartbeat, or as the response to a request of ours. */
 export type MessageSource = "heartbeat" | "direct"
 
--- a/packages/workers/src/reachability.ts
+++ b/packages/workers/src/reachability.ts
@@ -3,7 +3,13 @@
  * copies, and receives what we send. It decides nothing about the tasks on the machine.
  */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
-import { type LeaseTimes, type MessageSource, RECENT_INTERVALS } from "./model.ts"
+import type { LeaseTimes, MessageSource } from "./model.ts"
+
+/** What happened within so many heartbeat intervals is recent. */
+const RECENT_INTERVALS = 2.5
+/** What happened after this moment is recent. */
+export const recentSince = ({ heartbeatIntervalS }: LeaseTimes, now: MonotonicTime): MonotonicTime =>
+  addMs(now, -heartbeatIntervalS * 1_000 * RECENT_INTERVALS)
 
 /** When a worker was last heard of, and since when it seems to receive nothing. */
 export class Reachability {
@@ -58,7 +64,7 @@
   }
   /** Heard of recently enough, and surely receiving commands, to be given work. */
   isSchedulable(now: MonotonicTime): boolean {
-    const recently = addMs(now, -this.times.heartbeatIntervalS * 1_000 * RECENT_INTERVALS)
+    const recently = recentSince(this.times, now)
     // A worker that reaches no controller still answers commands, and loses all at its lease:
     // only its heartbeats show that it can keep what it is given.
     const sendsHeartbeats = this.lastHeartbeatAt > recently
--- a/packages/workers/src/worker-lease.ts
+++ b/packages/workers/src/worker-lease.ts
@@ -3,7 +3,8 @@
  * heartbeats. It must never call a lease expired that the worker may still hold.
  */
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
-import { type LeaseTimes, RECENT_INTERVALS } from "./model.ts"
+import type { LeaseTimes } from "./model.ts"
+import { recentSince } from "./reachability.ts"
 
 /** Monotonic clocks drift apart by at most this share; both ends may. */
 const DRIFT = 2 * 0.0005
@@ -26,7 +27,7 @@
     this.lastAnsweredAt = now
   }
   wasRecentlyRenewed(now: MonotonicTime): boolean {
-    return this.lastAnsweredAt > addMs(now, -this.times.heartbeatIntervalS * 1_000 * RECENT_INTERVALS)
+    return this.lastAnsweredAt > recentSince(this.times, now)
   }
   /**
    * The worker's lease has expired when a full lease time has passed since we
