--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -193,8 +193,8 @@
   assignment: MachineAssignment,
   now: MonotonicTime,
 ): MachineView["state"] => {
-  if (assignment.returning || assignment.moving || session.warningUntil !== null) return "unavailable"
-  if (session.usable(now)) return assignment.closing ? "draining" : "ready"
+  if (assignment.returning || assignment.moving || session.preemptionAt !== null) return "unavailable"
+  if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
   if (session.lastHeard !== NEVER) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const booting =
