--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -17,7 +17,7 @@
 import type { Operators, Platform } from "@sorreltally/settings"
 import type { FinalStatus, JobRecord, StoreError } from "@sorreltally/store"
 import { Effect, Option, Result, Schema } from "effect"
-import { Limiter } from "./limiter.ts"
+import { Limiter } from "./concurrency-limiter.ts"
 
 type Found =
   | { readonly kind: "live"; readonly record: JobRecord }
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/users.test.ts
@@ -11,7 +11,7 @@
 import { defaultOperators, type Platform } from "@sorreltally/settings"
 import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/store"
 import { Effect } from "effect"
-import { Limiter } from "../src/limiter.ts"
+import { Limiter } from "../src/concurrency-limiter.ts"
 import { Api, type JobService } from "../src/users.ts"
 
 const good = {
--- a/packages/daemon/src/http.ts
+++ b/packages/daemon/src/http.ts
@@ -14,7 +14,7 @@
 } from "@sorreltally/protocol"
 import type { Sizes } from "@sorreltally/settings"
 import { Effect } from "effect"
-import { Accepted, ManyHosts, oneService } from "./connections.ts"
+import { Accepted, ManyHosts, oneService } from "./connection-pools.ts"
 
 /** `services` are asked much and often; all other addresses are machines. */
 export const httpExchange = (services: ReadonlyArray<Address>, sizes: Sizes): HttpClient["Service"] => {
--- a/packages/daemon/test/connections.test.ts
+++ b/packages/daemon/test/connection-pools.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test"
 import type { Address } from "@sorreltally/protocol"
 import { Effect } from "effect"
-import { Accepted } from "../src/connections.ts"
+import { Accepted } from "../src/connection-pools.ts"
 import { httpExchange } from "../src/http.ts"
 
 // Guards against running out of sockets: connections of machines that are gone never say so.
--- a/packages/settings/src/platform-file.ts
+++ b/packages/settings/src/platform-file.ts
@@ -2,7 +2,7 @@
 import { Data, Result, Schema } from "effect"
 import { platformFromWire, WirePlatform } from "./codec.ts"
 import type { Platform } from "./platform.ts"
-import { unworkable } from "./sizes.ts"
+import { unworkable } from "./socket-budget.ts"
 
 /** A setting that is missing or wrong; the message names the field. */
 export class InvalidSettingsError extends Data.TaggedError("InvalidSettingsError")<{
