--- a/packages/api/src/users.ts
+++ b/packages/api/src/users.ts
@@ -60,7 +60,7 @@
     private readonly clocks: Clocks,
   ) {
     const { admission } = operators
-    this.limiter = new Limiter({ least: admission["least-in-progress"], most: admission["most-in-progress"] })
+    this.limiter = new Limiter({ least: admission.minInProgress, most: admission.maxInProgress })
   }
 
   handle(request: IncomingRequest): Effect.Effect<OutgoingResponse> {
@@ -104,7 +104,7 @@
   }
 
   private later(status: 429 | 503, error: string): OutgoingResponse {
-    return { status, body: { error }, retryAfterS: this.operators.admission["retry-after-s"] }
+    return { status, body: { error }, retryAfterS: this.operators.admission.retryAfterS }
   }
 
   /** Within the limit on requests in progress, and with an answer in time whatever happens. */
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -35,7 +35,7 @@
   type ShardName,
 } from "@sorreltally/protocol"
 import { CloudInventory, MachineIndex } from "@sorreltally/provisioning"
-import { cancellationBudget, type Operators, type Platform, sizesOf } from "@sorreltally/settings"
+import { cancellationBudget, type Operators, type Platform, socketBudget } from "@sorreltally/settings"
 import { type NodeContext, RunTimeEstimates, ShardController } from "@sorreltally/shard"
 import type { Entry, StoreClient } from "@sorreltally/store"
 import type { MachineHandoff, RepeatedHeartbeat } from "@sorreltally/workers"
@@ -92,7 +92,7 @@
       busy: () =>
         [...this.engines.values()].some(({ engine }) => engine.jobs.size + engine.machines.size > 0),
     }
-    this.commands = new InFlight(sizesOf(platform).commands)
+    this.commands = new InFlight(socketBudget(platform).commands)
     this.membership = new Membership(
       {
         self: platform.nodeName,
@@ -151,7 +151,7 @@
       store,
       this.membership.replica,
       clocks.monotonicNow,
-      operators.provisioning["refusal-memory-s"],
+      operators.provisioning.refusalMemoryS,
       platform.deployment.cloud.requestsPerSecond,
       () => this.lists(),
       (list) => this.shareList(list),
--- a/packages/daemon/src/http.ts
+++ b/packages/daemon/src/http.ts
@@ -12,14 +12,17 @@
   type Respond,
   withTimeout,
 } from "@sorreltally/protocol"
-import type { Sizes } from "@sorreltally/settings"
+import type { SocketBudget } from "@sorreltally/settings"
 import { Effect } from "effect"
 import { Accepted, ManyHosts, oneService } from "./connection-pools.ts"
 
 /** `services` are asked much and often; all other addresses are machines. */
-export const httpExchange = (services: ReadonlyArray<Address>, sizes: Sizes): HttpClient["Service"] => {
-  const agents = new Map(services.map((address) => [address, oneService(sizes.services)]))
-  const machines = new ManyHosts(sizes.commands)
+export const httpExchange = (
+  services: ReadonlyArray<Address>,
+  sockets: SocketBudget,
+): HttpClient["Service"] => {
+  const agents = new Map(services.map((address) => [address, oneService(sockets.services)]))
+  const machines = new ManyHosts(sockets.commands)
   const once = (call: HttpRequest): Effect.Effect<HttpResponse, NoResponseError> =>
     Effect.callback<HttpResponse, NoResponseError>((resume) => {
       const { host, port } = hostAndPort(call.address)
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,10 +1,10 @@
 import {
   budgetHolds,
-  budgetInWords,
   cancellationBudget,
+  checkNodeLease,
   defaultOperators,
-  InvalidSettingsError,
-  leaseSettingsError,
+  describeBudget,
+  type InvalidSettingsError,
   type Operators,
   type Platform,
   parseOperators,
@@ -31,9 +31,7 @@
       options.operators === undefined
         ? defaultOperators()
         : yield* parseOperators(yield* readSettingsFile(options.operators), options.operators)
-    const fault = leaseSettingsError(platform.deployment.workers, operators.membership)
-    if (fault !== null)
-      return yield* Result.fail(new InvalidSettingsError({ message: `${options.operators}: ${fault}` }))
+    yield* checkNodeLease(platform.deployment.workers, operators.membership, options.operators ?? "defaults")
     return { platform, operators }
   })
 
@@ -74,7 +72,7 @@
     const { workers, teams } = platform.deployment
     const budget = cancellationBudget(workers, operators.membership)
     if (!budgetHolds(budget)) process.stdout.write("warning: no grant is short enough for cancel_s\n")
-    process.stdout.write(`cancellations: ${budgetInWords(workers, budget)}\n`)
+    process.stdout.write(`cancellations: ${describeBudget(workers, budget)}\n`)
     process.stdout.write(`settings are fine: ${platform.nodeName}, ${teams.length} teams\n`)
   })
 program.parse()
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -2,11 +2,11 @@
 import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/protocol"
 import {
   budgetHolds,
-  budgetInWords,
   cancellationBudget,
+  describeBudget,
   type Operators,
   type Platform,
-  sizesOf,
+  socketBudget,
 } from "@sorreltally/settings"
 import { Effect } from "effect"
 import { httpExchange, serveHttp } from "./http.ts"
@@ -16,7 +16,7 @@
 export const service = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void> =>
   Effect.suspend(() => {
     const { store, cloud } = platform.services
-    const httpClient = httpExchange([store, cloud], sizesOf(platform))
+    const httpClient = httpExchange([store, cloud], socketBudget(platform))
     return Effect.provideService(serving(platform, operators, log), HttpClient, httpClient)
   })
 
@@ -32,7 +32,7 @@
       log,
     )
     const node = yield* makeNode(platform, operators, links, log)
-    serveHttp(platform.listenAddress, BODY_LIMIT, sizesOf(platform).inbound, node.serve, log)
+    serveHttp(platform.listenAddress, BODY_LIMIT, socketBudget(platform).inbound, node.serve, log)
     logBudget(platform, operators, log)
     log.info("started", { node: platform.nodeName, listen: platform.listenAddress })
     yield* node.run
@@ -42,7 +42,7 @@
 const logBudget = ({ deployment }: Platform, operators: Operators, log: Log): void => {
   const budget = cancellationBudget(deployment.workers, operators.membership)
   const { leaseTtlMs, leaseMarginMs, watchFreshMs } = budget
-  const sum = budgetInWords(deployment.workers, budget)
+  const sum = describeBudget(deployment.workers, budget)
   log.info("cancellation budget", { leaseTtlMs, leaseMarginMs, watchFreshMs, sum })
   if (!budgetHolds(budget)) log.error("cancelled tasks may outlive cancel_s during a store outage", { sum })
 }
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,5 +1,8 @@
+/** Settings: the platform's file, the operators' file, and the budgets that follow from them. Starts nothing. */
 export * from "./cancellation-budget.ts"
 export * from "./codec.ts"
+export * from "./codec-operators.ts"
+export { InvalidSettingsError } from "./errors.ts"
 export * from "./operators.ts"
 export * from "./platform.ts"
 export * from "./platform-file.ts"
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -245,7 +245,7 @@
     const { of } = this
     const now = of.node.clocks.monotonicNow()
     const { machines: needs } = of.node.demandRegistry(of.name)
-    const windowMs = of.node.operators.provisioning["window-s"] * 1000
+    const windowMs = of.node.operators.provisioning.windowS * 1000
     let spotUp = false
     for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
     const wanted = this.queuedShapes()
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -157,13 +157,13 @@
       teams: teams.startable,
       limits: teams.rentable,
       types: [...(node.inventory.catalog()?.values() ?? [])],
-      maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
+      maxOnDemandCostRatio: node.operators.provisioning.maxOnDemandCostRatio,
       reserve,
       othersWait: needs.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
       rentalSize: RENTAL_SIZE,
-      deploymentS: node.operators.provisioning["deployment-s"],
+      deploymentS: node.operators.provisioning.deploymentS,
     })
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
--- a/packages/testkit/src/trouble-kinds.ts
+++ b/packages/testkit/src/trouble-kinds.ts
@@ -48,7 +48,7 @@
 /** How long the grant of a controller stands that can't renew it. */
 const grantS = ({ leaseS, cancelS }: DaySettings): number => {
   const times = { leaseS, cancellationLimitS: cancelS }
-  return cancellationBudget(times, { "grant-ttl-ms": null, "grant-margin-ms": null }).leaseTtlMs / 1000
+  return cancellationBudget(times, { nodeLeaseTtlMs: null, nodeLeaseMarginMs: null }).leaseTtlMs / 1000
 }
 /** A controller that acts no longer, and can renew its grant again after `lastsS`. */
 const lapse = (lastsS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -221,7 +221,7 @@
     },
   })
 }
-/** The operators' file: every setting, by section and name. */
+/** The operators' file: every setting, by section and field. */
 export const operatorsOf = (text: string): unknown => orThrow(parseOperators(text, "operators.sexp"))
 
 // --- frames between controllers -----------------------------------------------------
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -241,11 +241,11 @@
     const limits = settings.platform.replaceAll('"gpus_max":0', '"gpus_max":1000000000')
     assert.equal(platformAgain(settings.platform), limits)
   })
-  it("of operators are known by section and name", () => {
+  it("of operators are known by section and field", () => {
     assert.deepEqual(operatorsOf(settings.operators), {
-      provisioning: { "window-s": 45, "deployment-s": 40, "dearest-steady": 4.5, "refusal-memory-s": 12 },
-      membership: { "grant-ttl-ms": 9000, "grant-margin-ms": 400 },
-      admission: { "least-in-progress": 4, "most-in-progress": 256, "retry-after-s": 3 },
+      provisioning: { windowS: 45, deploymentS: 40, maxOnDemandCostRatio: 4.5, refusalMemoryS: 12 },
+      membership: { nodeLeaseTtlMs: 9000, nodeLeaseMarginMs: 400 },
+      admission: { minInProgress: 4, maxInProgress: 256, retryAfterS: 3 },
     })
   })
 })
