--- a/packages/api/src/index.ts
+++ b/packages/api/src/index.ts
@@ -1,2 +1,2 @@
+export * from "./api.ts"
 export * from "./concurrency-limiter.ts"
-export * from "./users.ts"
--- a/packages/api/test/users.test.ts
+++ b/packages/api/test/api.test.ts
@@ -11,8 +11,8 @@
 import { defaultOperators, type Platform } from "@sorreltally/settings"
 import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/store"
 import { Effect } from "effect"
+import { Api, type JobService } from "../src/api.ts"
 import { Limiter } from "../src/concurrency-limiter.ts"
-import { Api, type JobService } from "../src/users.ts"
 
 const good = {
   id: "run-000412",
