--- a/packages/api/src/index.ts
+++ b/packages/api/src/index.ts
@@ -1,2 +1,3 @@
+/** The HTTP interface for users, workers and health checks, without its sockets. */
 export * from "./api.ts"
-export * from "./concurrency-limiter.ts"
+export type * from "./backend.ts"
--- /dev/null
+++ b/packages/api/src/job-requests.ts
@@ -0,0 +1,101 @@
+/**
+ * Users' requests about jobs: submissions, polls and cancellations, each from its body or id to its response.
+ * Users are only told what is durable, and nothing older than their question: whatever is answered here comes
+ * from `JobService`, never from a memory of this node.
+ */
+import {
+  type Clocks,
+  decodeJobSpec,
+  encodeJobView,
+  type JobId,
+  JobId as JobIdSchema,
+  type JobSpec,
+  type OutgoingResponse,
+} from "@sorreltally/protocol"
+import type { Platform } from "@sorreltally/settings"
+import type { StoreError } from "@sorreltally/store"
+import { Effect, Result, Schema } from "effect"
+import { judgeAdmissibility } from "./admissibility.ts"
+import type { ApiBackend, JobLookup } from "./backend.ts"
+import { badRequest, notFound, parseJson, unavailable, unprocessable } from "./responses.ts"
+
+const isJobId = Schema.is(JobIdSchema)
+const NO_SUCH_JOB = Effect.succeed(notFound("no such job"))
+
+type JobResponse = Effect.Effect<OutgoingResponse, StoreError>
+
+/** Answers users' requests about jobs. Fails with `StoreError` where the store can't be used now. */
+export class JobRequests {
+  constructor(
+    private readonly platform: Platform,
+    private readonly backend: ApiBackend,
+    private readonly clocks: Clocks,
+    private readonly retryAfterS: number,
+  ) {}
+
+  /** A submission; repeated, it tells of the job accepted before. */
+  submit(body: string): JobResponse {
+    const json = parseJson(body)
+    if (json === undefined) return Effect.succeed(badRequest("not JSON"))
+    if (typeof json !== "object" || json === null || Array.isArray(json))
+      return Effect.succeed(badRequest("not an object"))
+    const decoded = decodeJobSpec(json)
+    if (Result.isFailure(decoded)) return Effect.succeed(badRequest(decoded.failure.message))
+    const spec = decoded.success
+    const { deployment } = this.platform
+    const verdict = judgeAdmissibility(spec, deployment, this.backend.machineTypes())
+    switch (verdict.kind) {
+      case "admissible":
+        return this.accept(spec)
+      case "inadmissible":
+        return this.knownOr(spec.id, unprocessable(verdict.reason))
+      case "undecided":
+        return this.knownOr(spec.id, unavailable(503, verdict.reason, this.retryAfterS))
+    }
+  }
+
+  /** A job once accepted stays accepted, whatever its submission would be answered today. */
+  private knownOr(id: JobId, refusal: OutgoingResponse): JobResponse {
+    return Effect.map(this.backend.jobs.find(id), (found) =>
+      found.kind === "none" ? refusal : this.view(id, found),
+    )
+  }
+
+  private accept(spec: JobSpec): JobResponse {
+    return Effect.suspend(() => {
+      const record = { spec, submittedAt: this.clocks.wallNow(), cancelled: false }
+      return Effect.map(this.backend.jobs.accept(record), (found) => {
+        if (found.kind === "accepted")
+          return { status: 201, body: encodeJobView({ id: spec.id, status: "queued" }) }
+        if (found.kind === "none")
+          return unavailable(503, "the job's state can't be read now", this.retryAfterS)
+        return this.view(spec.id, found)
+      })
+    })
+  }
+
+  /** A poll: the job's status, with its task counts while it is live. */
+  poll(id: string): JobResponse {
+    if (!isJobId(id)) return NO_SUCH_JOB
+    return Effect.map(this.backend.jobs.find(id), (found) => this.view(id, found))
+  }
+
+  /** A cancellation; a job that has ended is answered as it ended. */
+  cancel(id: string): JobResponse {
+    if (!isJobId(id)) return NO_SUCH_JOB
+    return Effect.map(this.backend.jobs.cancel(id), (found) =>
+      found.kind === "live"
+        ? { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
+        : this.view(id, found),
+    )
+  }
+
+  private view(id: JobId, found: JobLookup): OutgoingResponse {
+    if (found.kind === "none") return notFound("no such job")
+    if (found.kind === "final") return { status: 200, body: encodeJobView({ id, status: found.status }) }
+    if (found.record.cancelled) return { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
+    const counts = this.backend.taskCounts(id)
+    const status = counts.running > 0 ? "running" : "queued"
+    return { status: 200, body: encodeJobView({ id, status, ...counts }) }
+  }
+}
--- /dev/null
+++ b/packages/api/test/builders.ts
@@ -0,0 +1,108 @@
+/** What the tests of this package share: a submission that is accepted, and an API over jobs in memory. */
+import type {
+  MachineType,
+  MachineTypeName,
+  MonotonicTime,
+  OutgoingResponse,
+  Respond,
+  WallTime,
+} from "@sorreltally/protocol"
+import { defaultOperators, type Platform } from "@sorreltally/settings"
+import { type FinalStatus, type JobRecord, StoreError } from "@sorreltally/store"
+import { Effect } from "effect"
+import { Api, type JobService } from "../src/index.ts"
+
+/** A submission as users send it. */
+export const submission = {
+  id: "run-000412",
+  lane: "train",
+  owner: "vision",
+  shape: "batch",
+  urgency: "high",
+  pieces: 4,
+  cores: 8,
+  accelerators: 0,
+  mem_gb: 16,
+  bundle: "img-07",
+  image_gb: 6.2,
+  builds: null,
+  together: true,
+  scatter: false,
+  loaners: true,
+  expected_s: 240,
+  snapshot_s: 30,
+  flush_s: 4,
+  due_s: 900,
+}
+
+/** Jobs kept in memory; `storeDown`: every call fails as if the store refused it. */
+const jobsInMemory = (storeDown: boolean) => {
+  const live = new Map<string, JobRecord>()
+  const finals = new Map<string, FinalStatus>()
+  const lookup = (id: string) => {
+    const [status, record] = [finals.get(id), live.get(id)]
+    if (status !== undefined) return { kind: "final", status } as const
+    return record === undefined ? ({ kind: "none" } as const) : ({ kind: "live", record } as const)
+  }
+  const unlessDown = <A>(result: () => A) =>
+    storeDown
+      ? Effect.fail(new StoreError({ operation: "get", outcome: "refused", status: 503 }))
+      : Effect.sync(result)
+  const jobs: JobService = {
+    find: (id) => unlessDown(() => lookup(id)),
+    accept: (record) =>
+      unlessDown(() => {
+        const { id } = record.spec
+        const found = lookup(id)
+        if (found.kind !== "none") return found
+        live.set(id, record)
+        return { kind: "accepted" } as const
+      }),
+    cancel: (id) =>
+      unlessDown(() => {
+        const found = lookup(id)
+        if (found.kind === "live") live.set(id, { ...found.record, cancelled: true })
+        return lookup(id)
+      }),
+  }
+  return { jobs, finals }
+}
+
+interface ApiOptions {
+  /** Whether the machine types are known; they are by default. */
+  readonly knowsMachineTypes?: boolean
+  readonly storeDown?: boolean
+}
+
+/** An API, its requests, and the final states that its jobs may be given. */
+export const buildApi = ({ knowsMachineTypes = true, storeDown = false }: ApiOptions = {}) => {
+  const { jobs, finals } = jobsInMemory(storeDown)
+  const platform = {
+    deployment: {
+      zones: ["a"],
+      teams: [{ name: "vision", cpus: 16, maxCpus: 32, gpus: 0, maxGpus: 0 }],
+    },
+  } as unknown as Platform
+  const type = { name: "g8", cores: 16, accelerators: 0, memGb: 64, zones: ["a"] } as unknown as MachineType
+  const backend = {
+    isReady: () => true,
+    machineTypes: () => (knowsMachineTypes ? new Map([["g8" as MachineTypeName, type]]) : null),
+    jobs,
+    taskCounts: () => ({ done: 1, running: 2 }),
+    receiveHeartbeat: (_: unknown, respond: Respond) => respond({ status: 200, body: {} }),
+  }
+  const clocks = {
+    monotonicNow: () => performance.now() as MonotonicTime,
+    wallNow: () => Date.now() as WallTime,
+  }
+  const api = new Api(platform, defaultOperators(), backend, clocks)
+  const send = (method: string, path: string, body: unknown = ""): Promise<OutgoingResponse> =>
+    Effect.runPromise(
+      api.handle({ method, path, body: typeof body === "string" ? body : JSON.stringify(body) }),
+    )
+  return { send, finals, submit: (body: unknown) => send("POST", "/v1/jobs", body) }
+}
+
+/** The status of a response. */
+export const statusOf = async (response: Promise<OutgoingResponse>): Promise<number> =>
+  (await response).status
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -1,4 +1,4 @@
-import { Api, REPORT_PATH } from "@sorreltally/api"
+import { Api, HEARTBEAT_PATH } from "@sorreltally/api"
 import { makeCloudClient } from "@sorreltally/cloud"
 import { makeController } from "@sorreltally/controller"
 import { type Links, makePeerChannel } from "@sorreltally/peers"
@@ -59,11 +59,11 @@
       return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
     }
     const backend = {
-      ready,
-      catalog: () => controller.catalog(),
+      isReady: ready,
+      machineTypes: () => controller.catalog(),
       jobs: controller.jobStore,
-      counts: controller.counts.bind(controller),
-      report: controller.receiveHeartbeat.bind(controller),
+      taskCounts: controller.counts.bind(controller),
+      receiveHeartbeat: controller.receiveHeartbeat.bind(controller),
     }
     const api = new Api(platform, operators, backend, clocks)
     const context = yield* Effect.context<never>()
@@ -72,14 +72,14 @@
       answer({ status: 503, body: { error: "internal error" } })
     }
     const serve = (request: IncomingRequest, answer: Respond): void => {
-      if (request.path !== REPORT_PATH || request.method !== "POST") {
+      if (request.path !== HEARTBEAT_PATH || request.method !== "POST") {
         Effect.runCallbackWith(context)(api.handle(request), {
           onExit: (exit) => (Exit.isSuccess(exit) ? answer(exit.value) : failed(request, exit.cause, answer)),
         })
         return
       }
       try {
-        api.report(request.body, answer)
+        api.receiveHeartbeat(request.body, answer)
       } catch (cause) {
         failed(request, cause, answer)
       }
--- a/scenarios/invented.sexp
+++ b/scenarios/invented.sexp
@@ -3,6 +3,6 @@
   (at 1 (submit pieces 3 cores 4 run 10))
   (at 5 (ask-about-nobody)) (at 20 (crash-all 2)) (at 30 (ask-about-nobody)) (at 31 (ask-about-nobody))
   (expect (done 0))
-  (guard "packages/api/src/api.ts"
-    "if (found.kind === \"none\") return { status: 404, body: { error: \"no such job\" } }"
+  (guard "packages/api/src/job-requests.ts"
+    "if (found.kind === \"none\") return notFound(\"no such job\")"
     "if (found.kind === \"none\") return { status: 200, body: { id, status: \"queued\" } }"))
--- a/scenarios/odd-requests.sexp
+++ b/scenarios/odd-requests.sexp
@@ -4,9 +4,9 @@
   (at 5 (stream 20 60 pieces 2 cores 1 run 5) (stream 5 60 pieces 4 cores 2 run 10 due 90))
   (at 30 (crash host-1 2)) (at 50 (crash-all 1)) (at 52 (cloud-outage 20))
   (expect (all-over) (happened odd 150) (happened oddRefused 200))
-  (guard "packages/api/src/api.ts"
-    "if (places.size === 0) return never(\"a task fits no allowed machine type\")"
+  (guard "packages/api/src/admissibility.ts"
+    "if (zones.size === 0) return inadmissible(\"a task fits no allowed machine type\")"
     "")
-  (guard "packages/api/src/api.ts"
-    "if (team === undefined) return never(`unknown team ${request.team}`)"
-    "if (team === undefined) return null"))
+  (guard "packages/api/src/admissibility.ts"
+    "if (team === undefined) return inadmissible(`unknown team ${job.team}`)"
+    "if (team === undefined) return ADMISSIBLE"))
--- a/scenarios/went-back.sexp
+++ b/scenarios/went-back.sexp
@@ -5,6 +5,6 @@
   (at 20 (cancel 1)) (at 21 (cancel 2)) (at 22 (resubmit 1) (resubmit 2)) (at 23 (resubmit 1) (resubmit 2))
   (at 30 (crash-all 2)) (at 50 (cancel 0)) (at 60 (resubmit 0) (resubmit 1))
   (expect (withdrawn 2) (all-over))
-  (guard "packages/api/src/api.ts"
+  (guard "packages/api/src/job-requests.ts"
     "if (found.record.cancelled)"
     "if (found.record.cancelled && this.clocks.monotonicNow() < 0)"))
