--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -3,26 +3,16 @@
 import { makeController } from "@sorreltally/controller"
 import { type Links, makePeerChannel } from "@sorreltally/peers"
 import {
-  addMs,
   type HttpClient,
   type IncomingRequest,
   type Log,
-  type MonotonicTime,
-  NEVER,
   processClocks,
   type Respond,
 } from "@sorreltally/protocol"
 import type { Operators, Platform } from "@sorreltally/settings"
 import { makeStoreClient } from "@sorreltally/store"
 import { Effect, Exit } from "effect"
-
-/**
- * Trouble shorter than this doesn't make the node unready: the balancer
- * doubles its pause at each removal. Where others could serve the users
- * instead, they should soon; where nobody can, it makes no difference to them.
- */
-const staysReadyMs = (othersWell: boolean | null): number =>
-  othersWell === true ? 2_500 : othersWell === null ? 7_000 : 30_000
+import { makeReadiness } from "./readiness.ts"
 
 export interface Node {
   /** Answers a request of a worker, a user or a health check, once. */
@@ -52,12 +42,11 @@
     const others = peers.map((p) => p.nodeName)
     const channel = yield* makePeerChannel(nodeName, others, links, log)
     const controller = yield* makeController(platform, operators, nodes, store, cloud, channel, log)
-    let wellAt: MonotonicTime = NEVER
-    const ready = () => {
-      const now = clocks.monotonicNow()
-      if (controller.well()) wellAt = now
-      return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
-    }
+    const ready = makeReadiness(
+      () => controller.well(),
+      () => controller.othersWell(),
+      clocks,
+    )
     const backend = {
       isReady: ready,
       machineTypes: () => controller.catalog(),
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -9,7 +9,8 @@
   socketBudget,
 } from "@sorreltally/settings"
 import { Effect } from "effect"
-import { httpExchange, serveHttp } from "./http.ts"
+import { httpExchange } from "./http-client.ts"
+import { serveHttp } from "./http-server.ts"
 import { makeNode } from "./node.ts"
 
 /** The whole service of one node; runs until its process ends. */
--- a/packages/daemon/test/connection-pools.test.ts
+++ b/packages/daemon/test/connection-pools.test.ts
@@ -5,7 +5,7 @@
 import type { Address } from "@sorreltally/protocol"
 import { Effect } from "effect"
 import { Accepted } from "../src/connection-pools.ts"
-import { httpExchange } from "../src/http.ts"
+import { httpExchange } from "../src/http-client.ts"
 
 // Guards against running out of sockets: connections of machines that are gone never say so.
 test("accepted connections: the idlest makes room, those at work don't", () => {
