--- a/packages/daemon/src/connection-pools.ts
+++ b/packages/daemon/src/connection-pools.ts
@@ -1,92 +1,108 @@
+/**
+ * Pools of connections, each within its share of the file descriptors (`socketBudget`): those accepted from
+ * workers and users, those kept to workers, and those to a service. They own their sockets; nothing here knows
+ * what is sent on them.
+ */
 import { Agent, type AgentOptions, type ClientRequest } from "node:http"
 import type { Socket } from "node:net"
 import type { Duplex } from "node:stream"
 
+/** What is needed of a socket to make room for another. */
+interface Destroyable {
+  readonly destroy: () => unknown
+}
+
 /**
- * Connections that were accepted, idlest first. Workers and users that are gone
- * say so to nobody: behind a cut, or with their power off, their connections
- * stay. At the limit the idlest one makes room, so that whoever comes next
- * isn't refused, the health checks among them.
+ * Inbound connections, least recently used first. Workers and users that are gone notify nobody: behind a
+ * network cut, or with their power off, their connections stay. At the limit the least recently used idle one
+ * is closed, so that whoever connects next isn't refused, health checks among them.
  */
-export class Accepted<S extends { readonly destroy: () => unknown } = Socket> {
+export class InboundConnections<S extends Destroyable = Socket> {
   private readonly idle = new Set<S>()
   private readonly busy = new Set<S>()
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxConnections: number) {}
 
+  /** How many are open. */
   get size(): number {
     return this.idle.size + this.busy.size
   }
-  opened(socket: S): void {
+  /** A connection was accepted; closes another, or this one where all others are busy, at the limit. */
+  add(socket: S): void {
     this.idle.add(socket)
-    if (this.size <= this.most) return
-    for (const idlest of this.idle) {
-      // With all others at work, the newcomer itself is the idlest: it is refused.
-      this.closed(idlest)
-      idlest.destroy()
-      return
-    }
+    if (this.size <= this.maxConnections) return
+    const [leastRecentlyUsed] = this.idle
+    if (leastRecentlyUsed === undefined) return
+    this.remove(leastRecentlyUsed)
+    leastRecentlyUsed.destroy()
   }
-  /** A request came. */
-  works(socket: S): void {
+  /** A request came on it. */
+  markBusy(socket: S): void {
     if (this.idle.delete(socket)) this.busy.add(socket)
   }
-  /** It was answered. */
-  rests(socket: S): void {
+  /** Its request was answered. */
+  markIdle(socket: S): void {
     if (this.busy.delete(socket)) this.idle.add(socket)
   }
-  closed(socket: S): void {
+  /** It was closed, by whichever side. */
+  remove(socket: S): void {
     this.idle.delete(socket)
     this.busy.delete(socket)
   }
 }
 
-const IDLE_MS = 20_000
+/** An idle outbound connection is closed after this. */
+const IDLE_TIMEOUT_MS = 20_000
+const MAX_IDLE_PER_SERVICE = 4
 
 /**
- * Connections to many hosts, each spoken to now and then: kept for the next
- * word while there are few, the longest unused closed as there are more. Node's
- * own limit on an agent's sockets would have new hosts wait for idle ones.
+ * An agent for many hosts, each sent a request now and then: connections are kept for the next request while
+ * there are few; at the limit the least recently used idle one is closed for a new one. The limit is on what
+ * is kept: with none idle a new connection is opened all the same, and closed after its request. Node's own
+ * limit on an agent's sockets would queue requests to new hosts behind idle connections to others.
  */
-export class ManyHosts extends Agent {
+export class LruAgent extends Agent {
   private open = 0
-  private readonly unused = new Set<Duplex>()
+  private readonly idle = new Set<Duplex>()
 
-  constructor(private readonly most: number) {
-    // One machine is never told two things at a time.
-    super({ keepAlive: true, maxFreeSockets: 1, timeout: IDLE_MS })
+  constructor(private readonly maxConnections: number) {
+    // A worker is never sent two requests at a time.
+    super({ keepAlive: true, maxFreeSockets: 1, timeout: IDLE_TIMEOUT_MS })
   }
   override createConnection(
     options: AgentOptions,
     callback?: (error: Error | null, stream: Duplex) => void,
   ): Duplex | null | undefined {
-    if (this.open >= this.most) {
-      for (const oldest of this.unused) {
-        oldest.destroy()
-        break
-      }
+    if (this.open >= this.maxConnections) {
+      const [leastRecentlyUsed] = this.idle
+      leastRecentlyUsed?.destroy()
     }
     const socket = super.createConnection(options, callback)
     this.open++
     socket?.once("close", () => {
       this.open--
-      this.unused.delete(socket)
+      this.idle.delete(socket)
     })
     return socket
   }
   override keepSocketAlive(socket: Duplex): boolean {
-    // Node's types don't know that it answers.
-    const kept: unknown = super.keepSocketAlive(socket)
-    if (this.open > this.most || kept !== true) return false
-    this.unused.add(socket)
+    // Node's types don't say that it returns a boolean.
+    const isKept: unknown = super.keepSocketAlive(socket)
+    if (this.open > this.maxConnections || isKept !== true) return false
+    this.idle.add(socket)
     return true
   }
   override reuseSocket(socket: Duplex, request: ClientRequest): void {
-    this.unused.delete(socket)
+    this.idle.delete(socket)
     super.reuseSocket(socket, request)
   }
 }
 
-/** Connections to a service that answers many requests at a time; what it has no connection for waits. */
-export const oneService = (most: number): Agent =>
-  new Agent({ keepAlive: true, maxSockets: most, maxFreeSockets: Math.min(4, most), timeout: IDLE_MS })
+/** An agent for one service that answers many requests at a time; requests beyond its connections queue. */
+export const serviceAgent = (maxConnections: number): Agent =>
+  new Agent({
+    keepAlive: true,
+    maxSockets: maxConnections,
+    maxFreeSockets: Math.min(MAX_IDLE_PER_SERVICE, maxConnections),
+    timeout: IDLE_TIMEOUT_MS,
+  })
--- a/packages/daemon/src/http-server.ts
+++ b/packages/daemon/src/http-server.ts
@@ -1,4 +1,6 @@
-import { createServer, type Server } from "node:http"
+/** The HTTP listener: turns Node's requests into the service's and its responses back. Decides nothing. */
+import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http"
+import type { Socket } from "node:net"
 import {
   type Address,
   hostAndPort,
@@ -7,57 +9,91 @@
   type OutgoingResponse,
   type Respond,
 } from "@sorreltally/protocol"
-import { Accepted } from "./connection-pools.ts"
+import { Effect, type Scope } from "effect"
+import { InboundConnections } from "./connection-pools.ts"
 
-/** Serves one handler; the connection's housekeeping is all that happens here. */
-export const serveHttp = (
-  listen: Address,
-  bodyLimit: number,
-  mostConnections: number,
-  serve: (request: IncomingRequest, answer: Respond) => void,
-  log: Log,
-): Server => {
-  const accepted = new Accepted(mostConnections)
+/** A request whose headers and body aren't complete by then is answered 408 by Node. */
+const REQUEST_TIMEOUT_MS = 30_000
+
+/** What a listener serves, and within which bounds. */
+export interface HttpServerOptions {
+  readonly listen: Address
+  /** Longer bodies are answered 400 and never kept in memory. */
+  readonly maxBodyBytes: number
+  /** At most this many connections are open; see `InboundConnections`. */
+  readonly maxConnections: number
+  /** Answers a request, once. */
+  readonly serve: (request: IncomingRequest, respond: Respond) => void
+  readonly log: Log
+}
+
+const write = (response: ServerResponse, outgoing: OutgoingResponse): void => {
+  const text = JSON.stringify(outgoing.body)
+  response.writeHead(outgoing.status, {
+    "content-type": "application/json",
+    "content-length": String(Buffer.byteLength(text)),
+    ...(outgoing.retryAfterS === undefined ? {} : { "retry-after": String(outgoing.retryAfterS) }),
+  })
+  response.end(text)
+}
+
+/** Collects a request's body and hands it on, unless it is too long. */
+const receive = (
+  incoming: IncomingMessage,
+  { maxBodyBytes, serve }: HttpServerOptions,
+  respond: Respond,
+): void => {
+  const chunks: Array<Buffer> = []
+  let size = 0
+  incoming.on("data", (chunk: Buffer) => {
+    size += chunk.length
+    if (size <= maxBodyBytes) chunks.push(chunk)
+  })
+  incoming.on("end", () => {
+    if (size > maxBodyBytes)
+      return respond({ status: 400, body: { error: `a body has at most ${maxBodyBytes} bytes` } })
+    const request: IncomingRequest = {
+      method: incoming.method ?? "GET",
+      path: incoming.url ?? "/",
+      body: Buffer.concat(chunks).toString("utf8"),
+    }
+    serve(request, respond)
+  })
+}
+
+const createListener = (options: HttpServerOptions): Server => {
+  const connections = new InboundConnections<Socket>(options.maxConnections)
   const server = createServer((incoming, response) => {
     const { socket } = incoming
-    accepted.works(socket)
-    const chunks: Array<Buffer> = []
-    let size = 0
-    const answer = (outgoing: OutgoingResponse) => {
-      const text = JSON.stringify(outgoing.body)
-      response.writeHead(outgoing.status, {
-        "content-type": "application/json",
-        "content-length": String(Buffer.byteLength(text)),
-        ...(outgoing.retryAfterS === undefined ? {} : { "retry-after": String(outgoing.retryAfterS) }),
-      })
-      response.end(text)
-      accepted.rests(socket)
-    }
-    incoming.on("data", (chunk: Buffer) => {
-      size += chunk.length
-      if (size <= bodyLimit) chunks.push(chunk)
-    })
+    connections.markBusy(socket)
     incoming.on("error", () => response.destroy())
-    incoming.on("end", () => {
-      if (size > bodyLimit)
-        return answer({ status: 400, body: { error: `a body has at most ${bodyLimit} bytes` } })
-      const request: IncomingRequest = {
-        method: incoming.method ?? "GET",
-        path: incoming.url ?? "/",
-        body: Buffer.concat(chunks).toString("utf8"),
-      }
-      serve(request, answer)
+    receive(incoming, options, (outgoing) => {
+      write(response, outgoing)
+      connections.markIdle(socket)
     })
   })
   server.on("connection", (socket) => {
-    accepted.opened(socket)
-    socket.once("close", () => accepted.closed(socket))
+    connections.add(socket)
+    socket.once("close", () => connections.remove(socket))
   })
-  // A connection stays open until one side says otherwise, or another needs its place.
+  // A connection stays open until one side closes it, or another one needs its place.
   server.keepAliveTimeout = 0
-  server.requestTimeout = 30_000
-  server.on("error", (cause) => log.error("HTTP listener failed", { cause: String(cause) }))
-  const { host, port } = hostAndPort(listen)
-  server.listen(port, host)
+  server.requestTimeout = REQUEST_TIMEOUT_MS
+  server.on("error", (cause) => options.log.error("HTTP listener failed", { cause: String(cause) }))
   return server
 }
+
+/** Listens until the scope ends, which closes the listener and its connections. Errors are logged, not thrown. */
+export const serveHttp = (options: HttpServerOptions): Effect.Effect<void, never, Scope.Scope> =>
+  Effect.acquireRelease(
+    Effect.sync(() => {
+      const server = createListener(options)
+      const { host, port } = hostAndPort(options.listen)
+      return server.listen(port, host)
+    }),
+    (server) =>
+      Effect.sync(() => {
+        server.close()
+        server.closeAllConnections()
+      }),
+  )
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,22 +1,25 @@
+/** The log on standard error; docs/operations.md lists every line. */
 import type { Log } from "@sorreltally/protocol"
 
 const LEVELS = ["error", "info", "debug"] as const
-export type Level = (typeof LEVELS)[number]
+/** Each level writes its own lines and those of the levels before it. */
+export type LogLevel = (typeof LEVELS)[number]
 
-export const levelFrom = (text: string | undefined): Level =>
-  LEVELS.find((l) => l === text?.toLowerCase()) ?? "info"
+/** The level of an environment variable's text; `info` for any other text, and for none. */
+export const parseLogLevel = (text: string | undefined): LogLevel =>
+  LEVELS.find((level) => level === text?.toLowerCase()) ?? "info"
 
-const show = (value: unknown): string => (typeof value === "string" ? value : JSON.stringify(value))
+const formatValue = (value: unknown): string => (typeof value === "string" ? value : JSON.stringify(value))
 
-/** One line an event on standard error: time, level, message, then facts as name=value. */
-export const makeLog = (level: Level): Log => {
-  const most = LEVELS.indexOf(level)
+/** One line an event on standard error: time, level, message, then fields as name=value. */
+export const makeLog = (maxLevel: LogLevel): Log => {
+  const enabled = LEVELS.slice(0, LEVELS.indexOf(maxLevel) + 1)
   const writer =
-    (of: Level) =>
+    (level: LogLevel) =>
     (message: string, fields: Record<string, unknown> = {}): void => {
-      if (LEVELS.indexOf(of) > most) return
-      const pairs = Object.entries(fields).map(([name, value]) => ` ${name}=${show(value)}`)
-      process.stderr.write(`${new Date().toISOString()} ${of} ${message}${pairs.join("")}\n`)
+      if (!enabled.includes(level)) return
+      const pairs = Object.entries(fields).map(([name, value]) => ` ${name}=${formatValue(value)}`)
+      process.stderr.write(`${new Date().toISOString()} ${level} ${message}${pairs.join("")}\n`)
     }
   return { error: writer("error"), info: writer("info"), debug: writer("debug") }
 }
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -1,6 +1,7 @@
-import { Api, HEARTBEAT_PATH } from "@sorreltally/api"
+/** Puts one controller together, without the sockets that it is reached by: the tests give it simulated ones. */
+import { Api, type ApiBackend, HEARTBEAT_PATH } from "@sorreltally/api"
 import { makeCloudClient } from "@sorreltally/cloud"
-import { makeController } from "@sorreltally/controller"
+import { type Controller, makeController } from "@sorreltally/controller"
 import { type Links, makePeerChannel } from "@sorreltally/peers"
 import {
   type HttpClient,
@@ -14,14 +15,37 @@
 import { Effect, Exit } from "effect"
 import { makeReadiness } from "./readiness.ts"
 
+/** One controller of the deployment. */
 export interface Node {
-  /** Answers a request of a worker, a user or a health check, once. */
-  readonly serve: (request: IncomingRequest, answer: Respond) => void
-  /** Runs until it is interrupted. */
+  /** Answers a request of a worker, a user or a health check, once. Doesn't throw. */
+  readonly serve: (request: IncomingRequest, respond: Respond) => void
+  /** Runs until it is interrupted; the owner of its fiber ends everything that the node started. */
   readonly run: Effect.Effect<void>
 }
 
-/** One controller, put together, without the sockets that it is reached by. */
+const buildController = (platform: Platform, operators: Operators, links: Links, log: Log) =>
+  Effect.gen(function* () {
+    const { deployment, services, peers, nodeName } = platform
+    const others = peers.map((peer) => peer.nodeName)
+    const nodes = [nodeName, ...others].sort()
+    const { writesPerSecond, valueKb, maxOperations } = deployment.store
+    const storeLimits = { writesPerSecond, valueKb, maxOperations }
+    const store = yield* makeStoreClient(services.store, storeLimits, nodes.length)
+    const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
+    const channel = yield* makePeerChannel(nodeName, others, links, log)
+    return yield* makeController(platform, operators, nodes, store, cloud, channel, log)
+  })
+
+/** The controller, as the HTTP interface sees it. */
+const backendOf = (controller: Controller, isReady: () => boolean): ApiBackend => ({
+  isReady,
+  machineTypes: () => controller.catalog(),
+  jobs: controller.jobStore,
+  taskCounts: controller.counts.bind(controller),
+  receiveHeartbeat: controller.receiveHeartbeat.bind(controller),
+})
+
+/** One controller, put together; it does nothing before `run`. */
 export const makeNode = (
   platform: Platform,
   operators: Operators,
@@ -30,47 +54,30 @@
 ): Effect.Effect<Node, never, HttpClient> =>
   Effect.gen(function* () {
     const clocks = yield* processClocks
-    const { deployment, services, peers, nodeName } = platform
-    const nodes = [nodeName, ...peers.map((p) => p.nodeName)].sort()
-    const storeLimits = {
-      writesPerSecond: deployment.store.writesPerSecond,
-      valueKb: deployment.store.valueKb,
-      maxOperations: deployment.store.maxOperations,
-    }
-    const store = yield* makeStoreClient(services.store, storeLimits, nodes.length)
-    const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
-    const others = peers.map((p) => p.nodeName)
-    const channel = yield* makePeerChannel(nodeName, others, links, log)
-    const controller = yield* makeController(platform, operators, nodes, store, cloud, channel, log)
-    const ready = makeReadiness(
-      () => controller.well(),
-      () => controller.othersWell(),
-      clocks,
-    )
-    const backend = {
-      isReady: ready,
-      machineTypes: () => controller.catalog(),
-      jobs: controller.jobStore,
-      taskCounts: controller.counts.bind(controller),
-      receiveHeartbeat: controller.receiveHeartbeat.bind(controller),
+    const controller = yield* buildController(platform, operators, links, log)
+    const health = {
+      isHealthy: () => controller.well(),
+      areOthersHealthy: () => controller.othersWell(),
     }
+    const backend = backendOf(controller, makeReadiness(health, clocks))
     const api = new Api(platform, operators, backend, clocks)
     const context = yield* Effect.context<never>()
-    const failed = (request: IncomingRequest, cause: unknown, answer: Respond) => {
+    const fail = (request: IncomingRequest, cause: unknown, respond: Respond) => {
       log.error("request failed", { path: request.path, cause: String(cause) })
-      answer({ status: 503, body: { error: "internal error" } })
+      respond({ status: 503, body: { error: "internal error" } })
     }
-    const serve = (request: IncomingRequest, answer: Respond): void => {
+    const serve = (request: IncomingRequest, respond: Respond): void => {
       if (request.path !== HEARTBEAT_PATH || request.method !== "POST") {
         Effect.runCallbackWith(context)(api.handle(request), {
-          onExit: (exit) => (Exit.isSuccess(exit) ? answer(exit.value) : failed(request, exit.cause, answer)),
+          onExit: (exit) => (Exit.isSuccess(exit) ? respond(exit.value) : fail(request, exit.cause, respond)),
         })
         return
       }
+      // By far the most requests: plain calls, no fiber.
       try {
-        api.receiveHeartbeat(request.body, answer)
+        api.receiveHeartbeat(request.body, respond)
       } catch (cause) {
-        failed(request, cause, answer)
+        fail(request, cause, respond)
       }
     }
     return { serve, run: controller.run }
--- a/packages/daemon/src/readiness.ts
+++ b/packages/daemon/src/readiness.ts
@@ -1,23 +1,33 @@
+/** What `/ready` answers a load balancer: the node's health with a delay, so that short faults don't show. */
 import { addMs, type Clocks, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 
+/** The health of this node and, as far as it is known here, of the others. */
+export interface HealthSource {
+  /** Whether this node can serve users now. */
+  readonly isHealthy: () => boolean
+  /** Whether some other node can; null: no other node is reachable. */
+  readonly areOthersHealthy: () => boolean | null
+}
+
+const GRACE_OTHERS_HEALTHY_MS = 2_500
+const GRACE_OTHERS_UNREACHABLE_MS = 7_000
+const GRACE_NOBODY_HEALTHY_MS = 30_000
+
 /**
- * Trouble shorter than this doesn't make the node unready: the balancer
- * doubles its pause at each removal. Where others could serve the users
- * instead, they should soon; where nobody can, it makes no difference to them.
+ * For how long a node that isn't healthy stays ready: the load balancer doubles its pause at each removal.
+ * Where others could serve the users instead, they should soon; where nobody can, it makes no difference.
  */
-const staysReadyMs = (othersWell: boolean | null): number =>
-  othersWell === true ? 2_500 : othersWell === null ? 7_000 : 30_000
+const graceMs = (areOthersHealthy: boolean | null): number => {
+  if (areOthersHealthy === null) return GRACE_OTHERS_UNREACHABLE_MS
+  return areOthersHealthy ? GRACE_OTHERS_HEALTHY_MS : GRACE_NOBODY_HEALTHY_MS
+}
 
-/** Whether the node is ready. */
-export const makeReadiness = (
-  well: () => boolean,
-  othersWell: () => boolean | null,
-  clocks: Clocks,
-): (() => boolean) => {
-  let wellAt: MonotonicTime = NEVER
+/** Ready while healthy and for a grace period afterwards; not ready before it was healthy once. */
+export const makeReadiness = (health: HealthSource, clocks: Clocks): (() => boolean) => {
+  let healthyAt: MonotonicTime = NEVER
   return () => {
     const now = clocks.monotonicNow()
-    if (well()) wellAt = now
-    return now < addMs(wellAt, staysReadyMs(othersWell()))
+    if (health.isHealthy()) healthyAt = now
+    return now < addMs(healthyAt, graceMs(health.areOthersHealthy()))
   }
 }
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -1,3 +1,8 @@
+/**
+ * The whole service of one node: the node, and the sockets that it is reached by and reaches others by. The
+ * HTTP listener and the client's connections belong to the service's scope; the sockets between controllers
+ * live as long as the process.
+ */
 import { openSockets } from "@sorreltally/peers"
 import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/protocol"
 import {
@@ -8,38 +13,43 @@
   type Platform,
   socketBudget,
 } from "@sorreltally/settings"
-import { Effect } from "effect"
-import { httpExchange } from "./http-client.ts"
+import { Effect, type Scope } from "effect"
+import { makeHttpClient } from "./http-client.ts"
 import { serveHttp } from "./http-server.ts"
 import { makeNode } from "./node.ts"
 
-/** The whole service of one node; runs until its process ends. */
-export const service = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void> =>
-  Effect.suspend(() => {
-    const { store, cloud } = platform.services
-    const httpClient = httpExchange([store, cloud], socketBudget(platform))
-    return Effect.provideService(serving(platform, operators, log), HttpClient, httpClient)
-  })
+/** Serves until it is interrupted, or fails by a bug; either way its listener and connections are closed. */
+export const runService = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void> =>
+  Effect.scoped(
+    Effect.gen(function* () {
+      const { store, cloud } = platform.services
+      const httpClient = yield* makeHttpClient([store, cloud], socketBudget(platform))
+      yield* Effect.provideService(runNode(platform, operators, log), HttpClient, httpClient)
+    }),
+  )
 
-const serving = (
+const runNode = (
   platform: Platform,
   operators: Operators,
   log: Log,
-): Effect.Effect<void, never, HttpClient> =>
+): Effect.Effect<void, never, HttpClient | Scope.Scope> =>
   Effect.gen(function* () {
-    const links = openSockets(
-      platform.peerListenAddress,
-      platform.peers.map((p) => ({ node: p.nodeName, address: p.address })),
-      log,
-    )
+    const peers = platform.peers.map(({ nodeName, address }) => ({ node: nodeName, address }))
+    const links = openSockets(platform.peerListenAddress, peers, log)
     const node = yield* makeNode(platform, operators, links, log)
-    serveHttp(platform.listenAddress, BODY_LIMIT, socketBudget(platform).inbound, node.serve, log)
+    yield* serveHttp({
+      listen: platform.listenAddress,
+      maxBodyBytes: BODY_LIMIT,
+      maxConnections: socketBudget(platform).inbound,
+      serve: node.serve,
+      log,
+    })
     logBudget(platform, operators, log)
     log.info("started", { node: platform.nodeName, listen: platform.listenAddress })
     yield* node.run
   })
 
-/** States how soon cancelled tasks are surely gone, and warns when the platform's settings allow no such time. */
+/** Says how soon cancelled tasks are surely gone, and reports an error if the platform's settings allow none. */
 const logBudget = ({ deployment }: Platform, operators: Operators, log: Log): void => {
   const budget = cancellationBudget(deployment.workers, operators.membership)
   const { leaseTtlMs, leaseMarginMs, watchFreshMs } = budget
