--- a/packages/api/src/job-requests.ts
+++ b/packages/api/src/job-requests.ts
@@ -1,6 +1,6 @@
 /**
  * Users' requests about jobs: submissions, polls and cancellations, each from its body or id to its response.
- * Users are only told what is durable, and nothing older than their question: whatever is answered here comes
+ * Users only get what is durable, and nothing older than their question: whatever is answered here comes
  * from `JobService`, never from a memory of this node.
  */
 import {
@@ -33,7 +33,7 @@
     private readonly retryAfterS: number,
   ) {}
 
-  /** A submission; repeated, it tells of the job accepted before. */
+  /** A submission; repeated, it gets the state of the job accepted before. */
   submit(body: string): JobResponse {
     const json = parseJson(body)
     if (json === undefined) return Effect.succeed(badRequest("not JSON"))
--- a/packages/settings/src/cancellation-budget.ts
+++ b/packages/settings/src/cancellation-budget.ts
@@ -20,8 +20,6 @@
  * - A node lease that expires late delays the next owner, not the end of the former one's validity: it adds
  *   nothing either.
  */
-import { Result } from "effect"
-import { InvalidSettingsError } from "./errors.ts"
 import type { NodeLeaseSettings } from "./operators.ts"
 import type { WorkerSettings } from "./platform.ts"
 
@@ -71,6 +69,10 @@
   return Math.floor(leftMs / (1 + CLOCK_DRIFT))
 }
 
+/** The longest lease validity that operators may ask for. */
+export const maxLeaseValidityMs = (times: WorkerTimes): number =>
+  Math.max(MIN_LEASE_VALIDITY_MS, longestLeaseValidityMs(times))
+
 /**
  * The shortest usable validity stands in where the platform's settings allow none: the service runs then too,
  * since a broken rule in a rare combination of faults is better than no service at all.
@@ -111,30 +113,3 @@
     ` ${relation} cancel_s ${seconds(budget.cancelMs)}`
   )
 }
-
-/**
- * The budget, unless the operators' node lease breaks it. Derived times never do: where the platform's
- * settings leave no time, `budgetHolds` is false and the service starts all the same.
- * @param source The operators' file, for the error, which says the setting, the sum and the limit.
- */
-export const checkNodeLease = (
-  times: WorkerTimes,
-  operators: NodeLeaseSettings,
-  source: string,
-): Result.Result<CancellationBudget, InvalidSettingsError> => {
-  const budget = cancellationBudget(times, operators)
-  const invalid = (reason: string) => Result.fail(new InvalidSettingsError({ source, reason }))
-  const { leaseTtlMs, leaseMarginMs } = budget
-  if (2 * leaseMarginMs > leaseTtlMs)
-    return invalid(
-      `membership grant-margin-ms: a margin of ${leaseMarginMs} ms leaves too little` +
-        ` of a grant of ${leaseTtlMs} ms; it has to be at most half of it`,
-    )
-  const maxValidityMs = Math.max(MIN_LEASE_VALIDITY_MS, longestLeaseValidityMs(times))
-  if (operators.nodeLeaseTtlMs === null || leaseTtlMs - leaseMarginMs <= maxValidityMs)
-    return Result.succeed(budget)
-  return invalid(
-    `membership grant-ttl-ms: ${leaseTtlMs} ms are too long for facts.workers.cancel_s:` +
-      ` ${describeBudget(times, budget)}; at most ${maxValidityMs + leaseMarginMs} ms, or leave it out`,
-  )
-}
--- a/packages/settings/src/codec-operators.ts
+++ b/packages/settings/src/codec-operators.ts
@@ -1,12 +1,20 @@
 /**
  * Codec of the operators' settings file: S-expressions, one list a section,
  * `(provisioning (window-s 60) …) (membership …)`. The only place that knows the names in the file; they are
- * a published interface and stay as they are.
+ * a published interface and stay as they are. Errors, also those that concern both files, name settings as
+ * this file does.
  */
 import { Result } from "effect"
 import { type Form, parse } from "sexpr-plus"
+import {
+  type CancellationBudget,
+  cancellationBudget,
+  describeBudget,
+  maxLeaseValidityMs,
+  type WorkerTimes,
+} from "./cancellation-budget.ts"
 import { InvalidSettingsError, messageOf } from "./errors.ts"
-import { defaultOperators, type Operators } from "./operators.ts"
+import { defaultOperators, type NodeLeaseSettings, type Operators } from "./operators.ts"
 
 /** The field that a setting is read into, and the range that its number has to be in. */
 interface SettingRule<Field> {
@@ -115,3 +123,30 @@
     }
     return operators
   })
+
+/**
+ * The budget, unless the operators' node lease breaks it. Derived times never do: where the platform's
+ * settings leave no time, `budgetHolds` is false and the service starts all the same.
+ * @param source The operators' file, for the error, which says the setting, the sum and the limit.
+ */
+export const checkNodeLease = (
+  times: WorkerTimes,
+  operators: NodeLeaseSettings,
+  source: string,
+): Result.Result<CancellationBudget, InvalidSettingsError> => {
+  const budget = cancellationBudget(times, operators)
+  const invalid = (reason: string) => Result.fail(new InvalidSettingsError({ source, reason }))
+  const { leaseTtlMs, leaseMarginMs } = budget
+  if (2 * leaseMarginMs > leaseTtlMs)
+    return invalid(
+      `membership grant-margin-ms: a margin of ${leaseMarginMs} ms leaves too little` +
+        ` of a grant of ${leaseTtlMs} ms; it has to be at most half of it`,
+    )
+  const maxValidityMs = maxLeaseValidityMs(times)
+  if (operators.nodeLeaseTtlMs === null || leaseTtlMs - leaseMarginMs <= maxValidityMs)
+    return Result.succeed(budget)
+  return invalid(
+    `membership grant-ttl-ms: ${leaseTtlMs} ms are too long for facts.workers.cancel_s:` +
+      ` ${describeBudget(times, budget)}; at most ${maxValidityMs + leaseMarginMs} ms, or leave it out`,
+  )
+}
--- a/packages/settings/src/codec.ts
+++ b/packages/settings/src/codec.ts
@@ -1,4 +1,7 @@
-/** Codec of the settings file that the platform hands over; field names in complaints are those of the file. */
+/**
+ * Codec of the settings file that the platform hands over (DEPLOY). The only place that knows its field names;
+ * errors name fields as the file does.
+ */
 import { Address, NodeName, TeamName, ZoneName } from "@sorreltally/protocol"
 import { Schema } from "effect"
 import type { Objective, Platform } from "./platform.ts"
@@ -8,7 +11,7 @@
 const positive = Schema.Finite.check(Schema.isGreaterThan(0))
 const optionalAmount = Schema.optionalKey(Schema.NullOr(amount))
 
-/** An amount of 0, or none at all, is no guarantee or no limit. */
+/** An amount of 0, or none at all, means no guarantee or no limit. */
 const WireTeam = Schema.Struct({
   name: TeamName,
   cpus: optionalAmount,
@@ -46,13 +49,14 @@
     time_bound_ms: amount,
   }),
 })
+/** The file, decoded. */
 export type WirePlatform = typeof WirePlatform.Type
 
 /** Guards against teams whose every job is refused because a limit of 0 was taken for "nothing allowed". */
 const limitFrom = (stated: number | null | undefined): number =>
   stated == null || stated === 0 ? NO_LIMIT : stated
 
-/** A team as the file names it. */
+/** A team, from the form in the file. */
 export const teamFromWire = ({ name, cpus, cpus_max, gpus, gpus_max }: WireTeam): Team => ({
   name,
   cpus: cpus ?? 0,
--- a/packages/settings/src/errors.ts
+++ b/packages/settings/src/errors.ts
@@ -14,7 +14,7 @@
 export class InvalidSettingsError extends Data.TaggedError("InvalidSettingsError")<{
   /** Path of the file. */
   readonly source: string
-  /** Where in the file; absent where its format tells no position. */
+  /** Where in the file; absent where its parser knows no position. */
   readonly position?: SourcePosition
   /** What is wrong, beginning with the setting's name as the file spells it. */
   readonly reason: string
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,7 +1,8 @@
-// Bundles the daemon, or with --tests the tests, into target/. One file per
-// program: a controller starts on a third of a core, where reading hundreds of
-// small modules is the larger part of start-up.
-import { readdirSync } from "node:fs"
+// Bundles into target/: the daemon; with --tests the tests and the programs that run scenarios and random
+// days; with --measure the daemon and the programs that measure it; with --golden the recorder of samples.
+// One file a program: a controller starts on a tenth of a core, where reading hundreds of small modules is
+// the larger part of start-up.
+import { existsSync, readdirSync } from "node:fs"
 import { build } from "esbuild"
 
 const root = new URL("..", import.meta.url).pathname
@@ -34,15 +35,14 @@
 } else if (!process.argv.includes("--tests")) {
   await build(daemon)
 } else {
-  const tests = readdirSync(`${root}packages`).flatMap((p) => {
-    try {
-      return readdirSync(`${root}packages/${p}/test`)
-        .filter((f) => f.endsWith(".test.ts"))
-        .map((f) => ({ in: `packages/${p}/test/${f}`, out: `${p}-${f.replace(/\.ts$/, "")}` }))
-    } catch {
-      return []
-    }
-  })
+  const testsOf = (name) => {
+    const folder = `packages/${name}/test`
+    if (!existsSync(root + folder)) return []
+    return readdirSync(root + folder)
+      .filter((file) => file.endsWith(".test.ts"))
+      .map((file) => ({ in: `${folder}/${file}`, out: `${name}-${file.replace(/\.ts$/, "")}` }))
+  }
+  const tests = readdirSync(`${root}packages`).flatMap(testsOf)
   // esbuild itself, which one test uses, stays outside of the bundle.
   await build({ ...common, entryPoints: tests, outdir: "target/tests", external: ["esbuild"] })
   for (const [program, out] of [
--- a/scripts/check-imports.mjs
+++ b/scripts/check-imports.mjs
@@ -77,20 +77,20 @@
   ],
 }
 
-/** Holds the version that the command line tells, and belongs to no package. */
+/** Holds the version that the command line prints, and belongs to no package. */
 const workspaceFile = join(root, "package.json")
 
 const faults = []
-const inside = (file, folder) => !relative(folder, file).startsWith("..")
-const shown = (file) => relative(root, file)
+const isInside = (file, folder) => !relative(folder, file).startsWith("..")
+const displayed = (file) => relative(root, file)
 
 const checkTable = () => {
-  const below = new Set()
+  const seen = new Set()
   for (const [name, others] of Object.entries(mayImport)) {
     for (const other of others)
-      if (!below.has(other))
+      if (!seen.has(other))
         faults.push(`the table lets ${name} import ${other}, which doesn't stand above it`)
-    below.add(name)
+    seen.add(name)
   }
 }
 
@@ -114,26 +114,26 @@
   for (const target of importsOf(file)) {
     if (target.startsWith(".")) {
       const imported = resolve(dirname(file), target)
-      if (inside(imported, join(root, "packages", name))) files.push(imported)
+      if (isInside(imported, join(root, "packages", name))) files.push(imported)
       else if (imported !== workspaceFile)
-        faults.push(`${shown(file)} imports ${target}, which leaves its package`)
+        faults.push(`${displayed(file)} imports ${target}, which leaves its package`)
     } else if (target.startsWith(scope)) {
       const other = target.slice(scope.length).split("/")[0]
       if (!mayImport[name]?.includes(other))
-        faults.push(`${shown(file)} imports ${target}, which ${name} may not`)
+        faults.push(`${displayed(file)} imports ${target}, which ${name} may not`)
     }
   }
   return files
 }
 
-/** Each circle that a walk in depth closes is told once. */
+/** Each circle that a walk in depth closes is reported once. */
 const checkCircles = (imports) => {
   const done = new Set()
   const path = []
   const visit = (file) => {
-    const at = path.indexOf(file)
-    if (at >= 0) faults.push(`circle: ${[...path.slice(at), file].map(shown).join(" -> ")}`)
-    if (at >= 0 || done.has(file)) return
+    const position = path.indexOf(file)
+    if (position >= 0) faults.push(`circle: ${[...path.slice(position), file].map(displayed).join(" -> ")}`)
+    if (position >= 0 || done.has(file)) return
     path.push(file)
     for (const next of imports.get(file) ?? []) visit(next)
     path.pop()
