--- a/packages/api/src/index.ts
+++ b/packages/api/src/index.ts
@@ -1,2 +1,3 @@
-export * from "./limiter.ts"
-export * from "./users.ts"
+/** The HTTP interface for users, workers and health checks, without its sockets. */
+export * from "./api.ts"
+export type * from "./backend.ts"
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,7 +1,10 @@
+/** Settings: the platform's file, the operators' file, and the budgets that follow from them. Starts nothing. */
 export * from "./cancellation-budget.ts"
 export * from "./codec.ts"
+export * from "./codec-operators.ts"
+export { InvalidSettingsError } from "./errors.ts"
 export * from "./operators.ts"
 export * from "./platform.ts"
 export * from "./platform-file.ts"
-export * from "./sizes.ts"
+export * from "./socket-budget.ts"
 export * from "./teams.ts"
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -267,13 +267,13 @@
       teams: headroom.startable,
       limits: headroom.rentable,
       types: [...(node.inventory.catalog()?.values() ?? [])],
-      maxOnDemandCostRatio: node.operators.provisioning["dearest-steady"],
+      maxOnDemandCostRatio: node.operators.provisioning.maxOnDemandCostRatio,
       reserve,
       otherShardsWait: others.machines.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
       rentalSize: RENTAL_SIZE,
-      deploymentS: node.operators.provisioning["deployment-s"],
+      deploymentS: node.operators.provisioning.deploymentS,
     })
   }
 
