--- a/packages/shard/src/deferred-replies.ts
+++ b/packages/shard/src/deferred-replies.ts
@@ -1,50 +1,49 @@
 import { addMs, type MonotonicTime, type OutgoingResponse, type Respond } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 
-/** A report is answered after this long whatever it waits for: its worker waits 4 s. */
-const MOST_HELD_MS = 700
+/** A heartbeat is answered after this long whatever it waits for: its worker gives the request up after 4 s. */
+const MAX_DEFERRED_MS = 700
 
 /**
- * Reports that wait for the next plan, so that what then starts goes along
- * with their answers. At most one a worker: another means that it gave the
- * first one up.
+ * Heartbeats whose replies are deferred until the next plan, so that the starts it decides travel in them. At
+ * most one per worker: a second heartbeat means that the worker gave the first request up.
  */
 export class DeferredReplies {
   private readonly deferred = new Map<
     WorkerSession,
-    { readonly since: MonotonicTime; readonly done: Respond }
+    { readonly since: MonotonicTime; readonly respond: Respond }
   >()
 
   constructor(
     private readonly now: () => MonotonicTime,
-    /** Made when it is sent: what was so when the report came may not be so any more. */
-    private readonly answer: (session: WorkerSession) => OutgoingResponse,
+    /** Called when the reply is sent: what held when the heartbeat arrived may not hold any more. */
+    private readonly makeReply: (session: WorkerSession) => OutgoingResponse,
   ) {}
 
   has(session: WorkerSession): boolean {
     return this.deferred.has(session)
   }
-  hold(session: WorkerSession, done: Respond): void {
-    this.deferred.set(session, { since: this.now(), done })
+  defer(session: WorkerSession, respond: Respond): void {
+    this.deferred.set(session, { since: this.now(), respond })
   }
-  answerNow(session: WorkerSession): void {
-    this.letGo(session, this.answer(session))
+  replyNow(session: WorkerSession): void {
+    this.replyWith(session, this.makeReply(session))
   }
-  /** Those that wait for nothing any more, or for long enough. */
-  answerReady(): void {
-    const waitedEnough = addMs(this.now(), -MOST_HELD_MS)
+  /** Answers the heartbeats that no unwritten placement delays any more, and those deferred for the maximum time. */
+  replyWhereDue(): void {
+    const dueBefore = addMs(this.now(), -MAX_DEFERRED_MS)
     for (const [session, { since }] of this.deferred) {
-      let writing = false
-      for (const placement of session.placements.values()) writing ||= !placement.durable
-      if (!writing || since < waitedEnough) this.answerNow(session)
+      let isWriting = false
+      for (const placement of session.placements.values()) isWriting ||= !placement.durable
+      if (!isWriting || since < dueBefore) this.replyNow(session)
     }
   }
-  letGo(session: WorkerSession, answer: OutgoingResponse): void {
+  replyWith(session: WorkerSession, reply: OutgoingResponse): void {
     const deferred = this.deferred.get(session)
     this.deferred.delete(session)
-    deferred?.done(answer)
+    deferred?.respond(reply)
   }
-  letAllGo(answer: OutgoingResponse): void {
-    for (const session of this.deferred.keys()) this.letGo(session, answer)
+  replyToAll(reply: OutgoingResponse): void {
+    for (const session of this.deferred.keys()) this.replyWith(session, reply)
   }
 }
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -20,17 +20,17 @@
   readonly arrived: (request: JobSpec) => void
   /** There may be something to plan. */
   readonly changed: () => void
-  /** The task is off this machine, or never got there. */
+  /** The task is off its machine, or never got there. */
   readonly release: (placement: Placement) => void
-  /** Its worker has something to be told. */
+  /** The worker on this machine has commands pending. */
   readonly commandsDue: (machine: MachineId) => void
-  /** The job is over; nothing of it is left. */
-  readonly forgotten: (job: JobState) => void
-  /** Is the take-over complete? */
-  readonly ready: () => boolean
+  /** The job is over; none of its state is kept. */
+  readonly removed: (job: JobState) => void
+  /** Is the failover complete, so that the jobs' placements are known? */
+  readonly isReady: () => boolean
 }
 
-/** One part's jobs, from their acceptance or a take-over to their end. */
+/** One shard's jobs, from their acceptance or a failover to their end. */
 export class JobRegistry {
   readonly jobs = new Map<JobId, JobState>()
   private readonly placementWriter: PlacementWriter
@@ -63,14 +63,14 @@
     Effect.all([this.placementWriter.run, this.ends.run], { concurrency: "unbounded", discard: true }),
   )
 
-  /** Takes over what a former owner left: the jobs on record, and what its slots say of their tasks. */
+  /** Restores what a former owner left: the jobs in the job index, and the placements that its slots record. */
   restore(slots: ReadonlyArray<Entry>): void {
     for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
-    for (const { key: path, value: v, modRevision } of slots) {
-      const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore(slot, modRevision, v as PlacementRecord, jobOf, now)
+    for (const { key, value, modRevision } of slots) {
+      const slot = Number(key.slice(key.lastIndexOf("/") + 1))
+      this.placementWriter.ledger.restore(slot, modRevision, value as PlacementRecord, jobOf, now)
     }
   }
 
@@ -78,12 +78,12 @@
     this.placementWriter.place(placement)
   }
 
-  /** What the job table says of a job of any part; null: it is over. */
+  /** The job index changed an entry, of any shard's jobs; null: the job is over. */
   jobChanged(id: JobId, entry: LiveJob | null): void {
     const known = this.jobs.get(id)
     if (entry === null) {
-      // Only its owner ends a job: by a write of ours, or one that we didn't hear the answer of.
-      if (known !== undefined) this.forget(known)
+      // Only its owner ends a job: by a write of ours, or by one of ours that got no response.
+      if (known !== undefined) this.remove(known)
       return
     }
     const { record, page, modRevision } = entry
@@ -92,8 +92,8 @@
       const job = new JobState(id, record, page, modRevision)
       this.jobs.set(id, job)
       this.events.arrived(record.spec)
-      // During a take-over its placements aren't read yet: a cancelled job would seem to have none.
-      if (this.events.ready() && job.ended) this.settle(job)
+      // During a failover its placements aren't read yet: a cancelled job would seem to have none.
+      if (this.events.isReady() && job.ended) this.settle(job)
       this.events.changed()
       return
     }
@@ -109,7 +109,7 @@
     this.ends.add(job)
   }
 
-  /** A finished task whose result the worker may forget. */
+  /** Is the task's result durable, so that its worker may purge the task? */
   finishIsDurable(task: TaskId): boolean {
     const { job, index } = splitTaskId(task)
     return this.jobs.get(job)?.finishIsDurable(index) ?? true
@@ -136,12 +136,12 @@
     this.events.changed()
   }
 
-  private forget(job: JobState): void {
+  private remove(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
     job.over = true
     this.placementWriter.ended(job)
     for (const placement of job.placements.values()) this.events.release(placement)
-    this.events.forgotten(job)
+    this.events.removed(job)
     this.events.changed()
   }
 }
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -24,30 +24,30 @@
 import { machineViews } from "./planner-input.ts"
 import type { ShardView } from "./shard-context.ts"
 
-const TICK_MS = 1_000
-/** The most that the cloud rents, and takes back, in one call. */
-export const RENTAL_SIZE = 50
-const RETURN_SIZE = 100
-/** The cloud charges this much at least: an earlier return saves nothing. */
-const LEAST_CHARGE_MS = 60_000
-/** Times `startup_s` after which a machine that hasn't come up is given back. */
-const NEVER_BOOTED = 2.5
+const CHECK_INTERVAL_MS = 1_000
+/** Machines that the cloud rents in one request at most. */
+export const MAX_MACHINES_PER_RENTAL = 50
+/** Machines that the cloud deletes in one request at most. */
+const MAX_MACHINES_PER_RELEASE = 100
+/** Time that the cloud bills at least for a machine: an earlier release saves nothing. */
+const MIN_BILLED_MS = 60_000
+/** A machine that hasn't come up after this many times its type's boot time is released. */
+const BOOT_OVERDUE_FACTOR = 2.5
 /**
- * A listed machine that no record knows may still be another node's rental
- * under way; hardly so once it is up. (Taken too early, one of the two records
- * of it is refused.)
+ * A listed machine without a record may be another node's rental that is still being recorded; hardly so at
+ * this age, or once it runs. (Adopted too early, one of its two records is refused.)
  */
-const ADOPT_AFTER_S = 10
-/** Reports come as often as the settings say, give or take a quarter. */
-const REPORT_OVERDUE = 1.35
-/** A machine that can't be made to show that it hears us this long is given back. */
-const RECEIVES_NOTHING_MS = 12_000
+const MIN_ADOPTION_AGE_S = 10
+/** Heartbeat intervals after which a heartbeat is overdue: the interval varies by a quarter. */
+const HEARTBEAT_OVERDUE_FACTOR = 1.35
+/** A machine that stays unreachable this long is released. */
+const MAX_UNREACHABLE_MS = 12_000
 
 export interface RentalEvents {
   readonly changed: () => void
-  /** The cloud's answer proves that the machine and all on it are gone. */
+  /** The cloud's response proves that the machine and all tasks on it are gone. */
   readonly deleted: (session: WorkerSession) => void
-  readonly lend: (session: WorkerSession, to: ShardName, needs: ReadonlyArray<MachineDemand>) => void
+  readonly lend: (session: WorkerSession, to: ShardName, demands: ReadonlyArray<MachineDemand>) => void
   readonly onDemandNeeded: () => boolean
   readonly reserve: () => Reserve
   /** Did the last plan find no use for this empty machine? */
@@ -56,66 +56,66 @@
   readonly heldBack: () => ReadonlySet<JobId>
 }
 
-/** One part's dealings with the cloud: what it rents, adopts, and gives back. */
+/** One shard's machines at the cloud: rents, adopts and releases them. */
 export class Rentals {
   readonly pendingRentals = new Map<RentalRequestId, PlannedRental>()
   private readonly recording = new Set<MachineId>()
-  private readonly assignedJobOf = new Map<MachineId, NonNullable<PlannedRental["assignedJob"]>>()
-  private readonly leaving = new Map<MachineId, WorkerSession>()
-  private readonly leave = new Signal()
+  private readonly assignedJobs = new Map<MachineId, NonNullable<PlannedRental["assignedJob"]>>()
+  private readonly releasing = new Map<MachineId, WorkerSession>()
+  private readonly releaseSignal = new Signal()
 
   constructor(
-    private readonly of: ShardView,
-    private readonly blocks: MachineRecordWriter,
-    private readonly active: () => boolean,
-    private readonly over: () => boolean,
+    private readonly shard: ShardView,
+    private readonly machineRecords: MachineRecordWriter,
+    private readonly mayAct: () => boolean,
+    private readonly isStopped: () => boolean,
     private readonly events: RentalEvents,
   ) {}
 
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
-    Effect.all([this.returnLoop(), this.watchLoop()], { concurrency: "unbounded", discard: true }),
+    Effect.all([this.releaseLoop(), this.checkLoop()], { concurrency: "unbounded", discard: true }),
   )
 
-  /** Whom a machine that just came on record was rented for. */
+  /** The job that a machine just recorded was rented for. */
   takeAssignedJob(id: MachineId): PlannedRental["assignedJob"] {
-    const assignedJob = this.assignedJobOf.get(id) ?? null
-    this.assignedJobOf.delete(id)
+    const assignedJob = this.assignedJobs.get(id) ?? null
+    this.assignedJobs.delete(id)
     return assignedJob
   }
-  /** Rented by this very owner: nobody had it before. */
+  /** Is the machine rented or adopted by this very owner, and its record not yet confirmed? */
   isOurs(id: MachineId): boolean {
     return this.recording.has(id)
   }
 
-  // --- renting ------------------------------------------------------------------
+  // --- scale out ------------------------------------------------------------------
 
-  rental(rental: PlannedRental): void {
-    const { node } = this.of
-    const name = node.nextRentalRequestId()
+  scaleOut(rental: PlannedRental): void {
+    const { node } = this.shard
+    const requestId = node.nextRentalRequestId()
     const { type, zone, spot } = rental.offer
     const answered = node.inventory.asking(type.name, zone, spot)
-    this.pendingRentals.set(name, rental)
+    this.pendingRentals.set(requestId, rental)
     const settled = Effect.sync(() => {
       answered()
-      this.pendingRentals.delete(name)
+      this.pendingRentals.delete(requestId)
       this.events.changed()
     })
-    node.fork(Effect.ensuring(this.carryOut(name, rental, answered), settled))
+    node.fork(Effect.ensuring(this.rentMachines(requestId, rental, answered), settled))
   }
 
-  private carryOut(
-    name: RentalRequestId,
+  private rentMachines(
+    requestId: RentalRequestId,
     { offer, count, assignedJob }: PlannedRental,
     answered: () => void,
   ) {
     return Effect.gen({ self: this }, function* () {
-      const { node } = this.of
+      const { node } = this.shard
       const { type, zone, spot } = offer
-      const request = { requestId: name, machineType: type.name, zone, spot, count }
-      // The same name until it is answered: a lost answer then rents nothing twice.
-      for (let tries = 0; tries < 20 && !this.over(); tries++) {
-        const rented = node.clocks.wallNow()
-        const stillWanted = () => !this.over() && !node.inventory.isRefused(type.name, zone, spot)
+      const request = { requestId, machineType: type.name, zone, spot, count }
+      // The request id is the idempotency key: repeated until there is a response, it rents nothing twice.
+      for (let attempts = 0; attempts < 20 && !this.isStopped(); attempts++) {
+        const rentedAt = node.clocks.wallNow()
+        const stillWanted = () => !this.isStopped() && !node.inventory.isRefused(type.name, zone, spot)
         const answer = yield* Effect.result(node.cloud.rent(request, stillWanted))
         if (Result.isFailure(answer)) {
           if (answer.failure.status === 400) return
@@ -124,164 +124,170 @@
         }
         const outcome = answer.success
         if (outcome.kind === "dropped") return
-        const got = outcome.kind === "rented" ? outcome.machines : []
-        if (got.length < count) node.inventory.refuse(type.name, zone, spot)
+        const rentedIds = outcome.kind === "rented" ? outcome.machines : []
+        if (rentedIds.length < count) node.inventory.refuse(type.name, zone, spot)
         else node.inventory.granted(type.name, zone, spot)
-        const note = got.length > 0 ? node.log.info : node.log.debug
-        note("machines rented", {
-          requestId: name,
+        const logRental = rentedIds.length > 0 ? node.log.info : node.log.debug
+        logRental("machines rented", {
+          requestId,
           type: type.name,
           zone,
           spot,
           requested: count,
-          rented: got.length,
+          rented: rentedIds.length,
           assignedJob,
         })
         answered()
-        if (got.length === 0) return
-        for (const id of got) {
-          if (assignedJob !== null) this.assignedJobOf.set(id, assignedJob)
+        if (rentedIds.length === 0) return
+        for (const id of rentedIds) {
+          if (assignedJob !== null) this.assignedJobs.set(id, assignedJob)
           this.recording.add(id)
         }
-        // Until they are on record they count as coming by this request.
-        this.pendingRentals.set(name, { offer, count: got.length, assignedJob })
+        // Until they are recorded they count as pending under this request.
+        this.pendingRentals.set(requestId, { offer, count: rentedIds.length, assignedJob })
         yield* Effect.callback<void>((resume) => {
-          const machines = { machineType: type.name, zone, spot, rentedAt: rented, ids: got }
-          this.blocks.add(machines, false, () => resume(Effect.void))
+          const machines = { machineType: type.name, zone, spot, rentedAt, ids: rentedIds }
+          this.machineRecords.add(machines, false, () => resume(Effect.void))
         })
-        for (const id of got) this.recording.delete(id)
+        for (const id of rentedIds) this.recording.delete(id)
         return
       }
     })
   }
 
-  /** Machines that the cloud lists and no record knows: rented by a node that died, or there from the start. */
+  /** Records the machines that the cloud lists and no record names: rented by a node that ended, or there from the start. */
   private adopt() {
     return Effect.gen({ self: this }, function* () {
-      const { inventory, membership, clocks, machineIndex, log } = this.of.node
-      const unknown = (m: ListedMachine) =>
-        !this.recording.has(m.id) &&
-        machineIndex.get(m.id) === undefined &&
-        !machineIndex.gone.has(m.id) &&
-        (m.ageS >= ADOPT_AFTER_S || m.status === "running")
-      if (!inventory.listedHere.some(unknown)) return
-      const fresh = yield* Effect.result(membership.readBarrier.since)
-      if (Result.isFailure(fresh)) return
+      const { inventory, membership, clocks, machineIndex, log } = this.shard.node
+      const isUnknown = (machine: ListedMachine) =>
+        !this.recording.has(machine.id) &&
+        machineIndex.get(machine.id) === undefined &&
+        !machineIndex.gone.has(machine.id) &&
+        (machine.ageS >= MIN_ADOPTION_AGE_S || machine.status === "running")
+      if (!inventory.listedHere.some(isUnknown)) return
+      const barrier = yield* Effect.result(membership.readBarrier.since)
+      if (Result.isFailure(barrier)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const listed of inventory.listedHere) {
-        if (!unknown(listed)) continue
+        if (!isUnknown(listed)) continue
         const group = originFor(ADOPTED, listed)
-        const of = groups.get(group)
-        if (of === undefined) groups.set(group, [listed])
-        else of.push(listed)
+        const members = groups.get(group)
+        if (members === undefined) groups.set(group, [listed])
+        else members.push(listed)
       }
       for (const group of groups.values()) {
         const { machineType, zone, spot, ageS } = group[0]!
-        const ids = group.map((m) => m.id)
+        const ids = group.map((machine) => machine.id)
         for (const id of ids) this.recording.add(id)
         log.info("machines adopted", { count: ids.length, machineType, zone, spot, first: ids[0] })
         const rentedAt = clocks.wallNow() - ageS * 1000
-        this.blocks.add({ machineType, zone, spot, rentedAt, ids }, true, () => {
+        this.machineRecords.add({ machineType, zone, spot, rentedAt, ids }, true, () => {
           for (const id of ids) this.recording.delete(id)
         })
       }
     })
   }
 
-  // --- giving back ----------------------------------------------------------------
+  // --- release ----------------------------------------------------------------
 
   release(session: WorkerSession, reason: string): void {
-    const assignment = this.of.assignments.get(session.id)
+    const assignment = this.shard.assignments.get(session.id)
     if (assignment === undefined || assignment.returning) return
     assignment.returning = true
-    this.of.node.log.info("machine released", { machine: session.id, reason, tasks: session.placements.size })
-    this.leaving.set(session.id, session)
-    this.leave.notify()
+    this.shard.node.log.info("machine released", {
+      machine: session.id,
+      reason,
+      tasks: session.placements.size,
+    })
+    this.releasing.set(session.id, session)
+    this.releaseSignal.notify()
   }
 
-  private returnLoop() {
+  private releaseLoop() {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        if (this.leaving.size === 0) yield* this.leave.wait(TICK_MS)
-        if (this.over()) return
-        if (this.leaving.size === 0 || !this.active()) {
+        if (this.releasing.size === 0) yield* this.releaseSignal.wait(CHECK_INTERVAL_MS)
+        if (this.isStopped()) return
+        if (this.releasing.size === 0 || !this.mayAct()) {
           yield* Effect.sleep(100)
           continue
         }
-        const batch = [...this.leaving.values()].slice(0, RETURN_SIZE)
-        const gone = yield* Effect.result(this.of.node.cloud.remove(batch.map((s) => s.id)))
-        if (this.over()) return
-        if (Result.isFailure(gone)) {
+        const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
+        const removed = yield* Effect.result(this.shard.node.cloud.remove(batch.map((s) => s.id)))
+        if (this.isStopped()) return
+        if (Result.isFailure(removed)) {
           yield* Effect.sleep(400)
           continue
         }
         for (const session of batch) {
-          this.leaving.delete(session.id)
-          // Whether we gave it back or the cloud took it: its place is free now.
-          const { machineType: build, zone: site, spot: loaners } = session.entry
-          this.of.node.inventory.granted(build, site, loaners)
+          this.releasing.delete(session.id)
+          // Whether we released it or the cloud preempted it: its capacity is free now.
+          const { machineType, zone, spot } = session.entry
+          this.shard.node.inventory.granted(machineType, zone, spot)
           this.events.deleted(session)
-          this.blocks.edit(session.id, { kind: "remove" })
+          this.machineRecords.edit(session.id, { kind: "remove" })
         }
         this.events.changed()
       }
     })
   }
 
-  private watchLoop() {
+  private checkLoop() {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        yield* Effect.sleep(TICK_MS)
-        if (this.over()) return
-        if (!this.active()) continue
+        yield* Effect.sleep(CHECK_INTERVAL_MS)
+        if (this.isStopped()) return
+        if (!this.mayAct()) continue
         this.check()
-        if (this.of.name === DEADLINE_SHARD) yield* this.adopt()
+        if (this.shard.name === DEADLINE_SHARD) yield* this.adopt()
       }
     })
   }
 
-  /** Which machines are gone, broken or of no use any more? */
+  /** Releases or lends the machines that are gone, broken or of no use any more. */
   private check(): void {
-    const { of } = this
-    const now = of.node.clocks.monotonicNow()
-    const { machines: needs } = of.node.demandRegistry(of.name)
-    const windowMs = of.node.operators.provisioning["window-s"] * 1000
-    let spotUp = false
-    for (const m of of.machines.values()) spotUp ||= m.entry.spot && m.up
-    const wanted = this.queuedShapes()
-    // Another part would rent a dear one of its own in its place.
-    const wantedBy = ({ type, entry }: WorkerSession) => {
+    const { shard } = this
+    const now = shard.node.clocks.monotonicNow()
+    const { machines: demands } = shard.node.demandRegistry(shard.name)
+    const windowMs = shard.node.operators.provisioning["window-s"] * 1000
+    let hasSpotUp = false
+    for (const session of shard.machines.values()) hasSpotUp ||= session.entry.spot && session.up
+    const queuedShapes = this.startableRequests()
+    // Its shard would otherwise rent an on-demand machine of its own.
+    const isDemanded = ({ type, entry }: WorkerSession) => {
       const kind = { type, zone: entry.zone, spot: entry.spot }
-      return needs.some((n) => n.pressing > 0 && allowed(n.shape, kind))
+      return demands.some((demand) => demand.pressing > 0 && allowed(demand.shape, kind))
     }
     const due: Array<WorkerSession> = []
-    for (const session of of.machines.values()) {
-      const assignment = of.assignments.get(session.id)!
+    for (const session of shard.machines.values()) {
+      const assignment = shard.assignments.get(session.id)!
       if (assignment.returning || assignment.moving) continue
-      const broken = this.brokenBy(session, assignment.rentedAt, now)
-      if (broken !== null) {
-        this.release(session, broken)
+      const reason = this.releaseReason(session, assignment.rentedAt, now)
+      if (reason !== null) {
+        this.release(session, reason)
         continue
       }
       if (!session.up) continue
-      const heldMs = now - assignment.rentedAt
-      // Held to the end of its window; renewed when it is of use then.
-      const within = heldMs < LEAST_CHARGE_MS - 2.5 * TICK_MS || heldMs % windowMs <= windowMs - 2.5 * TICK_MS
-      if (within) {
+      const ageMs = now - assignment.rentedAt
+      // Kept to the end of its window, which is renewed if the machine is of use then.
+      const isWithinWindow =
+        ageMs < MIN_BILLED_MS - 2.5 * CHECK_INTERVAL_MS ||
+        ageMs % windowMs <= windowMs - 2.5 * CHECK_INTERVAL_MS
+      if (isWithinWindow) {
         if (assignment.closing && session.placements.size === 0) this.release(session, "drained")
         continue
       }
-      if (!session.entry.spot && spotUp && !this.events.onDemandNeeded() && !wantedBy(session))
+      if (!session.entry.spot && hasSpotUp && !this.events.onDemandNeeded() && !isDemanded(session))
         assignment.closing = true
       if (session.placements.size > 0 || assignment.assignedJob !== null) continue
-      if (wanted.some((request) => slotsIn(request, session.type) > 0)) continue
+      if (queuedShapes.some((request) => slotsIn(request, session.type) > 0)) continue
       // Guards against holding machines for queued work of which a team's limit lets nothing start.
       if (this.events.heldBack().size > 0 && !this.events.isIdle(session.id)) continue
       due.push(session)
     }
     if (due.length === 0) return
     const reserve = this.events.reserve()
-    const views = new Map(machineViews(of, now, reserve, false).map((v) => [v.id, v]))
+    const views = new Map(machineViews(shard, now, reserve, false).map((v) => [v.id, v]))
     let spare = spareCores(views.values(), reserve)
     for (const session of due) {
       const view = views.get(session.id)
@@ -290,50 +296,50 @@
         if (spare < view.free.cores) continue
         spare -= view.free.cores
       }
-      // Of no use here: another part may still want it before the cloud gets it back.
-      const { zone: site, spot: loaners } = session.entry
-      const shape = { type: session.type, zone: site, spot: loaners }
-      const closing = of.assignments.get(session.id)!.closing
-      const need = closing ? undefined : needs.find((n) => allowed(n.shape, shape))
-      if (need === undefined) this.release(session, "window end")
-      else this.events.lend(session, need.shard, needs)
+      // Of no use here: another shard may have demand for it before it is released.
+      const { zone, spot } = session.entry
+      const offer = { type: session.type, zone, spot }
+      const closing = shard.assignments.get(session.id)!.closing
+      const borrower = closing ? undefined : demands.find((demand) => allowed(demand.shape, offer))
+      if (borrower === undefined) this.release(session, "window end")
+      else this.events.lend(session, borrower.shard, demands)
     }
   }
 
-  private brokenBy(session: WorkerSession, rentedAt: MonotonicTime, now: MonotonicTime): string | null {
-    const { inventory, platform } = this.of.node
-    const lagMs = platform.deployment.cloud.listLagS * 1000
+  private releaseReason(session: WorkerSession, rentedAt: MonotonicTime, now: MonotonicTime): string | null {
+    const { inventory, platform } = this.shard.node
+    const listLagMs = platform.deployment.cloud.listLagS * 1000
     const listed = inventory.listed.get(session.id)
-    const heldMs = now - rentedAt
-    const listIsNew = inventory.listedAt > addMs(now, -3 * lagMs - 4_000 - inventory.pollMs)
-    // Gone by the list and silent: asking for its deletion proves it gone, which the list alone does not.
-    if (listed === undefined && listIsNew && session.silentMs(now) > 4_000) {
+    const ageMs = now - rentedAt
+    const isListFresh = inventory.listedAt > addMs(now, -3 * listLagMs - 4_000 - inventory.pollMs)
+    // Neither listed nor heard: the response to its deletion proves it gone, which the list alone doesn't.
+    if (listed === undefined && isListFresh && session.silentMs(now) > 4_000) {
       const shouldBeListed =
-        inventory.everListed.has(session.id) || heldMs > 4 * lagMs + 2_000 + inventory.pollMs
+        inventory.everListed.has(session.id) || ageMs > 4 * listLagMs + 2_000 + inventory.pollMs
       if (shouldBeListed) return "vanished"
     }
     if (listed?.status === "failed") return "failed"
-    if (this.of.failures.isFaulty(session.id)) return "faulty"
-    // The time it was warned of is over, and its next report overdue: sooner known than by the lagging list.
+    if (this.shard.failures.isFaulty(session.id)) return "faulty"
+    // Its preemption notice has run out and its heartbeat is overdue: known sooner than by the lagging list.
     const { warningUntil } = session
-    const overdueMs = REPORT_OVERDUE * 1000 * platform.deployment.workers.heartbeatIntervalS
+    const overdueMs = HEARTBEAT_OVERDUE_FACTOR * 1000 * platform.deployment.workers.heartbeatIntervalS
     if (warningUntil !== null && now > warningUntil && session.silentMs(now) > overdueMs) return "preempted"
-    // A new owner hasn't heard machines that are long up either: the list has to say that it still boots.
-    const overdue = heldMs > session.type.bootS * NEVER_BOOTED * 1000
-    if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && listIsNew)
+    // A new owner hasn't heard machines that are long up either: the list has to show it as booting.
+    const overdue = ageMs > session.type.bootS * BOOT_OVERDUE_FACTOR * 1000
+    if (overdue && session.lastHeard === NEVER && listed?.status === "booting" && isListFresh)
       return "never booted"
-    if (session.unreachableSince !== null && now > addMs(session.unreachableSince, RECEIVES_NOTHING_MS))
+    if (session.unreachableSince !== null && now > addMs(session.unreachableSince, MAX_UNREACHABLE_MS))
       return "unreachable"
     return null
   }
 
-  /** What of the queued work that no limit holds back an idle machine could take. */
-  private queuedShapes() {
+  /** Requests of the queued jobs that no limit holds back: an idle machine could take their tasks. */
+  private startableRequests() {
     const heldBack = this.events.heldBack()
-    const now = this.of.node.clocks.monotonicNow()
+    const now = this.shard.node.clocks.monotonicNow()
     const shapes = []
-    for (const job of this.of.jobs.values())
-      if (this.of.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
+    for (const job of this.shard.jobs.values())
+      if (this.shard.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
         shapes.push(job.request)
     return shapes
   }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -29,32 +29,38 @@
 import { ShardPlanning } from "./shard-planning.ts"
 import { WorkerCommunication } from "./worker-communication.ts"
 
-const PLAN_SPACING_MS = 120
-/** After a plan, everything else has the processor for this many times what the plan took. */
-const PLAN_REST = 4
-const TICK_MS = 1_000
-/** Leases, warnings and preemption are looked at this often. */
-const LOOK_MS = 700
+/** Between two plans at least. */
+const MIN_PLAN_PAUSE_MS = 120
+/** After a plan, other work has the processor for this many times what the plan took. */
+const PLAN_PAUSE_FACTOR = 4
+/** A plan is made at least this often. */
+const MAX_PLAN_WAIT_MS = 1_000
+/** Leases, preemption notices and preemption are checked this often. */
+const CHECK_INTERVAL_MS = 700
+/** From the decision to stop a task until it starts its checkpoint, at most: a heartbeat and the command. */
+const STOP_DELAY_S = 3
+/** While the replica, the catalog or the slots can't be read yet, failover looks again this often. */
+const REPLICA_POLL_MS = 20
+const SLOTS_RETRY_MS = 200
 
 /**
- * Everything one part's owner does: its jobs, its machines, and the loops
- * that bring what is closer to what is wanted. Lives from a take-over until
- * the part is lost.
+ * Everything one shard's owner does: its jobs, its machines, and the control loops that reconcile the actual
+ * state with the desired one. Lives from a failover until the shard is lost.
  */
 export class ShardController implements ShardView {
   readonly machines = new Map<MachineId, WorkerSession>()
   readonly assignments = new Map<MachineId, MachineAssignment>()
   readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
-  private readonly blocks: MachineRecordWriter
+  private readonly machineRecords: MachineRecordWriter
   private readonly registry: JobRegistry
   private readonly rentals: Rentals
   private readonly planning: ShardPlanning
   private readonly workers: WorkerCommunication
-  private lookedAt: MonotonicTime = NEVER
+  private checkedAt: MonotonicTime = NEVER
   ready = false
-  private over = false
-  private endListening: Array<() => void> = []
+  private stopped = false
+  private unsubscribe: Array<() => void> = []
 
   constructor(
     readonly name: ShardName,
@@ -63,7 +69,7 @@
   ) {
     const { store, membership, machineIndex, clocks } = node
     const active = () => this.ready && this.active
-    this.blocks = new MachineRecordWriter(
+    this.machineRecords = new MachineRecordWriter(
       name,
       epoch,
       membership.shards,
@@ -74,27 +80,27 @@
       active,
     )
     this.registry = new JobRegistry(name, epoch, node, active, {
-      durable: (placements) => this.placed(placements),
+      durable: (placements) => this.startPlaced(placements),
       arrived: (request) => this.planning.arrived(request),
       changed: () => this.planSignal.notify(),
       release: (placement) => this.machines.get(placement.machine)?.release(placement),
       commandsDue: (machine) => this.workers.commandsDue(machine),
-      forgotten: (job) => this.jobForgotten(job),
-      ready: () => this.ready,
+      removed: (job) => this.removeJob(job),
+      isReady: () => this.ready,
     })
     this.workers = new WorkerCommunication({
       node: this.node,
       machines: this.machines,
       registry: this.registry,
-      blocks: this.blocks,
+      machineRecords: this.machineRecords,
       failures: this.failures,
       mayAct: active,
       holdsLease: () => this.active,
-      isOver: () => this.over,
-      workWaits: () => this.planning.workWaits,
+      isStopped: () => this.stopped,
+      hasUnplacedTasks: () => this.planning.workWaits,
       changed: () => this.planSignal.notify(),
     })
-    const lending = new Lending(this, this.blocks, (task) => this.registry.finishIsDurable(task))
+    const lending = new Lending(this, this.machineRecords, (task) => this.registry.finishIsDurable(task))
     this.planning = new ShardPlanning({
       shard: this,
       epoch,
@@ -104,7 +110,7 @@
       commandsDue: (machine) => this.workers.commandsDue(machine),
       changed: () => this.planSignal.notify(),
     })
-    this.rentals = new Rentals(this, this.blocks, active, () => this.over, {
+    this.rentals = new Rentals(this, this.machineRecords, active, () => this.stopped, {
       changed: () => this.planSignal.notify(),
       deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
       lend: (session, to, needs) => lending.lend(session, to, needs),
@@ -122,37 +128,38 @@
     return this.rentals.pendingRentals
   }
   stop(): void {
-    this.over = true
+    this.stopped = true
     this.ready = false
     this.workers.stop()
-    for (const end of this.endListening) end()
+    for (const end of this.unsubscribe) end()
   }
   wake(): void {
     this.planSignal.notify()
   }
   private get active(): boolean {
-    return !this.over && this.node.membership.holdsLease()
+    return !this.stopped && this.node.membership.holdsLease()
   }
 
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      yield* this.takeOver()
-      yield* Effect.all([this.planLoop(), this.registry.run, this.blocks.run, this.rentals.run], {
+      yield* this.failOver()
+      yield* Effect.all([this.planLoop(), this.registry.run, this.machineRecords.run, this.rentals.run], {
         concurrency: "unbounded",
         discard: true,
       })
     }),
   )
 
-  // --- taking the part over -------------------------------------------------
+  // --- failover -------------------------------------------------
 
-  private takeOver() {
+  private failOver() {
     return Effect.gen({ self: this }, function* () {
       const { membership, machineIndex } = this.node
       const { replica } = membership
-      // Every job and machine of this part that a former owner acted on is in
-      // the mirror once it has reached our epoch.
-      while (replica.revision < this.epoch || this.node.inventory.catalog() === null) yield* Effect.sleep(20)
+      // Every job and machine of this shard that a former owner acted on is in the replica once it has
+      // reached our shard epoch.
+      while (replica.revision < this.epoch || this.node.inventory.catalog() === null)
+        yield* Effect.sleep(REPLICA_POLL_MS)
       let entries: ReadonlyArray<Entry> = []
       for (;;) {
         const read = yield* Effect.result(this.node.store.list(keys.slots(this.name)))
@@ -160,24 +167,24 @@
           entries = read.success.items
           break
         }
-        yield* Effect.sleep(200)
+        yield* Effect.sleep(SLOTS_RETRY_MS)
       }
-      if (this.over) return
+      if (this.stopped) return
       const now = this.node.clocks.monotonicNow()
       for (const entry of machineIndex.all()) this.machineChanged(entry.id, entry)
       this.registry.restore(entries)
       for (const job of this.jobs.values()) {
         for (const placement of [...job.placements.values()]) {
           const session = this.machines.get(placement.machine)
-          // A machine goes off the record only once its deletion was answered,
-          // and moves only when no task can be on it.
+          // A machine's record is removed only after the response to its deletion, and it moves to another
+          // shard only when no task can be on it.
           if (session === undefined) job.clear(placement)
           else session.hold(placement)
           if (job.cancelled) job.stop(placement, { reason: "cancelled", leewayS: 0, since: now })
         }
         this.registry.settle(job)
       }
-      this.endListening = [
+      this.unsubscribe = [
         this.node.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
         machineIndex.listen((id, entry) => this.machineChanged(id, entry)),
       ]
@@ -196,7 +203,7 @@
   private machineChanged(id: MachineId, entry: MachineEntry | null): void {
     const session = this.machines.get(id)
     if (entry === null || entry.shard !== this.name) {
-      if (session !== undefined) this.dropMachine(session, entry === null ? "deleted" : "moved")
+      if (session !== undefined) this.removeMachine(session, entry === null ? "deleted" : "moved")
       return
     }
     if (session !== undefined) return session.update(entry)
@@ -220,32 +227,32 @@
     this.planSignal.notify()
   }
 
-  private dropMachine(session: WorkerSession, reason: string): void {
+  private removeMachine(session: WorkerSession, reason: string): void {
     this.machines.delete(session.id)
     this.assignments.delete(session.id)
     this.failures.forgetMachine(session.id)
-    this.workers.drop(session)
+    this.workers.removeMachine(session)
     this.workers.apply(session, session.clearAll(reason))
   }
 
   // --- workers --------------------------------------------------------------
 
-  receiveHeartbeat(body: Heartbeat, via: NodeName | null, answer: Respond): void {
-    this.workers.report(body, via, answer)
+  receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
+    this.workers.receiveHeartbeat(heartbeat, via, respond)
   }
-  /** The whole of a report that repeats the last word of its machine; null: that was another one. */
+  /** The whole of a heartbeat that repeats its machine's last one; null: the last one was another. */
   repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
     return this.machines.get(repeat.machineId)?.repeated(repeat) ?? null
   }
 
   // --- what became durable ----------------------------------------------------
 
-  private placed(placements: ReadonlyArray<Placement>): void {
+  private startPlaced(placements: ReadonlyArray<Placement>): void {
     for (const placement of placements) this.workers.commandsDue(placement.machine)
     this.workers.pushCommands()
   }
 
-  private jobForgotten(job: JobState): void {
+  private removeJob(job: JobState): void {
     this.failures.forgetJob(job.id)
     for (const assignment of this.assignments.values())
       if (assignment.assignedJob === job.id) assignment.assignedJob = null
@@ -256,23 +263,23 @@
   private planLoop() {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
-        yield* this.planSignal.wait(TICK_MS)
-        if (this.over) return
-        const began = this.node.clocks.monotonicNow()
+        yield* this.planSignal.wait(MAX_PLAN_WAIT_MS)
+        if (this.stopped) return
+        const startedAt = this.node.clocks.monotonicNow()
         if (this.active) {
-          const look = began >= addMs(this.lookedAt, LOOK_MS)
-          if (look) {
-            this.lookedAt = began
+          const checks = startedAt >= addMs(this.checkedAt, CHECK_INTERVAL_MS)
+          if (checks) {
+            this.checkedAt = startedAt
             this.checkLeases()
-            this.checkWarnings()
+            this.checkPreemptionNotices()
           }
-          this.planning.planOnce(look)
+          this.planning.planOnce(checks)
           this.workers.pushCommands()
         }
-        this.workers.answerReady()
-        // Reports, grants and health checks must not wait for plans.
-        const tookMs = this.node.clocks.monotonicNow() - began
-        yield* Effect.sleep(Math.max(PLAN_SPACING_MS, PLAN_REST * tookMs))
+        this.workers.replyWhereDue()
+        // Heartbeats, node leases and health checks must not wait for plans.
+        const tookMs = this.node.clocks.monotonicNow() - startedAt
+        yield* Effect.sleep(Math.max(MIN_PLAN_PAUSE_MS, PLAN_PAUSE_FACTOR * tookMs))
       }
     })
   }
@@ -286,22 +293,22 @@
       if (ended.length > 0 || tasks === 0)
         this.node.log.info("agent lease expired", { machine: session.id, tasks })
       this.workers.apply(session, ended)
-      // What is left may still start there: only the machine's deletion frees it at once.
+      // What is left may still start there: only the machine's deletion proves at once that it can't.
       if (session.placements.size > 0) this.rentals.release(session, "lease expired with a start in flight")
     }
   }
 
-  /** A machine about to be taken back: whatever can save does so in time, the rest runs on until the end. */
-  private checkWarnings(): void {
+  /** Machines with a preemption notice: tasks that checkpoint do so in time, the others run on until the end. */
+  private checkPreemptionNotices(): void {
     const now = this.node.clocks.monotonicNow()
     for (const session of this.machines.values()) {
       if (session.warningUntil === null) continue
       const leftS = (session.warningUntil - now) / 1000
       for (const placement of session.placements.values()) {
-        const { checkpointIntervalS: snapshotS, checkpointSaveS } = placement.job.request
-        if (placement.stop !== null || snapshotS === 0) continue
-        // Reports, and the stop itself, need a moment too.
-        if (leftS >= checkpointSaveS + 3) continue
+        const { checkpointIntervalS, checkpointSaveS } = placement.job.request
+        if (placement.stop !== null || checkpointIntervalS === 0) continue
+        // Heartbeats, and the stop itself, take time too.
+        if (leftS >= checkpointSaveS + STOP_DELAY_S) continue
         placement.job.stop(placement, {
           reason: "drain",
           leewayS: Math.max(checkpointSaveS, leftS),
@@ -312,13 +319,13 @@
     }
   }
 
-  /** The former owner tells us of a machine that is now ours. */
-  acceptHandoff(id: MachineId, by: MachineHandoff): void {
-    this.machines.get(id)?.acceptHandoff(by, this.node.clocks.monotonicNow())
+  /** The former owner handed off a machine of this shard. */
+  acceptHandoff(id: MachineId, handoff: MachineHandoff): void {
+    this.machines.get(id)?.acceptHandoff(handoff, this.node.clocks.monotonicNow())
     this.planSignal.notify()
   }
 
-  /** Tasks for display. */
+  /** Each job's task counts, for display. */
   *counts(): Iterable<TaskCounts> {
     for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
   }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -38,7 +38,7 @@
 import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
 import { quotaNeeds, shareNeed, teamClaims, unusedCores } from "./quota-demand.ts"
-import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
+import { MAX_MACHINES_PER_RENTAL, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 
 /** The load of the machines is counted anew this often. */
@@ -141,7 +141,7 @@
     // Work that its team's limit holds back is no reason to keep a machine from others.
     const room = new LimitRoom(teams.rentable)
     const startable = jobs.filter((job) => room.tasksLeft(job) > 0)
-    const lent = lend(machines, startable, needs, share, this.host.lending.lentLately(now), reserve)
+    const lent = lend(machines, startable, needs, share, this.host.lending.recentlyLent(now), reserve)
     if (lent.length > 0) {
       this.lendAll(lent, needs)
       machines = machineViews(shard, now, reserve, false)
@@ -162,7 +162,7 @@
       othersWait: needs.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
-      rentalSize: RENTAL_SIZE,
+      rentalSize: MAX_MACHINES_PER_RENTAL,
       deploymentS: node.operators.provisioning["deployment-s"],
     })
     this.carryOut(decided, now)
@@ -229,7 +229,7 @@
     if (decided.unplaced.length === 0 && !needs.some((n) => n.pressing > 0)) return
     const { shard, lending, commandsDue } = this.host
     const views: ReadonlyArray<MachineView> = machineViews(shard, now, this.reserve(), true)
-    preempt(shard, decided, needs, share, lending.lentLately(now), views, now, commandsDue)
+    preempt(shard, decided, needs, share, lending.recentlyLent(now), views, now, commandsDue)
   }
 
   private hasMostMachines(): boolean {
@@ -257,7 +257,7 @@
       const assignment = shard.assignments.get(machine)
       if (assignment !== undefined) assignment.assignedJob = assignedJob
     }
-    for (const rental of decided.rentals) rentals().rental(rental)
+    for (const rental of decided.rentals) rentals().scaleOut(rental)
     this.workWaits = decided.unplaced.length > 0
     this.idle = decided.idle
     this.heldBack = decided.heldBack
