--- /dev/null
+++ b/packages/shard/src/machine-release.ts
@@ -0,0 +1,83 @@
+/** Release: has the cloud delete machines. Decides nothing about which: that is health checks' and scale in's. */
+import { Signal } from "@sorreltally/concurrency"
+import type { MachineId } from "@sorreltally/protocol"
+import type { MachineRecordWriter } from "@sorreltally/provisioning"
+import type { WorkerSession } from "@sorreltally/workers"
+import { Effect, Result } from "effect"
+import type { ShardView } from "./shard-context.ts"
+
+/** Machines that the cloud deletes in one request at most. */
+const MAX_MACHINES_PER_RELEASE = 100
+const MAX_WAIT_MS = 1_000
+const NO_LEASE_PAUSE_MS = 100
+const RELEASE_RETRY_MS = 400
+
+/** What the release of machines uses of its shard. */
+export interface MachineReleaseOptions {
+  readonly shard: ShardView
+  readonly machineRecords: MachineRecordWriter
+  /** The shard's state is restored, and its node holds the lease to act for it. */
+  readonly mayAct: () => boolean
+  /** The node has lost the shard. */
+  readonly isStopped: () => boolean
+  /** The cloud's response proves that the machine and all tasks on it are gone. */
+  readonly deleted: (session: WorkerSession) => void
+  /** Machines were deleted: there may be something to plan. */
+  readonly changed: () => void
+}
+
+/** The machines of one shard that are being released. */
+export class MachineRelease {
+  private readonly releasing = new Map<MachineId, WorkerSession>()
+  private readonly signal = new Signal()
+
+  constructor(private readonly options: MachineReleaseOptions) {}
+
+  /** Releases a machine, whatever runs on it; `reason` is for the log. */
+  release(session: WorkerSession, reason: string): void {
+    const { assignments, node } = this.options.shard
+    const assignment = assignments.get(session.id)
+    if (assignment === undefined || assignment.returning) return
+    assignment.returning = true
+    node.log.info("machine released", { machine: session.id, reason, tasks: session.placements.size })
+    this.releasing.set(session.id, session)
+    this.signal.notify()
+  }
+
+  /**
+   * Deletes what is to be released until the shard is lost. Repeating a deletion is harmless: a machine that is
+   * gone stays gone. (A loop in place of a Schedule: each round's batch and pause depend on the shard's state.)
+   */
+  readonly run: Effect.Effect<void> = Effect.suspend(() =>
+    Effect.gen({ self: this }, function* () {
+      const { isStopped, mayAct, shard } = this.options
+      for (;;) {
+        if (this.releasing.size === 0) yield* this.signal.wait(MAX_WAIT_MS)
+        if (isStopped()) return
+        if (this.releasing.size === 0 || !mayAct()) {
+          yield* Effect.sleep(NO_LEASE_PAUSE_MS)
+          continue
+        }
+        const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
+        const deleted = yield* Effect.result(shard.node.cloud.remove(batch.map((session) => session.id)))
+        if (isStopped()) return
+        if (Result.isFailure(deleted)) {
+          yield* Effect.sleep(RELEASE_RETRY_MS)
+          continue
+        }
+        for (const session of batch) this.removeDeleted(session)
+        this.options.changed()
+      }
+    }),
+  )
+
+  private removeDeleted(session: WorkerSession): void {
+    const { deleted, machineRecords, shard } = this.options
+    this.releasing.delete(session.id)
+    // Whether we released it or the cloud preempted it: its capacity is free now.
+    const { machineType, zone, spot } = session.entry
+    shard.node.inventory.granted(machineType, zone, spot)
+    deleted(session)
+    machineRecords.edit(session.id, { kind: "remove" })
+  }
+}
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -110,10 +110,14 @@
       commandsDue: (machine) => this.workers.commandsDue(machine),
       changed: () => this.planSignal.notify(),
     })
-    this.rentals = new Rentals(this, this.machineRecords, active, () => this.stopped, {
+    this.rentals = new Rentals({
+      shard: this,
+      machineRecords: this.machineRecords,
+      mayAct: active,
+      isStopped: () => this.stopped,
       changed: () => this.planSignal.notify(),
       deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
-      lend: (session, to, needs) => lending.lend(session, to, needs),
+      lend: (session, to, demands) => lending.lend(session, to, demands),
       onDemandNeeded: () => this.planning.onDemandNeeded(),
       reserve: () => this.planning.reserve(),
       isIdle: (id) => this.planning.idle.has(id),
@@ -211,7 +215,7 @@
     if (type === undefined) return
     const now = this.node.clocks.monotonicNow()
     const { leaseS, heartbeatIntervalS: reportS } = this.node.platform.deployment.workers
-    const fresh = this.rentals.isOurs(id)
+    const fresh = this.rentals.isRecording(id)
     const times = { leaseS, reportS }
     this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
     const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
--- a/scenarios/faulty-machine.sexp
+++ b/scenarios/faulty-machine.sexp
@@ -5,4 +5,4 @@
   (at 25 (stream 60 120 pieces 3 cores 4 run 12 due 90))
   (at 200 (cancel 2))
   (expect (all-over) (served) (begun-within 90) (faulty-returned 1) (happened "tasks failed by their machine" 3))
-  (guard "packages/shard/src/rentals.ts" "if (this.shard.failures.isFaulty(session.id)) return \"faulty\"" ""))
+  (guard "packages/shard/src/machine-health.ts" "if (shard.failures.isFaulty(session.id)) return \"faulty\"" ""))
--- a/scenarios/takeover-long-up.sexp
+++ b/scenarios/takeover-long-up.sexp
@@ -3,4 +3,4 @@
   (at 1 (submit pieces 8 cores 4 run 140 due 400))
   (at 69 (cut-machines 9 15 hold)) (at 70 (crash-all 5))
   (expect (all-over) (starts-at-most 8))
-  (guard "packages/shard/src/rentals.ts" "listed?.status === \"booting\" &&" ""))
+  (guard "packages/shard/src/machine-health.ts" "listed?.status === \"booting\" &&" ""))
