--- a/packages/shard/src/deferred-replies.ts
+++ b/packages/shard/src/deferred-replies.ts
@@ -20,14 +20,15 @@
     private readonly makeReply: (session: WorkerSession) => OutgoingResponse,
   ) {}
 
-  has(session: WorkerSession): boolean {
-    return this.deferred.has(session)
-  }
+  /** Defers the reply to a worker's heartbeat. */
   defer(session: WorkerSession, respond: Respond): void {
     this.deferred.set(session, { since: this.now(), respond })
   }
-  replyNow(session: WorkerSession): void {
+  /** Sends the worker's deferred reply, made now; false when none is deferred. */
+  replyNow(session: WorkerSession): boolean {
+    if (!this.deferred.has(session)) return false
     this.replyWith(session, this.makeReply(session))
+    return true
   }
   /** Answers the heartbeats that no unwritten placement delays any more, and those deferred for the maximum time. */
   replyWhereDue(): void {
@@ -38,11 +39,13 @@
       if (!isWriting || since < dueBefore) this.replyNow(session)
     }
   }
+  /** Answers the worker's deferred heartbeat, if there is one, with this reply. */
   replyWith(session: WorkerSession, reply: OutgoingResponse): void {
     const deferred = this.deferred.get(session)
     this.deferred.delete(session)
     deferred?.respond(reply)
   }
+  /** Answers all deferred heartbeats with this reply. */
   replyToAll(reply: OutgoingResponse): void {
     for (const session of this.deferred.keys()) this.replyWith(session, reply)
   }
