--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -176,7 +176,7 @@
     const context: NodeContext = {
       platform: this.platform,
       operators: this.operators,
-      nodes: this.nodes.length,
+      nodeCount: this.nodes.length,
       store: this.store,
       cloud: this.cloud,
       httpClient: this.httpClient,
@@ -188,11 +188,11 @@
       estimates: this.estimates,
       clocks: this.clocks,
       log: this.log,
-      demandRegistry: (except) => this.demandRegistry.ofOthers(except),
-      publish: (of, demandRegistry) => this.publish(of, demandRegistry),
+      demandOfOthers: (except) => this.demandRegistry.ofOthers(except),
+      publishDemand: (of, demandRegistry) => this.publish(of, demandRegistry),
       handOff: (to, id, by) => this.handOff(to, id, by),
       jobIndex: this.jobIndex,
-      ended: (ends) => this.progress.ended(ends),
+      jobsEnded: (ends) => this.progress.ended(ends),
       foldJobs: (page) => this.jobStore.fold(page),
       nextRentalRequestId: () =>
         `${this.membership.incarnation() ?? this.platform.nodeName}-${++this.rentalCount}` as RentalRequestId,
@@ -279,7 +279,7 @@
   }
 
   private *ownCounts(): Iterable<TaskCounts> {
-    for (const { engine } of this.engines.values()) yield* engine.counts()
+    for (const { engine } of this.engines.values()) yield* engine.taskCounts()
   }
 
   // --- workers --------------------------------------------------------------
--- a/packages/shard/src/command-delivery.ts
+++ b/packages/shard/src/command-delivery.ts
@@ -78,7 +78,7 @@
     })
   }
 
-  /** `heartbeat`: the worker's state in its response; null: there was no response, or none that tells. */
+  /** `heartbeat`: the worker's state in its response; null: no response, or one without a state. */
   private applyResponse(session: WorkerSession, heartbeat: Heartbeat | null): void {
     const now = this.context.node.clocks.monotonicNow()
     if (heartbeat === null) {
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -51,7 +51,7 @@
       unwanted: (placement) => this.unplace(placement),
     })
     this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
-      ended: (ends) => node.ended(ends),
+      ended: (ends) => node.jobsEnded(ends),
       fold: (page) => node.foldJobs(page),
     })
   }
@@ -87,7 +87,7 @@
       return
     }
     const { record, page, modRevision } = entry
-    if (shardOf(id, record.spec.deadlineS != null, this.node.nodes) !== this.shard) return
+    if (shardOf(id, record.spec.deadlineS != null, this.node.nodeCount) !== this.shard) return
     if (known === undefined) {
       const job = new JobState(id, record, page, modRevision)
       this.jobs.set(id, job)
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -43,7 +43,7 @@
     if (
       assignment === undefined ||
       assignment.moving ||
-      assignment.returning ||
+      assignment.releasing ||
       this.machineRecords.isEditing(id)
     )
       return
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -37,8 +37,8 @@
   release(session: WorkerSession, reason: string): void {
     const { assignments, node } = this.options.shard
     const assignment = assignments.get(session.id)
-    if (assignment === undefined || assignment.returning) return
-    assignment.returning = true
+    if (assignment === undefined || assignment.releasing) return
+    assignment.releasing = true
     node.log.info("machine released", { machine: session.id, reason, tasks: session.placements.size })
     this.releasing.set(session.id, session)
     this.signal.notify()
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -46,7 +46,7 @@
 export const loadOf = (shard: ShardView, now: MonotonicTime): Load => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
-    if (!shard.assignments.get(id)!.returning) cores += type.cores
+    if (!shard.assignments.get(id)!.releasing) cores += type.cores
   const ending = new Array<number>(HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
@@ -149,7 +149,7 @@
     const { type, entry } = session
     const bootingS = (now - assignment.rentedAt) / 1000
     const state =
-      assignment.returning || assignment.moving || session.warningUntil !== null
+      assignment.releasing || assignment.moving || session.warningUntil !== null
         ? "away"
         : session.usable(now)
           ? assignment.closing
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -51,7 +51,7 @@
   /** Opens a round; `consider` takes each healthy machine that is up, `finish` releases those found due. */
   begin(now: MonotonicTime): ScaleInRound {
     const { shard } = this.options
-    const { machines: demands } = shard.node.demandRegistry(shard.name)
+    const { machines: demands } = shard.node.demandOfOthers(shard.name)
     const windowMs = shard.node.operators.provisioning["window-s"] * 1000
     let hasSpotUp = false
     for (const session of shard.machines.values()) hasSpotUp ||= session.entry.spot && session.up
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -1,3 +1,4 @@
+/** What the modules of a shard share: their node's services, and the shard's state as they may read it. */
 import type { CloudClient } from "@sorreltally/cloud"
 import type { InFlight } from "@sorreltally/concurrency"
 import type { CommandForwarder } from "@sorreltally/forwarding"
@@ -21,59 +22,83 @@
 import type { Effect } from "effect"
 import type { RunTimeEstimates } from "./run-time-estimates.ts"
 
-/** What a part's engine shares with the rest of its node. */
+/** What the controller of a shard shares with the rest of its node. */
 export interface NodeContext {
+  /** The platform's settings: deployment, addresses, this node's name and zone. */
   readonly platform: Platform
+  /** The operators' settings, with their defaults filled in. */
   readonly operators: Operators
-  readonly nodes: number
+  /** Controller nodes of the deployment, up or not: it decides which shard a job belongs to. */
+  readonly nodeCount: number
   readonly store: StoreClient
   readonly cloud: CloudClient
+  /** For requests to workers' own addresses. */
   readonly httpClient: HttpClient["Service"]
-  /** Commands to workers under way from this node. */
+  /** Requests with commands that are under way from this node, and their limit. */
   readonly commandsInFlight: InFlight
-  /** Sends them, or has them sent by the node that a worker reports to. */
+  /** Sends commands to workers, directly or through the node that a worker sends its heartbeats to. */
   readonly commandForwarder: CommandForwarder
+  /** The node's lease, the shards' owners, and the replica of the store. */
   readonly membership: Membership
+  /** The cloud's catalog, offers and list of machines; the list lags. */
   readonly inventory: CloudInventory
+  /** All shards' machines, as the replica shows them. */
   readonly machineIndex: MachineIndex
+  /** Learned run times, shared by the node's shards. */
   readonly estimates: RunTimeEstimates
   readonly clocks: Clocks
   readonly log: Log
+  /** A request id that no rental request had before: the cloud's idempotency key. */
   readonly nextRentalRequestId: () => RentalRequestId
-  /** What other parts lack, as far as we have heard. */
-  readonly demandRegistry: (except: ShardName) => ShardDemand
-  readonly publish: (shard: ShardName, demandOfOthers: ShardDemand) => void
-  /** Tells a machine's new owner of it before the watch does. */
-  readonly handOff: (to: ShardName, id: MachineId, by: MachineHandoff | null) => void
+  /** The demand of all shards but `except`, as last published; may be out of date. */
+  readonly demandOfOthers: (except: ShardName) => ShardDemand
+  /** Publishes a shard's demand to the other shards, on this node and on others. */
+  readonly publishDemand: (shard: ShardName, demand: ShardDemand) => void
+  /**
+   * Hands a machine off to its new owner before the watch shows the move; null: nothing is known of its worker.
+   * May be lost or late: it is unverified state, good for sending commands and no proof of anything.
+   */
+  readonly handOff: (to: ShardName, id: MachineId, handoff: MachineHandoff | null) => void
+  /** All shards' jobs, as the replica shows them. */
   readonly jobIndex: JobIndex
   /** These jobs are over, durably. */
-  readonly ended: (ends: ReadonlyArray<JobEnd>) => void
-  /** Writes a page of the job table anew without the jobs that are over. */
+  readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
+  /** Rewrites a page of the job store without the jobs that are over. */
   readonly foldJobs: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
-  /** Runs an effect beside the engine's loops, for as long as the engine lives. */
+  /**
+   * Runs an effect in a fiber that the node owns: it outlives the shard, nothing interrupts it, and its failure is
+   * logged. So it must end by itself, by time limits, and check before it acts that the shard isn't lost.
+   */
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
-/** What the owner keeps of a machine beside its worker's session. */
+/** What the owner knows of a machine beside its worker's session; not stored, so lost in a failover. */
 export interface MachineAssignment {
+  /** The job that the machine is kept for; null: any job's tasks may use it. */
   assignedJob: JobId | null
-  /** When it was rented, by our clock. */
+  /** When it was rented, by this node's monotonic clock. */
   readonly rentedAt: MonotonicTime
+  /** Since when this owner knows it: a machine long rented may have been heard by the former owner alone. */
   readonly knownSince: MonotonicTime
-  returning: boolean
-  /** A steady machine that finishes what it has and is then given back. */
+  /** Its deletion was decided; there is no way back. */
+  releasing: boolean
+  /** An on-demand machine that takes no new tasks and is released when it is empty. */
   closing: boolean
-  /** On its way to another part. */
+  /** Its move to another shard is being written. */
   moving: boolean
 }
 
-/** What there is of a part to look at: enough to plan from. */
+/** A shard's state as others read it: enough to plan from. */
 export interface ShardView {
   readonly name: ShardName
   readonly node: NodeContext
+  /** Jobs that aren't over. */
   readonly jobs: ReadonlyMap<JobId, JobState>
+  /** The shard's recorded machines, up or not. */
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
+  /** One for each of `machines`. */
   readonly assignments: ReadonlyMap<MachineId, MachineAssignment>
+  /** Rentals that are decided and whose machines aren't recorded yet. */
   readonly pendingRentals: ReadonlyMap<RentalRequestId, PlannedRental>
   readonly failures: FailureTracker
 }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -224,7 +224,7 @@
       assignedJob: assignedJob !== null && this.jobs.has(assignedJob) ? assignedJob : null,
       rentedAt: addMs(now, -age),
       knownSince: now,
-      returning: false,
+      releasing: false,
       closing: false,
       moving: false,
     })
@@ -330,7 +330,7 @@
   }
 
   /** Each job's task counts, for display. */
-  *counts(): Iterable<TaskCounts> {
+  *taskCounts(): Iterable<TaskCounts> {
     for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
   }
 }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -130,7 +130,7 @@
     const { node } = shard
     const now = node.clocks.monotonicNow()
     const used = teamUse(shard)
-    const { machines: needs, quotas, claims } = node.demandRegistry(shard.name)
+    const { machines: needs, quotas, claims } = node.demandOfOthers(shard.name)
     const unused = unusedCores(shard, used)
     this.adjustShares(used, quotas, unused)
     const teams = this.teamRooms(used, claims)
@@ -167,7 +167,7 @@
     })
     this.carryOut(decided, now)
     if (makesRoom) this.makeRoom(decided, lendable, share, now)
-    node.publish(shard.name, {
+    node.publishDemand(shard.name, {
       machines: machineNeeds(shard.name, decided.unplaced),
       quotas: quotaNeeds(shard, jobs, teams.startable, used, unused).filter(
         ({ team }) => !this.shares.yields(team),
