--- a/packages/shard/src/deferred-replies.ts
+++ b/packages/shard/src/deferred-replies.ts
@@ -1,3 +1,7 @@
+/**
+ * Heartbeats that are answered later than they came. Owns the waiting requests; a reply is made only when it is
+ * sent, since the node may have lost its lease or the machine meanwhile.
+ */
 import { addMs, type MonotonicTime, type OutgoingResponse, type Respond } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,3 +1,7 @@
+/**
+ * One shard's jobs: restores them in a failover, follows the job index, and has placements and ends written down.
+ * Never starts a task whose placement isn't durable, and never ends a job that has one that may still run.
+ */
 import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
 import {
@@ -14,9 +18,11 @@
 import { Effect } from "effect"
 import type { NodeContext } from "./shard-context.ts"
 
+/** What the job registry reports to its shard. */
 export interface JobRegistryEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
+  /** A job was accepted, or restored in a failover. */
   readonly arrived: (request: JobSpec) => void
   /** There may be something to plan. */
   readonly changed: () => void
@@ -30,35 +36,48 @@
   readonly isReady: () => boolean
 }
 
+/** What the job registry uses of its shard. */
+export interface JobRegistryOptions {
+  readonly shard: ShardName
+  /** The shard's epoch: it fences every write for the shard. */
+  readonly epoch: ModRevision
+  readonly node: NodeContext
+  /** The shard's state is restored, and its node holds the lease to act for it. */
+  readonly mayAct: () => boolean
+  readonly events: JobRegistryEvents
+}
+
 /** One shard's jobs, from their acceptance or a failover to their end. */
 export class JobRegistry {
   readonly jobs = new Map<JobId, JobState>()
+  private readonly shard: ShardName
+  private readonly node: NodeContext
+  private readonly events: JobRegistryEvents
   private readonly placementWriter: PlacementWriter
   private readonly ends: JobEnds
   private readonly now: () => MonotonicTime
 
-  constructor(
-    private readonly shard: ShardName,
-    epoch: ModRevision,
-    private readonly node: NodeContext,
-    active: () => boolean,
-    private readonly events: JobRegistryEvents,
-  ) {
+  constructor({ shard, epoch, node, mayAct, events }: JobRegistryOptions) {
+    this.shard = shard
+    this.node = node
+    this.events = events
     const { store, membership, clocks, jobIndex } = node
     this.now = clocks.monotonicNow
-    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, active, {
+    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, mayAct, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
+    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, mayAct, {
       ended: (ends) => node.jobsEnded(ends),
       fold: (page) => node.foldJobs(page),
     })
   }
 
+  /** Placement slots that hold a record. */
   get slots(): number {
     return this.placementWriter.ledger.size
   }
+  /** Writes placements and ends down, for as long as its fiber runs: the shard's. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.all([this.placementWriter.run, this.ends.run], { concurrency: "unbounded", discard: true }),
   )
@@ -69,11 +88,13 @@
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
     for (const { key, value, modRevision } of slots) {
+      // The store's codec decoded it by its key, which is a slot's: the list's type can't say so.
       const slot = Number(key.slice(key.lastIndexOf("/") + 1))
       this.placementWriter.ledger.restore(slot, modRevision, value as PlacementRecord, jobOf, now)
     }
   }
 
+  /** Has a placement made durable; only then may its task be started. */
   place(placement: Placement): void {
     this.placementWriter.place(placement)
   }
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -1,3 +1,7 @@
+/**
+ * Lending: moves a shard's machines to other shards. Decides nothing about which: that is the plan's and scale
+ * in's. Never moves a machine on which a task of this shard is or may still start.
+ */
 import { type MachineDemand, slotsIn } from "@sorreltally/planner"
 import { addMs, type MonotonicTime, type ShardName, type TaskId } from "@sorreltally/protocol"
 import type { MachineRecordWriter } from "@sorreltally/provisioning"
@@ -10,7 +14,9 @@
 /** Task slots of a recently lent machine. */
 interface Loan {
   readonly to: ShardName
+  /** Tasks of the borrower's shape that fit on the machine. */
   readonly slots: number
+  /** From then on the borrower's demand reflects the loan. */
   readonly until: MonotonicTime
 }
 
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -1,3 +1,8 @@
+/**
+ * Everything one shard's owner does: its jobs, its machines, and the control loops that reconcile the actual
+ * state with the desired one. Never acts before failover is complete or without the node's lease: both are
+ * checked before each plan, reply, command and write.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import { FailureTracker, type JobState, type Placement } from "@sorreltally/jobs"
 import type { TaskCounts } from "@sorreltally/peers"
@@ -14,18 +19,15 @@
   type ShardName,
 } from "@sorreltally/protocol"
 import { MachineRecordWriter } from "@sorreltally/provisioning"
-import { type Entry, keys } from "@sorreltally/store"
-import {
-  type MachineEntry,
-  type MachineHandoff,
-  type RepeatedHeartbeat,
-  WorkerSession,
-} from "@sorreltally/workers"
-import { Effect, Result } from "effect"
+import type { MachineHandoff, RepeatedHeartbeat, WorkerSession } from "@sorreltally/workers"
+import { Effect } from "effect"
 import { JobRegistry } from "./job-registry.ts"
 import { Lending } from "./lending.ts"
+import { MachineChecks } from "./machine-checks.ts"
 import { Rentals } from "./rentals.ts"
 import type { MachineAssignment, NodeContext, ShardView } from "./shard-context.ts"
+import { readSlots, restoreJobs } from "./shard-failover.ts"
+import { ShardMachines } from "./shard-machines.ts"
 import { ShardPlanning } from "./shard-planning.ts"
 import { WorkerCommunication } from "./worker-communication.ts"
 
@@ -37,113 +39,63 @@
 const MAX_PLAN_WAIT_MS = 1_000
 /** Leases, preemption notices and preemption are checked this often. */
 const CHECK_INTERVAL_MS = 700
-/** From the decision to stop a task until it starts its checkpoint, at most: a heartbeat and the command. */
-const STOP_DELAY_S = 3
-/** While the replica, the catalog or the slots can't be read yet, failover looks again this often. */
-const REPLICA_POLL_MS = 20
-const SLOTS_RETRY_MS = 200
 
-/**
- * Everything one shard's owner does: its jobs, its machines, and the control loops that reconcile the actual
- * state with the desired one. Lives from a failover until the shard is lost.
- */
+/** Controller of one shard. Lives from a failover until the shard is lost; a shard acquired again gets a new one. */
 export class ShardController implements ShardView {
-  readonly machines = new Map<MachineId, WorkerSession>()
-  readonly assignments = new Map<MachineId, MachineAssignment>()
   readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
+  private readonly shardMachines: ShardMachines
   private readonly machineRecords: MachineRecordWriter
   private readonly registry: JobRegistry
+  private readonly lending: Lending
   private readonly rentals: Rentals
   private readonly planning: ShardPlanning
   private readonly workers: WorkerCommunication
+  private readonly checks: MachineChecks
   private checkedAt: MonotonicTime = NEVER
-  ready = false
-  private stopped = false
-  private unsubscribe: Array<() => void> = []
+  /** Failover is complete, and the shard isn't lost. */
+  private isReady = false
+  private isStopped = false
+  private unsubscribe: ReadonlyArray<() => void> = []
 
+  /** `epoch`: the shard epoch under which the node `node` acquired the shard `name`. */
   constructor(
     readonly name: ShardName,
     readonly epoch: ModRevision,
     readonly node: NodeContext,
   ) {
-    const { store, membership, machineIndex, clocks } = node
-    const active = () => this.ready && this.active
-    this.machineRecords = new MachineRecordWriter(
-      name,
-      epoch,
-      membership.shards,
-      store,
-      membership,
-      machineIndex,
-      clocks.monotonicNow,
-      active,
-    )
-    this.registry = new JobRegistry(name, epoch, node, active, {
-      durable: (placements) => this.startPlaced(placements),
-      arrived: (request) => this.planning.arrived(request),
-      changed: () => this.planSignal.notify(),
-      release: (placement) => this.machines.get(placement.machine)?.release(placement),
-      commandsDue: (machine) => this.workers.commandsDue(machine),
-      removed: (job) => this.removeJob(job),
-      isReady: () => this.ready,
-    })
-    this.workers = new WorkerCommunication({
-      node: this.node,
-      machines: this.machines,
-      registry: this.registry,
-      machineRecords: this.machineRecords,
-      failures: this.failures,
-      mayAct: active,
-      holdsLease: () => this.active,
-      isStopped: () => this.stopped,
-      hasUnplacedTasks: () => this.planning.workWaits,
-      changed: () => this.planSignal.notify(),
-    })
-    const lending = new Lending(this, this.machineRecords, (task) => this.registry.finishIsDurable(task))
-    this.planning = new ShardPlanning({
+    this.machineRecords = this.makeMachineRecords()
+    this.registry = this.makeRegistry()
+    this.shardMachines = this.makeMachines()
+    this.workers = this.makeWorkers()
+    this.lending = new Lending(this, this.machineRecords, (task) => this.registry.finishIsDurable(task))
+    this.planning = this.makePlanning()
+    this.rentals = this.makeRentals()
+    this.checks = new MachineChecks({
       shard: this,
-      epoch,
-      registry: this.registry,
-      lending,
-      rentals: () => this.rentals,
+      apply: (session, outcomes) => this.workers.apply(session, outcomes),
+      release: (session, reason) => this.rentals.release(session, reason),
       commandsDue: (machine) => this.workers.commandsDue(machine),
-      changed: () => this.planSignal.notify(),
-    })
-    this.rentals = new Rentals({
-      shard: this,
-      machineRecords: this.machineRecords,
-      mayAct: active,
-      isStopped: () => this.stopped,
-      changed: () => this.planSignal.notify(),
-      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
-      lend: (session, to, demands) => lending.lend(session, to, demands),
-      onDemandNeeded: () => this.planning.onDemandNeeded(),
-      reserve: () => this.planning.reserve(),
-      isIdle: (id) => this.planning.idle.has(id),
-      heldBack: () => this.planning.heldBack,
     })
   }
 
   get jobs(): ReadonlyMap<JobId, JobState> {
     return this.registry.jobs
   }
-  get pendingRentals(): ShardView["pendingRentals"] {
-    return this.rentals.pendingRentals
+  get machines(): ReadonlyMap<MachineId, WorkerSession> {
+    return this.shardMachines.sessions
   }
-  stop(): void {
-    this.stopped = true
-    this.ready = false
-    this.workers.stop()
-    for (const end of this.unsubscribe) end()
-  }
-  wake(): void {
-    this.planSignal.notify()
+  get assignments(): ReadonlyMap<MachineId, MachineAssignment> {
+    return this.shardMachines.assignments
   }
-  private get active(): boolean {
-    return !this.stopped && this.node.membership.holdsLease()
+  get pendingRentals(): ShardView["pendingRentals"] {
+    return this.rentals.pendingRentals
   }
 
+  /**
+   * Restores the shard, then runs its loops until it is stopped. Its fiber is owned by the node's controller,
+   * which interrupts it when the shard is lost.
+   */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       yield* this.failOver()
@@ -154,93 +106,20 @@
     }),
   )
 
-  // --- failover -------------------------------------------------
-
-  private failOver() {
-    return Effect.gen({ self: this }, function* () {
-      const { membership, machineIndex } = this.node
-      const { replica } = membership
-      // Every job and machine of this shard that a former owner acted on is in the replica once it has
-      // reached our shard epoch.
-      while (replica.revision < this.epoch || this.node.inventory.catalog() === null)
-        yield* Effect.sleep(REPLICA_POLL_MS)
-      let entries: ReadonlyArray<Entry> = []
-      for (;;) {
-        const read = yield* Effect.result(this.node.store.list(keys.slots(this.name)))
-        if (Result.isSuccess(read)) {
-          entries = read.success.items
-          break
-        }
-        yield* Effect.sleep(SLOTS_RETRY_MS)
-      }
-      if (this.stopped) return
-      const now = this.node.clocks.monotonicNow()
-      for (const entry of machineIndex.all()) this.machineChanged(entry.id, entry)
-      this.registry.restore(entries)
-      for (const job of this.jobs.values()) {
-        for (const placement of [...job.placements.values()]) {
-          const session = this.machines.get(placement.machine)
-          // A machine's record is removed only after the response to its deletion, and it moves to another
-          // shard only when no task can be on it.
-          if (session === undefined) job.clear(placement)
-          else session.hold(placement)
-          if (job.cancelled) job.stop(placement, { reason: "cancelled", leewayS: 0, since: now })
-        }
-        this.registry.settle(job)
-      }
-      this.unsubscribe = [
-        this.node.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
-        machineIndex.listen((id, entry) => this.machineChanged(id, entry)),
-      ]
-      this.ready = true
-      this.node.log.info("shard ready", {
-        shard: this.name,
-        epoch: this.epoch,
-        jobs: this.jobs.size,
-        machines: this.machines.size,
-        slots: entries.length,
-      })
-      this.planSignal.notify()
-    })
+  /** The node lost the shard: nothing is decided or answered for it any more. */
+  stop(): void {
+    this.isStopped = true
+    this.isReady = false
+    this.workers.stop()
+    for (const unsubscribe of this.unsubscribe) unsubscribe()
   }
 
-  private machineChanged(id: MachineId, entry: MachineEntry | null): void {
-    const session = this.machines.get(id)
-    if (entry === null || entry.shard !== this.name) {
-      if (session !== undefined) this.removeMachine(session, entry === null ? "deleted" : "moved")
-      return
-    }
-    if (session !== undefined) return session.update(entry)
-    const type = this.node.inventory.catalog()?.get(entry.machineType)
-    if (type === undefined) return
-    const now = this.node.clocks.monotonicNow()
-    const { leaseS, heartbeatIntervalS: reportS } = this.node.platform.deployment.workers
-    const fresh = this.rentals.isRecording(id)
-    const times = { leaseS, reportS }
-    this.machines.set(id, new WorkerSession(id, entry, type, this.epoch, times, fresh, now))
-    const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
-    const assignedJob = this.rentals.takeAssignedJob(id)
-    this.assignments.set(id, {
-      assignedJob: assignedJob !== null && this.jobs.has(assignedJob) ? assignedJob : null,
-      rentedAt: addMs(now, -age),
-      knownSince: now,
-      releasing: false,
-      closing: false,
-      moving: false,
-    })
+  /** Has a plan made soon: something outside the shard changed that may concern it. */
+  wake(): void {
     this.planSignal.notify()
   }
 
-  private removeMachine(session: WorkerSession, reason: string): void {
-    this.machines.delete(session.id)
-    this.assignments.delete(session.id)
-    this.failures.forgetMachine(session.id)
-    this.workers.removeMachine(session)
-    this.workers.apply(session, session.clearAll(reason))
-  }
-
-  // --- workers --------------------------------------------------------------
-
+  /** Answers a heartbeat of a machine of this shard; `via`: the node that forwarded it, null: none. */
   receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
     this.workers.receiveHeartbeat(heartbeat, via, respond)
   }
@@ -248,89 +127,170 @@
   repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
     return this.machines.get(repeat.machineId)?.repeated(repeat) ?? null
   }
-
-  // --- what became durable ----------------------------------------------------
-
-  private startPlaced(placements: ReadonlyArray<Placement>): void {
-    for (const placement of placements) this.workers.commandsDue(placement.machine)
-    this.workers.pushCommands()
+  /** The former owner handed off a machine of this shard. */
+  acceptHandoff(id: MachineId, handoff: MachineHandoff): void {
+    this.machines.get(id)?.acceptHandoff(handoff, this.node.clocks.monotonicNow())
+    this.planSignal.notify()
+  }
+  /** Each job's task counts, for display. */
+  *taskCounts(): Iterable<TaskCounts> {
+    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
   }
 
-  private removeJob(job: JobState): void {
-    this.failures.forgetJob(job.id)
-    for (const assignment of this.assignments.values())
-      if (assignment.assignedJob === job.id) assignment.assignedJob = null
+  private get holdsLease(): boolean {
+    return !this.isStopped && this.node.membership.holdsLease()
+  }
+  private get mayAct(): boolean {
+    return this.isReady && this.holdsLease
   }
 
-  // --- planning -------------------------------------------------------------
+  private failOver() {
+    return Effect.gen({ self: this }, function* () {
+      const { clocks, jobIndex, log, machineIndex } = this.node
+      const slots = yield* readSlots(this, this.epoch)
+      if (this.isStopped) return
+      const now = clocks.monotonicNow()
+      for (const entry of machineIndex.all()) this.shardMachines.machineChanged(entry.id, entry)
+      restoreJobs(this, this.registry, slots, now)
+      this.unsubscribe = [
+        jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
+        machineIndex.listen((id, entry) => this.shardMachines.machineChanged(id, entry)),
+      ]
+      this.isReady = true
+      log.info("shard ready", {
+        shard: this.name,
+        epoch: this.epoch,
+        jobs: this.jobs.size,
+        machines: this.machines.size,
+        slots: slots.length,
+      })
+      this.planSignal.notify()
+    })
+  }
 
+  // A loop in place of a Schedule: its pause follows what the plan took, and a signal cuts the wait short.
   private planLoop() {
     return Effect.gen({ self: this }, function* () {
+      const { clocks } = this.node
       for (;;) {
         yield* this.planSignal.wait(MAX_PLAN_WAIT_MS)
-        if (this.stopped) return
-        const startedAt = this.node.clocks.monotonicNow()
-        if (this.active) {
-          const checks = startedAt >= addMs(this.checkedAt, CHECK_INTERVAL_MS)
-          if (checks) {
-            this.checkedAt = startedAt
-            this.checkLeases()
-            this.checkPreemptionNotices()
-          }
-          this.planning.planOnce(checks)
-          this.workers.pushCommands()
-        }
+        if (this.isStopped) return
+        const startedAt = clocks.monotonicNow()
+        if (this.holdsLease) this.reconcile(startedAt)
         this.workers.replyWhereDue()
         // Heartbeats, node leases and health checks must not wait for plans.
-        const tookMs = this.node.clocks.monotonicNow() - startedAt
+        const tookMs = clocks.monotonicNow() - startedAt
         yield* Effect.sleep(Math.max(MIN_PLAN_PAUSE_MS, PLAN_PAUSE_FACTOR * tookMs))
       }
     })
   }
 
-  private checkLeases(): void {
-    const now = this.node.clocks.monotonicNow()
-    for (const session of this.machines.values()) {
-      if ((!session.up && session.placements.size === 0) || !session.leaseOver(now)) continue
-      const tasks = session.placements.size
-      const ended = session.expireLease()
-      if (ended.length > 0 || tasks === 0)
-        this.node.log.info("agent lease expired", { machine: session.id, tasks })
-      this.workers.apply(session, ended)
-      // What is left may still start there: only the machine's deletion proves at once that it can't.
-      if (session.placements.size > 0) this.rentals.release(session, "lease expired with a start in flight")
+  private reconcile(now: MonotonicTime): void {
+    const isCheckDue = now >= addMs(this.checkedAt, CHECK_INTERVAL_MS)
+    if (isCheckDue) {
+      this.checkedAt = now
+      this.checks.run()
     }
+    this.planning.planOnce(isCheckDue)
+    this.workers.pushCommands()
   }
 
-  /** Machines with a preemption notice: tasks that checkpoint do so in time, the others run on until the end. */
-  private checkPreemptionNotices(): void {
-    const now = this.node.clocks.monotonicNow()
-    for (const session of this.machines.values()) {
-      if (session.warningUntil === null) continue
-      const leftS = (session.warningUntil - now) / 1000
-      for (const placement of session.placements.values()) {
-        const { checkpointIntervalS, checkpointSaveS } = placement.job.request
-        if (placement.stop !== null || checkpointIntervalS === 0) continue
-        // Heartbeats, and the stop itself, take time too.
-        if (leftS >= checkpointSaveS + STOP_DELAY_S) continue
-        placement.job.stop(placement, {
-          reason: "drain",
-          leewayS: Math.max(checkpointSaveS, leftS),
-          since: now,
-        })
-        this.workers.commandsDue(session.id)
-      }
-    }
+  private startPlaced(placements: ReadonlyArray<Placement>): void {
+    for (const placement of placements) this.workers.commandsDue(placement.machine)
+    this.workers.pushCommands()
   }
 
-  /** The former owner handed off a machine of this shard. */
-  acceptHandoff(id: MachineId, handoff: MachineHandoff): void {
-    this.machines.get(id)?.acceptHandoff(handoff, this.node.clocks.monotonicNow())
-    this.planSignal.notify()
+  // The members below use one another: their callbacks look the others up when they are called.
+
+  private makeMachineRecords(): MachineRecordWriter {
+    const { store, membership, machineIndex, clocks } = this.node
+    return new MachineRecordWriter(
+      this.name,
+      this.epoch,
+      membership.shards,
+      store,
+      membership,
+      machineIndex,
+      clocks.monotonicNow,
+      () => this.mayAct,
+    )
   }
 
-  /** Each job's task counts, for display. */
-  *taskCounts(): Iterable<TaskCounts> {
-    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
+  private makeRegistry(): JobRegistry {
+    return new JobRegistry({
+      shard: this.name,
+      epoch: this.epoch,
+      node: this.node,
+      mayAct: () => this.mayAct,
+      events: {
+        durable: (placements) => this.startPlaced(placements),
+        arrived: (request) => this.planning.arrived(request),
+        changed: () => this.planSignal.notify(),
+        release: (placement) => this.machines.get(placement.machine)?.release(placement),
+        commandsDue: (machine) => this.workers.commandsDue(machine),
+        removed: (job) => {
+          this.failures.forgetJob(job.id)
+          this.shardMachines.unassign(job.id)
+        },
+        isReady: () => this.isReady,
+      },
+    })
+  }
+
+  private makeMachines(): ShardMachines {
+    return new ShardMachines({
+      shard: this,
+      epoch: this.epoch,
+      isRecording: (id) => this.rentals.isRecording(id),
+      takeAssignedJob: (id) => this.rentals.takeAssignedJob(id),
+      removed: (session, reason) => {
+        this.workers.removeMachine(session)
+        this.workers.apply(session, session.clearAll(reason))
+      },
+      changed: () => this.planSignal.notify(),
+    })
+  }
+
+  private makeWorkers(): WorkerCommunication {
+    return new WorkerCommunication({
+      node: this.node,
+      machines: this.machines,
+      registry: this.registry,
+      machineRecords: this.machineRecords,
+      failures: this.failures,
+      mayAct: () => this.mayAct,
+      holdsLease: () => this.holdsLease,
+      isStopped: () => this.isStopped,
+      hasUnplacedTasks: () => this.planning.workWaits,
+      changed: () => this.planSignal.notify(),
+    })
+  }
+
+  private makePlanning(): ShardPlanning {
+    return new ShardPlanning({
+      shard: this,
+      epoch: this.epoch,
+      registry: this.registry,
+      lending: this.lending,
+      rentals: () => this.rentals,
+      commandsDue: (machine) => this.workers.commandsDue(machine),
+      changed: () => this.planSignal.notify(),
+    })
+  }
+
+  private makeRentals(): Rentals {
+    return new Rentals({
+      shard: this,
+      machineRecords: this.machineRecords,
+      mayAct: () => this.mayAct,
+      isStopped: () => this.isStopped,
+      changed: () => this.planSignal.notify(),
+      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
+      lend: (session, to, demands) => this.lending.lend(session, to, demands),
+      onDemandNeeded: () => this.planning.onDemandNeeded(),
+      reserve: () => this.planning.reserve(),
+      isIdle: (id) => this.planning.idle.has(id),
+      heldBack: () => this.planning.heldBack,
+    })
   }
 }
--- a/scenarios/hand-over-and-back.sexp
+++ b/scenarios/hand-over-and-back.sexp
@@ -6,5 +6,5 @@
   (at 90 (crash host-0 20) (crash host-1 6) (crash host-2 0.3))
   (at 92 (cancel-burst 4 0)) (at 130 (end-each 1 0.2))
   (expect (all-over) (happened handBacks 4) (happened takeOvers 24) (happened cancelledAtHandOver 8))
-  (guard "packages/shard/src/shard-controller.ts"
+  (guard "packages/shard/src/shard-failover.ts"
     "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", leewayS: 0, since: now })" ""))
