--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -8,7 +8,7 @@
 import type { WorkerSession } from "@sorreltally/workers"
 import type { ShardView } from "./shard-context.ts"
 
-/** How long a lent machine is subtracted from the borrower's demand: until its next publication has surely arrived. */
+/** So long a lent machine is subtracted from the borrower's demand: its next publication has surely come. */
 const LOAN_REMEMBERED_MS = 1_500
 
 /** Task slots of a recently lent machine. */
--- a/packages/shard/src/machine-checks.ts
+++ b/packages/shard/src/machine-checks.ts
@@ -1,6 +1,7 @@
 /** Periodic checks of a shard's machines by the clock: workers' leases and preemption notices. */
 import type { MachineId } from "@sorreltally/protocol"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
+import type { ReleaseReason } from "./machine-release.ts"
 import type { ShardView } from "./shard-context.ts"
 
 /** Time in s that a stop needs to reach its worker, beside the checkpoint: a heartbeat and the command. */
@@ -11,8 +12,8 @@
   readonly shard: ShardView
   /** Applies what a lease's expiry proves of the machine's tasks. */
   readonly apply: (session: WorkerSession, outcomes: ReadonlyArray<Outcome>) => void
-  /** Releases a machine, whatever runs on it; `reason` is for the log. */
-  readonly release: (session: WorkerSession, reason: string) => void
+  /** Releases a machine, whatever runs on it. */
+  readonly release: (session: WorkerSession, reason: ReleaseReason) => void
   /** The machine needs commands before its next heartbeat. */
   readonly commandsDue: (machine: MachineId) => void
 }
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -1,6 +1,7 @@
 /** Health checks of machines: which are gone or broken. Pure: reads the shard's state and changes nothing. */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
+import type { FaultReason } from "./machine-release.ts"
 import type { ShardView } from "./shard-context.ts"
 
 /** A machine that hasn't come up after this many times its type's boot time is released. */
@@ -22,7 +23,7 @@
   session: WorkerSession,
   rentedAt: MonotonicTime,
   now: MonotonicTime,
-): string | null => {
+): FaultReason | null => {
   const { inventory, platform } = shard.node
   const listLagMs = platform.deployment.cloud.listLagS * 1000
   const listed = inventory.listed.get(session.id)
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -9,9 +9,35 @@
 /** Machines that the cloud deletes in one request at most. */
 const MAX_MACHINES_PER_RELEASE = 100
 const MAX_WAIT_MS = 1_000
-const NO_LEASE_PAUSE_MS = 100
+/** With nothing to release, or without the lease. */
+const IDLE_PAUSE_MS = 100
 const RELEASE_RETRY_MS = 400
 
+/** Why a machine is released at once: it is gone, or its tasks can't go on there. Stands in the log as it is. */
+export type FaultReason =
+  /** Neither listed by the cloud nor heard, though it should be listed. */
+  | "vanished"
+  /** The cloud lists it as failed. */
+  | "failed"
+  /** Tasks fail on it that succeed elsewhere. */
+  | "faulty"
+  /** Its preemption notice has run out, and it is silent. */
+  | "preempted"
+  /** It takes far longer to boot than its type does. */
+  | "never booted"
+  /** Its worker doesn't receive what is sent to it. */
+  | "unreachable"
+  /** A direct start got no response before the lease expired: only the deletion proves that it takes no effect. */
+  | "lease expired with a start in flight"
+
+/** Why a machine is released; the last two of machines that are healthy. */
+export type ReleaseReason =
+  | FaultReason
+  /** On-demand, it was to take no new tasks, and is empty. */
+  | "drained"
+  /** Of no use to any shard at the end of its billing window. */
+  | "window end"
+
 /** What the release of machines uses of its shard. */
 export interface MachineReleaseOptions {
   readonly shard: ShardView
@@ -33,8 +59,8 @@
 
   constructor(private readonly options: MachineReleaseOptions) {}
 
-  /** Releases a machine, whatever runs on it; `reason` is for the log. */
-  release(session: WorkerSession, reason: string): void {
+  /** Releases a machine, whatever runs on it. Repeated, it does nothing. */
+  release(session: WorkerSession, reason: ReleaseReason): void {
     const { assignments, node } = this.options.shard
     const assignment = assignments.get(session.id)
     if (assignment === undefined || assignment.releasing) return
@@ -55,7 +81,7 @@
         if (this.releasing.size === 0) yield* this.signal.wait(MAX_WAIT_MS)
         if (isStopped()) return
         if (this.releasing.size === 0 || !mayAct()) {
-          yield* Effect.sleep(NO_LEASE_PAUSE_MS)
+          yield* Effect.sleep(IDLE_PAUSE_MS)
           continue
         }
         const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -11,7 +11,7 @@
 import { Effect } from "effect"
 import { MachineAdoption } from "./machine-adoption.ts"
 import { releaseReason } from "./machine-health.ts"
-import { MachineRelease } from "./machine-release.ts"
+import { MachineRelease, type ReleaseReason } from "./machine-release.ts"
 import { RentalRequests } from "./rental-requests.ts"
 import { ScaleIn, type ScaleInOptions } from "./scale-in.ts"
 
@@ -74,8 +74,8 @@
     this.requests.start(rental)
   }
 
-  /** Releases a machine, whatever runs on it; `reason` is for the log. */
-  release(session: WorkerSession, reason: string): void {
+  /** Releases a machine, whatever runs on it. */
+  release(session: WorkerSession, reason: ReleaseReason): void {
     this.machineRelease.release(session, reason)
   }
 
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -5,6 +5,7 @@
 import { allowed, type MachineDemand, type Reserve, slotsIn, spareCores } from "@sorreltally/planner"
 import type { JobId, JobSpec, MachineId, MonotonicTime, ShardName } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
+import type { ReleaseReason } from "./machine-release.ts"
 import { machineViews } from "./planner-input.ts"
 import type { MachineAssignment, ShardView } from "./shard-context.ts"
 
@@ -16,8 +17,8 @@
 /** What scale in uses of its shard's planning, lending and release. */
 export interface ScaleInOptions {
   readonly shard: ShardView
-  /** Releases a machine; `reason` is for the log. */
-  readonly release: (session: WorkerSession, reason: string) => void
+  /** Releases a machine. */
+  readonly release: (session: WorkerSession, reason: ReleaseReason) => void
   /** Lends an empty machine to the shard `to`. */
   readonly lend: (session: WorkerSession, to: ShardName, demands: ReadonlyArray<MachineDemand>) => void
   /** Was there lately work that spot machines couldn't take? */
