--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,3 +1,7 @@
+/**
+ * One shard's jobs: restores them in a failover, follows the job index, and has placements and ends written down.
+ * Never starts a task whose placement isn't durable, and never ends a job that has one that may still run.
+ */
 import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
 import {
@@ -14,86 +18,103 @@
 import { Effect } from "effect"
 import type { NodeContext } from "./shard-context.ts"
 
+/** What the job registry reports to its shard. */
 export interface JobRegistryEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
+  /** A job was accepted, or restored in a failover. */
   readonly arrived: (request: JobSpec) => void
   /** There may be something to plan. */
   readonly changed: () => void
-  /** The task is off this machine, or never got there. */
+  /** The task is off its machine, or never got there. */
   readonly release: (placement: Placement) => void
-  /** Its worker has something to be told. */
+  /** The worker on this machine has commands pending. */
   readonly commandsDue: (machine: MachineId) => void
-  /** The job is over; nothing of it is left. */
-  readonly forgotten: (job: JobState) => void
-  /** Is the take-over complete? */
-  readonly ready: () => boolean
+  /** The job is over; none of its state is kept. */
+  readonly removed: (job: JobState) => void
+  /** Is the failover complete, so that the jobs' placements are known? */
+  readonly isReady: () => boolean
 }
 
-/** One part's jobs, from their acceptance or a take-over to their end. */
+/** What the job registry uses of its shard. */
+export interface JobRegistryOptions {
+  readonly shard: ShardName
+  /** The shard's epoch: it fences every write for the shard. */
+  readonly epoch: ModRevision
+  readonly node: NodeContext
+  /** The shard's state is restored, and its node holds the lease to act for it. */
+  readonly mayAct: () => boolean
+  readonly events: JobRegistryEvents
+}
+
+/** One shard's jobs, from their acceptance or a failover to their end. */
 export class JobRegistry {
   readonly jobs = new Map<JobId, JobState>()
+  private readonly shard: ShardName
+  private readonly node: NodeContext
+  private readonly events: JobRegistryEvents
   private readonly placementWriter: PlacementWriter
   private readonly ends: JobEnds
   private readonly now: () => MonotonicTime
 
-  constructor(
-    private readonly shard: ShardName,
-    epoch: ModRevision,
-    private readonly node: NodeContext,
-    active: () => boolean,
-    private readonly events: JobRegistryEvents,
-  ) {
+  constructor({ shard, epoch, node, mayAct, events }: JobRegistryOptions) {
+    this.shard = shard
+    this.node = node
+    this.events = events
     const { store, membership, clocks, jobIndex } = node
     this.now = clocks.monotonicNow
-    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, active, {
+    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, mayAct, {
       durable: events.durable,
       unwanted: (placement) => this.unplace(placement),
     })
-    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
-      ended: (ends) => node.ended(ends),
+    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, mayAct, {
+      ended: (ends) => node.jobsEnded(ends),
       fold: (page) => node.foldJobs(page),
     })
   }
 
+  /** Placement slots that hold a record. */
   get slots(): number {
     return this.placementWriter.ledger.size
   }
+  /** Writes placements and ends down, for as long as its fiber runs: the shard's. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.all([this.placementWriter.run, this.ends.run], { concurrency: "unbounded", discard: true }),
   )
 
-  /** Takes over what a former owner left: the jobs on record, and what its slots say of their tasks. */
+  /** Restores what a former owner left: the jobs in the job index, and the placements that its slots record. */
   restore(slots: ReadonlyArray<Entry>): void {
     for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
-    for (const { key: path, value: v, modRevision } of slots) {
-      const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore(slot, modRevision, v as PlacementRecord, jobOf, now)
+    for (const { key, value, modRevision } of slots) {
+      // The store's codec decoded it by its key, which is a slot's: the list's type can't say so.
+      const slot = Number(key.slice(key.lastIndexOf("/") + 1))
+      this.placementWriter.ledger.restore(slot, modRevision, value as PlacementRecord, jobOf, now)
     }
   }
 
+  /** Has a placement made durable; only then may its task be started. */
   place(placement: Placement): void {
     this.placementWriter.place(placement)
   }
 
-  /** What the job table says of a job of any part; null: it is over. */
+  /** The job index changed an entry, of any shard's jobs; null: the job is over. */
   jobChanged(id: JobId, entry: LiveJob | null): void {
     const known = this.jobs.get(id)
     if (entry === null) {
-      // Only its owner ends a job: by a write of ours, or one that we didn't hear the answer of.
-      if (known !== undefined) this.forget(known)
+      // Only its owner ends a job: by a write of ours, or by one of ours that got no response.
+      if (known !== undefined) this.remove(known)
       return
     }
     const { record, page, modRevision } = entry
-    if (shardOf(id, record.spec.deadlineS != null, this.node.nodes) !== this.shard) return
+    if (shardOf(id, record.spec.deadlineS != null, this.node.nodeCount) !== this.shard) return
     if (known === undefined) {
       const job = new JobState(id, record, page, modRevision)
       this.jobs.set(id, job)
       this.events.arrived(record.spec)
-      // During a take-over its placements aren't read yet: a cancelled job would seem to have none.
-      if (this.events.ready() && job.ended) this.settle(job)
+      // During a failover its placements aren't read yet: a cancelled job would seem to have none.
+      if (this.events.isReady() && job.ended) this.settle(job)
       this.events.changed()
       return
     }
@@ -109,7 +130,7 @@
     this.ends.add(job)
   }
 
-  /** A finished task whose result the worker may forget. */
+  /** Is the task's result durable, so that its worker may purge the task? */
   finishIsDurable(task: TaskId): boolean {
     const { job, index } = splitTaskId(task)
     return this.jobs.get(job)?.finishIsDurable(index) ?? true
@@ -136,12 +157,12 @@
     this.events.changed()
   }
 
-  private forget(job: JobState): void {
+  private remove(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
     job.over = true
     this.placementWriter.ended(job)
     for (const placement of job.placements.values()) this.events.release(placement)
-    this.events.forgotten(job)
+    this.events.removed(job)
     this.events.changed()
   }
 }
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -47,7 +47,7 @@
       const assignment = shard.assignments.get(machine)
       if (assignment !== undefined) assignment.assignedJob = assignedJob
     }
-    for (const rental of rentals) this.options.rentals().rental(rental)
+    for (const rental of rentals) this.options.rentals().scaleOut(rental)
     if (onDemandNeeded) for (const assignment of shard.assignments.values()) assignment.closing = false
   }
 
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -1,3 +1,8 @@
+/**
+ * Everything one shard's owner does: its jobs, its machines, and the control loops that reconcile the actual
+ * state with the desired one. Never acts before failover is complete or without the node's lease: both are
+ * checked before each plan, reply, command and write.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import { FailureTracker, type JobState, type Placement } from "@sorreltally/jobs"
 import type { TaskCounts } from "@sorreltally/peers"
@@ -14,313 +19,278 @@
   type ShardName,
 } from "@sorreltally/protocol"
 import { MachineRecordWriter } from "@sorreltally/provisioning"
-import { type Entry, keys } from "@sorreltally/store"
-import {
-  type MachineEntry,
-  type MachineHandoff,
-  type RepeatedHeartbeat,
-  WorkerSession,
-} from "@sorreltally/workers"
-import { Effect, Result } from "effect"
+import type { MachineHandoff, RepeatedHeartbeat, WorkerSession } from "@sorreltally/workers"
+import { Effect } from "effect"
 import { JobRegistry } from "./job-registry.ts"
 import { Lending } from "./lending.ts"
+import { MachineChecks } from "./machine-checks.ts"
 import { Rentals } from "./rentals.ts"
 import type { MachineAssignment, NodeContext, ShardView } from "./shard-context.ts"
+import { readSlots, restoreJobs } from "./shard-failover.ts"
+import { ShardMachines } from "./shard-machines.ts"
 import { ShardPlanning } from "./shard-planning.ts"
 import { WorkerCommunication } from "./worker-communication.ts"
 
-const PLAN_SPACING_MS = 120
-/** After a plan, everything else has the processor for this many times what the plan took. */
-const PLAN_REST = 4
-const TICK_MS = 1_000
-/** Leases, warnings and preemption are looked at this often. */
-const LOOK_MS = 700
+/** Between two plans at least. */
+const MIN_PLAN_PAUSE_MS = 120
+/** After a plan, other work has the processor for this many times what the plan took. */
+const PLAN_PAUSE_FACTOR = 4
+/** A plan is made at least this often. */
+const MAX_PLAN_WAIT_MS = 1_000
+/** Leases, preemption notices and preemption are checked this often. */
+const CHECK_INTERVAL_MS = 700
 
-/**
- * Everything one part's owner does: its jobs, its machines, and the loops
- * that bring what is closer to what is wanted. Lives from a take-over until
- * the part is lost.
- */
+/** Controller of one shard. Lives from a failover until the shard is lost; a shard acquired again gets a new one. */
 export class ShardController implements ShardView {
-  readonly machines = new Map<MachineId, WorkerSession>()
-  readonly assignments = new Map<MachineId, MachineAssignment>()
   readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
-  private readonly blocks: MachineRecordWriter
+  private readonly shardMachines: ShardMachines
+  private readonly machineRecords: MachineRecordWriter
   private readonly registry: JobRegistry
+  private readonly lending: Lending
   private readonly rentals: Rentals
   private readonly planning: ShardPlanning
   private readonly workers: WorkerCommunication
-  private lookedAt: MonotonicTime = NEVER
-  ready = false
-  private over = false
-  private endListening: Array<() => void> = []
+  private readonly checks: MachineChecks
+  private checkedAt: MonotonicTime = NEVER
+  /** Failover is complete, and the shard isn't lost. */
+  private isReady = false
+  private isStopped = false
+  private unsubscribe: ReadonlyArray<() => void> = []
 
+  /** `epoch`: the shard epoch under which the node `node` acquired the shard `name`. */
   constructor(
     readonly name: ShardName,
     readonly epoch: ModRevision,
     readonly node: NodeContext,
   ) {
-    const { store, membership, machineIndex, clocks } = node
-    const active = () => this.ready && this.active
-    this.blocks = new MachineRecordWriter(
-      name,
-      epoch,
-      membership.shards,
-      store,
-      membership,
-      machineIndex,
-      clocks.monotonicNow,
-      active,
-    )
-    this.registry = new JobRegistry(name, epoch, node, active, {
-      durable: (placements) => this.placed(placements),
-      arrived: (request) => this.planning.arrived(request),
-      changed: () => this.planSignal.notify(),
-      release: (placement) => this.machines.get(placement.machine)?.release(placement),
-      commandsDue: (machine) => this.workers.commandsDue(machine),
-      forgotten: (job) => this.jobForgotten(job),
-      ready: () => this.ready,
-    })
-    this.workers = new WorkerCommunication({
-      node: this.node,
-      machines: this.machines,
-      registry: this.registry,
-      blocks: this.blocks,
-      failures: this.failures,
-      mayAct: active,
-      holdsLease: () => this.active,
-      isOver: () => this.over,
-      workWaits: () => this.planning.workWaits,
-      changed: () => this.planSignal.notify(),
-    })
-    const lending = new Lending(this, this.blocks, (task) => this.registry.finishIsDurable(task))
-    this.planning = new ShardPlanning({
+    this.machineRecords = this.makeMachineRecords()
+    this.registry = this.makeRegistry()
+    this.shardMachines = this.makeMachines()
+    this.workers = this.makeWorkers()
+    this.lending = new Lending(this, this.machineRecords, (task) => this.registry.finishIsDurable(task))
+    this.planning = this.makePlanning()
+    this.rentals = this.makeRentals()
+    this.checks = new MachineChecks({
       shard: this,
-      epoch,
-      registry: this.registry,
-      lending,
-      rentals: () => this.rentals,
+      apply: (session, outcomes) => this.workers.apply(session, outcomes),
+      release: (session, reason) => this.rentals.release(session, reason),
       commandsDue: (machine) => this.workers.commandsDue(machine),
-      changed: () => this.planSignal.notify(),
-    })
-    this.rentals = new Rentals(this, this.blocks, active, () => this.over, {
-      changed: () => this.planSignal.notify(),
-      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
-      lend: (session, to, needs) => lending.lend(session, to, needs),
-      onDemandNeeded: () => this.planning.onDemandNeeded(),
-      reserve: () => this.planning.reserve(),
-      isIdle: (id) => this.planning.idle.has(id),
-      heldBack: () => this.planning.heldBack,
     })
   }
 
   get jobs(): ReadonlyMap<JobId, JobState> {
     return this.registry.jobs
   }
-  get pendingRentals(): ShardView["pendingRentals"] {
-    return this.rentals.pendingRentals
-  }
-  stop(): void {
-    this.over = true
-    this.ready = false
-    this.workers.stop()
-    for (const end of this.endListening) end()
+  get machines(): ReadonlyMap<MachineId, WorkerSession> {
+    return this.shardMachines.sessions
   }
-  wake(): void {
-    this.planSignal.notify()
+  get assignments(): ReadonlyMap<MachineId, MachineAssignment> {
+    return this.shardMachines.assignments
   }
-  private get active(): boolean {
-    return !this.over && this.node.membership.holdsLease()
+  get pendingRentals(): ShardView["pendingRentals"] {
+    return this.rentals.pendingRentals
   }
 
+  /**
+   * Restores the shard, then runs its loops until it is stopped. Its fiber is owned by the node's controller,
+   * which interrupts it when the shard is lost.
+   */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      yield* this.takeOver()
-      yield* Effect.all([this.planLoop(), this.registry.run, this.blocks.run, this.rentals.run], {
+      yield* this.failOver()
+      yield* Effect.all([this.planLoop(), this.registry.run, this.machineRecords.run, this.rentals.run], {
         concurrency: "unbounded",
         discard: true,
       })
     }),
   )
 
-  // --- taking the part over -------------------------------------------------
+  /** The node lost the shard: nothing is decided or answered for it any more. */
+  stop(): void {
+    this.isStopped = true
+    this.isReady = false
+    this.workers.stop()
+    for (const unsubscribe of this.unsubscribe) unsubscribe()
+  }
 
-  private takeOver() {
+  /** Has a plan made soon: something outside the shard changed that may concern it. */
+  wake(): void {
+    this.planSignal.notify()
+  }
+
+  /** Answers a heartbeat of a machine of this shard; `via`: the node that forwarded it, null: none. */
+  receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
+    this.workers.receiveHeartbeat(heartbeat, via, respond)
+  }
+  /** The whole of a heartbeat that repeats its machine's last one; null: the last one was another. */
+  repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
+    return this.machines.get(repeat.machineId)?.expandRepeat(repeat) ?? null
+  }
+  /** The former owner handed off a machine of this shard. */
+  acceptHandoff(id: MachineId, handoff: MachineHandoff): void {
+    this.machines.get(id)?.acceptHandoff(handoff, this.node.clocks.monotonicNow())
+    this.planSignal.notify()
+  }
+  /** Each job's task counts, for display. */
+  *taskCounts(): Iterable<TaskCounts> {
+    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
+  }
+
+  private get holdsLease(): boolean {
+    return !this.isStopped && this.node.membership.holdsLease()
+  }
+  private get mayAct(): boolean {
+    return this.isReady && this.holdsLease
+  }
+
+  private failOver() {
     return Effect.gen({ self: this }, function* () {
-      const { membership, machineIndex } = this.node
-      const { replica } = membership
-      // Every job and machine of this part that a former owner acted on is in
-      // the mirror once it has reached our epoch.
-      while (replica.revision < this.epoch || this.node.inventory.catalog() === null) yield* Effect.sleep(20)
-      let entries: ReadonlyArray<Entry> = []
-      for (;;) {
-        const read = yield* Effect.result(this.node.store.list(keys.slots(this.name)))
-        if (Result.isSuccess(read)) {
-          entries = read.success.items
-          break
-        }
-        yield* Effect.sleep(200)
-      }
-      if (this.over) return
-      const now = this.node.clocks.monotonicNow()
-      for (const entry of machineIndex.all()) this.machineChanged(entry.id, entry)
-      this.registry.restore(entries)
-      for (const job of this.jobs.values()) {
-        for (const placement of [...job.placements.values()]) {
-          const session = this.machines.get(placement.machine)
-          // A machine goes off the record only once its deletion was answered,
-          // and moves only when no task can be on it.
-          if (session === undefined) job.clear(placement)
-          else session.hold(placement)
-          if (job.cancelled) job.stop(placement, { reason: "cancelled", leewayS: 0, since: now })
-        }
-        this.registry.settle(job)
-      }
-      this.endListening = [
-        this.node.jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
-        machineIndex.listen((id, entry) => this.machineChanged(id, entry)),
+      const { clocks, jobIndex, log, machineIndex } = this.node
+      const slots = yield* readSlots(this, this.epoch)
+      if (this.isStopped) return
+      const now = clocks.monotonicNow()
+      for (const entry of machineIndex.all()) this.shardMachines.machineChanged(entry.id, entry)
+      restoreJobs(this, this.registry, slots, now)
+      this.unsubscribe = [
+        jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
+        machineIndex.listen((id, entry) => this.shardMachines.machineChanged(id, entry)),
       ]
-      this.ready = true
-      this.node.log.info("shard ready", {
+      this.isReady = true
+      log.info("shard ready", {
         shard: this.name,
         epoch: this.epoch,
         jobs: this.jobs.size,
         machines: this.machines.size,
-        slots: entries.length,
+        slots: slots.length,
       })
       this.planSignal.notify()
     })
   }
 
-  private machineChanged(id: MachineId, entry: MachineEntry | null): void {
-    const session = this.machines.get(id)
-    if (entry === null || entry.shard !== this.name) {
-      if (session !== undefined) this.dropMachine(session, entry === null ? "deleted" : "moved")
-      return
-    }
-    if (session !== undefined) return session.update(entry)
-    const type = this.node.inventory.catalog()?.get(entry.machineType)
-    if (type === undefined) return
-    const now = this.node.clocks.monotonicNow()
-    const { leaseS, heartbeatIntervalS } = this.node.platform.deployment.workers
-    const rentedInEpoch = this.rentals.isOurs(id)
-    const times = { leaseS, heartbeatIntervalS }
-    const shardEpoch = this.epoch
-    this.machines.set(id, new WorkerSession({ entry, type, shardEpoch, times, rentedInEpoch, now }))
-    const age = Math.max(0, this.node.clocks.wallNow() - entry.rentedAt)
-    const assignedJob = this.rentals.takeAssignedJob(id)
-    this.assignments.set(id, {
-      assignedJob: assignedJob !== null && this.jobs.has(assignedJob) ? assignedJob : null,
-      rentedAt: addMs(now, -age),
-      knownSince: now,
-      returning: false,
-      closing: false,
-      moving: false,
+  // A loop in place of a Schedule: its pause follows what the plan took, and a signal cuts the wait short.
+  private planLoop() {
+    return Effect.gen({ self: this }, function* () {
+      const { clocks } = this.node
+      for (;;) {
+        yield* this.planSignal.wait(MAX_PLAN_WAIT_MS)
+        if (this.isStopped) return
+        const startedAt = clocks.monotonicNow()
+        if (this.holdsLease) this.reconcile(startedAt)
+        this.workers.replyWhereDue()
+        // Heartbeats, node leases and health checks must not wait for plans.
+        const tookMs = clocks.monotonicNow() - startedAt
+        yield* Effect.sleep(Math.max(MIN_PLAN_PAUSE_MS, PLAN_PAUSE_FACTOR * tookMs))
+      }
     })
-    this.planSignal.notify()
   }
 
-  private dropMachine(session: WorkerSession, reason: string): void {
-    this.machines.delete(session.id)
-    this.assignments.delete(session.id)
-    this.failures.forgetMachine(session.id)
-    this.workers.drop(session)
-    this.workers.apply(session, session.clearAll(reason))
-  }
-
-  // --- workers --------------------------------------------------------------
-
-  receiveHeartbeat(body: Heartbeat, via: NodeName | null, answer: Respond): void {
-    this.workers.report(body, via, answer)
-  }
-  /** The whole of a report that repeats the last word of its machine; null: that was another one. */
-  repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
-    return this.machines.get(repeat.machineId)?.expandRepeat(repeat) ?? null
+  private reconcile(now: MonotonicTime): void {
+    const isCheckDue = now >= addMs(this.checkedAt, CHECK_INTERVAL_MS)
+    if (isCheckDue) {
+      this.checkedAt = now
+      this.checks.run()
+    }
+    this.planning.planOnce(isCheckDue)
+    this.workers.pushCommands()
   }
 
-  // --- what became durable ----------------------------------------------------
-
-  private placed(placements: ReadonlyArray<Placement>): void {
+  private startPlaced(placements: ReadonlyArray<Placement>): void {
     for (const placement of placements) this.workers.commandsDue(placement.machine)
     this.workers.pushCommands()
   }
 
-  private jobForgotten(job: JobState): void {
-    this.failures.forgetJob(job.id)
-    for (const assignment of this.assignments.values())
-      if (assignment.assignedJob === job.id) assignment.assignedJob = null
-  }
+  // The members below use one another: their callbacks look the others up when they are called.
 
-  // --- planning -------------------------------------------------------------
+  private makeMachineRecords(): MachineRecordWriter {
+    const { store, membership, machineIndex, clocks } = this.node
+    return new MachineRecordWriter(
+      this.name,
+      this.epoch,
+      membership.shards,
+      store,
+      membership,
+      machineIndex,
+      clocks.monotonicNow,
+      () => this.mayAct,
+    )
+  }
 
-  private planLoop() {
-    return Effect.gen({ self: this }, function* () {
-      for (;;) {
-        yield* this.planSignal.wait(TICK_MS)
-        if (this.over) return
-        const began = this.node.clocks.monotonicNow()
-        if (this.active) {
-          const look = began >= addMs(this.lookedAt, LOOK_MS)
-          if (look) {
-            this.lookedAt = began
-            this.checkLeases()
-            this.checkWarnings()
-          }
-          this.planning.planOnce(look)
-          this.workers.pushCommands()
-        }
-        this.workers.answerReady()
-        // Reports, grants and health checks must not wait for plans.
-        const tookMs = this.node.clocks.monotonicNow() - began
-        yield* Effect.sleep(Math.max(PLAN_SPACING_MS, PLAN_REST * tookMs))
-      }
+  private makeRegistry(): JobRegistry {
+    return new JobRegistry({
+      shard: this.name,
+      epoch: this.epoch,
+      node: this.node,
+      mayAct: () => this.mayAct,
+      events: {
+        durable: (placements) => this.startPlaced(placements),
+        arrived: (request) => this.planning.arrived(request),
+        changed: () => this.planSignal.notify(),
+        release: (placement) => this.machines.get(placement.machine)?.release(placement),
+        commandsDue: (machine) => this.workers.commandsDue(machine),
+        removed: (job) => {
+          this.failures.forgetJob(job.id)
+          this.shardMachines.unassign(job.id)
+        },
+        isReady: () => this.isReady,
+      },
     })
   }
 
-  private checkLeases(): void {
-    const now = this.node.clocks.monotonicNow()
-    for (const session of this.machines.values()) {
-      if ((!session.isUp && session.placements.size === 0) || !session.isLeaseExpired(now)) continue
-      const tasks = session.placements.size
-      const ended = session.expireLease()
-      if (ended.length > 0 || tasks === 0)
-        this.node.log.info("agent lease expired", { machine: session.id, tasks })
-      this.workers.apply(session, ended)
-      // What is left may still start there: only the machine's deletion frees it at once.
-      if (session.placements.size > 0) this.rentals.release(session, "lease expired with a start in flight")
-    }
+  private makeMachines(): ShardMachines {
+    return new ShardMachines({
+      shard: this,
+      epoch: this.epoch,
+      isRecording: (id) => this.rentals.isRecording(id),
+      takeAssignedJob: (id) => this.rentals.takeAssignedJob(id),
+      removed: (session, reason) => {
+        this.workers.removeMachine(session)
+        this.workers.apply(session, session.clearAll(reason))
+      },
+      changed: () => this.planSignal.notify(),
+    })
   }
 
-  /** A machine about to be taken back: whatever can save does so in time, the rest runs on until the end. */
-  private checkWarnings(): void {
-    const now = this.node.clocks.monotonicNow()
-    for (const session of this.machines.values()) {
-      if (session.preemptionAt === null) continue
-      const leftS = (session.preemptionAt - now) / 1000
-      for (const placement of session.placements.values()) {
-        const { checkpointIntervalS: snapshotS, checkpointSaveS } = placement.job.request
-        if (placement.stop !== null || snapshotS === 0) continue
-        // Reports, and the stop itself, need a moment too.
-        if (leftS >= checkpointSaveS + 3) continue
-        placement.job.stop(placement, {
-          reason: "drain",
-          leewayS: Math.max(checkpointSaveS, leftS),
-          since: now,
-        })
-        this.workers.commandsDue(session.id)
-      }
-    }
+  private makeWorkers(): WorkerCommunication {
+    return new WorkerCommunication({
+      node: this.node,
+      machines: this.machines,
+      registry: this.registry,
+      machineRecords: this.machineRecords,
+      failures: this.failures,
+      mayAct: () => this.mayAct,
+      holdsLease: () => this.holdsLease,
+      isStopped: () => this.isStopped,
+      hasUnplacedTasks: () => this.planning.workWaits,
+      changed: () => this.planSignal.notify(),
+    })
   }
 
-  /** The former owner tells us of a machine that is now ours. */
-  acceptHandoff(id: MachineId, by: MachineHandoff): void {
-    this.machines.get(id)?.acceptHandoff(by, this.node.clocks.monotonicNow())
-    this.planSignal.notify()
+  private makePlanning(): ShardPlanning {
+    return new ShardPlanning({
+      shard: this,
+      epoch: this.epoch,
+      registry: this.registry,
+      lending: this.lending,
+      rentals: () => this.rentals,
+      commandsDue: (machine) => this.workers.commandsDue(machine),
+      changed: () => this.planSignal.notify(),
+    })
   }
 
-  /** Tasks for display. */
-  *counts(): Iterable<TaskCounts> {
-    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
+  private makeRentals(): Rentals {
+    return new Rentals({
+      shard: this,
+      machineRecords: this.machineRecords,
+      mayAct: () => this.mayAct,
+      isStopped: () => this.isStopped,
+      changed: () => this.planSignal.notify(),
+      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
+      lend: (session, to, demands) => this.lending.lend(session, to, demands),
+      onDemandNeeded: () => this.planning.onDemandNeeded(),
+      reserve: () => this.planning.reserve(),
+      isIdle: (id) => this.planning.idle.has(id),
+      heldBack: () => this.planning.heldBack,
+    })
   }
 }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -41,7 +41,7 @@
 import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
 import { quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
-import { RENTAL_SIZE, type Rentals } from "./rentals.ts"
+import { MAX_MACHINES_PER_RENTAL, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 import { logShardStatus } from "./shard-status.ts"
 
@@ -174,7 +174,7 @@
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
     const used = teamUse(shard)
-    const others = shard.node.demandRegistry(shard.name)
+    const others = shard.node.demandOfOthers(shard.name)
     const unused = unusedCores(shard, used)
     this.adjustQuotas(used, others.quotas, unused)
     return {
@@ -227,7 +227,7 @@
     const { shard, lending } = this.options
     const demands = others.machines
     const machines = machineViews(shard, now, reserve, false)
-    const lentLately = lending.lentLately(now)
+    const lentLately = lending.recentlyLent(now)
     const loans = lend({ machines, jobs, demands, share, lentLately, reserve })
     if (loans.length === 0) return machines
     this.lendAll(loans, demands)
@@ -272,7 +272,7 @@
       otherShardsWait: others.machines.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
-      rentalSize: RENTAL_SIZE,
+      rentalSize: MAX_MACHINES_PER_RENTAL,
       deploymentS: node.operators.provisioning.deploymentS,
     })
   }
@@ -301,14 +301,14 @@
     if (unplaced.length === 0 && !demands.some(({ pressing }) => pressing > 0)) return
     const { shard, lending, commandsDue } = this.options
     const machines = machineViews(shard, now, this.reserve(), true)
-    const lentLately = lending.lentLately(now)
+    const lentLately = lending.recentlyLent(now)
     preempt(shard, { unplaced, demands, share, lentLately, machines, now, commandsDue })
   }
 
   private publish(decided: Plan, { jobs, used, unusedCores: unused, headroom }: PlanContext): void {
     const { shard } = this.options
     const quotaInput = { jobs, startable: headroom.startable, used, unusedCores: unused }
-    shard.node.publish(shard.name, {
+    shard.node.publishDemand(shard.name, {
       machines: machineDemands(shard.name, decided.unplaced),
       quotas: quotaDemands(shard, quotaInput).filter(({ team }) => !this.quotas.yields(team)),
       claims: teamClaims(shard, used, decided.claims),
