--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -122,13 +122,13 @@
       clockSkewMs: timeBoundMs,
       fork,
     })
-    this.loads = new NodeLoads(peers, clocks, store, () => this.load())
-    this.heartbeatBalancer = new HeartbeatBalancer(
+    this.loads = new NodeLoads({ peers, clocks, store, ownLoad: () => this.load() })
+    this.heartbeatBalancer = new HeartbeatBalancer({
       clocks,
-      machineLimits.cores,
-      workers.heartbeatIntervalS,
-      () => this.loads.takers(),
-    )
+      cores: machineLimits.cores,
+      heartbeatIntervalS: workers.heartbeatIntervalS,
+      recipients: () => this.loads.recipients(),
+    })
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
       this.heartbeatForwarder.forget(id)
@@ -286,7 +286,7 @@
 
   /** Answers a worker that reports to this node, at once or as soon as there is something to say. */
   receiveHeartbeat(body: Heartbeat, answer: Respond): void {
-    this.heartbeatBalancer.came()
+    this.heartbeatBalancer.recordHeartbeat()
     const shard = this.shardOfMachine(body.machineId)
     const own = this.engines.get(shard)
     const { nodeName } = this.platform
@@ -297,23 +297,23 @@
     if (elsewhere !== null) return answer({ status: 421, body: encodeRedirect(elsewhere) })
     if (own !== undefined) return own.engine.receiveHeartbeat(body, null, answer)
     // An owner that no node reaches may still be reached by its workers.
-    if (!this.loads.sharesReports(owner) || !this.peers.reaches(owner))
+    if (!this.loads.sharesHeartbeats(owner) || !this.peers.isReachable(owner))
       return this.heartbeatForwarder.redirect(body, owner, answer)
     this.heartbeatForwarder.forward(body, owner, answer)
   }
   /** The node that this worker should report to instead, where an owner shares its workers' reports. */
   private reportsElsewhere({ machineId }: Heartbeat, owner: NodeName): NodeName | null {
-    if (owner === this.platform.nodeName) return this.heartbeatBalancer.elsewhere(machineId)
-    return this.loads.sharesReports(owner) ? this.heartbeatBalancer.evener(machineId) : null
+    if (owner === this.platform.nodeName) return this.heartbeatBalancer.redirectTarget(machineId)
+    return this.loads.sharesHeartbeats(owner) ? this.heartbeatBalancer.rebalanceTarget(machineId) : null
   }
   private load(): NodeLoad {
     let machines = 0
     for (const { engine } of this.engines.values()) machines += engine.machines.size
     return {
-      healthy: this.well(),
+      healthy: this.isHealthy(),
       writesPerSecond: this.store.writeRate(),
-      heartbeatsPerSecond: this.heartbeatBalancer.reportsPerSecond,
-      sharesHeartbeats: this.heartbeatBalancer.owns(machines),
+      heartbeatsPerSecond: this.heartbeatBalancer.heartbeatsPerSecond,
+      sharesHeartbeats: this.heartbeatBalancer.updateSharing(machines),
     }
   }
 
@@ -371,12 +371,12 @@
 
   // --- is this node of use? -------------------------------------------------------
 
-  well(): boolean {
+  isHealthy(): boolean {
     return this.membership.holdsLease() && this.catalog() !== null
   }
   /** Can other nodes act? Null: none of them is heard. */
-  othersWell(): boolean | null {
-    return this.loads.othersWell()
+  othersHealthy(): boolean | null {
+    return this.loads.othersHealthy()
   }
 
   // --- what the users' side needs --------------------------------------------
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -55,8 +55,8 @@
     let wellAt: MonotonicTime = NEVER
     const ready = () => {
       const now = clocks.monotonicNow()
-      if (controller.well()) wellAt = now
-      return now < addMs(wellAt, staysReadyMs(controller.othersWell()))
+      if (controller.isHealthy()) wellAt = now
+      return now < addMs(wellAt, staysReadyMs(controller.othersHealthy()))
     }
     const backend = {
       ready,
--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -69,10 +69,10 @@
     this.results = new Outbox(GATHER_MS, sendResults, fork)
   }
 
-  /** Sends commands to a worker, through another node if one is named and heard. */
+  /** Sends commands to a worker, through another node if one is named and connected. */
   send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandOutcome> {
     const body = encodeCommandBatch(batch)
-    const through = via !== null && this.options.peers.hears(via) ? via : null
+    const through = via !== null && this.options.peers.isConnected(via) ? via : null
     return this.options.inFlight.within(
       through === null ? this.call(address, body) : this.forward(through, address, body),
     )
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -1,4 +1,7 @@
-/** Which node a worker should report to where one owner has too many workers to answer alone. */
+/**
+ * Decides which node a worker should send its heartbeats to where one owner has too many workers to answer
+ * alone. It only names a node: it never answers a worker, and never decides who owns a machine.
+ */
 import {
   addMs,
   type Clocks,
@@ -9,132 +12,141 @@
 } from "@sorreltally/protocol"
 
 /**
- * Reports a second that an owner answers itself, for each core that it has. At some 0.25 ms of processor
+ * Heartbeats a second that an owner answers itself, for each core that it has. At some 0.25 ms of processor
  * time each, they would take more than a quarter of the node's share beyond this rate. Below it sharing them costs
  * all nodes together more than it saves: a third more where all are shared (docs/resources.md).
  */
-const REPORTS_PER_CORE = 1_000
-/** It answers all itself again at this share of that rate: hand-overs cost more than they save near the limit. */
-const ENOUGH_LESS = 0.7
-/** Reports are counted over about this time. */
-const RATE_MS = 4_000
-/** A worker that we sent elsewhere and that is back this soon could not be served there. */
+const HEARTBEATS_PER_CORE = 1_000
+/** It stops sharing at this share of that rate: redirects cost more than they save near the limit. */
+const STOP_SHARING_RATIO = 0.7
+/** Time constant of the measured rate of heartbeats. */
+const RATE_WINDOW_MS = 4_000
+/** A worker that is back this soon after a redirect could not be served at the other node. */
 const BACK_SOON_MS = 20_000
-const KEEP_FOR_MS = 60_000
-/** A node with this many times the others' reports sends some of its workers to them. */
-const UNEVEN = 1.3
-const LEAST_UNEVEN = 4
-/** Workers are sent on so much more slowly than the difference would ask for, as rates are known late. */
-const SENT_SHARE = 0.15
+/** How long a worker that came back is kept before it is redirected again. */
+const KEEP_MS = 60_000
+/** A node with this many times the heartbeats of another, and at least so many more, redirects some workers to it. */
+const IMBALANCE_RATIO = 1.3
+const MIN_IMBALANCE = 4
+/** Share of the difference that is redirected: measured rates lag, so more of it would overshoot. */
+const REDIRECTED_SHARE = 0.15
 
-/** A rate of events a second that follows them with some delay. */
+/** A rate of events a second that follows them with some delay (exponentially weighted). */
 class Rate {
   private perSecond = 0
   private at: MonotonicTime = NEVER
-  constructor(private readonly overMs: number) {}
+  constructor(private readonly windowMs: number) {}
 
   add(events: number, now: MonotonicTime): void {
-    this.perSecond = this.read(now) + (1000 * events) / this.overMs
+    this.perSecond = this.read(now) + (1000 * events) / this.windowMs
     this.at = now
   }
   read(now: MonotonicTime): number {
-    return this.at === NEVER ? 0 : this.perSecond * Math.exp(-(now - this.at) / this.overMs)
+    return this.at === NEVER ? 0 : this.perSecond * Math.exp(-(now - this.at) / this.windowMs)
   }
 }
 
+/** What the balancing of heartbeats needs of its node. */
+export interface HeartbeatBalancerOptions {
+  readonly clocks: Clocks
+  /** Processor cores that this node has; a share of one, as a rule. */
+  readonly cores: number
+  /** Seconds between two heartbeats of a worker. */
+  readonly heartbeatIntervalS: number
+  /** Nodes that can receive other owners' heartbeats, and how many heartbeats reach them a second. */
+  readonly recipients: () => ReadonlyMap<NodeName, number>
+}
+
 /**
- * An owner of many machines has the other nodes receive its workers' reports, and each of them hands
- * them on many at a time. Only the owner decides and answers, as ever.
+ * An owner of many machines has the other nodes receive its workers' heartbeats, and each of them forwards
+ * them in batches. Only the owner decides and answers, as ever.
  */
 export class HeartbeatBalancer {
   private readonly received: Rate
-  private shares = false
-  /** Workers that we sent elsewhere, and those that came back and stay for a while. */
-  private readonly sentAway = new Map<MachineId, MonotonicTime>()
+  private sharing = false
+  /** When workers were redirected, and until when those that came back are kept. */
+  private readonly redirectedAt = new Map<MachineId, MonotonicTime>()
   private readonly keptUntil = new Map<MachineId, MonotonicTime>()
-  /** Reports that we sent to a node since it last told its own. */
-  private readonly sentTo = new Map<NodeName, { published: number; more: number }>()
-  private due = 0
+  /** Heartbeats a second that we redirected to a node since it last published its own rate. */
+  private readonly redirectedRates = new Map<NodeName, { published: number; added: number }>()
+  /** Redirects that rebalancing still owes, as a fraction of one. */
+  private redirectsDue = 0
 
-  constructor(
-    private readonly clocks: Clocks,
-    private readonly cores: number,
-    private readonly reportS: number,
-    /** Nodes that can take others' workers, and their reports a second. */
-    private readonly takers: () => ReadonlyMap<NodeName, number>,
-  ) {
-    this.received = new Rate(RATE_MS)
+  constructor(private readonly options: HeartbeatBalancerOptions) {
+    this.received = new Rate(RATE_WINDOW_MS)
   }
 
-  /** A worker's report came to this node. */
-  came(): void {
-    this.received.add(1, this.clocks.monotonicNow())
+  /** Counts a heartbeat that a worker sent to this node. */
+  recordHeartbeat(): void {
+    this.received.add(1, this.options.clocks.monotonicNow())
   }
-  get reportsPerSecond(): number {
-    return this.received.read(this.clocks.monotonicNow())
+  /** Heartbeats that workers send to this node a second, as measured over the last seconds. */
+  get heartbeatsPerSecond(): number {
+    return this.received.read(this.options.clocks.monotonicNow())
   }
-  /** This node owns so many machines; does it share their reports? */
-  owns(machines: number): boolean {
-    const share = machines / this.reportS / (this.cores * REPORTS_PER_CORE)
-    this.shares = share > (this.shares ? ENOUGH_LESS : 1)
-    return this.shares
+  /** Decides whether this node, as the owner of so many machines, shares their heartbeats with the others. */
+  updateSharing(ownedMachines: number): boolean {
+    const { cores, heartbeatIntervalS } = this.options
+    const load = ownedMachines / heartbeatIntervalS / (cores * HEARTBEATS_PER_CORE)
+    this.sharing = load > (this.sharing ? STOP_SHARING_RATIO : 1)
+    return this.sharing
   }
 
-  /** Where one of our own machines, whose report came here, should report from now on; null: here. */
-  elsewhere(machine: MachineId): NodeName | null {
-    if (!this.shares) return null
-    return this.sendAway(machine)
+  /** The node that a machine of ours should send its heartbeats to from now on; null: this one. */
+  redirectTarget(machine: MachineId): NodeName | null {
+    if (!this.sharing) return null
+    return this.redirect(machine)
   }
-  /** The same of a machine of another owner whose reports we hand on: where we have far more than others. */
-  evener(machine: MachineId): NodeName | null {
-    const takers = this.takers()
-    if (takers.size === 0) return null
-    let least = Number.POSITIVE_INFINITY
-    for (const [node, reports] of takers) least = Math.min(least, this.estimate(node, reports))
-    const own = this.reportsPerSecond
-    if (own < UNEVEN * least + LEAST_UNEVEN) return null
-    this.due += (SENT_SHARE * (own - least)) / own
-    if (this.due < 1) return null
-    this.due -= 1
-    return this.sendAway(machine)
+  /** The node that another owner's machine should send its heartbeats to; null: this one, unless we get far more. */
+  rebalanceTarget(machine: MachineId): NodeName | null {
+    const recipients = this.options.recipients()
+    if (recipients.size === 0) return null
+    let lowest = Number.POSITIVE_INFINITY
+    for (const [node, published] of recipients) lowest = Math.min(lowest, this.estimate(node, published))
+    const own = this.heartbeatsPerSecond
+    if (own < IMBALANCE_RATIO * lowest + MIN_IMBALANCE) return null
+    this.redirectsDue += (REDIRECTED_SHARE * (own - lowest)) / own
+    if (this.redirectsDue < 1) return null
+    this.redirectsDue -= 1
+    return this.redirect(machine)
   }
-  private sendAway(machine: MachineId): NodeName | null {
-    const now = this.clocks.monotonicNow()
+  private redirect(machine: MachineId): NodeName | null {
+    const now = this.options.clocks.monotonicNow()
     if (now < (this.keptUntil.get(machine) ?? NEVER)) return null
-    const sent = this.sentAway.get(machine)
-    this.sentAway.delete(machine)
+    const redirectedAt = this.redirectedAt.get(machine)
+    this.redirectedAt.delete(machine)
     this.keptUntil.delete(machine)
-    if (sent !== undefined && now < addMs(sent, BACK_SOON_MS)) {
-      this.keptUntil.set(machine, addMs(now, KEEP_FOR_MS))
+    if (redirectedAt !== undefined && now < addMs(redirectedAt, BACK_SOON_MS)) {
+      this.keptUntil.set(machine, addMs(now, KEEP_MS))
       return null
     }
-    const to = this.leastLoaded()
-    if (to !== null) this.sentAway.set(machine, now)
-    return to
+    const target = this.leastLoaded()
+    if (target !== null) this.redirectedAt.set(machine, now)
+    return target
   }
   private leastLoaded(): NodeName | null {
     let best: NodeName | null = null
-    let least = Number.POSITIVE_INFINITY
-    for (const [node, reports] of this.takers()) {
-      const estimate = this.estimate(node, reports)
-      if (estimate >= least) continue
-      least = estimate
+    let lowest = Number.POSITIVE_INFINITY
+    for (const [node, published] of this.options.recipients()) {
+      const estimate = this.estimate(node, published)
+      if (estimate >= lowest) continue
+      lowest = estimate
       best = node
     }
-    const sent = best === null ? undefined : this.sentTo.get(best)
-    if (sent !== undefined) sent.more += 1 / this.reportS
+    const redirected = best === null ? undefined : this.redirectedRates.get(best)
+    if (redirected !== undefined) redirected.added += 1 / this.options.heartbeatIntervalS
     return best
   }
-  /** What a node told, and what we sent it since. */
+  /** The rate that a node published, and what we redirected to it since. */
   private estimate(node: NodeName, published: number): number {
-    const sent = this.sentTo.get(node)
-    if (sent !== undefined && sent.published === published) return published + sent.more
-    this.sentTo.set(node, { published, more: 0 })
+    const redirected = this.redirectedRates.get(node)
+    if (redirected !== undefined && redirected.published === published) return published + redirected.added
+    this.redirectedRates.set(node, { published, added: 0 })
     return published
   }
-  /** Forgets machines that are gone. */
+  /** Forgets a machine that is gone. */
   forget(machine: MachineId): void {
-    this.sentAway.delete(machine)
+    this.redirectedAt.delete(machine)
     this.keptUntil.delete(machine)
   }
 }
--- a/packages/forwarding/src/node-loads.ts
+++ b/packages/forwarding/src/node-loads.ts
@@ -1,34 +1,44 @@
-/** What the controllers tell each other of themselves: whether they can act, and how much they do. */
+/**
+ * What the controllers publish of themselves: whether they can act, and how much they do. Published loads are
+ * hints for balancing, rate limits and readiness; no decision that safety rests on may be taken from them.
+ */
 import type { NodeLoad, PeerChannel } from "@sorreltally/peers"
 import { addMs, type Clocks, type MonotonicTime, type NodeName } from "@sorreltally/protocol"
 import type { StoreClient } from "@sorreltally/store"
 import { Effect } from "effect"
 
 const PUBLISH_INTERVAL_MS = 1_000
-/** As long as nothing changes, it is told only every so many times. */
+/** An unchanged load is published only in every so many rounds. */
 const REPEAT_EVERY = 3
-/** Changes a second that are worth telling. */
-const MUCH_CHANGE = 0.3
-/** The same of reports, as a share. */
-const MUCH_REPORTS = 0.2
+/** A difference in writes to the store a second that is worth publishing. */
+const MIN_WRITES_CHANGE = 0.3
+/** The same for heartbeats, as a share of the rate published last. */
+const MIN_HEARTBEATS_CHANGE = 0.2
+/** A load received longer ago no longer counts: its node may be gone. */
 const LOAD_VALID_MS = 5_000
 
 interface ReceivedLoad extends NodeLoad {
   readonly at: MonotonicTime
 }
 
+/** What the exchange of loads needs of its node. */
+export interface NodeLoadsOptions {
+  readonly peers: PeerChannel
+  readonly clocks: Clocks
+  /** Learns how much of the shared rate limit the other nodes use. */
+  readonly store: Pick<StoreClient, "setPeerWriteRate">
+  readonly ownLoad: () => NodeLoad
+}
+
+/** The loads of all nodes: publishes our own, and keeps those received from the others. */
 export class NodeLoads {
   private readonly loads = new Map<NodeName, ReceivedLoad>()
-  private said: NodeLoad | null = null
+  private lastPublished: NodeLoad | null = null
   private skippedRounds = 0
 
-  constructor(
-    private readonly peers: PeerChannel,
-    private readonly clocks: Clocks,
-    private readonly store: Pick<StoreClient, "setPeerWriteRate">,
-    private readonly own: () => NodeLoad,
-  ) {}
+  constructor(private readonly options: NodeLoadsOptions) {}
 
+  /** Publishes this node's load when it changed, and now and then when it didn't. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.andThen(
@@ -38,55 +48,56 @@
     ),
   )
   private publish(): void {
-    const load = this.own()
-    if (!this.isNews(load) && ++this.skippedRounds < REPEAT_EVERY) return
-    this.said = load
+    const load = this.options.ownLoad()
+    if (!this.isChanged(load) && ++this.skippedRounds < REPEAT_EVERY) return
+    this.lastPublished = load
     this.skippedRounds = 0
-    this.peers.send({ kind: "nodeLoad", load })
+    this.options.peers.send({ kind: "nodeLoad", load })
   }
-  private isNews(load: NodeLoad): boolean {
-    const { said } = this
+  private isChanged(load: NodeLoad): boolean {
+    const last = this.lastPublished
     return (
-      said === null ||
-      said.healthy !== load.healthy ||
-      said.sharesHeartbeats !== load.sharesHeartbeats ||
-      Math.abs(said.writesPerSecond - load.writesPerSecond) > MUCH_CHANGE ||
-      Math.abs(said.heartbeatsPerSecond - load.heartbeatsPerSecond) >
-        1 + MUCH_REPORTS * said.heartbeatsPerSecond
+      last === null ||
+      last.healthy !== load.healthy ||
+      last.sharesHeartbeats !== load.sharesHeartbeats ||
+      Math.abs(last.writesPerSecond - load.writesPerSecond) > MIN_WRITES_CHANGE ||
+      Math.abs(last.heartbeatsPerSecond - load.heartbeatsPerSecond) >
+        1 + MIN_HEARTBEATS_CHANGE * last.heartbeatsPerSecond
     )
   }
+  /** Takes in the load that another node published. */
   received(node: NodeName, load: NodeLoad): void {
-    this.loads.set(node, { ...load, at: this.clocks.monotonicNow() })
-    let changes = 0
-    for (const [, other] of this.fresh()) changes += other.writesPerSecond
-    this.store.setPeerWriteRate(changes)
+    const { clocks, store } = this.options
+    this.loads.set(node, { ...load, at: clocks.monotonicNow() })
+    let writesPerSecond = 0
+    for (const [, other] of this.fresh()) writesPerSecond += other.writesPerSecond
+    store.setPeerWriteRate(writesPerSecond)
   }
   private *fresh(): Iterable<readonly [NodeName, NodeLoad]> {
-    const oldest = addMs(this.clocks.monotonicNow(), -LOAD_VALID_MS)
+    const oldest = addMs(this.options.clocks.monotonicNow(), -LOAD_VALID_MS)
     for (const [node, load] of this.loads) if (load.at > oldest) yield [node, load]
   }
 
-  sharesReports(node: NodeName): boolean {
+  /** True when that node, as an owner, wants other nodes to receive its workers' heartbeats. */
+  sharesHeartbeats(node: NodeName): boolean {
     return this.loads.get(node)?.sharesHeartbeats === true
   }
-  /** Can others act? Null: none of them is heard. */
-  othersWell(): boolean | null {
-    let heard = false
-    for (const [node, { healthy: well }] of this.fresh()) {
-      if (!this.peers.hears(node)) continue
-      if (well) return true
-      heard = true
+  /** Whether any other node can act; null: none of them is connected. */
+  othersHealthy(): boolean | null {
+    let connected = false
+    for (const [node, { healthy }] of this.fresh()) {
+      if (!this.options.peers.isConnected(node)) continue
+      if (healthy) return true
+      connected = true
     }
-    return heard ? false : null
+    return connected ? false : null
   }
-  /** Nodes that can take reports of others' workers, and how many reports come to them a second. */
-  takers(): ReadonlyMap<NodeName, number> {
-    const takers = new Map<NodeName, number>()
-    for (const [
-      node,
-      { healthy: well, heartbeatsPerSecond: reports, sharesHeartbeats: sharesReports },
-    ] of this.fresh())
-      if (well && !sharesReports && this.peers.hears(node)) takers.set(node, reports)
-    return takers
+  /** Nodes that can receive heartbeats of other owners' workers, and how many heartbeats reach them a second. */
+  recipients(): ReadonlyMap<NodeName, number> {
+    const recipients = new Map<NodeName, number>()
+    for (const [node, { healthy, heartbeatsPerSecond, sharesHeartbeats }] of this.fresh())
+      if (healthy && !sharesHeartbeats && this.options.peers.isConnected(node))
+        recipients.set(node, heartbeatsPerSecond)
+    return recipients
   }
 }
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -42,9 +42,9 @@
   /** Sends without an answer, and without knowing whether it arrives; to all others if none is named. */
   readonly send: (message: PeerMessage, to?: NodeName) => void
   /** True when the node was heard within the last few seconds, directly. */
-  readonly hears: (node: NodeName) => boolean
+  readonly isConnected: (node: NodeName) => boolean
   /** The same, or some node that is heard says that it hears it. */
-  readonly reaches: (node: NodeName) => boolean
+  readonly isReachable: (node: NodeName) => boolean
   /** Hands every message to the handler, and says every second that this node is there. */
   readonly serve: (handler: PeerHandler) => Effect.Effect<never>
 }
@@ -72,17 +72,17 @@
     let handler: PeerHandler | null = null
 
     const lately = (at: MonotonicTime | undefined) => clocks.monotonicNow() < addMs(at ?? NEVER, HEARD_MS)
-    const hears = (node: NodeName) => lately(heard.get(node))
+    const isConnected = (node: NodeName) => lately(heard.get(node))
     const receives = (node: NodeName) => lately(received.get(node))
     const relayTo = (node: NodeName): NodeName | undefined =>
-      others.find((n) => n !== node && hears(n) && theyHear.get(n)?.includes(node) === true)
+      others.find((n) => n !== node && isConnected(n) && theyHear.get(n)?.includes(node) === true)
     const emit = (via: NodeName, frame: Frame) => links.send(via, pack(frame))
     const ping = (nodes: ReadonlyArray<NodeName>) => {
-      const status = { receives: others.filter(receives), hears: others.filter(hears) }
+      const status = { receives: others.filter(receives), hears: others.filter(isConnected) }
       for (const to of nodes) emit(to, { t: "ping", from: self, to, ...status })
     }
     const post = (frame: MessageFrame) =>
-      emit(hears(frame.to) ? frame.to : (relayTo(frame.to) ?? frame.to), frame)
+      emit(isConnected(frame.to) ? frame.to : (relayTo(frame.to) ?? frame.to), frame)
     const deliver = ({ kind, body, from }: MessageFrame) => {
       try {
         const message = decodeMessage({ kind, body })
@@ -96,7 +96,7 @@
       const frame = unpack(bytes) as Frame
       if (frame.to !== self) {
         // We are the third node; a letter is passed on once only.
-        if (frame.t !== "ping" && hears(frame.to)) emit(frame.to, frame)
+        if (frame.t !== "ping" && isConnected(frame.to)) emit(frame.to, frame)
         return
       }
       if (frame.t !== "ping") return deliver(frame)
@@ -110,8 +110,8 @@
 
     return {
       nodes: others,
-      hears,
-      reaches: (node) => hears(node) || relayTo(node) !== undefined,
+      isConnected,
+      isReachable: (node) => isConnected(node) || relayTo(node) !== undefined,
       send: (message, to) => {
         const { kind, body } = encodeMessage(message)
         for (const node of to === undefined ? others : [to])
