--- a/packages/controller/src/job-progress.ts
+++ b/packages/controller/src/job-progress.ts
@@ -1,18 +1,27 @@
-/** How far jobs are, and how they ended, as every node can tell its users. */
+/**
+ * How far jobs are, and how they ended, as every node answers its users. Counts are for display only; a final
+ * status is kept only once it is durable, and then holds for good.
+ */
 
 import type { JobProgressMessage, PeerChannel, TaskCounts } from "@sorreltally/peers"
 import type { JobId } from "@sorreltally/protocol"
 import type { FinalStatus, JobEnd } from "@sorreltally/store"
 import { Effect } from "effect"
 
-/** Owners tell the others how far their jobs are this often: it is for display only. */
+/** Owners publish the progress of their jobs this often: it is for display only. */
 const PUBLISH_INTERVAL_MS = 2_000
-/** Final answers kept in memory. */
-const REMEMBERED = 20_000
+/** Final statuses kept in memory; of older ones the store is asked. */
+const MAX_FINAL_STATUSES = 20_000
 
-/** Counts of tasks of all nodes' jobs, and final answers, which hold for good once they are durable. */
+/** A job's tasks that are done and that run, for display. */
+export interface ShownCounts {
+  readonly done: number
+  readonly running: number
+}
+
+/** Task counts of all nodes' jobs, and the durable final statuses of those that ended. */
 export class JobProgress {
-  private readonly shown = new Map<JobId, { readonly done: number; readonly running: number }>()
+  private readonly shown = new Map<JobId, ShownCounts>()
   private readonly finals = new Map<JobId, FinalStatus>()
   private unpublishedEnds: Array<JobEnd> = []
 
@@ -22,18 +31,21 @@
     private readonly ownCounts: () => Iterable<TaskCounts>,
   ) {}
 
-  counts(id: JobId): { readonly done: number; readonly running: number } {
+  counts(id: JobId): ShownCounts {
     return this.shown.get(id) ?? { done: 0, running: 0 }
   }
+  /** Forgets the counts of a job that is off the record. */
   forget(id: JobId): void {
     this.shown.delete(id)
   }
+  /** A job's final status; null where none is kept, which says nothing of the job. */
   finalStatus(id: JobId): FinalStatus | null {
     return this.finals.get(id) ?? null
   }
+  /** Keeps a job's final status, which must be durable. */
   remember(id: JobId, status: FinalStatus): void {
     this.finals.set(id, status)
-    if (this.finals.size <= REMEMBERED) return
+    if (this.finals.size <= MAX_FINAL_STATUSES) return
     const oldest = this.finals.keys().next()
     if (oldest.done !== true) this.finals.delete(oldest.value)
   }
@@ -44,13 +56,13 @@
       this.unpublishedEnds.push({ id, status })
     }
   }
-  /** What another node told. */
+  /** Takes in what another node published. */
   received({ counts, ends }: JobProgressMessage): void {
     for (const { jobId, done, running } of counts) this.shown.set(jobId, { done, running })
     for (const { id, status } of ends) this.remember(id, status)
   }
 
-  /** Tells the other nodes what is new. */
+  /** Publishes what is new to the other nodes. */
   readonly publish: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -51,7 +51,15 @@
     const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
     const others = peers.map((p) => p.nodeName)
     const channel = yield* makePeerChannel(nodeName, others, links, log)
-    const controller = yield* makeController(platform, operators, nodes, store, cloud, channel, log)
+    const controller = yield* makeController({
+      platform,
+      operators,
+      nodes,
+      store,
+      cloud,
+      peers: channel,
+      log,
+    })
     let wellAt: MonotonicTime = NEVER
     const ready = () => {
       const now = clocks.monotonicNow()
--- a/packages/forwarding/src/node-loads.ts
+++ b/packages/forwarding/src/node-loads.ts
@@ -78,7 +78,7 @@
     for (const [node, load] of this.loads) if (load.at > oldest) yield [node, load]
   }
 
-  /** True when that node, as an owner, wants other nodes to receive its workers' heartbeats. */
+  /** True when that node, as an owner, has other nodes receive its workers' heartbeats. */
   sharesHeartbeats(node: NodeName): boolean {
     return this.loads.get(node)?.sharesHeartbeats === true
   }
