--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -171,16 +171,16 @@
   private makeInventory(): CloudInventory {
     const { platform, operators, store, cloud, peers, clocks } = this.options
     const lists = new MachineListExchange({ shards: this.shards, peers, now: clocks.monotonicNow })
-    return new CloudInventory(
+    return new CloudInventory({
       cloud,
       store,
-      this.membership.replica,
-      clocks.monotonicNow,
-      operators.provisioning["refusal-memory-s"],
-      platform.deployment.cloud.requestsPerSecond,
-      () => lists.shouldList(this.inventory.listedAt),
-      (list) => lists.publish(list),
-    )
+      replica: this.membership.replica,
+      now: clocks.monotonicNow,
+      refusalMemoryS: operators.provisioning["refusal-memory-s"],
+      requestsPerSecond: platform.deployment.cloud.requestsPerSecond,
+      shouldList: () => lists.shouldList(this.inventory.listedAt),
+      publishList: (list) => lists.publish(list),
+    })
   }
   private forgetMachinesOffRecord(): void {
     this.machineIndex.listen((id, entry) => {
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -21,29 +21,31 @@
 } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { ADOPTED, type Kind, type MachineIndex, originFor } from "./machine-index.ts"
+import { ADOPTED, blockSeries, type CapacityPool } from "./codec-block-series.ts"
+import type { MachineIndex } from "./machine-index.ts"
 
-export type Edit =
-  /** To another part. */
+/** A change of one machine's record. */
+export type MachineEdit =
+  /** To another shard. */
   | { readonly kind: "move"; readonly to: ShardName }
   /** Only its token rises. */
   | { readonly kind: "fence" }
-  /** It was deleted. */
+  /** The cloud deleted it. */
   | { readonly kind: "remove" }
 
-interface Queued {
-  readonly edit: Edit
+interface PendingEdit {
+  readonly edit: MachineEdit
   /** The machine's token when this was asked for: every move and fence raises it. */
   readonly token: FencingToken
   /** False: the machine wasn't ours any more. */
   readonly settled: (done: boolean) => void
 }
 /** Machines rented by one call, or found in the cloud's list. */
-export interface NewMachines extends Kind {
+export interface NewMachines extends CapacityPool {
   readonly rentedAt: number
   readonly ids: ReadonlyArray<MachineId>
 }
-interface QueuedMachines extends NewMachines {
+interface PendingAddition extends NewMachines {
   readonly adopted: boolean
   readonly settled: () => void
 }
@@ -61,30 +63,37 @@
 const blockSize = (valueKb: number): number =>
   Math.max(1, Math.floor((valueKb * 1024 - BLOCK_BYTES) / MACHINE_BYTES))
 
+/** What the writer of machine records needs of its shard. */
+export interface MachineRecordWriterOptions {
+  readonly shard: ShardName
+  /** The shard's epoch: every write is conditioned on it, which fences an earlier owner's. */
+  readonly epoch: ModRevision
+  /** All shards, this one included. */
+  readonly shards: ReadonlyArray<ShardName>
+  readonly store: StoreClient
+  readonly membership: Pick<Membership, "replica" | "readBarrier">
+  readonly machineIndex: MachineIndex
+  /** Monotonic time in milliseconds. */
+  readonly now: () => number
+  /** Whether this node may still act for the shard. */
+  readonly mayAct: () => boolean
+}
+
 /**
  * Writes what changes about one part's machines: one put for all that changes
  * in a block, one transaction for several blocks. What is queued stays queued
  * until the mirror shows that it happened.
  */
 export class MachineRecordWriter {
-  private readonly edits = new Map<MachineId, Queued>()
-  private fresh: Array<QueuedMachines> = []
+  private readonly edits = new Map<MachineId, PendingEdit>()
+  private additions: Array<PendingAddition> = []
   private readonly signal = new Signal()
   private removedAt = Number.NEGATIVE_INFINITY
 
-  constructor(
-    private readonly shard: ShardName,
-    private readonly epoch: ModRevision,
-    private readonly shards: ReadonlyArray<ShardName>,
-    private readonly store: StoreClient,
-    private readonly membership: Membership,
-    private readonly machineIndex: MachineIndex,
-    private readonly now: () => number,
-    private readonly active: () => boolean,
-  ) {}
+  constructor(private readonly options: MachineRecordWriterOptions) {}
 
-  edit(id: MachineId, edit: Edit, settled: (done: boolean) => void = () => {}): void {
-    const entry = this.machineIndex.get(id)
+  edit(id: MachineId, edit: MachineEdit, settled: (done: boolean) => void = () => {}): void {
+    const entry = this.options.machineIndex.get(id)
     const queued = this.edits.get(id)
     if (queued !== undefined) {
       const outcome = this.outcomeOf(queued, entry)
@@ -97,14 +106,14 @@
   /** Guards against an edit that was overtaken standing in the way of what is decided next. */
   isEditing(id: MachineId): boolean {
     const queued = this.edits.get(id)
-    return queued !== undefined && this.outcomeOf(queued, this.machineIndex.get(id)) === "open"
+    return queued !== undefined && this.outcomeOf(queued, this.options.machineIndex.get(id)) === "open"
   }
   add(machines: NewMachines, adopted: boolean, settled: () => void): void {
-    const most = blockSize(this.store.limits.valueKb)
+    const most = blockSize(this.options.store.limits.valueKb)
     for (let i = 0; i < machines.ids.length; i += most) {
       const last = i + most >= machines.ids.length
       const ids = machines.ids.slice(i, i + most)
-      this.fresh.push({ ...machines, ids, adopted, settled: last ? settled : () => {} })
+      this.additions.push({ ...machines, ids, adopted, settled: last ? settled : () => {} })
     }
     this.signal.notify()
   }
@@ -112,10 +121,10 @@
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.fresh.length === 0 && !this.editsDue())
+        if (this.additions.length === 0 && !this.editsDue())
           yield* this.signal.wait(this.edits.size > 0 ? PAUSE_MS * 2 : IDLE_MS)
-        if (!this.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.fresh.length > 0) yield* this.writeFresh()
+        if (!this.options.mayAct()) return yield* Effect.sleep(PAUSE_MS)
+        if (this.additions.length > 0) yield* this.writeAdditions()
         if (this.editsDue()) yield* this.writeEdits()
       }),
     ),
@@ -123,14 +132,14 @@
 
   private editsDue(): boolean {
     for (const { edit } of this.edits.values()) if (edit.kind !== "remove") return true
-    return this.edits.size > 0 && this.now() > this.removedAt + REMOVE_EVERY_MS
+    return this.edits.size > 0 && this.options.now() > this.removedAt + REMOVE_EVERY_MS
   }
 
   /** After a write that didn't succeed, or of which we heard nothing: what is so now? */
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(PAUSE_MS)
-      yield* Effect.result(this.membership.readBarrier.since)
+      yield* Effect.result(this.options.membership.readBarrier.since)
     })
   }
 
@@ -141,44 +150,47 @@
    * know them, a rental on no adoption that we haven't seen: so no machine
    * comes to stand in two blocks.
    */
-  private writeFresh() {
+  private writeAdditions() {
     return Effect.gen({ self: this }, function* () {
-      yield* this.store.awaitWriteCapacity(1, 1)
-      const kind = this.fresh[0]
+      yield* this.options.store.awaitWriteCapacity(1, 1)
+      const kind = this.additions[0]
       if (kind === undefined) return
       const { adopted, machineType, zone, spot } = kind
-      const { replica } = this.membership
-      const when: Array<Condition> = [{ key: keys.shard(this.shard), modRevision: this.epoch }]
-      const origin = originFor(adopted ? ADOPTED : this.shard, kind)
-      const last = adopted ? null : this.machineIndex.last(origin)
-      for (const other of adopted ? this.shards : ([ADOPTED] as const)) {
-        const theirs = originFor(other, kind)
-        const latest = adopted ? this.machineIndex.last(theirs) : null
-        if (latest !== null) when.push({ key: latest.path, modRevision: replica.modRevision(latest.path) })
-        when.push({ key: this.machineIndex.next(theirs), modRevision: ABSENT })
+      const { replica } = this.options.membership
+      const when: Array<Condition> = [
+        { key: keys.shard(this.options.shard), modRevision: this.options.epoch },
+      ]
+      const origin = blockSeries(adopted ? ADOPTED : this.options.shard, kind)
+      const last = adopted ? null : this.options.machineIndex.latestBlock(origin)
+      for (const other of adopted ? this.options.shards : ([ADOPTED] as const)) {
+        const theirs = blockSeries(other, kind)
+        const latest = adopted ? this.options.machineIndex.latestBlock(theirs) : null
+        if (latest !== null) when.push({ key: latest.key, modRevision: replica.modRevision(latest.key) })
+        when.push({ key: this.options.machineIndex.nextBlock(theirs), modRevision: ABSENT })
       }
-      const most = blockSize(this.store.limits.valueKb)
-      const batch: Array<QueuedMachines> = []
+      const most = blockSize(this.options.store.limits.valueKb)
+      const batch: Array<PendingAddition> = []
       const left: Array<readonly [MachineId, number]> = []
-      for (const queued of this.fresh) {
+      for (const queued of this.additions) {
         const alike =
-          queued.adopted === adopted && originFor(this.shard, queued) === originFor(this.shard, kind)
+          queued.adopted === adopted &&
+          blockSeries(this.options.shard, queued) === blockSeries(this.options.shard, kind)
         if (!alike || left.length + queued.ids.length > most) continue
         batch.push(queued)
         for (const id of queued.ids)
-          if (this.machineIndex.get(id) === undefined && !this.machineIndex.gone.has(id))
+          if (this.options.machineIndex.get(id) === undefined && !this.options.machineIndex.gone.has(id))
             left.push([id, queued.rentedAt])
       }
       if (left.length > 0) {
-        const appended = last !== null && last.machines + left.length <= most ? last.path : null
-        const path = appended ?? this.machineIndex.next(origin)
+        const appended = last !== null && last.machines + left.length <= most ? last.key : null
+        const path = appended ?? this.options.machineIndex.nextBlock(origin)
         const before = replica.get(path)
         when.push({ key: path, modRevision: before?.modRevision ?? ABSENT })
         const rentedAt = before?.value.rentedAt ?? Math.min(...left.map(([, at]) => at))
         const machines = [...(before?.value.machines ?? [])]
         for (const [machineId, since] of left) {
           const rentedAfterS = Math.round((since - rentedAt) / 1000)
-          machines.push({ machineId, shard: this.shard, token: 0 as FencingToken, rentedAfterS })
+          machines.push({ machineId, shard: this.options.shard, token: 0 as FencingToken, rentedAfterS })
         }
         const block: MachineBlock = {
           machineType,
@@ -187,11 +199,13 @@
           rentedAt,
           machines: groupByShard(machines),
         }
-        const done = yield* Effect.result(this.store.compareAndSwap(when, [put(path, block)], "reserved"))
+        const done = yield* Effect.result(
+          this.options.store.compareAndSwap(when, [put(path, block)], "reserved"),
+        )
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
         replica.hint({ key: path, value: block, modRevision: done.success.revision })
       }
-      this.fresh = this.fresh.filter((b) => !batch.includes(b))
+      this.additions = this.additions.filter((b) => !batch.includes(b))
       for (const { settled } of batch) settled()
     })
   }
@@ -201,8 +215,8 @@
    * may have been carried out, and the machine lent back to us since: repeated then, it would
    * take the machine from under the tasks that were placed meanwhile (`ran_twice`).
    */
-  private outcomeOf({ edit, token }: Queued, entry: MachineEntry | undefined): "open" | "done" | "void" {
-    const ours = entry !== undefined && entry.shard === this.shard
+  private outcomeOf({ edit, token }: PendingEdit, entry: MachineEntry | undefined): "open" | "done" | "void" {
+    const ours = entry !== undefined && entry.shard === this.options.shard
     if (edit.kind === "remove") return ours ? "open" : "done"
     if (!ours) return "void"
     if (entry.token === token) return "open"
@@ -214,19 +228,19 @@
       const urgent = [...this.edits.values()].some(({ edit }) => edit.kind !== "remove")
       const touched = new Set<StoreKey<MachineBlock>>()
       for (const id of this.edits.keys()) {
-        const block = this.machineIndex.get(id)?.block
-        if (block !== undefined && touched.size < this.store.limits.maxOperations) touched.add(block)
+        const block = this.options.machineIndex.get(id)?.block
+        if (block !== undefined && touched.size < this.options.store.limits.maxOperations) touched.add(block)
       }
-      yield* this.store.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
-      if (!urgent) this.removedAt = this.now()
-      const { replica } = this.membership
+      yield* this.options.store.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
+      if (!urgent) this.removedAt = this.options.now()
+      const { replica } = this.options.membership
       const records = new Map<
         StoreKey<MachineBlock>,
         { readonly machines: MutableBlock; readonly modRevision: ModRevision }
       >()
-      const written: Array<[MachineId, Queued]> = []
+      const written: Array<[MachineId, PendingEdit]> = []
       for (const [id, queued] of [...this.edits]) {
-        const entry = this.machineIndex.get(id)
+        const entry = this.options.machineIndex.get(id)
         const outcome = this.outcomeOf(queued, entry)
         if (entry === undefined || outcome !== "open") {
           this.edits.delete(id)
@@ -243,25 +257,27 @@
         }
         const { edit } = queued
         // Above every token used for this machine so far, and below every epoch to come.
-        const token = (Math.max(this.epoch, entry.token) + 1) as FencingToken
+        const token = (Math.max(this.options.epoch, entry.token) + 1) as FencingToken
         if (edit.kind === "remove") record.machines.delete(id)
         else {
-          const shard = edit.kind === "move" ? edit.to : this.shard
+          const shard = edit.kind === "move" ? edit.to : this.options.shard
           const rentedAfterS = record.machines.get(id)?.rentedAfterS ?? 0
           record.machines.set(id, { machineId: id, shard, token, rentedAfterS })
         }
         written.push([id, queued])
       }
       if (records.size === 0) return
-      const when: Array<Condition> = [{ key: keys.shard(this.shard), modRevision: this.epoch }]
+      const when: Array<Condition> = [
+        { key: keys.shard(this.options.shard), modRevision: this.options.epoch },
+      ]
       const apply: Array<Operation> = []
       for (const [path, { machines, modRevision }] of records) {
         when.push({ key: path, modRevision })
         const block = replica.get(path)!.value
-        if (machines.size === 0 && !this.machineIndex.isLatest(path)) apply.push(remove(path))
+        if (machines.size === 0 && !this.options.machineIndex.isLatest(path)) apply.push(remove(path))
         else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
       }
-      const done = yield* Effect.result(this.store.compareAndSwap(when, apply, "reserved"))
+      const done = yield* Effect.result(this.options.store.compareAndSwap(when, apply, "reserved"))
       if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
       const current = written.filter(([id, queued]) => this.edits.get(id) === queued)
       for (const [id] of current) this.edits.delete(id)
--- a/packages/provisioning/test/machine-records-overtaken.test.ts
+++ b/packages/provisioning/test/machine-records-overtaken.test.ts
@@ -26,7 +26,7 @@
   machines: [{ machineId: machine, shard, token: token as FencingToken, rentedAfterS: 0 }],
 })
 
-/** One machine of ours on record, and a state service that carries out what it doesn't answer. */
+/** One machine of ours on record, and a store that carries out what it doesn't answer. */
 const fixture = () => {
   const replica = new Replica()
   const machineIndex = new MachineIndex(replica)
@@ -37,7 +37,7 @@
   wrote(block(ours, 0))
   /** What happens before the writer gives up waiting for its answer. */
   let beforeGivenUp: (() => void) | null = null
-  const state = {
+  const store = {
     limits: { writesPerSecond: 60, valueKb: 4, maxOperations: 8 },
     awaitWriteCapacity: () => Effect.void,
     compareAndSwap: (_: unknown, [change]: ReadonlyArray<Operation & { readonly value: MachineBlock }>) =>
@@ -51,19 +51,19 @@
       }),
   } as unknown as StoreClient
   const membership = { replica, readBarrier: { since: Effect.void } } as unknown as Membership
-  const writer = new MachineRecordWriter(
-    ours,
-    5 as ModRevision,
-    [ours, other],
-    state,
+  const writer = new MachineRecordWriter({
+    shard: ours,
+    epoch: 5 as ModRevision,
+    shards: [ours, other],
+    store,
     membership,
     machineIndex,
-    () => performance.now(),
-    () => true,
-  )
+    now: () => performance.now(),
+    mayAct: () => true,
+  })
   return {
     writer,
-    machineIndex: machineIndex,
+    machineIndex,
     writes,
     wrote,
     losesNextAnswer: (then: () => void) => {
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Replica } from "@sorreltally/membership"
+import { type Membership, Replica } from "@sorreltally/membership"
 import type {
   FencingToken,
   MachineId,
@@ -11,15 +11,16 @@
 } from "@sorreltally/protocol"
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { MachineIndex, originFor } from "../src/machine-index.ts"
-import { type Edit, MachineRecordWriter } from "../src/machine-records.ts"
+import { blockSeries } from "../src/codec-block-series.ts"
+import { MachineIndex } from "../src/machine-index.ts"
+import { type MachineEdit, MachineRecordWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
 const theirs = "part-1" as ShardName
 const machine = "i-000001" as MachineId
 const EPOCH = 5 as ModRevision
 const kind = { machineType: "small" as MachineTypeName, zone: "a" as ZoneName, spot: true }
-const path = keys.machineBlock(originFor(ours, kind), 1)
+const path = keys.machineBlock(blockSeries(ours, kind), 1)
 
 /** One machine in one block; the first write is carried out as asked, its answer is lost. */
 class Fixture {
@@ -31,7 +32,7 @@
   constructor(private readonly meanwhile: ReadonlyArray<ShardName>) {
     const machineIndex = new MachineIndex(this.replica)
     this.put(ours, 7)
-    const state = {
+    const store = {
       limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
       awaitWriteCapacity: () => Effect.void,
       compareAndSwap: (_: unknown, apply: ReadonlyArray<Operation>) =>
@@ -47,16 +48,16 @@
       for (const [i, shard] of this.meanwhile.entries()) this.put(shard, 8 + i)
     })
     const membership = { replica: this.replica, readBarrier: { since } }
-    this.writer = new MachineRecordWriter(
-      ours,
-      EPOCH,
-      [ours, theirs],
-      state,
-      membership as unknown as ConstructorParameters<typeof MachineRecordWriter>[4],
+    this.writer = new MachineRecordWriter({
+      shard: ours,
+      epoch: EPOCH,
+      shards: [ours, theirs],
+      store,
+      membership: membership as unknown as Membership,
       machineIndex,
-      () => 0,
-      () => true,
-    )
+      now: () => 0,
+      mayAct: () => true,
+    })
   }
   private put(shard: ShardName, token: number): void {
     const machines = [{ machineId: machine, shard: shard, token: token as FencingToken, rentedAfterS: 0 }]
@@ -64,7 +65,7 @@
     this.replica.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
   }
   /** What an edit was settled as; null: it is still open after a while. */
-  async settle(edit: Edit): Promise<boolean | null> {
+  async settle(edit: MachineEdit): Promise<boolean | null> {
     let settled: boolean | null = null
     const fiber = Effect.runFork(this.writer.run)
     this.writer.edit(machine, edit, (done) => {
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -18,7 +18,7 @@
   type RentalRequestId,
   type ShardName,
 } from "@sorreltally/protocol"
-import { ADOPTED, type MachineRecordWriter, originFor } from "@sorreltally/provisioning"
+import { ADOPTED, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
 import type { WorkerSession } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
 import { machineViews } from "./planner-input.ts"
@@ -170,7 +170,7 @@
       const groups = new Map<string, Array<ListedMachine>>()
       for (const listed of inventory.listedHere) {
         if (!unknown(listed)) continue
-        const group = originFor(ADOPTED, listed)
+        const group = blockSeries(ADOPTED, listed)
         const of = groups.get(group)
         if (of === undefined) groups.set(group, [listed])
         else of.push(listed)
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -63,16 +63,16 @@
   ) {
     const { store, membership, machineIndex, clocks } = node
     const active = () => this.ready && this.active
-    this.blocks = new MachineRecordWriter(
-      name,
+    this.blocks = new MachineRecordWriter({
+      shard: name,
       epoch,
-      membership.shards,
+      shards: membership.shards,
       store,
       membership,
       machineIndex,
-      clocks.monotonicNow,
-      active,
-    )
+      now: clocks.monotonicNow,
+      mayAct: active,
+    })
     this.registry = new JobRegistry(name, epoch, node, active, {
       durable: (placements) => this.placed(placements),
       arrived: (request) => this.planning.arrived(request),
