--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -1,67 +1,35 @@
+/**
+ * Writes what changes about one shard's machines. Every write is conditioned on the shard's epoch and on the
+ * blocks being as this node read them: it may be lost, late or repeated without harm. Only this module writes
+ * machine records.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
-import {
-  ABSENT,
-  type FencingToken,
-  type MachineId,
-  type ModRevision,
-  type ShardName,
-} from "@sorreltally/protocol"
-import {
-  type BlockMachine,
-  type Condition,
-  groupByShard,
-  keys,
-  type MachineBlock,
-  type Operation,
-  put,
-  remove,
-  type StoreClient,
-  type StoreKey,
-} from "@sorreltally/store"
+import type { FencingToken, MachineId, ModRevision, ShardName } from "@sorreltally/protocol"
+import { type MachineBlock, type Operation, put, type StoreClient, type StoreKey } from "@sorreltally/store"
 import type { MachineEntry } from "@sorreltally/workers"
 import { Effect, Result } from "effect"
-import { ADOPTED, blockSeries, type CapacityPool } from "./codec-block-series.ts"
+import {
+  divideAddition,
+  maxBlockMachines,
+  type NewMachines,
+  type PendingAddition,
+  planAddition,
+} from "./machine-additions.ts"
+import {
+  BlockEdits,
+  type EditOutcome,
+  editOutcome,
+  type MachineEdit,
+  type PendingEdit,
+} from "./machine-edits.ts"
 import type { MachineIndex } from "./machine-index.ts"
 
-/** A change of one machine's record. */
-export type MachineEdit =
-  /** To another shard. */
-  | { readonly kind: "move"; readonly to: ShardName }
-  /** Only its token rises. */
-  | { readonly kind: "fence" }
-  /** The cloud deleted it. */
-  | { readonly kind: "remove" }
-
-interface PendingEdit {
-  readonly edit: MachineEdit
-  /** The machine's token when this was asked for: every move and fence raises it. */
-  readonly token: FencingToken
-  /** False: the machine wasn't ours any more. */
-  readonly settled: (done: boolean) => void
-}
-/** Machines rented by one call, or found in the cloud's list. */
-export interface NewMachines extends CapacityPool {
-  readonly rentedAt: number
-  readonly ids: ReadonlyArray<MachineId>
-}
-interface PendingAddition extends NewMachines {
-  readonly adopted: boolean
-  readonly settled: () => void
-}
-type MutableBlock = Map<MachineId, BlockMachine>
-
-/** Bytes of one machine in a block, and of a block without machines; generous. */
-const MACHINE_BYTES = 42
-const BLOCK_BYTES = 300
 const PAUSE_MS = 150
-/** With nothing queued there is nothing to look at: every tick of every part is paid by all nodes, all day. */
+/** With nothing pending there is nothing to do: each wake-up of each shard is paid by all nodes, all day. */
 const IDLE_MS = 5_000
 /** Machines that are gone can wait for others of their block. */
-const REMOVE_EVERY_MS = 1_500
-
-const blockSize = (valueKb: number): number =>
-  Math.max(1, Math.floor((valueKb * 1024 - BLOCK_BYTES) / MACHINE_BYTES))
+const REMOVE_INTERVAL_MS = 1_500
 
 /** What the writer of machine records needs of its shard. */
 export interface MachineRecordWriterOptions {
@@ -80,44 +48,46 @@
 }
 
 /**
- * Writes what changes about one part's machines: one put for all that changes
- * in a block, one transaction for several blocks. What is queued stays queued
- * until the mirror shows that it happened.
+ * Writes what changes about one shard's machines: one put for all that changes
+ * in a block, one transaction for several blocks. What is pending stays so
+ * until the replica shows that it happened.
  */
 export class MachineRecordWriter {
   private readonly edits = new Map<MachineId, PendingEdit>()
-  private additions: Array<PendingAddition> = []
+  private additions: ReadonlyArray<PendingAddition> = []
   private readonly signal = new Signal()
   private removedAt = Number.NEGATIVE_INFINITY
 
   constructor(private readonly options: MachineRecordWriterOptions) {}
 
+  /**
+   * Asks for a change of a machine's record; while an earlier one of this machine is open, it is dropped.
+   * `settled` is called with whether it was carried out.
+   */
   edit(id: MachineId, edit: MachineEdit, settled: (done: boolean) => void = () => {}): void {
     const entry = this.options.machineIndex.get(id)
-    const queued = this.edits.get(id)
-    if (queued !== undefined) {
-      const outcome = this.outcomeOf(queued, entry)
+    const pending = this.edits.get(id)
+    if (pending !== undefined) {
+      const outcome = this.outcomeOf(pending, entry)
       if (outcome === "open") return
-      queued.settled(outcome === "done")
+      pending.settled(outcome === "done")
     }
     this.edits.set(id, { edit, token: entry?.token ?? (0 as FencingToken), settled })
     this.signal.notify()
   }
   /** Guards against an edit that was overtaken standing in the way of what is decided next. */
   isEditing(id: MachineId): boolean {
-    const queued = this.edits.get(id)
-    return queued !== undefined && this.outcomeOf(queued, this.options.machineIndex.get(id)) === "open"
+    const pending = this.edits.get(id)
+    return pending !== undefined && this.outcomeOf(pending, this.options.machineIndex.get(id)) === "open"
   }
+  /** Asks for machines to be put on record; `settled` is called once all of them are, or are gone. */
   add(machines: NewMachines, adopted: boolean, settled: () => void): void {
-    const most = blockSize(this.options.store.limits.valueKb)
-    for (let i = 0; i < machines.ids.length; i += most) {
-      const last = i + most >= machines.ids.length
-      const ids = machines.ids.slice(i, i + most)
-      this.additions.push({ ...machines, ids, adopted, settled: last ? settled : () => {} })
-    }
+    const maxMachines = maxBlockMachines(this.options.store.limits.valueKb)
+    this.additions = [...this.additions, ...divideAddition(machines, adopted, settled, maxMachines)]
     this.signal.notify()
   }
 
+  /** Writes what is pending, for as long as the shard is owned. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
@@ -130,12 +100,19 @@
     ),
   )
 
-  private editsDue(): boolean {
+  private get hasUrgentEdits(): boolean {
     for (const { edit } of this.edits.values()) if (edit.kind !== "remove") return true
-    return this.edits.size > 0 && this.options.now() > this.removedAt + REMOVE_EVERY_MS
+    return false
+  }
+  private editsDue(): boolean {
+    if (this.hasUrgentEdits) return true
+    return this.edits.size > 0 && this.options.now() > this.removedAt + REMOVE_INTERVAL_MS
+  }
+  private outcomeOf(pending: PendingEdit, entry: MachineEntry | undefined): EditOutcome {
+    return editOutcome(pending, entry, this.options.shard)
   }
 
-  /** After a write that didn't succeed, or of which we heard nothing: what is so now? */
+  /** After a write that failed, or whose answer was lost: brings the replica up to what the store holds now. */
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(PAUSE_MS)
@@ -143,153 +120,78 @@
     })
   }
 
-  /**
-   * Machines of one kind come on record: rented ones in the latest block of
-   * their part and kind while it has room, adopted ones always in a new block.
-   * An adoption is conditioned on the latest blocks of every part being as we
-   * know them, a rental on no adoption that we haven't seen: so no machine
-   * comes to stand in two blocks.
-   */
   private writeAdditions() {
     return Effect.gen({ self: this }, function* () {
-      yield* this.options.store.awaitWriteCapacity(1, 1)
-      const kind = this.additions[0]
-      if (kind === undefined) return
-      const { adopted, machineType, zone, spot } = kind
-      const { replica } = this.options.membership
-      const when: Array<Condition> = [
-        { key: keys.shard(this.options.shard), modRevision: this.options.epoch },
-      ]
-      const origin = blockSeries(adopted ? ADOPTED : this.options.shard, kind)
-      const last = adopted ? null : this.options.machineIndex.latestBlock(origin)
-      for (const other of adopted ? this.options.shards : ([ADOPTED] as const)) {
-        const theirs = blockSeries(other, kind)
-        const latest = adopted ? this.options.machineIndex.latestBlock(theirs) : null
-        if (latest !== null) when.push({ key: latest.key, modRevision: replica.modRevision(latest.key) })
-        when.push({ key: this.options.machineIndex.nextBlock(theirs), modRevision: ABSENT })
-      }
-      const most = blockSize(this.options.store.limits.valueKb)
-      const batch: Array<PendingAddition> = []
-      const left: Array<readonly [MachineId, number]> = []
-      for (const queued of this.additions) {
-        const alike =
-          queued.adopted === adopted &&
-          blockSeries(this.options.shard, queued) === blockSeries(this.options.shard, kind)
-        if (!alike || left.length + queued.ids.length > most) continue
-        batch.push(queued)
-        for (const id of queued.ids)
-          if (this.options.machineIndex.get(id) === undefined && !this.options.machineIndex.gone.has(id))
-            left.push([id, queued.rentedAt])
-      }
-      if (left.length > 0) {
-        const appended = last !== null && last.machines + left.length <= most ? last.key : null
-        const path = appended ?? this.options.machineIndex.nextBlock(origin)
-        const before = replica.get(path)
-        when.push({ key: path, modRevision: before?.modRevision ?? ABSENT })
-        const rentedAt = before?.value.rentedAt ?? Math.min(...left.map(([, at]) => at))
-        const machines = [...(before?.value.machines ?? [])]
-        for (const [machineId, since] of left) {
-          const rentedAfterS = Math.round((since - rentedAt) / 1000)
-          machines.push({ machineId, shard: this.options.shard, token: 0 as FencingToken, rentedAfterS })
-        }
-        const block: MachineBlock = {
-          machineType,
-          zone,
-          spot,
-          rentedAt,
-          machines: groupByShard(machines),
-        }
-        const done = yield* Effect.result(
-          this.options.store.compareAndSwap(when, [put(path, block)], "reserved"),
-        )
+      const { store, membership } = this.options
+      yield* store.awaitWriteCapacity(1, 1)
+      const [first] = this.additions
+      if (first === undefined) return
+      const { replica } = membership
+      const maxMachines = maxBlockMachines(store.limits.valueKb)
+      const { batch, write } = planAddition(first, this.additions, { ...this.options, replica, maxMachines })
+      if (write !== null) {
+        const { conditions, key, block } = write
+        const done = yield* Effect.result(store.compareAndSwap(conditions, [put(key, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        replica.hint({ key: path, value: block, modRevision: done.success.revision })
+        replica.hint({ key, value: block, modRevision: done.success.revision })
       }
-      this.additions = this.additions.filter((b) => !batch.includes(b))
+      this.additions = this.additions.filter((addition) => !batch.includes(addition))
       for (const { settled } of batch) settled()
     })
   }
 
-  /**
-   * Has this happened, or can't it happen any more? A move whose answer was lost
-   * may have been carried out, and the machine lent back to us since: repeated then, it would
-   * take the machine from under the tasks that were placed meanwhile (`ran_twice`).
-   */
-  private outcomeOf({ edit, token }: PendingEdit, entry: MachineEntry | undefined): "open" | "done" | "void" {
-    const ours = entry !== undefined && entry.shard === this.options.shard
-    if (edit.kind === "remove") return ours ? "open" : "done"
-    if (!ours) return "void"
-    if (entry.token === token) return "open"
-    return edit.kind === "fence" ? "done" : "void"
-  }
-
   private writeEdits() {
     return Effect.gen({ self: this }, function* () {
-      const urgent = [...this.edits.values()].some(({ edit }) => edit.kind !== "remove")
-      const touched = new Set<StoreKey<MachineBlock>>()
-      for (const id of this.edits.keys()) {
-        const block = this.options.machineIndex.get(id)?.block
-        if (block !== undefined && touched.size < this.options.store.limits.maxOperations) touched.add(block)
-      }
-      yield* this.options.store.awaitWriteCapacity(Math.max(1, touched.size), urgent ? 2 : 3)
-      if (!urgent) this.removedAt = this.options.now()
-      const { replica } = this.options.membership
-      const records = new Map<
-        StoreKey<MachineBlock>,
-        { readonly machines: MutableBlock; readonly modRevision: ModRevision }
-      >()
-      const written: Array<[MachineId, PendingEdit]> = []
-      for (const [id, queued] of [...this.edits]) {
-        const entry = this.options.machineIndex.get(id)
-        const outcome = this.outcomeOf(queued, entry)
-        if (entry === undefined || outcome !== "open") {
-          this.edits.delete(id)
-          queued.settled(outcome === "done")
-          continue
-        }
-        let record = records.get(entry.block)
-        if (record === undefined) {
-          if (records.size >= touched.size) continue
-          const block = replica.get(entry.block)
-          if (block === null) continue
-          record = { machines: byId(block.value), modRevision: block.modRevision }
-          records.set(entry.block, record)
-        }
-        const { edit } = queued
-        // Above every token used for this machine so far, and below every epoch to come.
-        const token = (Math.max(this.options.epoch, entry.token) + 1) as FencingToken
-        if (edit.kind === "remove") record.machines.delete(id)
-        else {
-          const shard = edit.kind === "move" ? edit.to : this.options.shard
-          const rentedAfterS = record.machines.get(id)?.rentedAfterS ?? 0
-          record.machines.set(id, { machineId: id, shard, token, rentedAfterS })
-        }
-        written.push([id, queued])
-      }
-      if (records.size === 0) return
-      const when: Array<Condition> = [
-        { key: keys.shard(this.options.shard), modRevision: this.options.epoch },
-      ]
-      const apply: Array<Operation> = []
-      for (const [path, { machines, modRevision }] of records) {
-        when.push({ key: path, modRevision })
-        const block = replica.get(path)!.value
-        if (machines.size === 0 && !this.options.machineIndex.isLatest(path)) apply.push(remove(path))
-        else apply.push(put(path, { ...block, machines: groupByShard(machines.values()) }))
-      }
-      const done = yield* Effect.result(this.options.store.compareAndSwap(when, apply, "reserved"))
+      const { store, membership, now } = this.options
+      const urgent = this.hasUrgentEdits
+      const maxBlocks = this.countEditedBlocks()
+      yield* store.awaitWriteCapacity(Math.max(1, maxBlocks), urgent ? 2 : 3)
+      if (!urgent) this.removedAt = now()
+      const blocks = new BlockEdits({ ...this.options, replica: membership.replica, maxBlocks })
+      const written = this.collectEdits(blocks)
+      if (blocks.isEmpty) return
+      const { conditions, operations } = blocks.transaction()
+      const done = yield* Effect.result(store.compareAndSwap(conditions, operations, "reserved"))
       if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-      const current = written.filter(([id, queued]) => this.edits.get(id) === queued)
-      for (const [id] of current) this.edits.delete(id)
-      const modRevision = done.success.revision
-      for (const change of apply) {
-        if (change.kind === "put") replica.hint({ key: change.key, value: change.value, modRevision })
-        else replica.bury(change.key, modRevision)
-      }
-      for (const [, { settled }] of current) settled(true)
+      this.settleWritten(written, operations, done.success.revision)
     })
   }
+  /** How many blocks the pending edits concern, as far as one transaction may change. */
+  private countEditedBlocks(): number {
+    const { machineIndex, store } = this.options
+    const blocks = new Set<StoreKey<MachineBlock>>()
+    for (const id of this.edits.keys()) {
+      const block = machineIndex.get(id)?.block
+      if (block !== undefined && blocks.size < store.limits.maxOperations) blocks.add(block)
+    }
+    return blocks.size
+  }
+  /** Settles edits that are no longer open, and collects the open ones; returns those of this transaction. */
+  private collectEdits(blocks: BlockEdits): ReadonlyArray<readonly [MachineId, PendingEdit]> {
+    const collected: Array<readonly [MachineId, PendingEdit]> = []
+    for (const [id, pending] of [...this.edits]) {
+      const entry = this.options.machineIndex.get(id)
+      const outcome = this.outcomeOf(pending, entry)
+      if (entry === undefined || outcome !== "open") {
+        this.edits.delete(id)
+        pending.settled(outcome === "done")
+      } else if (blocks.add(entry, pending.edit)) collected.push([id, pending])
+    }
+    return collected
+  }
+  private settleWritten(
+    written: ReadonlyArray<readonly [MachineId, PendingEdit]>,
+    operations: ReadonlyArray<Operation>,
+    modRevision: ModRevision,
+  ): void {
+    const { replica } = this.options.membership
+    // An edit that replaced one of these while it was being written stays pending.
+    const current = written.filter(([id, pending]) => this.edits.get(id) === pending)
+    for (const [id] of current) this.edits.delete(id)
+    for (const operation of operations) {
+      if (operation.kind === "put") replica.hint({ key: operation.key, value: operation.value, modRevision })
+      else replica.bury(operation.key, modRevision)
+    }
+    for (const [, { settled }] of current) settled(true)
+  }
 }
-
-const byId = ({ machines }: MachineBlock): MutableBlock =>
-  new Map(machines.map((machine) => [machine.machineId, machine]))
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -12,8 +12,9 @@
 import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { blockSeries } from "../src/codec-block-series.ts"
+import type { MachineEdit } from "../src/machine-edits.ts"
 import { MachineIndex } from "../src/machine-index.ts"
-import { type MachineEdit, MachineRecordWriter } from "../src/machine-records.ts"
+import { MachineRecordWriter } from "../src/machine-records.ts"
 
 const ours = "part-0" as ShardName
 const theirs = "part-1" as ShardName
