--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -9,7 +9,8 @@
 } from "@sorreltally/protocol"
 import { Effect } from "effect"
 import { pack, unpack } from "msgpackr"
-import { decodeMessage, type EncodedMessage, encodeMessage, type PeerMessage } from "./codec.ts"
+import { decodeMessage, type EncodedMessage, encodeMessage } from "./codec.ts"
+import type { PeerMessage } from "./messages.ts"
 
 /** Carries frames to other controllers; may lose them, or deliver them minutes late. */
 export interface Links {
--- a/packages/peers/src/codec-heartbeats.ts
+++ b/packages/peers/src/codec-heartbeats.ts
@@ -19,66 +19,10 @@
   type SequenceNumber,
   type TaskId,
   type WireCommand,
-  type WireCommandBatch,
-  type WireHeartbeatReply,
   type ZoneName,
 } from "@sorreltally/protocol"
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
-
-/** Heartbeats that came to one node and are for the owner to answer; each has a number. */
-export interface ForwardedHeartbeats {
-  readonly kind: "heartbeats"
-  /** The life of the sending process: a later one counts from the start again. */
-  readonly senderLife: number
-  /** Time of day at which they were forwarded, in milliseconds. */
-  readonly sentAt: number
-  readonly heartbeats: ReadonlyArray<{ readonly id: number; readonly heartbeat: Heartbeat }>
-  readonly repeats: ReadonlyArray<{ readonly id: number; readonly repeat: RepeatedHeartbeat }>
-}
-
-/** Status of a forwarded reply by which the owner asks for the whole heartbeat. */
-export const SEND_WHOLE = 0
-/** The owner's reply to one forwarded heartbeat; the body of a refusal is empty. */
-export interface ForwardedReply {
-  readonly id: number
-  readonly status: number
-  readonly body: Partial<WireHeartbeatReply>
-}
-/** The owner's replies to forwarded heartbeats. */
-export interface ForwardedReplies {
-  readonly kind: "heartbeatReplies"
-  /** The life of the process that forwarded them. */
-  readonly recipientLife: number
-  readonly replies: ReadonlyArray<ForwardedReply>
-}
-
-/** Commands to one worker that another node is to send. */
-export interface ForwardedCommand {
-  readonly id: number
-  readonly address: Address
-  readonly batch: WireCommandBatch
-}
-/** Commands that another node is to send. */
-export interface ForwardedCommands {
-  readonly kind: "commands"
-  readonly senderLife: number
-  readonly sentAt: number
-  readonly commands: ReadonlyArray<ForwardedCommand>
-}
-/** Status of commands that were surely not sent. */
-export const NOT_SENT = -1
-/** What came of forwarded commands: the worker's status, 0 for no answer, and its heartbeat. */
-export interface CommandResult {
-  readonly id: number
-  readonly status: number
-  readonly heartbeat: Heartbeat | null
-}
-/** What came of forwarded commands. */
-export interface CommandResults {
-  readonly kind: "commandResults"
-  readonly recipientLife: number
-  readonly results: ReadonlyArray<CommandResult>
-}
+import type { CommandResults, ForwardedCommands, ForwardedHeartbeats, ForwardedReplies } from "./messages.ts"
 
 /** About what a forwarded heartbeat and each of its tasks take in a message, in bytes. */
 export const HEARTBEAT_BYTES = 120
--- a/packages/peers/src/codec.ts
+++ b/packages/peers/src/codec.ts
@@ -1,28 +1,22 @@
 /**
- * Messages between controllers, and their codec. Controllers of the former and the present version talk
+ * Codec of the messages between controllers. Controllers of the former and the present version send messages
  * to each other while they are replaced one by one, so kinds and bodies keep the names that they had.
  */
-import type { MachineDemand, QuotaDemand, ShardDemand, TaskShape, TeamClaim } from "@sorreltally/planner"
 import type {
   Address,
   AgentEpoch,
   ImageName,
   JobId,
   MachineId,
-  MachineTypeName,
   ModRevision,
   SequenceNumber,
   ShardName,
-  TeamName,
   ZoneName,
 } from "@sorreltally/protocol"
-import { decodeRecord, type Entry, encodeRecord, type JobEnd } from "@sorreltally/store"
+import { decodeRecord, type Entry, encodeRecord } from "@sorreltally/store"
 import type { MachineHandoff } from "@sorreltally/workers"
+import { decodeDemand, encodeDemand, type WireDemand } from "./codec-demand.ts"
 import {
-  type CommandResults,
-  type ForwardedCommands,
-  type ForwardedHeartbeats,
-  type ForwardedReplies,
   type PackedCommands,
   type PackedHeartbeats,
   type PackedReplies,
@@ -36,86 +30,7 @@
   unpackReplies,
   unpackResults,
 } from "./codec-heartbeats.ts"
-
-/** A machine of the cloud's list, as far as every node needs to know it. */
-export interface ListedMachineState {
-  readonly id: MachineId
-  readonly status: string
-  readonly zone: ZoneName
-}
-/** The cloud's list, as the leader publishes it. */
-export interface MachineListMessage {
-  readonly kind: "machineList"
-  readonly machines: ReadonlyArray<ListedMachineState>
-}
-
-/** One node's load, as it publishes it. */
-export interface NodeLoad {
-  /** It can act for its shards and answer users. */
-  readonly healthy: boolean
-  /** Writes to the store that it makes a second. */
-  readonly writesPerSecond: number
-  /** Heartbeats of workers that come to it a second. */
-  readonly heartbeatsPerSecond: number
-  /** It has more workers than it should answer alone: the others forward their heartbeats to it. */
-  readonly sharesHeartbeats: boolean
-}
-/** One node's load. */
-export interface NodeLoadMessage {
-  readonly kind: "nodeLoad"
-  readonly load: NodeLoad
-}
-
-/** A job page that was written: the job's owner should know before the watch brings it. */
-export interface JobChangedMessage {
-  readonly kind: "jobChanged"
-  readonly page: Entry
-}
-
-/** What a shard lacks, as its owner publishes it. */
-export interface PublishedDemand {
-  readonly shard: ShardName
-  readonly demand: ShardDemand
-}
-/** What the sender's shards lack. */
-export interface DemandMessage {
-  readonly kind: "demand"
-  readonly demands: ReadonlyArray<PublishedDemand>
-}
-
-/** Machines that moved to a shard of the receiver, and the record that says so. */
-export interface MachineHandoffMessage {
-  readonly kind: "machineHandoff"
-  readonly shard: ShardName
-  readonly block: Entry
-  readonly machines: ReadonlyArray<{ readonly machineId: MachineId; readonly handoff: MachineHandoff }>
-}
-
-/** A job's tasks that are done and that run, for display. */
-export interface TaskCounts {
-  readonly jobId: JobId
-  readonly done: number
-  readonly running: number
-}
-/** How far the sender's jobs are, and which have ended. */
-export interface JobProgressMessage {
-  readonly kind: "jobProgress"
-  readonly counts: ReadonlyArray<TaskCounts>
-  readonly ends: ReadonlyArray<JobEnd>
-}
-
-/** All that controllers tell one another. None is answered, and each may be lost, late or repeated. */
-export type PeerMessage =
-  | ForwardedHeartbeats
-  | ForwardedReplies
-  | ForwardedCommands
-  | CommandResults
-  | MachineListMessage
-  | NodeLoadMessage
-  | JobChangedMessage
-  | DemandMessage
-  | MachineHandoffMessage
-  | JobProgressMessage
+import type { JobProgressMessage, MachineHandoffMessage, NodeLoad, PeerMessage } from "./messages.ts"
 
 /** A message as a frame carries it. */
 export interface EncodedMessage {
@@ -137,45 +52,6 @@
   readonly v: unknown
   readonly stamp: ModRevision
 }
-interface WireTaskShape {
-  readonly cores: number
-  readonly accelerators: number
-  readonly mem_gb: number
-  readonly builds: ReadonlyArray<MachineTypeName> | null
-  readonly site: ZoneName | null
-  readonly loaners: boolean
-  readonly together: boolean
-  readonly scatter: boolean
-  readonly bundle: ImageName
-}
-interface WireMachineDemand {
-  readonly part: ShardName
-  readonly shape: WireTaskShape
-  readonly rank: number
-  readonly tasks: number
-  readonly pressing: number
-  readonly since: number
-}
-interface WireQuotaDemand {
-  readonly part: ShardName
-  readonly team: TeamName
-  readonly rank: number
-  readonly since: number
-}
-interface WireTeamClaim {
-  readonly part: ShardName
-  readonly team: TeamName
-  readonly cpus: number
-  readonly gpus: number
-}
-interface WireDemand {
-  readonly part: ShardName
-  readonly wants: {
-    readonly needs: ReadonlyArray<WireMachineDemand>
-    readonly quotas: ReadonlyArray<WireQuotaDemand>
-    readonly claims: ReadonlyArray<WireTeamClaim>
-  }
-}
 interface WireHandoff {
   readonly address: Address
   readonly tenure: AgentEpoch
@@ -219,72 +95,6 @@
   sharesHeartbeats: wire.sharesReports,
 })
 
-const encodeShape = (shape: TaskShape): WireTaskShape => ({
-  cores: shape.cores,
-  accelerators: shape.accelerators,
-  mem_gb: shape.memGb,
-  builds: shape.machineTypes ?? null,
-  site: shape.zone ?? null,
-  loaners: shape.spotAllowed,
-  together: shape.singleZone,
-  scatter: shape.spreadZones,
-  bundle: shape.image,
-})
-const decodeShape = (wire: WireTaskShape): TaskShape => ({
-  cores: wire.cores,
-  accelerators: wire.accelerators,
-  memGb: wire.mem_gb,
-  machineTypes: wire.builds,
-  zone: wire.site,
-  spotAllowed: wire.loaners,
-  singleZone: wire.together,
-  spreadZones: wire.scatter,
-  image: wire.bundle,
-})
-const encodeMachineDemand = ({ shard, shape, ...demand }: MachineDemand): WireMachineDemand => ({
-  part: shard,
-  shape: encodeShape(shape),
-  rank: demand.rank,
-  tasks: demand.tasks,
-  pressing: demand.pressing,
-  since: demand.since,
-})
-const decodeMachineDemand = ({ part, shape, ...demand }: WireMachineDemand): MachineDemand => ({
-  shard: part,
-  shape: decodeShape(shape),
-  ...demand,
-})
-const encodeQuotaDemand = ({ shard, team, rank, since }: QuotaDemand): WireQuotaDemand => ({
-  part: shard,
-  team,
-  rank,
-  since,
-})
-const decodeQuotaDemand = ({ part, ...demand }: WireQuotaDemand): QuotaDemand => ({ shard: part, ...demand })
-const encodeClaim = ({ shard, team, cpus, gpus }: TeamClaim): WireTeamClaim => ({
-  part: shard,
-  team,
-  cpus,
-  gpus,
-})
-const decodeClaim = ({ part, ...claim }: WireTeamClaim): TeamClaim => ({ shard: part, ...claim })
-const encodeDemand = ({ shard, demand }: PublishedDemand): WireDemand => ({
-  part: shard,
-  wants: {
-    needs: demand.machines.map(encodeMachineDemand),
-    quotas: demand.quotas.map(encodeQuotaDemand),
-    claims: demand.claims.map(encodeClaim),
-  },
-})
-const decodeDemand = ({ part, wants }: WireDemand): PublishedDemand => ({
-  shard: part,
-  demand: {
-    machines: wants.needs.map(decodeMachineDemand),
-    quotas: wants.quotas.map(decodeQuotaDemand),
-    claims: wants.claims.map(decodeClaim),
-  },
-})
-
 const encodeHandoff = (handoff: MachineHandoff): WireHandoff => ({
   address: handoff.address,
   tenure: handoff.agentEpoch,
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,4 +1,5 @@
 export * from "./channel.ts"
-export * from "./codec.ts"
+export { decodeMessage, encodeMessage } from "./codec.ts"
 export * from "./codec-heartbeats.ts"
+export * from "./messages.ts"
 export * from "./sockets.ts"
