--- a/packages/forwarding/src/outbox.ts
+++ b/packages/forwarding/src/outbox.ts
@@ -11,6 +11,7 @@
 export const ofLife = <A>(items: ReadonlyArray<ForLife<A>>, life: number): ReadonlyArray<A> =>
   items.filter((one) => one.life === life).map(({ item }) => item)
 
+/** Gathers items for each node, and sends those of one node together after a moment. */
 export class Outbox<A> {
   private readonly items = new Map<NodeName, Array<A>>()
 
@@ -20,6 +21,7 @@
     private readonly fork: (effect: Effect.Effect<unknown>) => void,
   ) {}
 
+  /** Adds an item for a node; the first one starts the wait. */
   put(to: NodeName, item: A): void {
     const before = this.items.get(to)
     if (before !== undefined) {
--- a/packages/forwarding/test/heartbeat-balancer.test.ts
+++ b/packages/forwarding/test/heartbeat-balancer.test.ts
@@ -1,20 +1,20 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { Clocks, MachineId, MonotonicTime, NodeName, WallTime } from "@sorreltally/protocol"
+import type { MachineId, NodeName } from "@sorreltally/protocol"
 import { HeartbeatBalancer } from "../src/heartbeat-balancer.ts"
+import { manualClocks } from "./builders.ts"
 
 const machine = (n: number) => `i-${n}` as MachineId
 const [one, two] = ["host-1" as NodeName, "host-2" as NodeName]
 const harness = (recipients: ReadonlyMap<NodeName, number>) => {
-  let now = 0
-  const clocks: Clocks = { monotonicNow: () => now as MonotonicTime, wallNow: () => now as WallTime }
+  const { clocks, advance } = manualClocks()
   const balancer = new HeartbeatBalancer({
     clocks,
     cores: 0.1,
     heartbeatIntervalS: 5,
     recipients: () => recipients,
   })
-  return { balancer, wait: (ms: number) => (now += ms) }
+  return { balancer, advance }
 }
 // With 0.1 cores and a heartbeat each 5 s, an owner answers some 500 machines itself.
 const MANY = 800
@@ -45,14 +45,14 @@
 
 // Guards against workers that are redirected for ever by an owner that is the only node they reach.
 test("a worker that is back soon could not be served elsewhere, and stays for a minute", () => {
-  const { balancer, wait } = harness(new Map([[one, 0]]))
+  const { balancer, advance } = harness(new Map([[one, 0]]))
   balancer.updateSharing(MANY)
   assert.equal(balancer.redirectTarget(machine(1)), one)
-  wait(8_000)
+  advance(8_000)
   assert.equal(balancer.redirectTarget(machine(1)), null)
-  wait(30_000)
+  advance(30_000)
   assert.equal(balancer.redirectTarget(machine(1)), null)
-  wait(31_000)
+  advance(31_000)
   assert.equal(balancer.redirectTarget(machine(1)), one)
 })
 
--- a/packages/forwarding/test/heartbeat-forwarder.test.ts
+++ b/packages/forwarding/test/heartbeat-forwarder.test.ts
@@ -4,55 +4,20 @@
   encodeMessage,
   type ForwardedHeartbeats,
   type ForwardedReplies,
-  type ForwardedReply,
   type PeerChannel,
   type PeerMessage,
 } from "@sorreltally/peers"
-import type {
-  Clocks,
-  Heartbeat,
-  MonotonicTime,
-  NodeName,
-  OutgoingResponse,
-  Respond,
-  WallTime,
-} from "@sorreltally/protocol"
+import type { Heartbeat, NodeName, OutgoingResponse, Respond } from "@sorreltally/protocol"
 import { Effect } from "effect"
 import { HeartbeatForwarder } from "../src/heartbeat-forwarder.ts"
+import { acceptance, heartbeat, manualClocks, repeated } from "./builders.ts"
 
 const OWNER = "host-0" as NodeName
-const heartbeat = (sequence: number, phase = "running"): Heartbeat =>
-  ({
-    machineId: "i-1",
-    address: "10.1.0.1:9000",
-    machineType: "g8",
-    zone: "a",
-    spot: true,
-    agentEpoch: 1,
-    sequence,
-    fencingToken: 7,
-    preemptionNoticeS: null,
-    tasks: [{ taskId: "run-000001/0", attempt: 9, phase, exitReason: null, checkpointed: null }],
-  }) as unknown as Heartbeat
-/** A reply as owners' replies are on the wire. */
-const acceptance = (fencingToken: number) =>
-  ({ baton: fencingToken, orders: [] }) as unknown as ForwardedReply["body"]
-/** A forwarded message with one heartbeat that repeats another, which its owner may lack. */
-const repeated = (id: number): ForwardedHeartbeats =>
-  ({
-    kind: "heartbeats",
-    senderLife: 5,
-    sentAt: 1_000_000,
-    heartbeats: [],
-    repeats: [{ id, repeat: { machineId: "i-1", agentEpoch: 1, sequence: 9, fencingToken: 7, since: 8 } }],
-  }) as unknown as ForwardedHeartbeats
-
 /** Sleeps end when the test says so; what is sent is kept. */
 const harness = () => {
-  let wall = 1_000_000
+  const { clocks, advance } = manualClocks(1_000_000)
   const sent: Array<PeerMessage> = []
   const asleep: Array<() => void> = []
-  const clocks: Clocks = { monotonicNow: () => wall as MonotonicTime, wallNow: () => wall as WallTime }
   const peers = { send: (message: PeerMessage) => sent.push(message) } as unknown as PeerChannel
   const fork = (effect: Effect.Effect<unknown>) => {
     asleep.push(() => void Effect.runPromise(effect))
@@ -62,9 +27,6 @@
     for (const wake of asleep.splice(0)) wake()
     await new Promise((resolve) => setTimeout(resolve, 40))
   }
-  const advance = (ms: number) => {
-    wall += ms
-  }
   /** Heartbeats that still wait are given up: their watcher would keep the test's process alive. */
   const end = async () => {
     advance(10_000)
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -138,7 +138,7 @@
   readonly ends: ReadonlyArray<JobEnd>
 }
 
-/** All that controllers tell one another. None is answered, and each may be lost, late or repeated. */
+/** All messages between controllers. None is answered, and each may be lost, late or repeated. */
 export type PeerMessage =
   | ForwardedHeartbeats
   | ForwardedReplies
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -139,29 +139,29 @@
     return this.options.now() < (this.refusals.get(poolKey(type, zone, spot))?.until ?? NEVER)
   }
 
-  /** Spot counts while it is cheaper than ordinary machines. Pools that refused lately are left out. */
+  /** What may be rented at present. Spot counts while it is cheaper than on-demand; refusing pools are left out. */
   market(): ReadonlyArray<Offer> {
     const offers: Array<Offer> = []
-    for (const type of this.types.values()) {
-      for (const zone of type.zones) {
-        for (const spot of [true, false]) {
-          const pool = poolKey(type.name, zone, spot)
-          if (spot && type.spotPrice >= type.onDemandPrice) continue
-          if (this.isRefused(type.name, zone, spot)) continue
-          const price = spot ? type.spotPrice : type.onDemandPrice
-          offers.push({
-            type,
-            zone,
-            spot,
-            price,
-            asked: (this.requested.get(pool) ?? 0) > 0,
-            ours: this.countByZone.get(zone) ?? 0,
-          })
-        }
-      }
-    }
+    for (const type of this.types.values())
+      for (const zone of type.zones)
+        for (const spot of [true, false])
+          if (this.isOffered(type, zone, spot)) offers.push(this.offer(type, zone, spot))
     return offers
   }
+  private isOffered(type: MachineType, zone: ZoneName, spot: boolean): boolean {
+    if (spot && type.spotPrice >= type.onDemandPrice) return false
+    return !this.isRefused(type.name, zone, spot)
+  }
+  private offer(type: MachineType, zone: ZoneName, spot: boolean): Offer {
+    return {
+      type,
+      zone,
+      spot,
+      price: spot ? type.spotPrice : type.onDemandPrice,
+      asked: (this.requested.get(poolKey(type.name, zone, spot)) ?? 0) > 0,
+      ours: this.countByZone.get(zone) ?? 0,
+    }
+  }
 
   /** Reads the catalog now and then, and the list where this node is the one to do so. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -75,7 +75,7 @@
     this.edits.set(id, { edit, token: entry?.token ?? (0 as FencingToken), settled })
     this.signal.notify()
   }
-  /** Guards against an edit that was overtaken standing in the way of what is decided next. */
+  /** Whether a change is still open: one that was overtaken must not block what is decided next. */
   isEditing(id: MachineId): boolean {
     const pending = this.edits.get(id)
     return pending !== undefined && this.outcomeOf(pending, this.options.machineIndex.get(id)) === "open"
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -1,99 +1,66 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { type Membership, Replica } from "@sorreltally/membership"
-import type {
-  FencingToken,
-  MachineId,
-  MachineTypeName,
-  ModRevision,
-  ShardName,
-  ZoneName,
-} from "@sorreltally/protocol"
-import { keys, type MachineBlock, type Operation, type StoreClient, StoreError } from "@sorreltally/store"
-import { Effect, Fiber } from "effect"
-import { blockSeries } from "../src/codec-block-series.ts"
+import type { MachineBlock } from "@sorreltally/store"
+import { Effect } from "effect"
 import type { MachineEdit } from "../src/machine-edits.ts"
-import { MachineIndex } from "../src/machine-index.ts"
-import { MachineRecordWriter } from "../src/machine-records.ts"
+import { lostAnswer, machine, machineOnRecord, ours, theirs } from "./builders.ts"
 
-const ours = "part-0" as ShardName
-const theirs = "part-1" as ShardName
-const machine = "i-000001" as MachineId
-const EPOCH = 5 as ModRevision
-const kind = { machineType: "small" as MachineTypeName, zone: "a" as ZoneName, spot: true }
-const path = keys.machineBlock(blockSeries(ours, kind), 1)
-
-/** One machine in one block; the first write is carried out as asked, its answer is lost. */
-class Fixture {
-  private readonly replica = new Replica()
-  private revision = 10
-  readonly written: Array<MachineBlock["machines"]> = []
-  readonly writer: MachineRecordWriter
-  /** What happens to the block between our first write and our next look. */
-  constructor(private readonly meanwhile: ReadonlyArray<ShardName>) {
-    const machineIndex = new MachineIndex(this.replica)
-    this.put(ours, 7)
-    const store = {
-      limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
-      awaitWriteCapacity: () => Effect.void,
-      compareAndSwap: (_: unknown, apply: ReadonlyArray<Operation>) =>
-        Effect.suspend(() => {
-          const [change] = apply
-          this.written.push((change as { readonly value: MachineBlock }).value.machines)
-          return this.written.length === 1
-            ? Effect.fail(new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }))
-            : Effect.never
-        }),
-    } as unknown as StoreClient
-    const since = Effect.sync(() => {
-      for (const [i, shard] of this.meanwhile.entries()) this.put(shard, 8 + i)
-    })
-    const membership = { replica: this.replica, readBarrier: { since } }
-    this.writer = new MachineRecordWriter({
-      shard: ours,
-      epoch: EPOCH,
-      shards: [ours, theirs],
-      store,
-      membership: membership as unknown as Membership,
-      machineIndex,
-      now: () => 0,
-      mayAct: () => true,
-    })
-  }
-  private put(shard: ShardName, token: number): void {
-    const machines = [{ machineId: machine, shard: shard, token: token as FencingToken, rentedAfterS: 0 }]
-    const value: MachineBlock = { ...kind, rentedAt: 0, machines }
-    this.replica.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
-  }
-  /** What an edit was settled as; null: it is still open after a while. */
-  async settle(edit: MachineEdit): Promise<boolean | null> {
-    let settled: boolean | null = null
-    const fiber = Effect.runFork(this.writer.run)
-    this.writer.edit(machine, edit, (done) => {
-      settled = done
-    })
-    for (let i = 0; i < 200 && settled === null && this.written.length < 2; i++)
-      await new Promise((resolve) => setTimeout(resolve, 5))
-    await Effect.runPromise(Fiber.interrupt(fiber))
-    return settled
-  }
+/**
+ * What a change of the machine is settled as where its first write is carried out or not, its answer lost, and
+ * the block then shows the machine as these shards' in turn; null: it is still open after the second write.
+ */
+const settleAfterLostAnswer = async (edit: MachineEdit, meanwhile: ReadonlyArray<typeof ours>) => {
+  const { writer, written, showMachine, runUntil } = machineOnRecord({
+    write: () => (written.length === 1 ? lostAnswer : Effect.never),
+    catchUp: () => {
+      for (const [i, shard] of meanwhile.entries()) showMachine(shard, 8 + i)
+    },
+    now: () => 0,
+  })
+  let settled: boolean | null = null
+  writer.edit(machine, edit, (done) => {
+    settled = done
+  })
+  await runUntil(() => settled !== null || written.length >= 2)
+  return { settled: settled as boolean | null, writes: written.length }
 }
 
 // Guards against ran_twice: repeated, the move would take the machine from under tasks placed meanwhile.
 test("a move whose answer was lost isn't repeated once the machine was lent back", async () => {
-  const fixture = new Fixture([theirs, ours])
-  assert.equal(await fixture.settle({ kind: "move", to: theirs }), false)
-  assert.equal(fixture.written.length, 1)
+  const outcome = await settleAfterLostAnswer({ kind: "move", to: theirs }, [theirs, ours])
+  assert.deepEqual(outcome, { settled: false, writes: 1 })
 })
 
 test("a fence whose answer was lost is done when the token was raised", async () => {
-  const fixture = new Fixture([ours])
-  assert.equal(await fixture.settle({ kind: "fence" }), true)
-  assert.equal(fixture.written.length, 1)
+  const outcome = await settleAfterLostAnswer({ kind: "fence" }, [ours])
+  assert.deepEqual(outcome, { settled: true, writes: 1 })
 })
 
 test("a move that wasn't carried out is tried again", async () => {
-  const fixture = new Fixture([])
-  assert.equal(await fixture.settle({ kind: "move", to: theirs }), null)
-  assert.equal(fixture.written.length, 2)
+  const outcome = await settleAfterLostAnswer({ kind: "move", to: theirs }, [])
+  assert.deepEqual(outcome, { settled: null, writes: 2 })
+})
+
+test("a move that was overtaken, its machine lent back, doesn't block what is decided next", async () => {
+  let removed: boolean | null = null
+  const carryOut = (block: MachineBlock) => Effect.succeed({ ok: true, revision: show(block) } as const)
+  /** Carries the move out, loses its answer, and sees the machine lent back and removed before that is known. */
+  const overtake = (block: MachineBlock) => {
+    show(block)
+    showMachine(ours, machineIndex.get(machine)!.token + 1)
+    assert.equal(writer.isEditing(machine), false)
+    writer.edit(machine, { kind: "remove" }, (done) => {
+      removed = done
+    })
+    return lostAnswer
+  }
+  const fixture = machineOnRecord({
+    write: (block) => (written.length === 1 ? overtake(block) : carryOut(block)),
+    now: () => performance.now(),
+  })
+  const { writer, machineIndex, written, show, showMachine, runUntil } = fixture
+  writer.edit(machine, { kind: "move", to: theirs })
+  await runUntil(() => removed !== null)
+  assert.equal(removed, true)
+  assert.deepEqual(written.at(-1)?.machines, [])
 })
