--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -33,7 +33,7 @@
     const store = yield* makeStoreClient(services.store, storeLimits, nodes.length)
     const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
     const channel = yield* makePeerChannel(nodeName, others, links, log)
-    return yield* makeController(platform, operators, nodes, store, cloud, channel, log)
+    return yield* makeController({ platform, operators, nodes, store, cloud, peers: channel, log })
   })
 
 /** The controller, as the HTTP interface sees it. */
@@ -56,8 +56,8 @@
     const clocks = yield* processClocks
     const controller = yield* buildController(platform, operators, links, log)
     const health = {
-      isHealthy: () => controller.well(),
-      areOthersHealthy: () => controller.othersWell(),
+      isHealthy: () => controller.isHealthy(),
+      areOthersHealthy: () => controller.othersHealthy(),
     }
     const backend = backendOf(controller, makeReadiness(health, clocks))
     const api = new Api(platform, operators, backend, clocks)
--- a/packages/shard/src/machine-adoption.ts
+++ b/packages/shard/src/machine-adoption.ts
@@ -4,7 +4,7 @@
  * don't adopt the same machine; a record that is written twice all the same is refused by its condition.
  */
 import type { ListedMachine, MachineId } from "@sorreltally/protocol"
-import { ADOPTED, type MachineRecordWriter, originFor } from "@sorreltally/provisioning"
+import { ADOPTED, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
 import { Effect, Result } from "effect"
 import type { ShardView } from "./shard-context.ts"
 
@@ -34,7 +34,7 @@
       const groups = new Map<string, Array<ListedMachine>>()
       for (const machine of inventory.listedHere) {
         if (!this.isUnknown(machine)) continue
-        const origin = originFor(ADOPTED, machine)
+        const origin = blockSeries(ADOPTED, machine)
         const group = groups.get(origin)
         if (group === undefined) groups.set(origin, [machine])
         else group.push(machine)
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -204,16 +204,16 @@
 
   private makeMachineRecords(): MachineRecordWriter {
     const { store, membership, machineIndex, clocks } = this.node
-    return new MachineRecordWriter(
-      this.name,
-      this.epoch,
-      membership.shards,
+    return new MachineRecordWriter({
+      shard: this.name,
+      epoch: this.epoch,
+      shards: membership.shards,
       store,
       membership,
       machineIndex,
-      clocks.monotonicNow,
-      () => this.mayAct,
-    )
+      now: clocks.monotonicNow,
+      mayAct: () => this.mayAct,
+    })
   }
 
   private makeRegistry(): JobRegistry {
