--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -142,8 +142,8 @@
     })
     this.jobStore = new JobStore(store, this.membership, this.jobIndex, {
       changed: (entry, request) => this.jobChanged(entry, request),
-      remembered: (id) => this.progress.finalStatus(id),
-      remember: (id, status) => this.progress.remember(id, status),
+      cachedFinal: (id) => this.progress.finalStatus(id),
+      cacheFinal: (id, status) => this.progress.remember(id, status),
       shardOf: (request) => this.shardOfJob(request),
     })
     this.inventory = new CloudInventory(
--- a/packages/jobs/src/failure-tracker.ts
+++ b/packages/jobs/src/failure-tracker.ts
@@ -12,14 +12,14 @@
 /** A machine on which this many jobs failed that succeeded elsewhere is faulty. */
 const FAULTY_AFTER_JOBS = 2
 /** Tasks of a suspected job that are tried at a time. */
-const PROBES = 1
+const MAX_PROBE_TASKS = 1
 /** Below the rank of any urgency: a suspected job delays no other. */
 export const SUSPECT_RANK = -1
 /** A job leaves a machine on which it failed alone for this long, or until it is suspected itself. */
 const AVOID_MS = 30_000
-const FIRST_PAUSE_MS = 500
+const INITIAL_BACKOFF_MS = 500
 /** So that a job that no longer fails is noticed. */
-const LONGEST_PAUSE_MS = 30_000
+const MAX_BACKOFF_MS = 30_000
 
 interface JobFailures {
   /** Where it failed since one of its tasks last succeeded, and when it last did so there. */
@@ -40,7 +40,7 @@
     failures.machines.set(machine, now)
     failures.count++
     if (!this.isSuspect(job)) return 0
-    return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(10, failures.count))
+    return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(10, failures.count))
   }
 
   /** A task of the job completed: the job has no mistake, and where it failed before is suspected. */
@@ -77,8 +77,8 @@
    */
   startable(job: JobState, now: MonotonicTime): number {
     if (!this.isSuspect(job.id)) return job.queued
-    if (job.notBefore !== null && now < job.notBefore) return 0
-    return Math.min(job.queued, Math.max(0, PROBES - job.placements.size))
+    if (job.retryAfter !== null && now < job.retryAfter) return 0
+    return Math.min(job.queued, Math.max(0, MAX_PROBE_TASKS - job.placements.size))
   }
 
   forgetJob(job: JobId): void {
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -26,9 +26,9 @@
 const PAUSE_MS = 150
 const IDLE_MS = 5_000
 /** From this share on, the owner folds job pages itself instead of leaving that to their next writers. */
-const CROWDED = 0.6
+const COMPACTION_THRESHOLD = 0.6
 /** A page is sent to every controller at each write: it isn't made as large as it may be. */
-const MOST_PAGE_BYTES = 3_072
+const MAX_PAGE_BYTES = 3_072
 const FRAME_BYTES = 128
 /** Besides those on job pages: on the part and on the ends page. */
 const OWN_CONDITIONS = 2
@@ -41,7 +41,7 @@
 }
 
 /** An ends page in the making. */
-interface Draft {
+interface EndsPageWrite {
   readonly path: StoreKey<FinalStates>
   readonly before: ModRevision
   readonly page: FinalStates
@@ -49,7 +49,7 @@
   readonly done: ReadonlySet<JobState>
   readonly jobs: ReadonlyArray<JobState>
 }
-interface Room {
+interface EndsPageContent {
   readonly path: StoreKey<FinalStates>
   readonly done: Array<string>
   readonly cancelled: Array<string>
@@ -65,7 +65,7 @@
   private readonly waiting = new Set<JobState>()
   private readonly signal = new Signal()
   /** The ends pages hold more than before. */
-  private readonly grew = new Signal()
+  private readonly endsPagesGrew = new Signal()
   private wroteAt: MonotonicTime = NEVER
   private readonly pageBytes: number
 
@@ -79,7 +79,7 @@
     private readonly active: () => boolean,
     private readonly events: JobEndsEvents,
   ) {
-    this.pageBytes = Math.min(store.limits.valueKb * 1024, MOST_PAGE_BYTES) - FRAME_BYTES
+    this.pageBytes = Math.min(store.limits.valueKb * 1024, MAX_PAGE_BYTES) - FRAME_BYTES
   }
 
   /** Nothing is left to do for the job but to write its end down. */
@@ -110,20 +110,20 @@
       yield* this.store.awaitWriteCapacity(1, 2)
       this.wroteAt = this.now()
       // What a watch or a hint has told of since is over already.
-      for (const job of this.waiting) if (job.over) this.waiting.delete(job)
-      const draft = this.draft()
-      if (draft === null) return yield* Effect.sleep(PAUSE_MS)
-      const { path, before, page } = draft
+      for (const job of this.waiting) if (job.finalized) this.waiting.delete(job)
+      const write = this.prepareWrite()
+      if (write === null) return yield* Effect.sleep(PAUSE_MS)
+      const { path, before, page } = write
       const when: Array<Condition> = [
         { key: keys.shard(this.shard), modRevision: this.epoch },
         { key: path, modRevision: before },
-        ...pageConditions(draft.done),
+        ...pageConditions(write.done),
       ]
       const written = yield* Effect.result(this.store.compareAndSwap(when, [put(path, page)], "reserved"))
       const { replica, readBarrier } = this.membership
       if (Result.isSuccess(written) && written.success.ok) {
         replica.hint({ key: path, value: page, modRevision: written.success.revision })
-        this.grew.notify()
+        this.endsPagesGrew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
@@ -131,7 +131,7 @@
         const fresh = yield* Effect.result(readBarrier.since)
         if (Result.isFailure(fresh)) return
       }
-      this.settle(draft.jobs)
+      this.settle(write.jobs)
     })
   }
 
@@ -147,30 +147,30 @@
     if (ends.length > 0) this.events.ended(ends)
   }
 
-  private draft(): Draft | null {
-    const room = this.rooms().reduce((a, b) => (b.bytes < a.bytes ? b : a))
+  private prepareWrite(): EndsPageWrite | null {
+    const content = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
     const done = new Set<JobState>()
     const jobs: Array<JobState> = []
     const most = 4 * this.store.limits.maxOperations - OWN_CONDITIONS
     for (const job of this.waiting) {
       const digits = digitsOf(job.id)
-      if (room.bytes + finalStateBytes(digits) > this.pageBytes) break
+      if (content.bytes + finalStateBytes(digits) > this.pageBytes) break
       if (!job.cancelled && done.size >= most) continue
-      room.bytes += finalStateBytes(digits)
+      content.bytes += finalStateBytes(digits)
       jobs.push(job)
-      if (job.cancelled) room.cancelled.push(digits)
+      if (job.cancelled) content.cancelled.push(digits)
       else {
-        room.done.push(digits)
+        content.done.push(digits)
         done.add(job)
       }
     }
     if (jobs.length === 0) return null
-    const { path } = room
-    const page: FinalStates = { done: room.done, cancelled: room.cancelled }
+    const { path } = content
+    const page: FinalStates = { done: content.done, cancelled: content.cancelled }
     return { path, before: this.membership.replica.modRevision(path), page, done, jobs }
   }
   /** The part's ends pages, as far as they are still needed. */
-  private rooms(): ReadonlyArray<Room> {
+  private endsPageContents(): ReadonlyArray<EndsPageContent> {
     // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
     const needed = (digits: string) => this.jobIndex.isOnRecord(idOf(digits))
     return endsPages(this.shard, this.store.limits).map((path) => {
@@ -186,9 +186,9 @@
   private foldLoop() {
     return Effect.forever(
       Effect.gen({ self: this }, function* () {
-        yield* this.grew.wait(IDLE_MS)
+        yield* this.endsPagesGrew.wait(IDLE_MS)
         for (;;) {
-          const page = this.active() ? this.toFold() : null
+          const page = this.active() ? this.pageToCompact() : null
           if (page === null) return
           const folded = yield* Effect.result(this.events.fold(page))
           if (Result.isFailure(folded)) return
@@ -197,12 +197,12 @@
     )
   }
   /** A job page to be freed of its jobs that are over; null while there is room enough. */
-  private toFold(): StoreKey<JobPage> | null {
-    const rooms = this.rooms()
-    const bytes = rooms.reduce((sum, room) => sum + room.bytes, 0)
-    if (bytes < CROWDED * rooms.length * this.pageBytes) return null
+  private pageToCompact(): StoreKey<JobPage> | null {
+    const contents = this.endsPageContents()
+    const bytes = contents.reduce((sum, content) => sum + content.bytes, 0)
+    if (bytes < COMPACTION_THRESHOLD * contents.length * this.pageBytes) return null
     const counts = new Map<StoreKey<JobPage>, number>()
-    for (const digits of rooms.flatMap(({ done, cancelled }) => [...done, ...cancelled])) {
+    for (const digits of contents.flatMap(({ done, cancelled }) => [...done, ...cancelled])) {
       const page = this.jobIndex.pageOf(idOf(digits))
       if (page !== null) counts.set(page, (counts.get(page) ?? 0) + 1)
     }
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -31,9 +31,9 @@
 export class JobIndex {
   /** Jobs whose records stand in a page, over or not. */
   private readonly onRecord = new Map<JobId, LiveJob>()
-  private readonly inPage = new Map<string, ReadonlyArray<JobId>>()
+  private readonly idsByJobPage = new Map<string, ReadonlyArray<JobId>>()
   private readonly ends = new Map<JobId, FinalStatus>()
-  private readonly inEndsPage = new Map<string, ReadonlyArray<JobId>>()
+  private readonly idsByEndsPage = new Map<string, ReadonlyArray<JobId>>()
   private readonly listeners = new Set<JobListener>()
 
   constructor(private readonly replica: Replica) {
@@ -87,9 +87,9 @@
 
   private pageChanged(path: string, entry: Entry | null): void {
     const page = entry === null ? EMPTY_PAGE : (entry.value as JobPage)
-    const before = this.inPage.get(path) ?? []
+    const before = this.idsByJobPage.get(path) ?? []
     const now = page.jobs.map((job) => job.spec.id)
-    this.inPage.set(path, now)
+    this.idsByJobPage.set(path, now)
     for (const record of page.jobs) {
       const { id } = record.spec
       const job: LiveJob = { id, record, page: path as StoreKey<JobPage>, modRevision: entry!.modRevision }
@@ -105,16 +105,16 @@
   }
   private endsChanged(path: string, entry: Entry | null): void {
     const page: FinalStates = entry === null ? EMPTY_PAGE : (entry.value as FinalStates)
-    const before = this.inEndsPage.get(path) ?? []
+    const before = this.idsByEndsPage.get(path) ?? []
     const now: Array<JobId> = []
-    for (const digits of page.done) now.push(this.endKnown(idOf(digits), "done"))
-    for (const digits of page.cancelled) now.push(this.endKnown(idOf(digits), "cancelled"))
-    this.inEndsPage.set(path, now)
+    for (const digits of page.done) now.push(this.recordEnd(idOf(digits), "done"))
+    for (const digits of page.cancelled) now.push(this.recordEnd(idOf(digits), "cancelled"))
+    this.idsByEndsPage.set(path, now)
     // An ends page names a job until no job page holds its record.
     const left = new Set(now)
     for (const id of before) if (!left.has(id)) this.ends.delete(id)
   }
-  private endKnown(id: JobId, status: FinalStatus): JobId {
+  private recordEnd(id: JobId, status: FinalStatus): JobId {
     if (!this.ends.has(id)) {
       this.ends.set(id, status)
       if (this.onRecord.has(id)) this.notify(id, null)
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -28,7 +28,7 @@
    */
   readonly inherited: boolean
   /** Not null: the task is to leave the machine. */
-  stop: { readonly reason: StopReason; readonly leewayS: number; readonly since: MonotonicTime } | null
+  stop: { readonly reason: StopReason; readonly gracePeriodS: number; readonly since: MonotonicTime } | null
   readonly placedAt: MonotonicTime
   runningSince: MonotonicTime | null
   /** How often the worker was told to start it, and nothing came of it. */
@@ -44,19 +44,19 @@
   private finishedCount = 0
   readonly placements = new Map<number, Placement>()
   /** Tasks that were placed once and are to run again. */
-  private readonly again: Array<number> = []
-  private fresh = 0
+  private readonly requeued: Array<number> = []
+  private nextUnplaced = 0
   /** Finished tasks of which the state service doesn't know yet. */
-  readonly unsaved = new Set<number>()
+  readonly unsavedFinishes = new Set<number>()
   /** When a failed or refused task may be tried again, and how often starts were refused since one succeeded. */
-  notBefore: MonotonicTime | null = null
-  refusals = 0
+  retryAfter: MonotonicTime | null = null
+  startRefusals = 0
   cancelled: boolean
   /** Its end is durable. */
-  over = false
+  finalized = false
   /** Placed tasks that run, and those that are to leave their machine. */
   running = 0
-  leaving = 0
+  stopping = 0
 
   constructor(
     readonly id: JobId,
@@ -81,31 +81,31 @@
     return this.taskCount - this.finishedCount - this.placements.size
   }
   /** No task of it ever began. */
-  get unbegun(): boolean {
+  get notStarted(): boolean {
     return this.placements.size === 0 && this.finishedCount === 0
   }
-  get complete(): boolean {
+  get allFinished(): boolean {
     return this.finishedCount === this.taskCount
   }
   /** Nothing is left to do but to write its end down. */
-  get ended(): boolean {
-    return this.complete || (this.cancelled && this.placements.size === 0)
+  get awaitsFinalState(): boolean {
+    return this.allFinished || (this.cancelled && this.placements.size === 0)
   }
   isFinished(index: number): boolean {
     return this.finished[index] === 1
   }
   /** A finished task whose finish the state service knows: its result may be forgotten. */
   finishIsDurable(index: number): boolean {
-    return this.isFinished(index) && !this.unsaved.has(index)
+    return this.isFinished(index) && !this.unsavedFinishes.has(index)
   }
 
   /** The next task to place, in order; null when none is queued. */
   nextQueued(): number | null {
-    for (let index = this.again.pop(); index !== undefined; index = this.again.pop()) {
+    for (let index = this.requeued.pop(); index !== undefined; index = this.requeued.pop()) {
       if (!this.isFinished(index) && !this.placements.has(index)) return index
     }
-    while (this.fresh < this.taskCount) {
-      const index = this.fresh++
+    while (this.nextUnplaced < this.taskCount) {
+      const index = this.nextUnplaced++
       if (!this.isFinished(index) && !this.placements.has(index)) return index
     }
     return null
@@ -113,32 +113,32 @@
   place(placement: Placement): void {
     this.placements.set(placement.index, placement)
   }
-  began(placement: Placement, now: MonotonicTime): void {
+  markRunning(placement: Placement, now: MonotonicTime): void {
     placement.runningSince = now
     this.running++
   }
   /** The task is to leave its machine. */
   stop(placement: Placement, stop: NonNullable<Placement["stop"]>): void {
-    if (placement.stop === null) this.leaving++
+    if (placement.stop === null) this.stopping++
     placement.stop = stop
   }
   /** The task is off its machine without having finished. */
   clear(placement: Placement): void {
     if (!this.remove(placement)) return
-    this.again.push(placement.index)
+    this.requeued.push(placement.index)
   }
   finish(index: number): void {
     const placement = this.placements.get(index)
     if (placement !== undefined) this.remove(placement)
     if (this.isFinished(index)) return
     this.markFinished(index)
-    this.unsaved.add(index)
+    this.unsavedFinishes.add(index)
   }
   private remove(placement: Placement): boolean {
     if (this.placements.get(placement.index) !== placement) return false
     this.placements.delete(placement.index)
     if (placement.runningSince !== null) this.running--
-    if (placement.stop !== null) this.leaving--
+    if (placement.stop !== null) this.stopping--
     return true
   }
   private markFinished(index: number): void {
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -33,13 +33,13 @@
  * folded into job pages. A cancellation is conditioned on all of them.
  */
 export const endsPages = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
-  const conditions = CONDITIONS_A_CHANGE * limits.maxOperations - 1
+  const conditions = CONDITIONS_PER_OPERATION * limits.maxOperations - 1
   return Array.from({ length: Math.min(ENDS_PAGES_PER_SHARD, conditions) }, (_, n) => keys.endsPage(shard, n))
 }
 const ENDS_PAGES_PER_SHARD = 4
 /** Of a transaction, by the protocol. */
-const CONDITIONS_A_CHANGE = 4
-const ARCHIVING_CHANGES = 2
+const CONDITIONS_PER_OPERATION = 4
+const ARCHIVING_OPERATIONS = 2
 /** What a write that can't be made is answered with: a state service would say the same. */
 const TOO_LARGE = 413
 
@@ -57,12 +57,12 @@
 /** `accepted`: just now, by this call. */
 export type Acceptance = JobLookup | { readonly kind: "accepted" }
 
-export interface JobTableEvents {
+export interface JobStoreEvents {
   /** A page was written: the owner of this job should know before the watch tells it. */
   readonly changed: (entry: Entry, request: JobSpec) => Effect.Effect<void>
   /** Final answers known already; they hold for good. */
-  readonly remembered: (id: JobId) => FinalStatus | null
-  readonly remember: (id: JobId, status: FinalStatus) => void
+  readonly cachedFinal: (id: JobId) => FinalStatus | null
+  readonly cacheFinal: (id: JobId, status: FinalStatus) => void
   readonly shardOf: (request: JobSpec) => ShardName
 }
 
@@ -76,7 +76,7 @@
     private readonly store: StoreClient,
     private readonly membership: Pick<Membership, "readBarrier" | "replica">,
     private readonly jobIndex: JobIndex,
-    private readonly events: JobTableEvents,
+    private readonly events: JobStoreEvents,
   ) {}
 
   /**
@@ -86,11 +86,11 @@
    */
   find(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const known = this.events.remembered(id)
+      const known = this.events.cachedFinal(id)
       if (known !== null) return { kind: "final", status: known } as const
       yield* this.membership.readBarrier.since
-      const found = yield* this.look(id)
-      if (found.kind === "final") this.events.remember(id, found.status)
+      const found = yield* this.lookUp(id)
+      if (found.kind === "final") this.events.cacheFinal(id, found.status)
       return found
     })
   }
@@ -102,7 +102,7 @@
       for (;;) {
         // The mirror may lag here: the conditions fail if it does.
         const pages = this.jobIndex.pages(bucketOf(request.id))
-        const seen = yield* this.look(request.id)
+        const seen = yield* this.lookUp(request.id)
         if (seen.kind !== "none") return yield* this.find(request.id)
         const target = this.pageFor(record, pages)
         if (target === null) return yield* Effect.fail(tooLarge)
@@ -169,7 +169,7 @@
     return this.jobIndex.pages(bucket).find((page) => page.key === path) ?? null
   }
   /** What the mirror says, and for jobs long over the archive. */
-  private look(id: JobId): Effect.Effect<JobLookup, StoreError> {
+  private lookUp(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
       const pages = this.jobIndex.pages(bucket)
@@ -179,10 +179,10 @@
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
       // Read after the pages were: what has left them by then is found there.
       if (pages.every(({ value }) => value.archivedPages === 0)) return Effect.succeed({ kind: "none" })
-      return this.lookInArchive(bucket, id)
+      return this.lookUpInArchive(bucket, id)
     })
   }
-  private lookInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
+  private lookUpInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.map(this.store.list(keys.archive(bucket)), ({ items }) => {
       for (const { value: v } of items) {
         const status = finalIn(v as FinalStates, id)
@@ -213,7 +213,7 @@
   /** The page's write, and with it that of final states which leave it. */
   private writesOf(key: StoreKey<JobPage>, next: JobPage): PageWrites {
     const { maxOperations, valueKb } = this.store.limits
-    if (maxOperations < ARCHIVING_CHANGES) return { page: next, operations: [put(key, next)] }
+    if (maxOperations < ARCHIVING_OPERATIONS) return { page: next, operations: [put(key, next)] }
     const { page, archived } = archiveFinals(next, valueKb)
     if (archived === null) return { page, operations: [put(key, page)] }
     const [bucket, number] = key.slice(key.lastIndexOf("/") + 1).split(".")
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -11,28 +11,28 @@
 import type { JobState, Placement } from "./job-state.ts"
 
 /** What a slot says of one job's finished tasks. */
-interface Finishes {
+interface FinishedTasks {
   readonly job: JobState
   readonly indexes: ReadonlyArray<number>
 }
 interface Slot {
   readonly modRevision: ModRevision
   readonly starts: ReadonlyArray<Placement>
-  readonly finishes: ReadonlyArray<Finishes>
+  readonly finishes: ReadonlyArray<FinishedTasks>
 }
 
 /** One slot's next content, on its way to the state service. */
-export interface Draft {
+export interface SlotWrite {
   readonly slot: number
   /** The slot as it was; the write is conditioned on it. */
-  readonly before: ModRevision
+  readonly baseRevision: ModRevision
   readonly record: PlacementRecord
   readonly starts: ReadonlyArray<Placement>
   /** Jobs of which it places tasks anew: the write is conditioned on their stamps. */
   readonly jobs: ReadonlySet<JobState>
-  readonly finishes: ReadonlyArray<Finishes>
+  readonly finishes: ReadonlyArray<FinishedTasks>
   /** Slots whose live facts it repeats: free once it is written. */
-  readonly merged: ReadonlyArray<number>
+  readonly compacted: ReadonlyArray<number>
 }
 
 /** Generous sizes in JSON, punctuation included. */
@@ -42,9 +42,9 @@
 const RUN_BYTES = 14
 const FRAME_BYTES = 120
 /** Slots looked at for a commit: enough to keep up with those that fall free. */
-const LOOK_AT = 12
+const SLOTS_SCANNED_PER_WRITE = 12
 /** Beyond this many slots, old ones are merged as room in new ones permits. */
-const MANY_SLOTS = 48
+const COMPACTION_THRESHOLD_SLOTS = 48
 
 /**
  * A part's placements and finishes in the state service. Facts of many jobs
@@ -54,10 +54,10 @@
  */
 export class PlacementLedger {
   private readonly slots = new Map<number, Slot>()
-  private readonly free: Array<{ readonly slot: number; readonly modRevision: ModRevision }> = []
-  private next = 0
-  private looked = 0
-  private writes = 0
+  private readonly freeSlots: Array<{ readonly slot: number; readonly modRevision: ModRevision }> = []
+  private nextSlot = 0
+  private scanPosition = 0
+  private writeCount = 0
 
   constructor(private readonly valueKb: number) {}
 
@@ -69,39 +69,48 @@
    * The next write: as many starts as fit, then finishes. Null when there is
    * nothing to say. `mostJobs`: conditions that a transaction has room for.
    */
-  draft(
+  prepareWrite(
     starts: Iterable<Placement>,
     finished: Iterable<JobState>,
-    mostJobs: number,
+    maxJobs: number,
     epoch: ModRevision,
-  ): Draft | null {
-    const page = new Page(this.valueKb * 1024 - FRAME_BYTES)
+  ): SlotWrite | null {
+    const page = new SlotBuilder(this.valueKb * 1024 - FRAME_BYTES)
     const jobs = new Set<JobState>()
     for (const placement of starts) {
-      if (!jobs.has(placement.job) && jobs.size >= mostJobs) continue
+      if (!jobs.has(placement.job) && jobs.size >= maxJobs) continue
       if (!page.start(placement)) break
       jobs.add(placement.job)
     }
     for (const job of finished) {
-      if (job.unsaved.size > 0 && !job.over && !page.finish(job, [...job.unsaved])) break
+      if (job.unsavedFinishes.size > 0 && !job.finalized && !page.finish(job, [...job.unsavedFinishes])) break
     }
     if (page.empty) return null
-    this.collect()
-    const merged = this.slots.size > MANY_SLOTS ? this.merge(page) : []
-    const { slot, modRevision } = this.free.pop() ?? { slot: this.next++, modRevision: ABSENT }
-    const record = page.record(epoch, ++this.writes)
-    return { slot, before: modRevision, record, starts: page.starts, jobs, finishes: page.finishes, merged }
+    this.reclaimDeadSlots()
+    const compacted = this.slots.size > COMPACTION_THRESHOLD_SLOTS ? this.compactOldest(page) : []
+    const { slot, modRevision } = this.freeSlots.pop() ?? { slot: this.nextSlot++, modRevision: ABSENT }
+    const record = page.record(epoch, ++this.writeCount)
+    return {
+      slot,
+      baseRevision: modRevision,
+      record,
+      starts: page.starts,
+      jobs,
+      finishes: page.finishes,
+      compacted,
+    }
   }
-  /** The draft is durable. */
-  saved(draft: Draft, modRevision: ModRevision): void {
-    this.slots.set(draft.slot, { modRevision, starts: draft.starts, finishes: draft.finishes })
-    for (const placement of draft.starts) placement.durable = true
-    for (const { job, indexes } of draft.finishes) for (const index of indexes) job.unsaved.delete(index)
-    for (const slot of draft.merged) this.release(slot)
+  /** The write is durable. */
+  committed(write: SlotWrite, modRevision: ModRevision): void {
+    this.slots.set(write.slot, { modRevision, starts: write.starts, finishes: write.finishes })
+    for (const placement of write.starts) placement.durable = true
+    for (const { job, indexes } of write.finishes)
+      for (const index of indexes) job.unsavedFinishes.delete(index)
+    for (const slot of write.compacted) this.release(slot)
   }
-  /** The draft surely never was and never will be written. */
-  dropped(draft: Draft, modRevision: ModRevision): void {
-    this.free.push({ slot: draft.slot, modRevision })
+  /** The write surely never was and never will be written. */
+  aborted(write: SlotWrite, modRevision: ModRevision): void {
+    this.freeSlots.push({ slot: write.slot, modRevision })
   }
 
   /** Takes over a slot that a former owner wrote. `jobOf` is null for jobs that are over. */
@@ -112,9 +121,9 @@
     jobOf: (id: JobId) => JobState | null,
     now: MonotonicTime,
   ): void {
-    this.next = Math.max(this.next, slot + 1)
+    this.nextSlot = Math.max(this.nextSlot, slot + 1)
     const starts: Array<Placement> = []
-    const finishes: Array<Finishes> = []
+    const finishes: Array<FinishedTasks> = []
     for (const { jobId, runs } of record.finished) {
       const job = jobOf(jobId)
       if (job === null) continue
@@ -151,39 +160,39 @@
   }
 
   /** Frees slots of which nothing matters any more. */
-  private collect(): void {
+  private reclaimDeadSlots(): void {
     const names = [...this.slots.keys()]
-    for (let i = 0; i < Math.min(LOOK_AT, names.length); i++) {
-      const name = names[this.looked++ % names.length]!
+    for (let i = 0; i < Math.min(SLOTS_SCANNED_PER_WRITE, names.length); i++) {
+      const name = names[this.scanPosition++ % names.length]!
       if (isDead(this.slots.get(name)!)) this.release(name)
     }
   }
   /** Repeats what still matters of the oldest slots, as far as there is room. */
-  private merge(page: Page): ReadonlyArray<number> {
-    const merged: Array<number> = []
+  private compactOldest(page: SlotBuilder): ReadonlyArray<number> {
+    const compacted: Array<number> = []
     for (const [name, slot] of this.slots) {
-      if (merged.length >= 4) break
+      if (compacted.length >= 4) break
       const starts = slot.starts.filter(isCurrent)
-      const finishes = slot.finishes.filter(({ job }) => !job.over)
+      const finishes = slot.finishes.filter(({ job }) => !job.finalized)
       if (!page.fits(starts, finishes)) break
       for (const placement of starts) page.start(placement)
       for (const { job, indexes } of finishes) page.finish(job, indexes)
-      merged.push(name)
+      compacted.push(name)
     }
-    return merged
+    return compacted
   }
   private release(name: number): void {
     const slot = this.slots.get(name)
     if (slot === undefined) return
     this.slots.delete(name)
-    this.free.push({ slot: name, modRevision: slot.modRevision })
+    this.freeSlots.push({ slot: name, modRevision: slot.modRevision })
   }
 }
 
 const isCurrent = (placement: Placement): boolean =>
-  !placement.job.over && placement.job.placements.get(placement.index) === placement
+  !placement.job.finalized && placement.job.placements.get(placement.index) === placement
 const isDead = (slot: Slot): boolean =>
-  !slot.finishes.some(({ job }) => !job.over) && !slot.starts.some(isCurrent)
+  !slot.finishes.some(({ job }) => !job.finalized) && !slot.starts.some(isCurrent)
 
 /** Runs of consecutive task indexes. */
 const runsOf = (indexes: ReadonlyArray<number>): ReadonlyArray<TaskRun> => {
@@ -197,14 +206,14 @@
 }
 
 /** A record in the making; keeps count of its size. */
-class Page {
+class SlotBuilder {
   readonly starts: Array<Placement> = []
-  readonly finishes: Array<Finishes> = []
+  readonly finishes: Array<FinishedTasks> = []
   private readonly machines = new Map<MachineId, number>()
   private readonly placed = new Map<JobState, Array<Placement>>()
   private readonly runs: Array<PlacementRecord["finished"][number]> = []
 
-  constructor(private room: number) {}
+  constructor(private freeBytes: number) {}
 
   get empty(): boolean {
     return this.starts.length === 0 && this.finishes.length === 0
@@ -216,8 +225,8 @@
   }
   start(placement: Placement): boolean {
     const cost = this.startCost(placement)
-    if (cost > this.room) return false
-    this.room -= cost
+    if (cost > this.freeBytes) return false
+    this.freeBytes -= cost
     this.starts.push(placement)
     if (!this.machines.has(placement.machine)) this.machines.set(placement.machine, this.machines.size)
     const of = this.placed.get(placement.job)
@@ -228,23 +237,23 @@
   finish(job: JobState, indexes: ReadonlyArray<number>): boolean {
     const runs = runsOf(indexes)
     const cost = JOB_BYTES + RUN_BYTES * runs.length
-    if (cost > this.room) return this.finishSome(job, indexes)
-    this.room -= cost
+    if (cost > this.freeBytes) return this.finishSome(job, indexes)
+    this.freeBytes -= cost
     this.finishes.push({ job, indexes })
     this.runs.push({ jobId: job.id, runs })
     return true
   }
   /** A job with more finished tasks than a record holds says so in several. */
   private finishSome(job: JobState, indexes: ReadonlyArray<number>): boolean {
-    const most = Math.floor((this.room - JOB_BYTES) / RUN_BYTES)
+    const most = Math.floor((this.freeBytes - JOB_BYTES) / RUN_BYTES)
     if (this.empty && most > 0) this.finish(job, indexes.slice(0, most))
     return false
   }
-  fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<Finishes>): boolean {
+  fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<FinishedTasks>): boolean {
     let cost = 0
     for (const { machine } of starts) cost += START_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
     for (const { indexes } of finishes) cost += JOB_BYTES + RUN_BYTES * runsOf(indexes).length
-    return cost <= this.room
+    return cost <= this.freeBytes
   }
   record(epoch: ModRevision, write: number): PlacementRecord {
     let firstAttempt = Number.POSITIVE_INFINITY
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -12,7 +12,7 @@
 import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobState, Placement } from "./job-state.ts"
-import { type Draft, PlacementLedger } from "./placement-ledger.ts"
+import { PlacementLedger, type SlotWrite } from "./placement-ledger.ts"
 
 const PAUSE_MS = 150
 /** Finishes are looked at this often, nothing is hardly ever. */
@@ -32,11 +32,11 @@
 const CALM_SLOT_SHARE = 0.3
 const BUSY_SLOT_SHARE = 0.12
 
-export interface CommitEvents {
+export interface PlacementWriterEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
   /** A placement that won't become durable: its job was cancelled meanwhile. */
-  readonly unwanted: (placement: Placement) => void
+  readonly abandoned: (placement: Placement) => void
 }
 
 /** The pages of the job table that hold these jobs, as they were when the jobs were last heard of. */
@@ -50,8 +50,8 @@
 export class PlacementWriter {
   readonly ledger: PlacementLedger
   private readonly starts = new Set<Placement>()
-  private readonly finishing = new Set<JobState>()
-  private finishingSince: MonotonicTime = NEVER
+  private readonly unsavedJobs = new Set<JobState>()
+  private unsavedSince: MonotonicTime = NEVER
   private wroteAt: MonotonicTime = NEVER
   private inFlight: ReadonlySet<Placement> = new Set()
   private readonly signal = new Signal()
@@ -63,7 +63,7 @@
     private readonly membership: Membership,
     private readonly now: () => MonotonicTime,
     private readonly active: () => boolean,
-    private readonly events: CommitEvents,
+    private readonly events: PlacementWriterEvents,
   ) {
     this.ledger = new PlacementLedger(store.limits.valueKb)
   }
@@ -77,36 +77,36 @@
     return this.inFlight.has(placement)
   }
   /** A task of the job finished, and others of it have not. */
-  finished(job: JobState): void {
-    if (job.unsaved.size === 0 || this.finishing.has(job)) return
-    if (this.finishing.size === 0) {
-      this.finishingSince = this.now()
+  recordFinishes(job: JobState): void {
+    if (job.unsavedFinishes.size === 0 || this.unsavedJobs.has(job)) return
+    if (this.unsavedJobs.size === 0) {
+      this.unsavedSince = this.now()
       this.signal.notify()
     }
-    this.finishing.add(job)
+    this.unsavedJobs.add(job)
   }
   /** The job's end says all that its finishes would. */
-  ended(job: JobState): void {
-    this.finishing.delete(job)
+  discardFinishes(job: JobState): void {
+    this.unsavedJobs.delete(job)
   }
 
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.starts.size === 0 && !this.finishesDue())
-          yield* this.signal.wait(this.finishing.size > 0 ? TICK_MS : IDLE_MS)
+        if (this.starts.size === 0 && !this.finishesAreDue())
+          yield* this.signal.wait(this.unsavedJobs.size > 0 ? TICK_MS : IDLE_MS)
         if (!this.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.starts.size > 0 || this.finishesDue()) yield* this.writeSlot()
+        if (this.starts.size > 0 || this.finishesAreDue()) yield* this.writeSlot()
       }),
     ),
   )
-  private finishesDue(): boolean {
-    return this.finishing.size > 0 && this.now() > addMs(this.finishingSince, FINISHES_WAIT_MS)
+  private finishesAreDue(): boolean {
+    return this.unsavedJobs.size > 0 && this.now() > addMs(this.unsavedSince, FINISHES_WAIT_MS)
   }
   private get shardCondition(): Condition {
     return { key: keys.shard(this.shard), modRevision: this.epoch }
   }
-  private get mostConditions(): number {
+  private get maxConditions(): number {
     return 4 * this.store.limits.maxOperations
   }
 
@@ -121,36 +121,42 @@
       for (const placement of this.starts) {
         if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
       }
-      for (const job of this.finishing) if (job.over || job.unsaved.size === 0) this.finishing.delete(job)
-      const draft = this.ledger.draft(this.starts, this.finishing, this.mostConditions - 2, this.epoch)
-      if (draft === null) return
-      for (const placement of draft.starts) this.starts.delete(placement)
-      this.inFlight = new Set(draft.starts)
-      yield* this.write(draft)
+      for (const job of this.unsavedJobs)
+        if (job.finalized || job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
+      const write = this.ledger.prepareWrite(
+        this.starts,
+        this.unsavedJobs,
+        this.maxConditions - 2,
+        this.epoch,
+      )
+      if (write === null) return
+      for (const placement of write.starts) this.starts.delete(placement)
+      this.inFlight = new Set(write.starts)
+      yield* this.write(write)
       this.inFlight = new Set()
-      for (const job of this.finishing) if (job.unsaved.size === 0) this.finishing.delete(job)
-      this.finishingSince = this.now()
+      for (const job of this.unsavedJobs) if (job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
+      this.unsavedSince = this.now()
     })
   }
 
-  /** Until the draft is durable, or surely never will be. */
-  private write(draft: Draft) {
+  /** Until the write is durable, or surely never will be. */
+  private write(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.slot(this.shard, draft.slot)
+      const path = keys.slot(this.shard, write.slot)
       const when = [
         this.shardCondition,
-        { key: path, modRevision: draft.before },
-        ...pageConditions(draft.jobs),
+        { key: path, modRevision: write.baseRevision },
+        ...pageConditions(write.jobs),
       ]
-      const apply: Array<Operation> = [put(path, draft.record)]
+      const apply: Array<Operation> = [put(path, write.record)]
       for (let tries = 0; ; tries++) {
         const done = yield* Effect.result(
           this.store.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
         )
-        if (Result.isSuccess(done) && done.success.ok) return this.saved(draft, done.success.revision)
+        if (Result.isSuccess(done) && done.success.ok) return this.committed(write, done.success.revision)
         if (Result.isFailure(done) && done.failure.outcome === "refused" && tries === 0) {
           yield* Effect.sleep(PAUSE_MS)
-          return this.dropped(draft, draft.before)
+          return this.aborted(write, write.baseRevision)
         }
         // Without an answer it may have been written, or may yet be: as long
         // as that isn't known, only the very same write is tried again.
@@ -162,27 +168,27 @@
         }
         const modRevision = read.success?.modRevision ?? ABSENT
         const written = read.success?.value.write
-        const { epoch, number } = draft.record.write
-        if (written?.epoch === epoch && written.number === number) return this.saved(draft, modRevision)
+        const { epoch, number } = write.record.write
+        if (written?.epoch === epoch && written.number === number) return this.committed(write, modRevision)
         if (failed === null) continue
         // A condition failed, and will fail for every late copy of it as well.
         yield* Effect.result(this.membership.readBarrier.since)
-        return this.dropped(draft, modRevision)
+        return this.aborted(write, modRevision)
       }
     })
   }
-  private saved(draft: Draft, modRevision: ModRevision): void {
-    this.ledger.saved(draft, modRevision)
-    this.events.durable(draft.starts)
+  private committed(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.committed(write, modRevision)
+    this.events.durable(write.starts)
   }
-  private dropped(draft: Draft, modRevision: ModRevision): void {
-    this.ledger.dropped(draft, modRevision)
-    for (const placement of draft.starts) {
-      // What a draft only repeated of an older slot is durable there, and may
+  private aborted(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.aborted(write, modRevision)
+    for (const placement of write.starts) {
+      // What a write only repeated of an older slot is durable there, and may
       // run: it stays counted until it is surely off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
       if (placement.stop === null) this.starts.add(placement)
-      else this.events.unwanted(placement)
+      else this.events.abandoned(placement)
     }
   }
 }
--- a/packages/jobs/test/failure-tracker.test.ts
+++ b/packages/jobs/test/failure-tracker.test.ts
@@ -36,7 +36,7 @@
   assert.deepEqual(pauses.slice(0, 3), [2_000, 4_000, 8_000])
   assert.equal(pauses.at(-1), 30_000)
   assert.equal(failures.startable(job, at(1)), 1)
-  job.notBefore = at(30)
+  job.retryAfter = at(30)
   assert.equal(failures.startable(job, at(29)), 0)
   assert.equal(failures.startable(job, at(30)), 1)
   job.place({ job, index: 0 } as Placement)
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -49,8 +49,8 @@
   const jobIndex = new JobIndex(replica)
   const table = new JobStore(state, { replica, readBarrier }, jobIndex, {
     changed: (entry) => Effect.sync(() => replica.hint(entry)),
-    remembered: () => null,
-    remember: () => {},
+    cachedFinal: () => null,
+    cacheFinal: () => {},
     shardOf: () => SHARD,
   })
   for (let n = 0; n < JOBS; n++) {
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -69,8 +69,8 @@
   const readBarrier = { since: Effect.sync(refresh) } as never
   const table = new JobStore(store.client, { replica, readBarrier }, jobIndex, {
     changed: (entry) => Effect.sync(() => replica.hint(entry)),
-    remembered: () => null,
-    remember: () => {},
+    cachedFinal: () => null,
+    cacheFinal: () => {},
     shardOf: () => SHARD,
   })
   return { replica, jobIndex, table, refresh }
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -69,7 +69,7 @@
     membership,
     () => performance.now() as MonotonicTime,
     () => true,
-    { durable: () => {}, unwanted: (p) => unwanted.push(p) },
+    { durable: () => {}, abandoned: (p) => unwanted.push(p) },
   )
   const fiber = Effect.runFork(commits.run)
   const until = async (so: () => boolean) => {
@@ -86,7 +86,7 @@
   }
   refuses = true
   for (const placement of running)
-    job.stop(placement, { reason: "preempted", leewayS: 0, since: 0 as MonotonicTime })
+    job.stop(placement, { reason: "preempted", gracePeriodS: 0, since: 0 as MonotonicTime })
   const before = writes.length
   commits.place(place(49))
   await until(() => writes.length > before + 1)
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -14,32 +14,35 @@
 import { Effect, Result } from "effect"
 
 /** Quota of one team. */
-export interface Amount {
+export interface QuotaAmount {
   readonly cpus: number
   readonly gpus: number
 }
-export interface ShareNeed {
-  readonly used: Amount
+export interface AllocationDemand {
+  readonly used: QuotaAmount
   /** What is used plus what is queued. */
-  readonly wanted: Amount
+  readonly demanded: QuotaAmount
   /** What the smallest queued task takes; null when none is queued. */
-  readonly smallestTask: Amount | null
+  readonly smallestTask: QuotaAmount | null
   /** Does another part lack quota, and does its work go before ours? */
-  readonly asked: "no" | "after" | "first"
+  readonly competingDemand: "none" | "lowerPriority" | "higherPriority"
 }
-const NONE: Amount = { cpus: 0, gpus: 0 }
-const least = (a: Amount, b: Amount): Amount => ({
+const NONE: QuotaAmount = { cpus: 0, gpus: 0 }
+const least = (a: QuotaAmount, b: QuotaAmount): QuotaAmount => ({
   cpus: Math.min(a.cpus, b.cpus),
   gpus: Math.min(a.gpus, b.gpus),
 })
 
-const minus = (a: Amount, b: Amount): Amount => ({ cpus: a.cpus - b.cpus, gpus: a.gpus - b.gpus })
+const minus = (a: QuotaAmount, b: QuotaAmount): QuotaAmount => ({
+  cpus: a.cpus - b.cpus,
+  gpus: a.gpus - b.gpus,
+})
 /** Does this much quota let a task start? */
-const holds = (quota: Amount, task: Amount): boolean =>
+const holds = (quota: QuotaAmount, task: QuotaAmount): boolean =>
   task.cpus <= quota.cpus + EPSILON && task.gpus <= quota.gpus + EPSILON
 
 /** Nothing of what the team's limits don't bound: there is nothing to share of it. */
-const limitedOnly = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, amount: Amount): Amount => ({
+const limitedOnly = ({ maxCpus: cpusMax, maxGpus: gpusMax }: Team, amount: QuotaAmount): QuotaAmount => ({
   cpus: isLimited(cpusMax) ? amount.cpus : 0,
   gpus: isLimited(gpusMax) ? amount.gpus : 0,
 })
@@ -66,7 +69,7 @@
  * asks for the reduction.
  */
 export class QuotaAllocation {
-  private readonly ceiling = new Map<TeamName, Amount>()
+  private readonly ceiling = new Map<TeamName, QuotaAmount>()
   private readonly busy = new Set<TeamName>()
   private readonly idleSince = new Map<TeamName, MonotonicTime>()
   private readonly surplusSince = new Map<TeamName, MonotonicTime>()
@@ -86,14 +89,14 @@
   ) {}
 
   /** What this part's tasks of the team may use. */
-  share(team: Team): Amount {
+  allocated(team: Team): QuotaAmount {
     const { cpus, gpus } = this.sharedOut(team.name)
     return {
       cpus: isLimited(team.maxCpus) ? cpus : NO_LIMIT,
       gpus: isLimited(team.maxGpus) ? gpus : NO_LIMIT,
     }
   }
-  private sharedOut(team: TeamName): Amount {
+  private sharedOut(team: TeamName): QuotaAmount {
     const stored = this.replica.get(keys.quota(team))?.value.shares[this.shard] ?? NONE
     const ceiling = this.ceiling.get(team)
     return ceiling === undefined ? stored : least(stored, ceiling)
@@ -106,8 +109,8 @@
    * part can always rent for as much as is kept for changes: it asks for quota
    * only once machines have room.
    */
-  beyond(team: Team, used: Amount, claims: ReadonlyArray<TeamClaim>): Amount {
-    const theirs = new Map<string, Amount>(
+  rentable(team: Team, used: QuotaAmount, claims: ReadonlyArray<TeamClaim>): QuotaAmount {
+    const theirs = new Map<string, QuotaAmount>(
       Object.entries(this.replica.get(keys.quota(team.name))?.value.shares ?? {}),
     )
     for (const { shard, team: of, cpus, gpus } of claims)
@@ -126,79 +129,80 @@
   }
 
   /** A task of the team was placed: this part uses its share. */
-  started(team: TeamName): void {
+  taskStarted(team: TeamName): void {
     this.lastStart.set(team, this.now())
   }
   /** Does this part leave the team's quota to others for now? */
-  yields(team: TeamName): boolean {
+  isYielding(team: TeamName): boolean {
     return this.now() < (this.yieldsUntil.get(team) ?? NEVER)
   }
 
   /** Works out by how much each share should change. */
-  adjust(need: (team: Team) => ShareNeed): ReadonlyArray<Effect.Effect<void>> {
+  adjust(need: (team: Team) => AllocationDemand): ReadonlyArray<Effect.Effect<void>> {
     const changes: Array<Effect.Effect<void>> = []
     for (const team of this.teams) {
       if (this.busy.has(team.name) || !(isLimited(team.maxCpus) || isLimited(team.maxGpus))) continue
-      const share = this.sharedOut(team.name)
-      const next = this.nextShare(team, share, need(team))
-      if (next !== null) changes.push(this.write(team.name, next, share))
+      const allocated = this.sharedOut(team.name)
+      const next = this.nextShare(team, allocated, need(team))
+      if (next !== null) changes.push(this.write(team.name, next, allocated))
     }
     return changes
   }
 
   /** What our share of the team's limit should be changed to; null: it stays. */
-  private nextShare(team: Team, share: Amount, stated: ShareNeed): Amount | null {
-    const { asked } = stated
+  private nextShare(team: Team, allocated: QuotaAmount, stated: AllocationDemand): QuotaAmount | null {
+    const { competingDemand } = stated
     const used = limitedOnly(team, stated.used)
-    const wanted = this.yields(team.name) ? used : limitedOnly(team, stated.wanted)
+    const demanded = this.isYielding(team.name) ? used : limitedOnly(team, stated.demanded)
     const smallestTask = stated.smallestTask === null ? null : limitedOnly(team, stated.smallestTask)
     const limit = limitedOnly(team, { cpus: team.maxCpus, gpus: team.maxGpus })
     const free = this.unshared(team, limit)
-    const unused = share.cpus > used.cpus || share.gpus > used.gpus
-    if (asked !== "no" && unused && this.now() >= (this.leftoverUntil.get(team.name) ?? NEVER)) {
+    const unused = allocated.cpus > used.cpus || allocated.gpus > used.gpus
+    if (competingDemand !== "none" && unused && this.now() >= (this.leftoverUntil.get(team.name) ?? NEVER)) {
       // Another part can use now what we only hold for later: at once if its
       // work goes first, else when ours hasn't used it for a while. Somebody
       // always goes first; if all held on or all gave way, none would start.
       const since = this.idleSince.get(team.name) ?? this.now()
       this.idleSince.set(team.name, since)
-      if (asked === "first" || this.now() - since > UNUSED_MS) {
+      if (competingDemand === "higherPriority" || this.now() - since > UNUSED_MS) {
         this.idleSince.delete(team.name)
-        this.notePointlessHold(team.name, since, minus(share, used), smallestTask)
-        return least(share, used)
+        this.notePointlessHold(team.name, since, minus(allocated, used), smallestTask)
+        return least(allocated, used)
       }
     } else {
       this.idleSince.delete(team.name)
     }
-    if (asked === "first") return this.leftover(team.name, free, share, used, smallestTask)
+    if (competingDemand === "higherPriority")
+      return this.leftover(team.name, free, allocated, used, smallestTask)
     this.leftSince.delete(team.name)
     const goal = (u: number, w: number, most: number) => Math.min(most, Math.max(u, w) + most * SLACK)
-    const target: Amount = {
-      cpus: goal(used.cpus, wanted.cpus, limit.cpus),
-      gpus: goal(used.gpus, wanted.gpus, limit.gpus),
+    const target: QuotaAmount = {
+      cpus: goal(used.cpus, demanded.cpus, limit.cpus),
+      gpus: goal(used.gpus, demanded.gpus, limit.gpus),
     }
-    const short = wanted.cpus > share.cpus || wanted.gpus > share.gpus
-    const grown: Amount = {
-      cpus: share.cpus + Math.max(0, Math.min(free.cpus, target.cpus - share.cpus)),
-      gpus: share.gpus + Math.max(0, Math.min(free.gpus, target.gpus - share.gpus)),
+    const short = demanded.cpus > allocated.cpus || demanded.gpus > allocated.gpus
+    const grown: QuotaAmount = {
+      cpus: allocated.cpus + Math.max(0, Math.min(free.cpus, target.cpus - allocated.cpus)),
+      gpus: allocated.gpus + Math.max(0, Math.min(free.gpus, target.gpus - allocated.gpus)),
     }
     // A sliver of the limit isn't worth a transaction, unless it is what lets a task start.
-    const growth = grown.cpus - share.cpus + (grown.gpus - share.gpus) > WORTH_A_WRITE
+    const growth = grown.cpus - allocated.cpus + (grown.gpus - allocated.gpus) > WORTH_A_WRITE
     const startsOne =
       smallestTask !== null &&
       holds(minus(grown, used), smallestTask) &&
-      !holds(minus(share, used), smallestTask)
+      !holds(minus(allocated, used), smallestTask)
     if (short && (growth || startsOne)) {
       this.surplusSince.delete(team.name)
       return grown
     }
-    return this.withoutSurplus(team.name, share, target, limit)
+    return this.withoutSurplus(team.name, allocated, target, limit)
   }
 
   /** What of the limit no part has. */
-  private unshared(team: Team, limit: Amount): Amount {
+  private unshared(team: Team, limit: QuotaAmount): QuotaAmount {
     let free = limit
-    for (const share of Object.values(this.replica.get(keys.quota(team.name))?.value.shares ?? {}))
-      free = minus(free, share)
+    for (const allocated of Object.values(this.replica.get(keys.quota(team.name))?.value.shares ?? {}))
+      free = minus(free, allocated)
     return free
   }
 
@@ -209,8 +213,8 @@
   private notePointlessHold(
     team: TeamName,
     since: MonotonicTime,
-    held: Amount,
-    smallestTask: Amount | null,
+    held: QuotaAmount,
+    smallestTask: QuotaAmount | null,
   ): void {
     const startedNothing = (this.lastStart.get(team) ?? NEVER) < since
     if (startedNothing && smallestTask !== null && holds(held, smallestTask))
@@ -223,12 +227,12 @@
    */
   private leftover(
     team: TeamName,
-    free: Amount,
-    share: Amount,
-    used: Amount,
-    smallestTask: Amount | null,
-  ): Amount | null {
-    if (smallestTask === null || holds(minus(share, used), smallestTask) || !holds(free, smallestTask)) {
+    free: QuotaAmount,
+    allocated: QuotaAmount,
+    used: QuotaAmount,
+    smallestTask: QuotaAmount | null,
+  ): QuotaAmount | null {
+    if (smallestTask === null || holds(minus(allocated, used), smallestTask) || !holds(free, smallestTask)) {
       this.leftSince.delete(team)
       return null
     }
@@ -237,13 +241,18 @@
     if (this.now() - since <= LEFT_MS) return null
     this.leftSince.delete(team)
     this.leftoverUntil.set(team, addMs(this.now(), LEFTOVER_KEPT_MS))
-    return { cpus: share.cpus + smallestTask.cpus, gpus: share.gpus + smallestTask.gpus }
+    return { cpus: allocated.cpus + smallestTask.cpus, gpus: allocated.gpus + smallestTask.gpus }
   }
 
   /** Much more than is wanted goes back after a while. */
-  private withoutSurplus(team: TeamName, share: Amount, target: Amount, limit: Amount): Amount | null {
+  private withoutSurplus(
+    team: TeamName,
+    allocated: QuotaAmount,
+    target: QuotaAmount,
+    limit: QuotaAmount,
+  ): QuotaAmount | null {
     const much =
-      share.cpus > target.cpus + limit.cpus * SLACK || share.gpus > target.gpus + limit.gpus * SLACK
+      allocated.cpus > target.cpus + limit.cpus * SLACK || allocated.gpus > target.gpus + limit.gpus * SLACK
     if (!much) {
       this.surplusSince.delete(team)
       return null
@@ -252,11 +261,11 @@
     this.surplusSince.set(team, since)
     if (this.now() - since < KEEP_MS) return null
     this.surplusSince.delete(team)
-    return least(share, target)
+    return least(allocated, target)
   }
 
   /** Changes our share of a team's limit; only the smaller of the two counts until it is known which holds. */
-  private write(team: TeamName, next: Amount, current: Amount): Effect.Effect<void> {
+  private write(team: TeamName, next: QuotaAmount, current: QuotaAmount): Effect.Effect<void> {
     this.busy.add(team)
     this.ceiling.set(team, least(next, current))
     return this.settle(team, next).pipe(
@@ -271,7 +280,7 @@
   }
 
   /** Returns once the change is in the mirror, or surely never will be carried out. */
-  private settle(team: TeamName, next: Amount) {
+  private settle(team: TeamName, next: QuotaAmount) {
     const path = keys.quota(team)
     const shard = keys.shard(this.shard)
     const stored = this.replica.get(path)
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -11,7 +11,7 @@
   StoreError,
 } from "@sorreltally/store"
 import { Effect, type Fiber } from "effect"
-import { QuotaAllocation, type ShareNeed } from "../src/quota-allocation.ts"
+import { type AllocationDemand, QuotaAllocation } from "../src/quota-allocation.ts"
 
 const red = "red" as TeamName
 const team = { name: red, cpus: 50, maxCpus: 100, gpus: 0, maxGpus: 0 } as unknown as Team
@@ -53,18 +53,18 @@
     )
   }
   get share(): number {
-    return this.shares.share(team).cpus
+    return this.shares.allocated(team).cpus
   }
   /** What our share is changed to, if it is. */
   adjust(
-    need: Partial<ShareNeed> & { readonly uses: number; readonly wants: number },
+    need: Partial<AllocationDemand> & { readonly uses: number; readonly wants: number },
   ): Fiber.Fiber<void> | null {
     const { uses, wants, ...more } = need
     const [change] = this.shares.adjust(() => ({
       used: cpus(uses),
-      wanted: cpus(wants),
+      demanded: cpus(wants),
       smallestTask: wants > uses ? cpus(4) : null,
-      asked: "no",
+      competingDemand: "none",
       ...more,
     }))
     return change === undefined ? null : Effect.runFork(change)
@@ -79,7 +79,7 @@
 
 test("a smaller share counts from the moment it is asked for, a larger one once it is written", async () => {
   const less = new Fixture({ [ours]: 40 })
-  assert.ok(less.adjust({ uses: 8, wants: 8, asked: "first" }))
+  assert.ok(less.adjust({ uses: 8, wants: 8, competingDemand: "higherPriority" }))
   assert.equal(less.share, 8)
   const more = new Fixture({ [ours]: 40 })
   more.answers = [{ ok: true, revision: 8 as ModRevision }]
@@ -91,7 +91,7 @@
 test("a reduction that got no answer counts until the record has moved, also after a refused repetition", async () => {
   const fixture = new Fixture({ [ours]: 40 })
   fixture.answers = [lost, refused, refused]
-  fixture.adjust({ uses: 8, wants: 8, asked: "first" })
+  fixture.adjust({ uses: 8, wants: 8, competingDemand: "higherPriority" })
   await fixture.until(() => fixture.written.length === 4)
   assert.equal(fixture.share, 8)
   assert.equal(fixture.adjust({ uses: 8, wants: 40 }), null)
@@ -100,7 +100,7 @@
 test("a reduction that was surely refused counts no longer", async () => {
   const fixture = new Fixture({ [ours]: 40 })
   fixture.answers = [refused]
-  fixture.adjust({ uses: 8, wants: 8, asked: "first" })
+  fixture.adjust({ uses: 8, wants: 8, competingDemand: "higherPriority" })
   await fixture.until(() => fixture.share === 40)
   assert.equal(fixture.written.length, 1)
 })
@@ -108,7 +108,7 @@
 test("a lost change whose part went to another owner is given up", async () => {
   const fixture = new Fixture({ [ours]: 40 })
   fixture.answers = [lost, { ok: false, failedKeys: [keys.shard(ours)] }]
-  fixture.adjust({ uses: 8, wants: 8, asked: "first" })
+  fixture.adjust({ uses: 8, wants: 8, competingDemand: "higherPriority" })
   await fixture.until(() => fixture.share === 40)
   assert.equal(fixture.written.length, 2)
 })
@@ -116,20 +116,20 @@
 test("machines are rented by the limit without what other parts have, but for one part's slack", () => {
   const { shares } = new Fixture({ [ours]: 10, "part-1": 30, "part-2": 30, "part-3": 30 })
   // 100 - (90 - 12.5) = 22.5 in all.
-  assert.equal(shares.beyond(team, cpus(0), []).cpus, 22.5)
-  assert.equal(shares.beyond(team, cpus(10), []).cpus, 12.5)
-  assert.equal(new Fixture({ "part-1": 100 }).shares.beyond(team, cpus(0), []).cpus, 12.5)
+  assert.equal(shares.rentable(team, cpus(0), []).cpus, 22.5)
+  assert.equal(shares.rentable(team, cpus(10), []).cpus, 12.5)
+  assert.equal(new Fixture({ "part-1": 100 }).shares.rentable(team, cpus(0), []).cpus, 12.5)
 })
 
 test("what other parts say that they count on counts instead of their shares", () => {
   const { shares } = new Fixture({ [ours]: 10, "part-1": 30, "part-2": 30, "part-3": 30 })
   const claim = (shard: string, amount: number) => ({ shard: shard as ShardName, team: red, ...cpus(amount) })
   // 100 - (10 + 20 + 30 - 12.5) = 52.5: two parts leave some of their shares unused.
-  assert.equal(shares.beyond(team, cpus(0), [claim("part-1", 10), claim("part-2", 20)]).cpus, 52.5)
+  assert.equal(shares.rentable(team, cpus(0), [claim("part-1", 10), claim("part-2", 20)]).cpus, 52.5)
   // A part that has rented beyond its share counts for that.
-  assert.equal(shares.beyond(team, cpus(0), [claim("part-1", 50)]).cpus, 2.5)
+  assert.equal(shares.rentable(team, cpus(0), [claim("part-1", 50)]).cpus, 2.5)
   assert.equal(
-    shares.beyond(team, cpus(0), [{ ...claim("part-1", 50), team: "blue" as TeamName }]).cpus,
+    shares.rentable(team, cpus(0), [{ ...claim("part-1", 50), team: "blue" as TeamName }]).cpus,
     22.5,
   )
 })
@@ -137,29 +137,29 @@
 // Guards against a job left waiting: a part that goes first takes quota back again and again for what fits nowhere.
 test("a part that held quota in vain leaves it to the others for a while", () => {
   const fixture = new Fixture({ [ours]: 40 })
-  const need = { uses: 0, wants: 40, asked: "after" } as const
+  const need = { uses: 0, wants: 40, competingDemand: "lowerPriority" } as const
   assert.equal(fixture.adjust(need), null)
   fixture.now = 6_001 as MonotonicTime
   assert.ok(fixture.adjust(need))
   assert.equal(fixture.share, 0)
-  assert.ok(fixture.shares.yields(red))
+  assert.ok(fixture.shares.isYielding(red))
   fixture.now = 12_002 as MonotonicTime
-  assert.ok(!fixture.shares.yields(red))
+  assert.ok(!fixture.shares.isYielding(red))
 })
 
 test("quota that is used, or too little for a task, is no quota held in vain", () => {
   const used = new Fixture({ [ours]: 40 })
-  used.adjust({ uses: 0, wants: 40, asked: "after" })
+  used.adjust({ uses: 0, wants: 40, competingDemand: "lowerPriority" })
   used.now = 3_000 as MonotonicTime
-  used.shares.started(red)
+  used.shares.taskStarted(red)
   used.now = 6_001 as MonotonicTime
-  assert.ok(used.adjust({ uses: 4, wants: 40, asked: "after" }))
-  assert.ok(!used.shares.yields(red))
+  assert.ok(used.adjust({ uses: 4, wants: 40, competingDemand: "lowerPriority" }))
+  assert.ok(!used.shares.isYielding(red))
   const little = new Fixture({ [ours]: 40, "part-1": 60 })
-  little.adjust({ uses: 38, wants: 60, asked: "after" })
+  little.adjust({ uses: 38, wants: 60, competingDemand: "lowerPriority" })
   little.now = 6_001 as MonotonicTime
-  assert.ok(little.adjust({ uses: 38, wants: 60, asked: "after" }))
-  assert.ok(!little.shares.yields(red))
+  assert.ok(little.adjust({ uses: 38, wants: 60, competingDemand: "lowerPriority" }))
+  assert.ok(!little.shares.isYielding(red))
 })
 
 test("the last bit of a limit is taken when it lets a task start", () => {
@@ -174,7 +174,7 @@
 test("what whoever goes first leaves free for long lets one task of another part start", () => {
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
   fixture.answers = [{ ok: true, revision: 8 as ModRevision }]
-  const waits = { uses: 0, wants: 40, asked: "first" } as const
+  const waits = { uses: 0, wants: 40, competingDemand: "higherPriority" } as const
   assert.equal(fixture.adjust(waits), null)
   fixture.now = 30_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
@@ -191,7 +191,7 @@
 
 test("free quota that doesn't stay free, or starts no task, is left to whoever goes first", () => {
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
-  const waits = { uses: 0, wants: 40, asked: "first" } as const
+  const waits = { uses: 0, wants: 40, competingDemand: "higherPriority" } as const
   fixture.adjust(waits)
   fixture.replica.hint({
     key: path,
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -48,7 +48,7 @@
     this.now = clocks.monotonicNow
     this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, active, {
       durable: events.durable,
-      unwanted: (placement) => this.unplace(placement),
+      abandoned: (placement) => this.unplace(placement),
     })
     this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
       ended: (ends) => node.ended(ends),
@@ -93,7 +93,7 @@
       this.jobs.set(id, job)
       this.events.arrived(record.spec)
       // During a take-over its placements aren't read yet: a cancelled job would seem to have none.
-      if (this.events.ready() && job.ended) this.settle(job)
+      if (this.events.ready() && job.awaitsFinalState) this.settle(job)
       this.events.changed()
       return
     }
@@ -103,9 +103,9 @@
 
   /** A task of the job finished or was cleared, or the job was cancelled. */
   settle(job: JobState): void {
-    if (job.over) return
-    if (!job.ended) return this.placementWriter.finished(job)
-    this.placementWriter.ended(job)
+    if (job.finalized) return
+    if (!job.awaitsFinalState) return this.placementWriter.recordFinishes(job)
+    this.placementWriter.discardFinishes(job)
     this.ends.add(job)
   }
 
@@ -121,7 +121,7 @@
     for (const placement of [...job.placements.values()]) {
       if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.unplace(placement)
       else {
-        job.stop(placement, { reason: "cancelled", leewayS: 0, since })
+        job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since })
         this.events.commandsDue(placement.machine)
       }
     }
@@ -138,8 +138,8 @@
 
   private forget(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
-    job.over = true
-    this.placementWriter.ended(job)
+    job.finalized = true
+    this.placementWriter.discardFinishes(job)
     for (const placement of job.placements.values()) this.events.release(placement)
     this.events.forgotten(job)
     this.events.changed()
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -67,7 +67,7 @@
   const views: Array<JobView> = []
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
-    if (job.cancelled || job.complete) continue
+    if (job.cancelled || job.allFinished) continue
     const { request } = job
     const team = shard.node.platform.deployment.teams.find((t) => t.name === request.team)
     const suspect = shard.failures.isSuspect(job.id)
@@ -88,16 +88,16 @@
       request,
       rank: suspect ? SUSPECT_RANK : priorityRank[request.priority],
       queued: shard.failures.startable(job, now),
-      running: job.placements.size - job.leaving,
+      running: job.placements.size - job.stopping,
       zones,
       timeLeftS: timeLeft(shard, request, ageS, executionS),
       ageS,
       submitted: job.submitted,
       executionS,
       startWithinS: nextTarget(startTargets(shard, request.jobClass, executionS), ageS, 0),
-      unbegun: job.unbegun && !suspect,
+      unbegun: job.notStarted && !suspect,
       withinGuarantee: !suspect && team !== undefined && demand <= team.cpus,
-      mayStart: job.notBefore === null || now >= job.notBefore,
+      mayStart: job.retryAfter === null || now >= job.retryAfter,
       avoids: shard.failures.avoidedBy(job.id, now),
     })
   }
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -87,7 +87,7 @@
   const stopAll = (chosen: ReadonlyArray<Victim<Placement>>) => {
     for (const { placement, savesS } of chosen) {
       stopped.add(placement)
-      placement.job.stop(placement, { reason: "preempted", leewayS: savesS + 1, since: now })
+      placement.job.stop(placement, { reason: "preempted", gracePeriodS: savesS + 1, since: now })
       stoppedOn(placement.machine)
       shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -15,7 +15,7 @@
   tasksToBegin,
 } from "@sorreltally/planner"
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
-import type { Amount, ShareNeed } from "@sorreltally/quota"
+import type { AllocationDemand, QuotaAmount } from "@sorreltally/quota"
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { ShardView } from "./shard-context.ts"
 
@@ -123,7 +123,7 @@
   use: TeamRoom,
   quotas: ReadonlyArray<QuotaDemand>,
   unused: number,
-): ShareNeed => {
+): AllocationDemand => {
   const wall = shard.node.clocks.wallNow()
   const now = shard.node.clocks.monotonicNow()
   const demand = new Demand()
@@ -142,25 +142,25 @@
     left -= tasks * request.cores
     const suspect = shard.failures.isSuspect(job.id)
     demand.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[request.priority])
-    const waiting = { unbegun: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
+    const waiting = { unbegun: job.notStarted && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
     if (smallest === null || request.cores < smallest.cores) smallest = request
   }
   const asking = quotas.filter((q) => q.team === team.name)
   const others = (of: Demand) =>
     asking.some((q) => goesFirst(q, { shard: shard.name, team: team.name, rank: of.rank, since: of.since }))
-  const need = (of: Demand, asked: ShareNeed["asked"]): ShareNeed => ({
+  const need = (of: Demand, competingDemand: AllocationDemand["competingDemand"]): AllocationDemand => ({
     used: amountOf(use),
-    wanted: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
+    demanded: { cpus: use.cores + of.cpus, gpus: use.accelerators + of.gpus },
     smallestTask: smallest === null ? null : { cpus: smallest.cores, gpus: smallest.accelerators },
-    asked,
+    competingDemand,
   })
-  if (asking.length === 0) return need(demand, "no")
-  if (!others(demand)) return need(demand, "after")
+  if (asking.length === 0) return need(demand, "none")
+  if (!others(demand)) return need(demand, "lowerPriority")
   // Guards against work of low rank that never begins while other parts have more urgent work than
   // the limit holds: some tasks of a job that waited too long go before it.
-  if (starved.cpus + starved.gpus > 0 && !others(starved)) return need(starved, "after")
-  return need(demand, "first")
+  if (starved.cpus + starved.gpus > 0 && !others(starved)) return need(starved, "lowerPriority")
+  return need(demand, "higherPriority")
 }
 
-const amountOf = ({ cores, accelerators }: TeamRoom): Amount => ({ cpus: cores, gpus: accelerators })
+const amountOf = ({ cores, accelerators }: TeamRoom): QuotaAmount => ({ cpus: cores, gpus: accelerators })
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -173,7 +173,7 @@
           // and moves only when no task can be on it.
           if (session === undefined) job.clear(placement)
           else session.hold(placement)
-          if (job.cancelled) job.stop(placement, { reason: "cancelled", leewayS: 0, since: now })
+          if (job.cancelled) job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since: now })
         }
         this.registry.settle(job)
       }
@@ -304,7 +304,7 @@
         if (leftS >= checkpointSaveS + 3) continue
         placement.job.stop(placement, {
           reason: "drain",
-          leewayS: Math.max(checkpointSaveS, leftS),
+          gracePeriodS: Math.max(checkpointSaveS, leftS),
           since: now,
         })
         this.workers.commandsDue(session.id)
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -170,7 +170,7 @@
     node.publish(shard.name, {
       machines: machineNeeds(shard.name, decided.unplaced),
       quotas: quotaNeeds(shard, jobs, teams.startable, used, unused).filter(
-        ({ team }) => !this.shares.yields(team),
+        ({ team }) => !this.shares.isYielding(team),
       ),
       claims: teamClaims(shard, used, decided.claims),
     })
@@ -179,14 +179,14 @@
 
   private teamRooms(
     used: ReadonlyMap<TeamName, TeamRoom>,
-    claims: Parameters<QuotaAllocation["beyond"]>[2],
+    claims: Parameters<QuotaAllocation["rentable"]>[2],
   ): TeamRooms {
     const rooms: TeamRooms = { startable: new Map(), rentable: new Map() }
     for (const team of this.host.shard.node.platform.deployment.teams) {
       const { cores, accelerators } = used.get(team.name) ?? NOTHING
-      const beyond = this.shares.beyond(team, { cpus: cores, gpus: accelerators }, claims)
+      const beyond = this.shares.rentable(team, { cpus: cores, gpus: accelerators }, claims)
       rooms.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
-      const share = this.shares.share(team)
+      const share = this.shares.allocated(team)
       rooms.startable.set(team.name, {
         cores: share.cpus - cores,
         accelerators: share.gpus - accelerators,
@@ -293,7 +293,7 @@
     job.place(placement)
     session.hold(placement)
     registry.place(placement)
-    this.shares.started(job.request.team)
+    this.shares.taskStarted(job.request.team)
   }
 
   /** Once in a while, for those on call: how much room this part has and what waits for it. */
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -173,7 +173,7 @@
       const { placement } = outcome
       const { job } = placement
       if (outcome.kind === "running") {
-        job.began(placement, now)
+        job.markRunning(placement, now)
         this.of.node.log.debug("task running", {
           task: placement.task,
           jobClass: job.request.jobClass,
@@ -186,15 +186,15 @@
       roomChanged = true
       if (outcome.kind === "done") {
         job.finish(placement.index)
-        job.refusals = 0
-        job.notBefore = null
+        job.startRefusals = 0
+        job.retryAfter = null
         this.of.failures.succeeded(job.id, session.id)
         if (placement.runningSince !== null && placement.stop === null)
           this.of.node.estimates.learn(job.request, (now - placement.runningSince) / 1000)
       } else {
         job.clear(placement)
         const pauseMs = this.pauseAfter(outcome.cause, job, session, now)
-        if (pauseMs > 0) job.notBefore = addMs(now, pauseMs)
+        if (pauseMs > 0) job.retryAfter = addMs(now, pauseMs)
         this.of.node.log.debug("task left machine", {
           task: placement.task,
           machine: session.id,
@@ -210,8 +210,8 @@
     if (cause === "error") return this.failed(job, session, now)
     if (cause !== "insufficientResources" && cause !== "unknown") return 0
     // A start that is refused again and again is tried ever less often.
-    job.refusals++
-    return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(7, job.refusals))
+    job.startRefusals++
+    return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(7, job.startRefusals))
   }
   private failed(job: JobState, session: WorkerSession, now: MonotonicTime): number {
     const { failures, node } = this.of
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -39,25 +39,28 @@
 
 test("what a part wants of a limit is what its tasks use and what machines have room for", () => {
   const need = shareNeed(shard(job(1, 10)), team, use, [], 30)
-  assert.deepEqual([need.used.cpus, need.wanted.cpus, need.asked], [20, 48, "no"])
+  assert.deepEqual([need.used.cpus, need.demanded.cpus, need.competingDemand], [20, 48, "none"])
   assert.deepEqual(need.smallestTask, { cpus: 4, gpus: 0 })
   // No machine has room: quota would only lie idle.
-  assert.deepEqual(shareNeed(shard(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
+  assert.deepEqual(shareNeed(shard(job(1, 10)), team, use, [], 0).demanded.cpus, 20)
 })
 
 test("the more urgent part goes first, and so does the one whose work waits longer", () => {
   const mine = shard(job(1, 10, { priority: "standard" }))
-  assert.equal(shareNeed(mine, team, use, [asks(0)], 30).asked, "after")
-  assert.equal(shareNeed(mine, team, use, [asks(3)], 30).asked, "first")
+  assert.equal(shareNeed(mine, team, use, [asks(0)], 30).competingDemand, "lowerPriority")
+  assert.equal(shareNeed(mine, team, use, [asks(3)], 30).competingDemand, "higherPriority")
 })
 
 // Guards against work of low rank that never begins while other parts have more urgent work than the limit holds.
 test("of a job that waited too long a few tasks go before more urgent work of other parts", () => {
   const need = shareNeed(shard(job(1, 200)), team, use, [asks(3)], 400)
   // A twentieth of 40 tasks of 4 cores.
-  assert.deepEqual([need.wanted.cpus, need.asked], [28, "after"])
-  assert.equal(shareNeed(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
-  assert.equal(shareNeed(shard(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
+  assert.deepEqual([need.demanded.cpus, need.competingDemand], [28, "lowerPriority"])
+  assert.equal(
+    shareNeed(shard(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).competingDemand,
+    "higherPriority",
+  )
+  assert.equal(shareNeed(shard(job(1, 100)), team, use, [asks(3)], 400).competingDemand, "higherPriority")
 })
 
 test("what a part counts on of a limit is told in steps", () => {
@@ -73,7 +76,10 @@
   const limit = new Map([[red, { cores: 315, accelerators: 0 }]])
   // 315 of 320 cores are used by this part itself.
   const need = shareNeed(large, team, { cores: 315, accelerators: 0 }, [asks(0)], 400)
-  assert.deepEqual([need.wanted.cpus, need.smallestTask, need.asked], [315, null, "first"])
+  assert.deepEqual(
+    [need.demanded.cpus, need.smallestTask, need.competingDemand],
+    [315, null, "higherPriority"],
+  )
   const views = [
     {
       id: "run-000001",
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -145,12 +145,13 @@
   )
   const finished = record.finished.map(({ jobId }) => known(jobId))
   for (const job of finished)
-    for (let index = 0; index < job.taskCount; index++) if (job.isFinished(index)) job.unsaved.add(index)
+    for (let index = 0; index < job.taskCount; index++)
+      if (job.isFinished(index)) job.unsavedFinishes.add(index)
   const { epoch, number } = record.write
   const ledger = new PlacementLedger(LARGEST_SLOT_KB)
   // Each draft has the next write's number.
-  for (let n = 1; n < number; n++) ledger.draft(placements, finished, MOST_JOBS, epoch)
-  const draft = ledger.draft(placements, finished, MOST_JOBS, epoch)
+  for (let n = 1; n < number; n++) ledger.prepareWrite(placements, finished, MOST_JOBS, epoch)
+  const draft = ledger.prepareWrite(placements, finished, MOST_JOBS, epoch)
   return JSON.stringify(encodeRecord(SLOT, draft?.record))
 }
 
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -54,7 +54,7 @@
   const isThere = reported !== undefined && reported.attempt === attempt
   if (stop === null) return isThere || inherited ? null : { kind: "start", taskId, attempt }
   if (!isThere || reported.phase === "exited") return null
-  const gracePeriodS = Math.max(0, stop.leewayS - (now - stop.since) / 1000)
+  const gracePeriodS = Math.max(0, stop.gracePeriodS - (now - stop.since) / 1000)
   if (reported.phase === "checkpointing" && gracePeriodS > 0) return null
   return { kind: "stop", taskId, attempt, gracePeriodS }
 }
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -83,7 +83,7 @@
   return placement
 }
 const stop = (placement: Placement) => {
-  placement.stop = { reason: "cancelled", leewayS: 0, since: at(1) }
+  placement.stop = { reason: "cancelled", gracePeriodS: 0, since: at(1) }
 }
 const durable = () => true
 
--- a/scenarios/cancel-burst.sexp
+++ b/scenarios/cancel-burst.sexp
@@ -5,5 +5,5 @@
   (at 30 (crash host-0 4) (cancel-burst 4 12)) (at 31 (submit pieces 8 cores 4 run 20 due 200) (submit pieces 8 cores 4 run 20))
   (expect (all-over) (withdrawn 4) (happened burst 4) (happened burstHung 4) (happened closeAfterCancelled 60))
   (guard "packages/shard/src/shard-controller.ts"
-    "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", leewayS: 0, since: now })"
+    "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", gracePeriodS: 0, since: now })"
     ""))
--- a/scenarios/ends-lost-answers.sexp
+++ b/scenarios/ends-lost-answers.sexp
@@ -6,4 +6,4 @@
   (expect (all-over) (served) (happened lostReadByOthers 10) (happened lateAfterNewer 5)
     (happened endsTold 5) (happened endsCancelled 5) (happened closeAfterEnd 100))
   (guard "packages/jobs/src/job-store.ts" "when.push(...this.endsConditions(this.events.shardOf(request)))" "")
-  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(draft.done)," ""))
+  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.done)," ""))
--- a/scenarios/hand-over-and-back.sexp
+++ b/scenarios/hand-over-and-back.sexp
@@ -7,4 +7,4 @@
   (at 92 (cancel-burst 4 0)) (at 130 (end-each 1 0.2))
   (expect (all-over) (happened handBacks 4) (happened takeOvers 24) (happened cancelledAtHandOver 8))
   (guard "packages/shard/src/shard-controller.ts"
-    "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", leewayS: 0, since: now })" ""))
+    "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", gracePeriodS: 0, since: now })" ""))
--- a/scenarios/ran-cancelled.sexp
+++ b/scenarios/ran-cancelled.sexp
@@ -5,5 +5,5 @@
   (at 26 (cancel 1))
   (expect (withdrawn 2) (no-machine))
   (guard "packages/shard/src/job-registry.ts"
-    "job.stop(placement, { reason: \"cancelled\", leewayS: 0, since })"
+    "job.stop(placement, { reason: \"cancelled\", gracePeriodS: 0, since })"
     ""))
--- a/scenarios/slow-take-over.sexp
+++ b/scenarios/slow-take-over.sexp
@@ -5,4 +5,4 @@
   (at 22 (submit pieces 4 cores 4 run 20 due 300 zone b spot no) (submit pieces 4 cores 4 run 20 due 300 zone a spot no))
   (at 24 (crash-all 2))
   (expect (all-over))
-  (guard "packages/shard/src/job-registry.ts" "if (this.events.ready() && job.ended)" "if (job.ended)"))
+  (guard "packages/shard/src/job-registry.ts" "if (this.events.ready() && job.awaitsFinalState)" "if (job.awaitsFinalState)"))
