--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -140,11 +140,16 @@
     this.jobIndex.listen((id, job) => {
       if (job === null) this.progress.forget(id)
     })
-    this.jobStore = new JobStore(store, this.membership, this.jobIndex, {
-      changed: (entry, request) => this.jobChanged(entry, request),
-      cachedFinal: (id) => this.progress.finalStatus(id),
-      cacheFinal: (id, status) => this.progress.remember(id, status),
-      shardOf: (request) => this.shardOfJob(request),
+    this.jobStore = new JobStore({
+      store,
+      membership: this.membership,
+      jobIndex: this.jobIndex,
+      events: {
+        changed: (entry, request) => this.jobChanged(entry, request),
+        cachedFinal: (id) => this.progress.finalStatus(id),
+        cacheFinal: (id, status) => this.progress.remember(id, status),
+        shardOf: (request) => this.shardOfJob(request),
+      },
     })
     this.inventory = new CloudInventory(
       cloud,
--- a/packages/jobs/src/failure-tracker.ts
+++ b/packages/jobs/src/failure-tracker.ts
@@ -1,7 +1,8 @@
 /**
- * Two suspects for one failed task: its job, which may have been submitted with
- * a mistake and fails everywhere, and its machine, which may be faulty. Who
- * failed where, and who succeeded elsewhere since, tells them apart.
+ * Owns the judgement whether a failed task is due to its job, which may have
+ * been submitted with a mistake and fails everywhere, or to its machine, which
+ * may be faulty. Which jobs failed where, and which succeeded elsewhere since,
+ * distinguishes them. It never stops a job or releases a machine itself.
  */
 
 import { addMs, type JobId, type MachineId, type MonotonicTime } from "@sorreltally/protocol"
@@ -11,14 +12,14 @@
 const SUSPECT_AFTER_MACHINES = 2
 /** A machine on which this many jobs failed that succeeded elsewhere is faulty. */
 const FAULTY_AFTER_JOBS = 2
-/** Tasks of a suspected job that are tried at a time. */
+/** Tasks of a suspect job that are tried at a time. */
 const MAX_PROBE_TASKS = 1
-/** Below the rank of any urgency: a suspected job delays no other. */
+/** Below the rank of any priority: a suspect job delays no other. */
 export const SUSPECT_RANK = -1
-/** A job leaves a machine on which it failed alone for this long, or until it is suspected itself. */
+/** A job leaves a machine on which it failed alone for this long, or until it is suspect itself. */
 const AVOID_MS = 30_000
 const INITIAL_BACKOFF_MS = 500
-/** So that a job that no longer fails is noticed. */
+/** Bounded, so that a job that no longer fails is noticed. */
 const MAX_BACKOFF_MS = 30_000
 
 interface JobFailures {
@@ -27,13 +28,13 @@
   count: number
 }
 
-/** The failures of one part's tasks, as far as they still say something. */
+/** The failures of one shard's tasks, as far as they still distinguish jobs from machines. */
 export class FailureTracker {
   private readonly byJob = new Map<JobId, JobFailures>()
   /** Jobs that failed on a machine and succeeded on another since. */
   private readonly provenElsewhere = new Map<MachineId, Set<JobId>>()
 
-  /** A task of the job failed by itself. Returns how long the job has to pause. */
+  /** A task of the job failed by itself. Returns how long the job has to pause, in ms; 0: it needn't. */
   failed(job: JobId, machine: MachineId, now: MonotonicTime): number {
     const failures = this.byJob.get(job) ?? { machines: new Map<MachineId, MonotonicTime>(), count: 0 }
     this.byJob.set(job, failures)
@@ -43,7 +44,7 @@
     return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(10, failures.count))
   }
 
-  /** A task of the job completed: the job has no mistake, and where it failed before is suspected. */
+  /** A task of the job completed: the job has no mistake, and where it failed before is suspect. */
   succeeded(job: JobId, machine: MachineId): void {
     this.provenElsewhere.delete(machine)
     for (const failedOn of this.byJob.get(job)?.machines.keys() ?? []) {
@@ -55,15 +56,20 @@
     this.byJob.delete(job)
   }
 
+  /** Whether the job probably has a mistake. */
   isSuspect(job: JobId): boolean {
     return (this.byJob.get(job)?.machines.size ?? 0) >= SUSPECT_AFTER_MACHINES
   }
-  /** Guards against machines that are given back for the errors of jobs with a mistake: those succeed nowhere. */
+
+  /**
+   * Whether the machine probably is faulty. Guards against machines that are
+   * released for the errors of jobs with a mistake: those succeed nowhere.
+   */
   isFaulty(machine: MachineId): boolean {
     return (this.provenElsewhere.get(machine)?.size ?? 0) >= FAULTY_AFTER_JOBS
   }
 
-  /** Machines on which the job failed a moment ago, unless it is suspected itself. */
+  /** Machines on which the job failed a moment ago, unless it is suspect itself. */
   avoidedBy(job: JobId, now: MonotonicTime): ReadonlySet<MachineId> {
     const failures = this.byJob.get(job)
     if (failures === undefined || this.isSuspect(job)) return NO_MACHINES
@@ -72,8 +78,9 @@
   }
 
   /**
-   * Queued tasks that machines, quota and rentals may be asked for. Guards against a
-   * job with a mistake for whose whole queue machines are rented again and again.
+   * Queued tasks that machines, quota and rentals may be demanded for. Guards
+   * against a job with a mistake for whose whole queue machines are rented
+   * again and again.
    */
   startable(job: JobState, now: MonotonicTime): number {
     if (!this.isSuspect(job.id)) return job.queued
@@ -81,9 +88,12 @@
     return Math.min(job.queued, Math.max(0, MAX_PROBE_TASKS - job.placements.size))
   }
 
+  /** The job is over: its failures no longer matter. */
   forgetJob(job: JobId): void {
     this.byJob.delete(job)
   }
+
+  /** What failed on the machine no longer matters. */
   forgetMachine(machine: MachineId): void {
     this.provenElsewhere.delete(machine)
   }
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -1,10 +1,15 @@
+/**
+ * Owns the writes of final states for one shard's jobs, and the folding of
+ * crowded job pages. It never writes the end of a job on its own word alone:
+ * each write is fenced by the shard epoch, by the ends page's revision, and
+ * for a job that is done by the revision of its job page.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
 import { addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/protocol"
 import { interpolateByLoad } from "@sorreltally/rate-limit"
 import {
   type Condition,
-  type FinalStates,
   type JobEnd,
   type JobPage,
   keys,
@@ -14,80 +19,76 @@
   type StoreKey,
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
+import { addEnds, type EndsAddition, type EndsPageContent, endsPages, neededContent } from "./ends-pages.ts"
 import type { JobIndex } from "./job-index.ts"
-import { digitsOf, finalStateBytes, idOf } from "./job-pages.ts"
+import { idOf } from "./job-pages.ts"
 import type { JobState } from "./job-state.ts"
-import { endsPages } from "./job-store.ts"
-import { pageConditions } from "./placement-writer.ts"
+import { pageConditions } from "./page-conditions.ts"
 
 /** Ends that come within this time of the last write go together: users expect to hear of one within 3 s. */
 const CALM_SPACING_MS = 500
 const BUSY_SPACING_MS = 1_300
 const PAUSE_MS = 150
 const IDLE_MS = 5_000
-/** From this share on, the owner folds job pages itself instead of leaving that to their next writers. */
-const COMPACTION_THRESHOLD = 0.6
+/** From this fraction of their capacity on, the owner folds job pages itself instead of leaving that to their next writers. */
+const FOLD_THRESHOLD = 0.6
 /** A page is sent to every controller at each write: it isn't made as large as it may be. */
 const MAX_PAGE_BYTES = 3_072
 const FRAME_BYTES = 128
-/** Besides those on job pages: on the part and on the ends page. */
-const OWN_CONDITIONS = 2
 
+/** What becomes of the ends that are written. */
 export interface JobEndsEvents {
-  /** These jobs are over, durably. */
+  /** These jobs have durable final states. */
   readonly ended: (ends: ReadonlyArray<JobEnd>) => void
-  /** Writes a page of the job table anew without the jobs that are over. */
+  /** Writes a job page anew without the jobs that are over. */
   readonly fold: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
 
-/** An ends page in the making. */
-interface EndsPageWrite {
-  readonly path: StoreKey<FinalStates>
-  readonly before: ModRevision
-  readonly page: FinalStates
-  /** Its done jobs: the write is conditioned on their pages, lest one is cancelled meanwhile. */
-  readonly done: ReadonlySet<JobState>
-  readonly jobs: ReadonlyArray<JobState>
+/** What a shard's writer of final states works with. */
+export interface JobEndsOptions {
+  readonly shard: ShardName
+  /** Of the ownership on whose behalf ends are written; it fences every write. */
+  readonly epoch: ModRevision
+  readonly store: StoreClient
+  readonly membership: Pick<Membership, "replica" | "readBarrier">
+  readonly jobIndex: JobIndex
+  readonly now: () => MonotonicTime
+  /** False while the node must not write on the shard's behalf. */
+  readonly active: () => boolean
+  readonly events: JobEndsEvents
 }
-interface EndsPageContent {
-  readonly path: StoreKey<FinalStates>
-  readonly done: Array<string>
-  readonly cancelled: Array<string>
-  bytes: number
+
+/** The next write of an ends page. */
+interface EndsPageWrite extends EndsAddition {
+  readonly key: EndsPageContent["key"]
+  /** The page's revision that the write is made on. */
+  readonly before: ModRevision
 }
 
 /**
- * Writes down the ends of one part's jobs: one put for all that ended of late.
- * An ends page names jobs until their records are off the job pages; what is
- * no longer needed goes with the next write.
+ * Writes the final states of one shard's jobs: one put for all that ended of
+ * late. An ends page names jobs until their records are off the job pages;
+ * what is no longer needed is left out of the next write.
  */
 export class JobEnds {
   private readonly waiting = new Set<JobState>()
-  private readonly signal = new Signal()
-  /** The ends pages hold more than before. */
+  private readonly jobAdded = new Signal()
   private readonly endsPagesGrew = new Signal()
-  private wroteAt: MonotonicTime = NEVER
-  private readonly pageBytes: number
-
-  constructor(
-    private readonly shard: ShardName,
-    private readonly epoch: ModRevision,
-    private readonly store: StoreClient,
-    private readonly membership: Pick<Membership, "replica" | "readBarrier">,
-    private readonly jobIndex: JobIndex,
-    private readonly now: () => MonotonicTime,
-    private readonly active: () => boolean,
-    private readonly events: JobEndsEvents,
-  ) {
-    this.pageBytes = Math.min(store.limits.valueKb * 1024, MAX_PAGE_BYTES) - FRAME_BYTES
+  private lastWriteAt: MonotonicTime = NEVER
+  private readonly maxPageBytes: number
+
+  constructor(private readonly options: JobEndsOptions) {
+    const { valueKb } = options.store.limits
+    this.maxPageBytes = Math.min(valueKb * 1024, MAX_PAGE_BYTES) - FRAME_BYTES
   }
 
-  /** Nothing is left to do for the job but to write its end down. */
+  /** Nothing is left to do for the job but to write its final state. */
   add(job: JobState): void {
     this.waiting.add(job)
-    this.signal.notify()
+    this.jobAdded.notify()
   }
 
+  /** Writes and folds until it is interrupted. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.all([this.writeLoop(), this.foldLoop()], { concurrency: "unbounded", discard: true }),
   )
@@ -95,92 +96,91 @@
   private writeLoop() {
     return Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.waiting.size === 0) yield* this.signal.wait(IDLE_MS)
-        if (!this.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.waiting.size > 0) yield* this.write()
+        if (this.waiting.size === 0) yield* this.jobAdded.wait(IDLE_MS)
+        if (!this.options.active()) return yield* Effect.sleep(PAUSE_MS)
+        if (this.waiting.size > 0) yield* this.writeWaiting()
       }),
     )
   }
 
-  private write() {
+  private writeWaiting() {
     return Effect.gen({ self: this }, function* () {
-      const spacingMs = interpolateByLoad(this.store.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
-      const pauseMs = addMs(this.wroteAt, spacingMs) - this.now()
-      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.store.awaitWriteCapacity(1, 2)
-      this.wroteAt = this.now()
-      // What a watch or a hint has told of since is over already.
+      yield* this.awaitTurn()
+      // What a watch event or a hint has made known since is over already.
       for (const job of this.waiting) if (job.finalized) this.waiting.delete(job)
       const write = this.prepareWrite()
       if (write === null) return yield* Effect.sleep(PAUSE_MS)
-      const { path, before, page } = write
-      const when: Array<Condition> = [
-        { key: keys.shard(this.shard), modRevision: this.epoch },
-        { key: path, modRevision: before },
-        ...pageConditions(write.done),
-      ]
-      const written = yield* Effect.result(this.store.compareAndSwap(when, [put(path, page)], "reserved"))
-      const { replica, readBarrier } = this.membership
+      const { key, page } = write
+      const { store, membership } = this.options
+      const written = yield* Effect.result(
+        store.compareAndSwap(this.conditionsOf(write), [put(key, page)], "reserved"),
+      )
       if (Result.isSuccess(written) && written.success.ok) {
-        replica.hint({ key: path, value: page, modRevision: written.success.revision })
+        membership.replica.hint({ key, value: page, modRevision: written.success.revision })
         this.endsPagesGrew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
         yield* Effect.sleep(PAUSE_MS)
-        const fresh = yield* Effect.result(readBarrier.since)
+        const fresh = yield* Effect.result(membership.readBarrier.since)
         if (Result.isFailure(fresh)) return
       }
       this.settle(write.jobs)
     })
   }
 
-  /** Those whose end is on record, by whichever write. */
+  /** Until the last write is long enough ago, and the store has capacity for another one. */
+  private awaitTurn() {
+    return Effect.gen({ self: this }, function* () {
+      const { store, now } = this.options
+      const spacingMs = interpolateByLoad(store.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
+      const pauseMs = addMs(this.lastWriteAt, spacingMs) - now()
+      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
+      yield* store.awaitWriteCapacity(1, 2)
+      this.lastWriteAt = now()
+    })
+  }
+
+  /** Null when no job waits. */
+  private prepareWrite(): EndsPageWrite | null {
+    const emptiest = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
+    const { store, membership } = this.options
+    const addition = addEnds(emptiest, this.waiting, this.maxPageBytes, store.limits)
+    if (addition.jobs.length === 0) return null
+    const { key } = emptiest
+    return { ...addition, key, before: membership.replica.modRevision(key) }
+  }
+
+  private conditionsOf(write: EndsPageWrite): ReadonlyArray<Condition> {
+    const { key, before } = write
+    const { shard, epoch } = this.options
+    return [
+      { key: keys.shard(shard), modRevision: epoch },
+      { key, modRevision: before },
+      ...pageConditions(write.doneJobs),
+    ]
+  }
+
+  /** Reports the jobs whose final state is on record, by whichever write. */
   private settle(jobs: ReadonlyArray<JobState>): void {
     const ends: Array<JobEnd> = []
     for (const job of jobs) {
-      const status = this.jobIndex.endOf(job.id)
+      const status = this.options.jobIndex.endOf(job.id)
       if (status === null) continue
       this.waiting.delete(job)
       ends.push({ id: job.id, status })
     }
-    if (ends.length > 0) this.events.ended(ends)
+    if (ends.length > 0) this.options.events.ended(ends)
   }
 
-  private prepareWrite(): EndsPageWrite | null {
-    const content = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
-    const done = new Set<JobState>()
-    const jobs: Array<JobState> = []
-    const most = 4 * this.store.limits.maxOperations - OWN_CONDITIONS
-    for (const job of this.waiting) {
-      const digits = digitsOf(job.id)
-      if (content.bytes + finalStateBytes(digits) > this.pageBytes) break
-      if (!job.cancelled && done.size >= most) continue
-      content.bytes += finalStateBytes(digits)
-      jobs.push(job)
-      if (job.cancelled) content.cancelled.push(digits)
-      else {
-        content.done.push(digits)
-        done.add(job)
-      }
-    }
-    if (jobs.length === 0) return null
-    const { path } = content
-    const page: FinalStates = { done: content.done, cancelled: content.cancelled }
-    return { path, before: this.membership.replica.modRevision(path), page, done, jobs }
-  }
-  /** The part's ends pages, as far as they are still needed. */
+  /** The shard's ends pages, as far as they are still needed. */
   private endsPageContents(): ReadonlyArray<EndsPageContent> {
-    // An end is needed as long as the job's record stands in its page: without it, the job would seem to live.
-    const needed = (digits: string) => this.jobIndex.isOnRecord(idOf(digits))
-    return endsPages(this.shard, this.store.limits).map((path) => {
-      const page = this.membership.replica.get(path)?.value
-      const done = (page?.done ?? []).filter(needed)
-      const cancelled = (page?.cancelled ?? []).filter(needed)
-      let bytes = 0
-      for (const digits of [...done, ...cancelled]) bytes += finalStateBytes(digits)
-      return { path, done, cancelled, bytes }
-    })
+    const { shard, store, membership, jobIndex } = this.options
+    // A final state is needed as long as the job's record stands in its page: without it, the job would seem to live.
+    const isNeeded = (digits: string) => jobIndex.isOnRecord(idOf(digits))
+    return endsPages(shard, store.limits).map((key) =>
+      neededContent(key, membership.replica.get(key)?.value, isNeeded),
+    )
   }
 
   private foldLoop() {
@@ -188,22 +188,23 @@
       Effect.gen({ self: this }, function* () {
         yield* this.endsPagesGrew.wait(IDLE_MS)
         for (;;) {
-          const page = this.active() ? this.pageToCompact() : null
+          const page = this.options.active() ? this.pageToFold() : null
           if (page === null) return
-          const folded = yield* Effect.result(this.events.fold(page))
+          const folded = yield* Effect.result(this.options.events.fold(page))
           if (Result.isFailure(folded)) return
         }
       }),
     )
   }
-  /** A job page to be freed of its jobs that are over; null while there is room enough. */
-  private pageToCompact(): StoreKey<JobPage> | null {
+
+  /** The job page that holds most of the jobs that are over; null while the ends pages aren't crowded. */
+  private pageToFold(): StoreKey<JobPage> | null {
     const contents = this.endsPageContents()
     const bytes = contents.reduce((sum, content) => sum + content.bytes, 0)
-    if (bytes < COMPACTION_THRESHOLD * contents.length * this.pageBytes) return null
+    if (bytes < FOLD_THRESHOLD * contents.length * this.maxPageBytes) return null
     const counts = new Map<StoreKey<JobPage>, number>()
-    for (const digits of contents.flatMap(({ done, cancelled }) => [...done, ...cancelled])) {
-      const page = this.jobIndex.pageOf(idOf(digits))
+    for (const digits of contents.flatMap(({ page }) => [...page.done, ...page.cancelled])) {
+      const page = this.options.jobIndex.pageOf(idOf(digits))
       if (page !== null) counts.set(page, (counts.get(page) ?? 0) + 1)
     }
     let fullest: StoreKey<JobPage> | null = null
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -1,3 +1,8 @@
+/**
+ * Owns the view of all jobs by id, kept up with this node's replica of job
+ * pages and ends pages. It never changes a page, and knows no more than the
+ * replica does: whoever needs what is so now passes the read barrier first.
+ */
 import type { Replica } from "@sorreltally/membership"
 import type { JobId, ModRevision } from "@sorreltally/protocol"
 import {
@@ -20,14 +25,14 @@
   readonly page: StoreKey<JobPage>
   readonly modRevision: ModRevision
 }
-/** One page of a bucket, as this node's mirror has it. */
+/** One page of a bucket, as this node's replica has it. */
 export interface PageEntry extends Entry<JobPage> {
   readonly key: StoreKey<JobPage>
 }
-/** Null: the job is over. */
+/** Is called at each change of a job; null: the job is over. */
 export type JobListener = (id: JobId, job: LiveJob | null) => void
 
-/** Every job on record, job by job: job pages and ends pages as this node's mirror has them. */
+/** Every job on record, as this node's replica has it. */
 export class JobIndex {
   /** Jobs whose records stand in a page, over or not. */
   private readonly onRecord = new Map<JobId, LiveJob>()
@@ -37,8 +42,8 @@
   private readonly listeners = new Set<JobListener>()
 
   constructor(private readonly replica: Replica) {
-    replica.listen(JOB_PAGES, (path, entry) => this.pageChanged(path, entry))
-    replica.listen(ENDS_PAGES, (path, entry) => this.endsChanged(path, entry))
+    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key, entry))
+    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key, entry))
   }
 
   /** Returns how to stop listening. */
@@ -46,74 +51,85 @@
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
   }
+
+  /** All jobs that aren't over. */
   *live(): Iterable<LiveJob> {
     for (const job of this.onRecord.values()) if (!this.ends.has(job.id)) yield job
   }
+
+  /** The job, if it is on record and not over. */
   get(id: JobId): LiveJob | null {
     return this.ends.has(id) ? null : (this.onRecord.get(id) ?? null)
   }
-  /** Does a page still hold its record, though it may be over? */
+
+  /** Whether a page still holds its record, though it may be over. */
   isOnRecord(id: JobId): boolean {
     return this.onRecord.has(id)
   }
-  /** The page that holds its record. */
+
+  /** The page that holds its record; null when none does. */
   pageOf(id: JobId): StoreKey<JobPage> | null {
     return this.onRecord.get(id)?.page ?? null
   }
-  /** How an ends page says that it ended. */
+
+  /** The final status that an ends page gives it; null when none names it. */
   endOf(id: JobId): FinalStatus | null {
     return this.ends.get(id) ?? null
   }
+
   /** The pages of a bucket: there is no gap between them, as none is ever deleted. */
   pages(bucket: number): ReadonlyArray<PageEntry> {
     const pages: Array<PageEntry> = []
     for (;;) {
-      const path = keys.jobPage(bucket, pages.length)
-      const entry = this.replica.get(path)
+      const key = keys.jobPage(bucket, pages.length)
+      const entry = this.replica.get(key)
       if (entry === null) return pages
       pages.push(entry as PageEntry)
     }
   }
-  /** Its final state, as ends pages or the pages of its bucket tell it. */
+
+  /** Its final status by the ends pages or the given pages of its bucket; null when neither has one. */
   finalOf(id: JobId, pages: ReadonlyArray<PageEntry>): FinalStatus | null {
     const end = this.endOf(id)
     if (end !== null) return end
-    for (const { value: v } of pages) {
-      const final = finalIn(v, id)
+    for (const { value } of pages) {
+      const final = finalIn(value, id)
       if (final !== null) return final
     }
     return null
   }
 
-  private pageChanged(path: string, entry: Entry | null): void {
+  private pageChanged(key: string, entry: Entry | null): void {
     const page = entry === null ? EMPTY_PAGE : (entry.value as JobPage)
-    const before = this.idsByJobPage.get(path) ?? []
+    const before = this.idsByJobPage.get(key) ?? []
     const now = page.jobs.map((job) => job.spec.id)
-    this.idsByJobPage.set(path, now)
+    this.idsByJobPage.set(key, now)
     for (const record of page.jobs) {
       const { id } = record.spec
-      const job: LiveJob = { id, record, page: path as StoreKey<JobPage>, modRevision: entry!.modRevision }
+      const job: LiveJob = { id, record, page: key as StoreKey<JobPage>, modRevision: entry!.modRevision }
       this.onRecord.set(id, job)
       if (!this.ends.has(id)) this.notify(id, job)
     }
-    const left = new Set(now)
+    const remaining = new Set(now)
     for (const id of before) {
-      if (left.has(id)) continue
+      if (remaining.has(id)) continue
       this.onRecord.delete(id)
       if (!this.ends.has(id)) this.notify(id, null)
     }
   }
-  private endsChanged(path: string, entry: Entry | null): void {
+
+  private endsChanged(key: string, entry: Entry | null): void {
     const page: FinalStates = entry === null ? EMPTY_PAGE : (entry.value as FinalStates)
-    const before = this.idsByEndsPage.get(path) ?? []
+    const before = this.idsByEndsPage.get(key) ?? []
     const now: Array<JobId> = []
     for (const digits of page.done) now.push(this.recordEnd(idOf(digits), "done"))
     for (const digits of page.cancelled) now.push(this.recordEnd(idOf(digits), "cancelled"))
-    this.idsByEndsPage.set(path, now)
+    this.idsByEndsPage.set(key, now)
     // An ends page names a job until no job page holds its record.
-    const left = new Set(now)
-    for (const id of before) if (!left.has(id)) this.ends.delete(id)
+    const remaining = new Set(now)
+    for (const id of before) if (!remaining.has(id)) this.ends.delete(id)
   }
+
   private recordEnd(id: JobId, status: FinalStatus): JobId {
     if (!this.ends.has(id)) {
       this.ends.set(id, status)
@@ -121,6 +137,7 @@
     }
     return id
   }
+
   private notify(id: JobId, job: LiveJob | null): void {
     for (const listener of this.listeners) listener(id, job)
   }
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -1,3 +1,8 @@
+/**
+ * Owns what one shard's owner knows of a job's tasks. It never does I/O, and
+ * never frees a task from its machine: a placement counts until whoever has
+ * the proof that the task is off the machine clears it.
+ */
 import type {
   AgentEpoch,
   Attempt,
@@ -23,7 +28,7 @@
   durable: boolean
   /**
    * Made by a former owner. It may be older than what that owner knew, so it
-   * is never started anew: either the machine shows the task, or the task is
+   * is never started anew: either the machine reports the task, or the task is
    * surely off it.
    */
   readonly inherited: boolean
@@ -31,9 +36,10 @@
   stop: { readonly reason: StopReason; readonly gracePeriodS: number; readonly since: MonotonicTime } | null
   readonly placedAt: MonotonicTime
   runningSince: MonotonicTime | null
-  /** How often the worker was told to start it, and nothing came of it. */
+  /** How often the worker was commanded to start it without effect. */
   unacknowledgedStarts: number
 }
+/** Why a task is to leave its machine. */
 type StopReason = "cancelled" | "preempted" | "drain"
 
 /** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
@@ -46,22 +52,25 @@
   /** Tasks that were placed once and are to run again. */
   private readonly requeued: Array<number> = []
   private nextUnplaced = 0
-  /** Finished tasks of which the state service doesn't know yet. */
+  /** Finished tasks that the store doesn't know of yet. */
   readonly unsavedFinishes = new Set<number>()
-  /** When a failed or refused task may be tried again, and how often starts were refused since one succeeded. */
+  /** When a failed or refused task may be tried again; null: at once. */
   retryAfter: MonotonicTime | null = null
+  /** How often starts were refused since one succeeded. */
   startRefusals = 0
+  /** Its cancellation is durable. */
   cancelled: boolean
-  /** Its end is durable. */
+  /** Its final state is durable. */
   finalized = false
-  /** Placed tasks that run, and those that are to leave their machine. */
+  /** Placed tasks that run. */
   running = 0
+  /** Placed tasks that are to leave their machine. */
   stopping = 0
 
   constructor(
     readonly id: JobId,
     record: JobRecord,
-    /** The page of the job table that holds its record, and that page's last change. */
+    /** The job page that holds its record, and that page's latest known revision. */
     readonly page: StoreKey<JobPage>,
     public modRevision: ModRevision,
   ) {
@@ -74,27 +83,38 @@
   get taskCount(): number {
     return this.request.taskCount
   }
+
+  /** How many tasks are finished. */
   get done(): number {
     return this.finishedCount
   }
+
+  /** How many tasks are neither finished nor placed. */
   get queued(): number {
     return this.taskCount - this.finishedCount - this.placements.size
   }
-  /** No task of it ever began. */
+
+  /** Whether no task of it is placed or finished. */
   get notStarted(): boolean {
     return this.placements.size === 0 && this.finishedCount === 0
   }
+
+  /** Whether every task is finished. */
   get allFinished(): boolean {
     return this.finishedCount === this.taskCount
   }
-  /** Nothing is left to do but to write its end down. */
+
+  /** Whether nothing is left to do but to write its final state. */
   get awaitsFinalState(): boolean {
     return this.allFinished || (this.cancelled && this.placements.size === 0)
   }
+
+  /** Whether that task is finished, durably or not. */
   isFinished(index: number): boolean {
     return this.finished[index] === 1
   }
-  /** A finished task whose finish the state service knows: its result may be forgotten. */
+
+  /** Whether the store knows that the task is finished: the worker may purge it. */
   finishIsDurable(index: number): boolean {
     return this.isFinished(index) && !this.unsavedFinishes.has(index)
   }
@@ -110,23 +130,31 @@
     }
     return null
   }
+
+  /** The task is placed: it counts from now on. */
   place(placement: Placement): void {
     this.placements.set(placement.index, placement)
   }
+
+  /** The machine reports that the task runs. */
   markRunning(placement: Placement, now: MonotonicTime): void {
     placement.runningSince = now
     this.running++
   }
+
   /** The task is to leave its machine. */
   stop(placement: Placement, stop: NonNullable<Placement["stop"]>): void {
     if (placement.stop === null) this.stopping++
     placement.stop = stop
   }
+
   /** The task is off its machine without having finished. */
   clear(placement: Placement): void {
     if (!this.remove(placement)) return
     this.requeued.push(placement.index)
   }
+
+  /** The task finished; its finish isn't durable yet. */
   finish(index: number): void {
     const placement = this.placements.get(index)
     if (placement !== undefined) this.remove(placement)
@@ -134,6 +162,7 @@
     this.markFinished(index)
     this.unsavedFinishes.add(index)
   }
+
   private remove(placement: Placement): boolean {
     if (this.placements.get(placement.index) !== placement) return false
     this.placements.delete(placement.index)
@@ -141,12 +170,13 @@
     if (placement.stop !== null) this.stopping--
     return true
   }
+
   private markFinished(index: number): void {
     this.finished[index] = 1
     this.finishedCount++
   }
 
-  /** Takes over what a former owner wrote. */
+  /** Adopts finishes that a former owner wrote. */
   restoreFinished(first: number, count: number): void {
     for (let index = first; index < Math.min(this.taskCount, first + count); index++) {
       if (this.isFinished(index)) continue
@@ -154,6 +184,8 @@
       this.placements.delete(index)
     }
   }
+
+  /** Adopts a placement that a former owner wrote. */
   restorePlaced(placement: Placement): void {
     if (this.isFinished(placement.index)) return
     const other = this.placements.get(placement.index)
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -1,3 +1,14 @@
+/**
+ * Owns the acceptance, the lookup and the cancellation of jobs, from any node.
+ * It never answers from the replica alone where the answer could be older than
+ * the question, and never changes a page but on the revision it was read at.
+ *
+ * Why no job is accepted twice, lost or revived: an acceptance is conditioned
+ * on every page of the job's bucket, and on there being no further one, so of
+ * several nodes that accept the same id one succeeds, and a late copy fails. A
+ * cancellation is conditioned on its job page, and on all ends pages of the
+ * job's shard: it fails if any node may have reported the job as done.
+ */
 import type { Membership } from "@sorreltally/membership"
 import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/protocol"
 import {
@@ -13,9 +24,9 @@
   type StoreClient,
   StoreError,
   type StoreKey,
-  type StoreLimits,
 } from "@sorreltally/store"
 import { Effect } from "effect"
+import { endsPages } from "./ends-pages.ts"
 import type { JobIndex, PageEntry } from "./job-index.ts"
 import {
   addJob,
@@ -28,20 +39,10 @@
   foldEnds,
 } from "./job-pages.ts"
 
-/**
- * The keys of a part's ends pages: together they hold the ends that wait to be
- * folded into job pages. A cancellation is conditioned on all of them.
- */
-export const endsPages = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
-  const conditions = CONDITIONS_PER_OPERATION * limits.maxOperations - 1
-  return Array.from({ length: Math.min(ENDS_PAGES_PER_SHARD, conditions) }, (_, n) => keys.endsPage(shard, n))
-}
-const ENDS_PAGES_PER_SHARD = 4
-/** Of a transaction, by the protocol. */
-const CONDITIONS_PER_OPERATION = 4
+/** Operations of a write that moves final states to the archive. */
 const ARCHIVING_OPERATIONS = 2
-/** What a write that can't be made is answered with: a state service would say the same. */
-const TOO_LARGE = 413
+/** The status of a record that fits no value: the store itself would refuse it so. */
+const VALUE_TOO_LARGE = 413
 
 /** A job page as it is to be, and the operations that make it so. */
 interface PageWrites {
@@ -49,38 +50,53 @@
   readonly operations: ReadonlyArray<Operation>
 }
 
-/** What is known of a job. */
+/** What is known of a job: its record while it is live, its final status for good; `none`: never accepted. */
 export type JobLookup =
   | { readonly kind: "live"; readonly record: JobRecord }
   | { readonly kind: "final"; readonly status: FinalStatus }
   | { readonly kind: "none" }
-/** `accepted`: just now, by this call. */
+/** The answer to a submission; `accepted`: just now, by this call. */
 export type Acceptance = JobLookup | { readonly kind: "accepted" }
 
+/** What the node does and knows beside the job store. */
 export interface JobStoreEvents {
-  /** A page was written: the owner of this job should know before the watch tells it. */
-  readonly changed: (entry: Entry, request: JobSpec) => Effect.Effect<void>
-  /** Final answers known already; they hold for good. */
+  /** A page was written: the owner of this job should know before the watch event comes. */
+  readonly changed: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
+  /** A final status that was found before; it holds for good. */
   readonly cachedFinal: (id: JobId) => FinalStatus | null
   readonly cacheFinal: (id: JobId, status: FinalStatus) => void
-  readonly shardOf: (request: JobSpec) => ShardName
+  readonly shardOf: (spec: JobSpec) => ShardName
+}
+
+/** What a job store works with. */
+export interface JobStoreOptions {
+  readonly store: StoreClient
+  readonly membership: Pick<Membership, "readBarrier" | "replica">
+  readonly jobIndex: JobIndex
+  readonly events: JobStoreEvents
 }
 
 /**
- * Accepts, looks up and cancels jobs in the state service. Each write replaces
- * one page on the stamp that it was read at, so that of several writers of a
- * bucket one succeeds, and a late copy fails.
+ * Accepts, looks up and cancels jobs in the store. Each write replaces one
+ * page on the revision that it was read at, so that of several writers of a
+ * bucket one succeeds, and a late copy fails. Its methods fail with what the
+ * store's client failed with.
  */
 export class JobStore {
-  constructor(
-    private readonly store: StoreClient,
-    private readonly membership: Pick<Membership, "readBarrier" | "replica">,
-    private readonly jobIndex: JobIndex,
-    private readonly events: JobStoreEvents,
-  ) {}
+  private readonly store: StoreClient
+  private readonly membership: JobStoreOptions["membership"]
+  private readonly jobIndex: JobIndex
+  private readonly events: JobStoreEvents
+
+  constructor({ store, membership, jobIndex, events }: JobStoreOptions) {
+    this.store = store
+    this.membership = membership
+    this.jobIndex = jobIndex
+    this.events = events
+  }
 
   /**
-   * What is so now, not what was so when we last heard. A job only ever moves
+   * What is so now, not what the replica had heard before the question. A job only ever moves
    * from its page's records to an ends page, to its page's final states, to
    * the archive; looked up in this order, none accepted before is missed.
    */
@@ -95,27 +111,27 @@
     })
   }
 
-  /** Conditioned on every page of the bucket: nobody else can accept the same id meanwhile. */
+  /**
+   * Accepts the job unless its id is known. Conditioned on every page of the
+   * bucket: no other node can accept the same id meanwhile.
+   */
   accept(record: JobRecord): Effect.Effect<Acceptance, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const { spec: request } = record
+      const { spec } = record
       for (;;) {
-        // The mirror may lag here: the conditions fail if it does.
-        const pages = this.jobIndex.pages(bucketOf(request.id))
-        const seen = yield* this.lookUp(request.id)
-        if (seen.kind !== "none") return yield* this.find(request.id)
+        // The replica may lag here: the conditions fail if it does.
+        const pages = this.jobIndex.pages(bucketOf(spec.id))
+        const seen = yield* this.lookUp(spec.id)
+        if (seen.kind !== "none") return yield* this.find(spec.id)
         const target = this.pageFor(record, pages)
         if (target === null) return yield* Effect.fail(tooLarge)
-        const when: Array<Condition> = pages.map(({ key: path, modRevision }) => ({
-          key: path,
-          modRevision,
-        }))
-        when.push({ key: keys.jobPage(bucketOf(request.id), pages.length), modRevision: ABSENT })
+        const conditions: Array<Condition> = pages.map(({ key, modRevision }) => ({ key, modRevision }))
+        conditions.push({ key: keys.jobPage(bucketOf(spec.id), pages.length), modRevision: ABSENT })
         const { page: written, operations } = this.writesOf(target.key, target.page)
-        const made = yield* this.store.compareAndSwap(when, operations, 1)
-        if (made.ok) {
-          const entry = { key: target.key, value: written, modRevision: made.revision }
-          yield* this.events.changed(entry, request)
+        const accepted = yield* this.store.compareAndSwap(conditions, operations, 1)
+        if (accepted.ok) {
+          const entry = { key: target.key, value: written, modRevision: accepted.revision }
+          yield* this.events.changed(entry, spec)
           return { kind: "accepted" } as const
         }
         yield* this.membership.readBarrier.since
@@ -124,8 +140,9 @@
   }
 
   /**
-   * Conditioned on the ends pages of the job's part too: once any node may
-   * have told that the job is done, it can't be cancelled any more.
+   * Cancels the job unless it is over. Conditioned on the ends pages of the
+   * job's shard too: once any node may have reported that the job is done, it
+   * can't be cancelled any more.
    */
   cancel(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
@@ -133,42 +150,40 @@
         const found = yield* this.find(id)
         if (found.kind !== "live" || found.record.cancelled) return found
         const job = this.jobIndex.get(id)
-        const page = this.jobIndex.pages(bucketOf(id)).find(({ key: path }) => path === job?.page)
+        const page = this.jobIndex.pages(bucketOf(id)).find(({ key }) => key === job?.page)
         if (page === undefined) continue
-        const { spec: request } = found.record
-        const when: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
-        when.push(...this.endsConditions(this.events.shardOf(request)))
+        const { spec } = found.record
+        const conditions: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
+        conditions.push(...this.endsConditions(this.events.shardOf(spec)))
         const { page: written, operations } = this.writesOf(page.key, cancelJob(this.folded(page), id))
-        const done = yield* this.store.compareAndSwap(when, operations, 1)
-        if (!done.ok) continue
-        const entry = { key: page.key, value: written, modRevision: done.revision }
-        yield* this.events.changed(entry, request)
+        const cancelled = yield* this.store.compareAndSwap(conditions, operations, 1)
+        if (!cancelled.ok) continue
+        const entry = { key: page.key, value: written, modRevision: cancelled.revision }
+        yield* this.events.changed(entry, spec)
         return { kind: "live", record: { ...found.record, cancelled: true } } as const
       }
     })
   }
 
   /** Writes a page anew without the jobs that are over. */
-  fold(path: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
+  fold(key: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const page = this.pageAt(path)
+      const page = this.pageAt(key)
       if (page === null) return
-      const { page: written, operations } = this.writesOf(path, this.folded(page))
-      const done = yield* this.store.compareAndSwap(
-        [{ key: path, modRevision: page.modRevision }],
-        operations,
-        3,
-      )
-      if (!done.ok) return yield* this.membership.readBarrier.since
-      this.membership.replica.hint({ key: path, value: written, modRevision: done.revision })
+      const { page: written, operations } = this.writesOf(key, this.folded(page))
+      const conditions = [{ key, modRevision: page.modRevision }]
+      const result = yield* this.store.compareAndSwap(conditions, operations, 3)
+      if (!result.ok) return yield* this.membership.readBarrier.since
+      this.membership.replica.hint({ key, value: written, modRevision: result.revision })
     })
   }
 
-  private pageAt(path: string): PageEntry | null {
-    const bucket = Number(path.slice(path.lastIndexOf("/") + 1, path.lastIndexOf(".")))
-    return this.jobIndex.pages(bucket).find((page) => page.key === path) ?? null
+  private pageAt(key: StoreKey<JobPage>): PageEntry | null {
+    const bucket = Number(key.slice(key.lastIndexOf("/") + 1, key.lastIndexOf(".")))
+    return this.jobIndex.pages(bucket).find((page) => page.key === key) ?? null
   }
-  /** What the mirror says, and for jobs long over the archive. */
+
+  /** What the replica says, and for jobs long over the archive. */
   private lookUp(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
@@ -182,19 +197,21 @@
       return this.lookUpInArchive(bucket, id)
     })
   }
+
   private lookUpInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.map(this.store.list(keys.archive(bucket)), ({ items }) => {
-      for (const { value: v } of items) {
-        const status = finalIn(v as FinalStates, id)
+      for (const { value } of items) {
+        const status = finalIn(value as FinalStates, id)
         if (status !== null) return { kind: "final", status }
       }
       return { kind: "none" }
     })
   }
 
-  private folded({ value: v }: PageEntry): JobPage {
-    return foldEnds(v, (id) => this.jobIndex.endOf(id))
+  private folded({ value }: PageEntry): JobPage {
+    return foldEnds(value, (id) => this.jobIndex.endOf(id))
   }
+
   /** The first page of a bucket with room for the job; null when not even an empty one has. */
   private pageFor(
     record: JobRecord,
@@ -210,6 +227,7 @@
     const page = addJob(EMPTY_PAGE, record)
     return fitsValue(key, page, valueKb) ? { key, page } : null
   }
+
   /** The page's write, and with it that of final states which leave it. */
   private writesOf(key: StoreKey<JobPage>, next: JobPage): PageWrites {
     const { maxOperations, valueKb } = this.store.limits
@@ -220,13 +238,15 @@
     const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivedPages)
     return { page, operations: [put(key, page), put(archiveKey, archived)] }
   }
+
   private endsConditions(shard: ShardName): ReadonlyArray<Condition> {
     const { replica } = this.membership
-    return endsPages(shard, this.store.limits).map((path) => ({
-      key: path,
-      modRevision: replica.modRevision(path),
-    }))
+    return endsPages(shard, this.store.limits).map((key) => ({ key, modRevision: replica.modRevision(key) }))
   }
 }
 
-const tooLarge = new StoreError({ operation: "compareAndSwap", outcome: "refused", status: TOO_LARGE })
+const tooLarge = new StoreError({
+  operation: "compareAndSwap",
+  outcome: "refused",
+  status: VALUE_TOO_LARGE,
+})
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -1,3 +1,14 @@
+/**
+ * Owns the writes of one shard's placements and finishes. It never reports a
+ * placement as durable before its slot is surely written, nor gives one up
+ * while a write that holds it may still be carried out.
+ *
+ * Why a lost or late write is harmless: each is made on the shard epoch, on its
+ * slot's revision, and on the revisions of the pages of the jobs that it places
+ * tasks of. Until it is known what became of it, only the very same write is
+ * sent again; and once one of its conditions has failed, it fails for every
+ * late copy as well.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
 import {
@@ -12,26 +23,30 @@
 import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobState, Placement } from "./job-state.ts"
+import { CONDITIONS_PER_OPERATION, pageConditions } from "./page-conditions.ts"
 import { PlacementLedger, type SlotWrite } from "./placement-ledger.ts"
 
 const PAUSE_MS = 150
-/** Finishes are looked at this often, nothing is hardly ever. */
-const TICK_MS = 500
+/** While finishes wait, it is looked this often whether they are due; else hardly ever. */
+const FINISHES_CHECK_MS = 500
 const IDLE_MS = 5_000
 /**
  * Finishes wait for the next starts' write, at most this long: the worker
- * keeps an exited task until it is told to forget it, so a lost finish is told
- * again.
+ * keeps an exited task until it is commanded to purge it, so a lost finish is
+ * reported again.
  */
 const FINISHES_WAIT_MS = 2_000
 
 /**
- * Share of the state service's changes that one part's slots may use: where
- * many small jobs come, starts wait a little so that more of them go together.
+ * Fraction of the store's writes that one shard's slots may use: where many
+ * small jobs come, starts wait a little so that more of them go together.
  */
-const CALM_SLOT_SHARE = 0.3
-const BUSY_SLOT_SHARE = 0.12
+const CALM_WRITE_FRACTION = 0.3
+const BUSY_WRITE_FRACTION = 0.12
+/** On the shard and on the slot. */
+const OWN_CONDITIONS = 2
 
+/** What becomes of placements. */
 export interface PlacementWriterEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
@@ -39,148 +54,165 @@
   readonly abandoned: (placement: Placement) => void
 }
 
-/** The pages of the job table that hold these jobs, as they were when the jobs were last heard of. */
-export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
-  const pages = new Map<string, ModRevision>()
-  for (const { page, modRevision } of jobs) pages.set(page, modRevision)
-  return [...pages].map(([path, modRevision]) => ({ key: path, modRevision }))
+/** What a shard's writer of placements works with. */
+export interface PlacementWriterOptions {
+  readonly shard: ShardName
+  /** Of the ownership on whose behalf slots are written; it fences every write. */
+  readonly epoch: ModRevision
+  readonly store: StoreClient
+  readonly membership: Pick<Membership, "readBarrier">
+  readonly now: () => MonotonicTime
+  /** False while the node must not write on the shard's behalf. */
+  readonly active: () => boolean
+  readonly events: PlacementWriterEvents
 }
 
-/** Writes down what became of one part's tasks: starts at once, finishes by the way. */
+/** Writes down what became of one shard's tasks: starts at once, finishes along with them. */
 export class PlacementWriter {
   readonly ledger: PlacementLedger
   private readonly starts = new Set<Placement>()
   private readonly unsavedJobs = new Set<JobState>()
   private unsavedSince: MonotonicTime = NEVER
-  private wroteAt: MonotonicTime = NEVER
+  private lastWriteAt: MonotonicTime = NEVER
   private inFlight: ReadonlySet<Placement> = new Set()
-  private readonly signal = new Signal()
-
-  constructor(
-    private readonly shard: ShardName,
-    private readonly epoch: ModRevision,
-    private readonly store: StoreClient,
-    private readonly membership: Membership,
-    private readonly now: () => MonotonicTime,
-    private readonly active: () => boolean,
-    private readonly events: PlacementWriterEvents,
-  ) {
-    this.ledger = new PlacementLedger(store.limits.valueKb)
+  private readonly workAdded = new Signal()
+
+  constructor(private readonly options: PlacementWriterOptions) {
+    this.ledger = new PlacementLedger({ valueKb: options.store.limits.valueKb })
   }
 
+  /** Makes the placement durable as soon as the store has capacity. */
   place(placement: Placement): void {
     this.starts.add(placement)
-    this.signal.notify()
+    this.workAdded.notify()
   }
-  /** Its placement is on the way to the state service: it may become durable any moment. */
+
+  /** Whether its write is on the way to the store: it may become durable any moment. */
   isInFlight(placement: Placement): boolean {
     return this.inFlight.has(placement)
   }
+
   /** A task of the job finished, and others of it have not. */
   recordFinishes(job: JobState): void {
     if (job.unsavedFinishes.size === 0 || this.unsavedJobs.has(job)) return
     if (this.unsavedJobs.size === 0) {
-      this.unsavedSince = this.now()
-      this.signal.notify()
+      this.unsavedSince = this.options.now()
+      this.workAdded.notify()
     }
     this.unsavedJobs.add(job)
   }
-  /** The job's end says all that its finishes would. */
+
+  /** The job's final state says all that its finishes would. */
   discardFinishes(job: JobState): void {
     this.unsavedJobs.delete(job)
   }
 
+  /** Writes until it is interrupted. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
         if (this.starts.size === 0 && !this.finishesAreDue())
-          yield* this.signal.wait(this.unsavedJobs.size > 0 ? TICK_MS : IDLE_MS)
-        if (!this.active()) return yield* Effect.sleep(PAUSE_MS)
+          yield* this.workAdded.wait(this.unsavedJobs.size > 0 ? FINISHES_CHECK_MS : IDLE_MS)
+        if (!this.options.active()) return yield* Effect.sleep(PAUSE_MS)
         if (this.starts.size > 0 || this.finishesAreDue()) yield* this.writeSlot()
       }),
     ),
   )
+
   private finishesAreDue(): boolean {
-    return this.unsavedJobs.size > 0 && this.now() > addMs(this.unsavedSince, FINISHES_WAIT_MS)
-  }
-  private get shardCondition(): Condition {
-    return { key: keys.shard(this.shard), modRevision: this.epoch }
-  }
-  private get maxConditions(): number {
-    return 4 * this.store.limits.maxOperations
+    return this.unsavedJobs.size > 0 && this.options.now() > addMs(this.unsavedSince, FINISHES_WAIT_MS)
   }
 
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
       // What becomes ready while this waits for its turn goes along.
-      const share = interpolateByLoad(this.store.writeLoad(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
-      const pauseMs = addMs(this.wroteAt, 1000 / (share * this.store.limits.writesPerSecond)) - this.now()
-      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.store.awaitWriteCapacity(1, 2)
-      this.wroteAt = this.now()
-      for (const placement of this.starts) {
-        if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
-      }
-      for (const job of this.unsavedJobs)
-        if (job.finalized || job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
-      const write = this.ledger.prepareWrite(
-        this.starts,
-        this.unsavedJobs,
-        this.maxConditions - 2,
-        this.epoch,
-      )
+      yield* this.awaitTurn()
+      const write = this.prepareWrite()
       if (write === null) return
       for (const placement of write.starts) this.starts.delete(placement)
       this.inFlight = new Set(write.starts)
       yield* this.write(write)
       this.inFlight = new Set()
       for (const job of this.unsavedJobs) if (job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
-      this.unsavedSince = this.now()
+      this.unsavedSince = this.options.now()
+    })
+  }
+
+  /** Until the last write is long enough ago, and the store has capacity for another one. */
+  private awaitTurn() {
+    return Effect.gen({ self: this }, function* () {
+      const { store, now } = this.options
+      const fraction = interpolateByLoad(store.writeLoad(), CALM_WRITE_FRACTION, BUSY_WRITE_FRACTION)
+      const pauseMs = addMs(this.lastWriteAt, 1000 / (fraction * store.limits.writesPerSecond)) - now()
+      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
+      yield* store.awaitWriteCapacity(1, 2)
+      this.lastWriteAt = now()
     })
   }
 
-  /** Until the write is durable, or surely never will be. */
+  /** What is still to be written; null when nothing is. */
+  private prepareWrite(): SlotWrite | null {
+    const { store, epoch } = this.options
+    for (const placement of this.starts) {
+      if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
+    }
+    for (const job of this.unsavedJobs)
+      if (job.finalized || job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
+    const maxJobs = CONDITIONS_PER_OPERATION * store.limits.maxOperations - OWN_CONDITIONS
+    return this.ledger.prepareWrite({ starts: this.starts, finished: this.unsavedJobs, maxJobs, epoch })
+  }
+
+  private conditionsOf(write: SlotWrite): ReadonlyArray<Condition> {
+    const { shard, epoch } = this.options
+    return [
+      { key: keys.shard(shard), modRevision: epoch },
+      { key: keys.slot(shard, write.slot), modRevision: write.baseRevision },
+      ...pageConditions(write.jobs),
+    ]
+  }
+
+  /**
+   * Until the write is durable, or surely never will be. A loop rather than a
+   * Schedule: what the slot was read to hold decides on another attempt.
+   */
   private write(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.slot(this.shard, write.slot)
-      const when = [
-        this.shardCondition,
-        { key: path, modRevision: write.baseRevision },
-        ...pageConditions(write.jobs),
-      ]
-      const apply: Array<Operation> = [put(path, write.record)]
-      for (let tries = 0; ; tries++) {
-        const done = yield* Effect.result(
-          this.store.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
-        )
-        if (Result.isSuccess(done) && done.success.ok) return this.committed(write, done.success.revision)
-        if (Result.isFailure(done) && done.failure.outcome === "refused" && tries === 0) {
+      const { store, membership, shard } = this.options
+      const key = keys.slot(shard, write.slot)
+      const conditions = this.conditionsOf(write)
+      const operations: ReadonlyArray<Operation> = [put(key, write.record)]
+      for (let attempt = 0; ; attempt++) {
+        const priority = attempt === 0 ? "reserved" : 2
+        const written = yield* Effect.result(store.compareAndSwap(conditions, operations, priority))
+        if (Result.isSuccess(written) && written.success.ok)
+          return this.committed(write, written.success.revision)
+        if (Result.isFailure(written) && written.failure.outcome === "refused" && attempt === 0) {
           yield* Effect.sleep(PAUSE_MS)
           return this.aborted(write, write.baseRevision)
         }
         // Without an answer it may have been written, or may yet be: as long
         // as that isn't known, only the very same write is tried again.
-        const failed = Result.isSuccess(done) && !done.success.ok ? done.success.failedKeys : null
-        const read = yield* Effect.result(this.store.get(path))
+        const read = yield* Effect.result(store.get(key))
         if (Result.isFailure(read)) {
           yield* Effect.sleep(PAUSE_MS)
           continue
         }
         const modRevision = read.success?.modRevision ?? ABSENT
-        const written = read.success?.value.write
-        const { epoch, number } = write.record.write
-        if (written?.epoch === epoch && written.number === number) return this.committed(write, modRevision)
-        if (failed === null) continue
+        if (isSameWrite(read.success?.value.write, write)) return this.committed(write, modRevision)
+        const conditionFailed = Result.isSuccess(written)
+        if (!conditionFailed) continue
         // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(this.membership.readBarrier.since)
+        yield* Effect.result(membership.readBarrier.since)
         return this.aborted(write, modRevision)
       }
     })
   }
+
   private committed(write: SlotWrite, modRevision: ModRevision): void {
     this.ledger.committed(write, modRevision)
-    this.events.durable(write.starts)
+    this.options.events.durable(write.starts)
   }
+
   private aborted(write: SlotWrite, modRevision: ModRevision): void {
     this.ledger.aborted(write, modRevision)
     for (const placement of write.starts) {
@@ -188,7 +220,11 @@
       // run: it stays counted until it is surely off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
       if (placement.stop === null) this.starts.add(placement)
-      else this.events.abandoned(placement)
+      else this.options.events.abandoned(placement)
     }
   }
 }
+
+/** Whether the slot holds this very write: its epoch and number are never used for another one. */
+const isSameWrite = (stored: SlotWrite["record"]["write"] | undefined, { record }: SlotWrite): boolean =>
+  stored?.epoch === record.write.epoch && stored.number === record.write.number
--- /dev/null
+++ b/packages/jobs/src/slot-builder.ts
@@ -0,0 +1,122 @@
+/**
+ * Owns the making of one slot's record: what it holds, and how large it
+ * becomes. It never decides what goes into a slot, nor writes it.
+ */
+import type { MachineId, ModRevision } from "@sorreltally/protocol"
+import type { PlacedTask, PlacementRecord, TaskRun } from "@sorreltally/store"
+import type { JobState, Placement } from "./job-state.ts"
+
+/** What a slot says of one job's finished tasks. */
+export interface FinishedTasks {
+  readonly job: JobState
+  readonly indexes: ReadonlyArray<number>
+}
+
+/** Generous sizes in JSON, punctuation included. */
+const START_BYTES = 30
+const JOB_BYTES = 32
+const MACHINE_BYTES = 6
+const RUN_BYTES = 14
+const FRAME_BYTES = 120
+
+/** A slot's record in the making; keeps count of its size. */
+export class SlotBuilder {
+  readonly starts: Array<Placement> = []
+  readonly finishes: Array<FinishedTasks> = []
+  private readonly machines = new Map<MachineId, number>()
+  private readonly startsByJob = new Map<JobState, Array<Placement>>()
+  private readonly finishedRuns: Array<PlacementRecord["finished"][number]> = []
+  private freeBytes: number
+
+  /** `valueKb`: the store's limit on a value's size. */
+  constructor(valueKb: number) {
+    this.freeBytes = valueKb * 1024 - FRAME_BYTES
+  }
+
+  /** Whether it says nothing yet. */
+  get empty(): boolean {
+    return this.starts.length === 0 && this.finishes.length === 0
+  }
+
+  /** False: there is no room for this placement. */
+  addStart(placement: Placement): boolean {
+    const bytes = this.startBytes(placement)
+    if (bytes > this.freeBytes) return false
+    this.freeBytes -= bytes
+    this.starts.push(placement)
+    if (!this.machines.has(placement.machine)) this.machines.set(placement.machine, this.machines.size)
+    const ofJob = this.startsByJob.get(placement.job)
+    if (ofJob === undefined) this.startsByJob.set(placement.job, [placement])
+    else ofJob.push(placement)
+    return true
+  }
+
+  /**
+   * False: there is no room for all of the job's finished tasks. A job with
+   * more of them than a whole record holds has them written in several.
+   */
+  addFinishes(job: JobState, indexes: ReadonlyArray<number>): boolean {
+    const runs = runsOf(indexes)
+    const bytes = JOB_BYTES + RUN_BYTES * runs.length
+    if (bytes > this.freeBytes) {
+      const maxTasks = Math.floor((this.freeBytes - JOB_BYTES) / RUN_BYTES)
+      if (this.empty && maxTasks > 0) this.addFinishes(job, indexes.slice(0, maxTasks))
+      return false
+    }
+    this.freeBytes -= bytes
+    this.finishes.push({ job, indexes })
+    this.finishedRuns.push({ jobId: job.id, runs })
+    return true
+  }
+
+  /** Whether there is surely room for all of these. */
+  fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<FinishedTasks>): boolean {
+    let bytes = 0
+    for (const { machine } of starts) bytes += START_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
+    for (const { indexes } of finishes) bytes += JOB_BYTES + RUN_BYTES * runsOf(indexes).length
+    return bytes <= this.freeBytes
+  }
+
+  /** The record, with the number of its write under this shard epoch. */
+  record(epoch: ModRevision, writeNumber: number): PlacementRecord {
+    let firstAttempt = Number.POSITIVE_INFINITY
+    for (const { attempt } of this.starts) firstAttempt = Math.min(firstAttempt, attempt)
+    if (this.starts.length === 0) firstAttempt = 0
+    return {
+      write: { epoch, number: writeNumber },
+      firstAttempt,
+      machines: [...this.machines.keys()],
+      placed: [...this.startsByJob].map(([job, placements]) => ({
+        jobId: job.id,
+        tasks: placements.map((placement) => this.placedTask(placement, firstAttempt)),
+      })),
+      finished: this.finishedRuns,
+    }
+  }
+
+  private startBytes(placement: Placement): number {
+    const job = this.startsByJob.has(placement.job) ? 0 : JOB_BYTES
+    const machine = this.machines.has(placement.machine) ? 0 : MACHINE_BYTES + placement.machine.length
+    return START_BYTES + job + machine
+  }
+
+  private placedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
+    return {
+      index,
+      machine: this.machines.get(machine)!,
+      agentEpoch,
+      attemptOffset: attempt - firstAttempt,
+    }
+  }
+}
+
+/** Runs of consecutive task indexes. */
+const runsOf = (indexes: ReadonlyArray<number>): ReadonlyArray<TaskRun> => {
+  const runs: Array<{ first: number; count: number }> = []
+  for (const index of [...indexes].sort((a, b) => a - b)) {
+    const last = runs.at(-1)
+    if (last !== undefined && last.first + last.count === index) last.count++
+    else runs.push({ first: index, count: 1 })
+  }
+  return runs
+}
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -1,72 +1,43 @@
 import assert from "node:assert/strict"
-import { test } from "node:test"
-import { Replica } from "@sorreltally/membership"
-import type { JobId, ModRevision, MonotonicTime, Revision, ShardName } from "@sorreltally/protocol"
-import {
-  type Condition,
-  encodeRecord,
-  type JobEnd,
-  type JobRecord,
-  keys,
-  type Operation,
-  type StoreClient,
-} from "@sorreltally/store"
+import { describe, it } from "node:test"
+import type { ModRevision, MonotonicTime, ShardName } from "@sorreltally/protocol"
+import { encodeRecord, type JobEnd, keys, put } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
 import { JobEnds } from "../src/job-ends.ts"
-import { JobIndex } from "../src/job-index.ts"
 import { JobState } from "../src/job-state.ts"
-import { JobStore } from "../src/job-store.ts"
+import { eventually, jobIdAt, jobRecord, MemoryStore, nodeOn } from "./builders.ts"
 
 const SHARD = "deadline" as ShardName
 const JOBS = 400
 const EPOCH = 1 as ModRevision
+const limits = { valueKb: 1, maxOperations: 8, writesPerSecond: 1e6 }
 
-test("ends of many jobs go together; where nobody else folds them into their pages, the owner does", async () => {
-  const stored = new Map<string, { readonly value: unknown; readonly modRevision: ModRevision }>()
-  stored.set(keys.shard(SHARD), { value: {}, modRevision: EPOCH })
-  let revision = 1
-  const puts = { ends: 0, pages: 0 }
-  const state = {
-    limits: { valueKb: 1, maxOperations: 8, writesPerSecond: 1e6 },
-    awaitWriteCapacity: () => Effect.void,
-    writeLoad: () => 0,
-    compareAndSwap: (when: ReadonlyArray<Condition>, apply: ReadonlyArray<Operation & { kind: "put" }>) =>
-      Effect.sync(() => {
-        const failed = when.filter((c) => (stored.get(c.key)?.modRevision ?? 0) !== c.modRevision)
-        if (failed.length > 0) return { ok: false, failedKeys: failed.map((c) => c.key) }
-        const modRevision = ++revision as ModRevision
-        for (const change of apply) {
-          stored.set(change.key, { value: change.value, modRevision })
-          puts[change.key.startsWith("s/ends/") ? "ends" : "pages"]++
-          assert.ok(JSON.stringify(encodeRecord(change.key, change.value)).length <= 1024)
-        }
-        return { ok: true, revision: modRevision }
-      }),
-  } as unknown as StoreClient
-  const replica = new Replica()
-  const items = () => [...stored].map(([key, entry]) => ({ key, ...entry }))
-  const readBarrier = { since: Effect.sync(() => replica.reload(items(), revision as Revision)) } as never
-  const jobIndex = new JobIndex(replica)
-  const table = new JobStore(state, { replica, readBarrier }, jobIndex, {
-    changed: (entry) => Effect.sync(() => replica.hint(entry)),
-    cachedFinal: () => null,
-    cacheFinal: () => {},
-    shardOf: () => SHARD,
-  })
-  for (let n = 0; n < JOBS; n++) {
-    const spec = { id: `run-${String(n).padStart(6, "0")}`, taskCount: 1, deadlineS: 9 }
-    await Effect.runPromise(table.accept({ spec, submittedAt: 0, cancelled: false } as unknown as JobRecord))
-  }
-  puts.pages = 0
+/** A node that has accepted many jobs of its shard. */
+const nodeWithJobs = async (store: MemoryStore) => {
+  store.apply({ conditions: [], operations: [put(keys.shard(SHARD), {} as never)] })
+  const node = nodeOn(store, SHARD)
+  for (let n = 0; n < JOBS; n++)
+    await Effect.runPromise(node.jobStore.accept(jobRecord(jobIdAt(n), { deadlineS: 9 })))
+  return node
+}
+
+/** Finishes all the jobs at once, and waits for their final states. */
+const finishAll = async (store: MemoryStore, node: Awaited<ReturnType<typeof nodeWithJobs>>) => {
+  const { membership, jobIndex, jobStore } = node
   let nowMs = 0
-  const clock = () => {
-    nowMs += 1_000
-    return nowMs as MonotonicTime
-  }
-  const told: Array<JobEnd> = []
-  const ends = new JobEnds(SHARD, EPOCH, state, { replica, readBarrier }, jobIndex, clock, () => true, {
-    ended: (some) => told.push(...some),
-    fold: (page) => table.fold(page),
+  const reported: Array<JobEnd> = []
+  const jobEnds = new JobEnds({
+    shard: SHARD,
+    epoch: EPOCH,
+    store: store.client,
+    membership,
+    jobIndex,
+    now: () => {
+      nowMs += 1_000
+      return nowMs as MonotonicTime
+    },
+    active: () => true,
+    events: { ended: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
   })
   for (const { id, record, page, modRevision } of [...jobIndex.live()]) {
     const job = new JobState(id, record, page, modRevision)
@@ -74,13 +45,28 @@
       if (changed === id && entry !== null) job.modRevision = entry.modRevision
     })
     job.finish(0)
-    ends.add(job)
+    jobEnds.add(job)
   }
-  const fiber = Effect.runFork(ends.run)
-  for (let i = 0; i < 2_000 && told.length < JOBS; i++) await new Promise((resolve) => setTimeout(resolve, 5))
+  const fiber = Effect.runFork(jobEnds.run)
+  await eventually(() => reported.length >= JOBS, 10_000)
   await Effect.runPromise(Fiber.interrupt(fiber))
-  assert.equal(new Set(told.map(({ id }: { id: JobId }) => id)).size, JOBS)
-  assert.ok(told.every(({ status }) => status === "done"))
-  assert.ok(puts.ends < JOBS / 8, `${puts.ends} puts of ends`)
-  assert.ok(puts.pages > 0 && puts.pages < JOBS, `${puts.pages} pages folded by the owner`)
+  return reported
+}
+
+describe("the ends of many jobs", () => {
+  it("share writes, and are folded into their pages by the owner where nobody else does it", async () => {
+    const store = new MemoryStore(limits)
+    const node = await nodeWithJobs(store)
+    const putsBefore = store.puts.length
+    const reported = await finishAll(store, node)
+    assert.equal(new Set(reported.map(({ id }) => id)).size, JOBS)
+    assert.ok(reported.every(({ status }) => status === "done"))
+    for (const { key, value } of store.puts)
+      assert.ok(JSON.stringify(encodeRecord(key, value)).length <= limits.valueKb * 1024)
+    const puts = store.puts.slice(putsBefore).map(({ key }) => key)
+    const endsPuts = puts.filter((key) => key.startsWith("s/ends/")).length
+    const pagePuts = puts.length - endsPuts
+    assert.ok(endsPuts < JOBS / 8, `${endsPuts} puts of ends pages`)
+    assert.ok(pagePuts > 0 && pagePuts < JOBS, `${pagePuts} pages folded by the owner`)
+  })
 })
--- a/packages/quota/src/allocation-policy.ts
+++ b/packages/quota/src/allocation-policy.ts
@@ -213,12 +213,12 @@
 }
 
 /** The allocation that would serve the demand, with some slack. */
-const targetOf = ({ used, demanded, limit }: AllocationInputs): QuotaAmount => {
-  const withSlack = (inUse: number, wanted: number, most: number) =>
-    Math.min(most, Math.max(inUse, wanted) + most * SLACK_FRACTION)
+const targetOf = (inputs: AllocationInputs): QuotaAmount => {
+  const withSlack = (used: number, demanded: number, limit: number) =>
+    Math.min(limit, Math.max(used, demanded) + limit * SLACK_FRACTION)
   return {
-    cpus: withSlack(used.cpus, demanded.cpus, limit.cpus),
-    gpus: withSlack(used.gpus, demanded.gpus, limit.gpus),
+    cpus: withSlack(inputs.used.cpus, inputs.demanded.cpus, inputs.limit.cpus),
+    gpus: withSlack(inputs.used.gpus, inputs.demanded.gpus, inputs.limit.gpus),
   }
 }
 
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -46,13 +46,25 @@
   ) {
     const { store, membership, clocks, jobIndex } = node
     this.now = clocks.monotonicNow
-    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, active, {
-      durable: events.durable,
-      abandoned: (placement) => this.unplace(placement),
+    const now = clocks.monotonicNow
+    this.placementWriter = new PlacementWriter({
+      shard,
+      epoch,
+      store,
+      membership,
+      now,
+      active,
+      events: { durable: events.durable, abandoned: (placement) => this.unplace(placement) },
     })
-    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, active, {
-      ended: (ends) => node.ended(ends),
-      fold: (page) => node.foldJobs(page),
+    this.ends = new JobEnds({
+      shard,
+      epoch,
+      store,
+      membership,
+      jobIndex,
+      now,
+      active,
+      events: { ended: (ends) => node.ended(ends), fold: (page) => node.foldJobs(page) },
     })
   }
 
@@ -70,7 +82,8 @@
     const now = this.now()
     for (const { key: path, value: v, modRevision } of slots) {
       const slot = Number(path.slice(path.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore(slot, modRevision, v as PlacementRecord, jobOf, now)
+      const record = v as PlacementRecord
+      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })
     }
   }
 
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -139,7 +139,13 @@
     jobs.set(id, job)
     return job
   }
-  new PlacementLedger(LARGEST_SLOT_KB).restore(0, 1 as ModRevision, record, known, 0 as MonotonicTime)
+  new PlacementLedger({ valueKb: LARGEST_SLOT_KB }).restore({
+    slot: 0,
+    modRevision: 1 as ModRevision,
+    record,
+    jobOf: known,
+    now: 0 as MonotonicTime,
+  })
   const placements = record.placed.flatMap(
     ({ jobId }): Array<Placement> => [...known(jobId).placements.values()],
   )
@@ -148,11 +154,12 @@
     for (let index = 0; index < job.taskCount; index++)
       if (job.isFinished(index)) job.unsavedFinishes.add(index)
   const { epoch, number } = record.write
-  const ledger = new PlacementLedger(LARGEST_SLOT_KB)
-  // Each draft has the next write's number.
-  for (let n = 1; n < number; n++) ledger.prepareWrite(placements, finished, MOST_JOBS, epoch)
-  const draft = ledger.prepareWrite(placements, finished, MOST_JOBS, epoch)
-  return JSON.stringify(encodeRecord(SLOT, draft?.record))
+  const ledger = new PlacementLedger({ valueKb: LARGEST_SLOT_KB })
+  const request = { starts: placements, finished, maxJobs: MOST_JOBS, epoch }
+  // Each write has the next number.
+  for (let n = 1; n < number; n++) ledger.prepareWrite(request)
+  const write = ledger.prepareWrite(request)
+  return JSON.stringify(encodeRecord(SLOT, write?.record))
 }
 
 /** Stored values, by kind of key. */
--- a/scenarios/cancel-at-end.sexp
+++ b/scenarios/cancel-at-end.sexp
@@ -4,5 +4,5 @@
   (at 5 (stream 40 80 pieces 1 cores 1 run 3) (stream 12 80 pieces 2 cores 2 run 6 due 90))
   (expect (all-over) (happened endsCancelled 15) (happened endsTold 3) (happened closeAfterEnd 1500))
   (guard "packages/jobs/src/job-store.ts"
-    "const done = yield* this.store.compareAndSwap(when, operations, 1)"
-    "const done = yield* this.store.compareAndSwap([], operations, 1)"))
+    "const cancelled = yield* this.store.compareAndSwap(conditions, operations, 1)"
+    "const cancelled = yield* this.store.compareAndSwap([], operations, 1)"))
--- a/scenarios/ends-lost-answers.sexp
+++ b/scenarios/ends-lost-answers.sexp
@@ -5,5 +5,5 @@
   (at 5 (lost-answers 0.25 40)) (at 50 (late-transactions 0.2 30) (lost-answers 0.1 30))
   (expect (all-over) (served) (happened lostReadByOthers 10) (happened lateAfterNewer 5)
     (happened endsTold 5) (happened endsCancelled 5) (happened closeAfterEnd 100))
-  (guard "packages/jobs/src/job-store.ts" "when.push(...this.endsConditions(this.events.shardOf(request)))" "")
-  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.done)," ""))
+  (guard "packages/jobs/src/job-store.ts" "conditions.push(...this.endsConditions(this.events.shardOf(spec)))" "")
+  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.doneJobs)," ""))
--- a/scenarios/lost-answers-read.sexp
+++ b/scenarios/lost-answers-read.sexp
@@ -6,4 +6,4 @@
   (at 40 (crash host-0 4))
   (expect (all-over) (happened lostAnswers 50) (happened lostReadByOthers 20) (happened closeAfterAccepted 500))
   (guard "packages/jobs/src/job-store.ts"
-    "if (seen.kind !== \"none\") return yield* this.find(request.id)" ""))
+    "if (seen.kind !== \"none\") return yield* this.find(spec.id)" ""))
--- a/scenarios/short-jobs.sexp
+++ b/scenarios/short-jobs.sexp
@@ -4,4 +4,4 @@
   (at 5 (stream 400 100 pieces 1 cores 1 run 6 due 200))
   (at 20 (state-slow 150 60)) (at 60 (crash host-0 4))
   (expect (all-over) (served) (happened endsCancelled 5) (withdrawn 40) (happened closeAfterEnd 100))
-  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.done)," ""))
+  (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.doneJobs)," ""))
