--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -6,7 +6,7 @@
  */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
-import { addMs, type ModRevision, type MonotonicTime, NEVER, type ShardName } from "@sorreltally/protocol"
+import type { ModRevision, MonotonicTime, ShardName } from "@sorreltally/protocol"
 import { interpolateByLoad } from "@sorreltally/rate-limit"
 import {
   type Condition,
@@ -24,6 +24,7 @@
 import { idOf } from "./job-pages.ts"
 import type { JobState } from "./job-state.ts"
 import { pageConditions } from "./page-conditions.ts"
+import { WritePacer } from "./write-pacer.ts"
 
 /** Ends that come within this time of the last write go together: users expect to hear of one within 3 s. */
 const CALM_SPACING_MS = 500
@@ -62,7 +63,7 @@
 interface EndsPageWrite extends EndsAddition {
   readonly key: EndsPageContent["key"]
   /** The page's revision that the write is made on. */
-  readonly before: ModRevision
+  readonly baseRevision: ModRevision
 }
 
 /**
@@ -74,11 +75,17 @@
   private readonly waiting = new Set<JobState>()
   private readonly jobAdded = new Signal()
   private readonly endsPagesGrew = new Signal()
-  private lastWriteAt: MonotonicTime = NEVER
+  private readonly pacer: WritePacer
   private readonly maxPageBytes: number
 
   constructor(private readonly options: JobEndsOptions) {
-    const { valueKb } = options.store.limits
+    const { store, now } = options
+    const { valueKb } = store.limits
+    this.pacer = new WritePacer({
+      store,
+      now,
+      spacingMs: (load) => interpolateByLoad(load, CALM_SPACING_MS, BUSY_SPACING_MS),
+    })
     this.maxPageBytes = Math.min(valueKb * 1024, MAX_PAGE_BYTES) - FRAME_BYTES
   }
 
@@ -105,7 +112,7 @@
 
   private writeWaiting() {
     return Effect.gen({ self: this }, function* () {
-      yield* this.awaitTurn()
+      yield* this.pacer.awaitTurn
       // What a watch event or a hint has made known since is over already.
       for (const job of this.waiting) if (job.finalized) this.waiting.delete(job)
       const write = this.prepareWrite()
@@ -129,18 +136,6 @@
     })
   }
 
-  /** Until the last write is long enough ago, and the store has capacity for another one. */
-  private awaitTurn() {
-    return Effect.gen({ self: this }, function* () {
-      const { store, now } = this.options
-      const spacingMs = interpolateByLoad(store.writeLoad(), CALM_SPACING_MS, BUSY_SPACING_MS)
-      const pauseMs = addMs(this.lastWriteAt, spacingMs) - now()
-      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* store.awaitWriteCapacity(1, 2)
-      this.lastWriteAt = now()
-    })
-  }
-
   /** Null when no job waits. */
   private prepareWrite(): EndsPageWrite | null {
     const emptiest = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
@@ -148,15 +143,15 @@
     const addition = addEnds(emptiest, this.waiting, this.maxPageBytes, store.limits)
     if (addition.jobs.length === 0) return null
     const { key } = emptiest
-    return { ...addition, key, before: membership.replica.modRevision(key) }
+    return { ...addition, key, baseRevision: membership.replica.modRevision(key) }
   }
 
   private conditionsOf(write: EndsPageWrite): ReadonlyArray<Condition> {
-    const { key, before } = write
+    const { key, baseRevision } = write
     const { shard, epoch } = this.options
     return [
       { key: keys.shard(shard), modRevision: epoch },
-      { key, modRevision: before },
+      { key, modRevision: baseRevision },
       ...pageConditions(write.doneJobs),
     ]
   }
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -23,12 +23,15 @@
   readonly id: JobId
   readonly record: JobRecord
   readonly page: StoreKey<JobPage>
+  /** The page's revision. */
   readonly modRevision: ModRevision
 }
+
 /** One page of a bucket, as this node's replica has it. */
 export interface PageEntry extends Entry<JobPage> {
   readonly key: StoreKey<JobPage>
 }
+
 /** Is called at each change of a job; null: the job is over. */
 export type JobListener = (id: JobId, job: LiveJob | null) => void
 
@@ -36,14 +39,14 @@
 export class JobIndex {
   /** Jobs whose records stand in a page, over or not. */
   private readonly onRecord = new Map<JobId, LiveJob>()
-  private readonly idsByJobPage = new Map<string, ReadonlyArray<JobId>>()
+  private readonly idsByJobPage = new Map<StoreKey<JobPage>, ReadonlyArray<JobId>>()
   private readonly ends = new Map<JobId, FinalStatus>()
-  private readonly idsByEndsPage = new Map<string, ReadonlyArray<JobId>>()
+  private readonly idsByEndsPage = new Map<StoreKey<FinalStates>, ReadonlyArray<JobId>>()
   private readonly listeners = new Set<JobListener>()
 
   constructor(private readonly replica: Replica) {
-    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key, entry))
-    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key, entry))
+    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key as StoreKey<JobPage>, entry))
+    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key as StoreKey<FinalStates>, entry))
   }
 
   /** Returns how to stop listening. */
@@ -99,14 +102,14 @@
     return null
   }
 
-  private pageChanged(key: string, entry: Entry | null): void {
+  private pageChanged(key: StoreKey<JobPage>, entry: Entry | null): void {
     const page = entry === null ? EMPTY_PAGE : (entry.value as JobPage)
     const before = this.idsByJobPage.get(key) ?? []
     const now = page.jobs.map((job) => job.spec.id)
     this.idsByJobPage.set(key, now)
     for (const record of page.jobs) {
       const { id } = record.spec
-      const job: LiveJob = { id, record, page: key as StoreKey<JobPage>, modRevision: entry!.modRevision }
+      const job: LiveJob = { id, record, page: key, modRevision: entry!.modRevision }
       this.onRecord.set(id, job)
       if (!this.ends.has(id)) this.notify(id, job)
     }
@@ -118,7 +121,7 @@
     }
   }
 
-  private endsChanged(key: string, entry: Entry | null): void {
+  private endsChanged(key: StoreKey<FinalStates>, entry: Entry | null): void {
     const page: FinalStates = entry === null ? EMPTY_PAGE : (entry.value as FinalStates)
     const before = this.idsByEndsPage.get(key) ?? []
     const now: Array<JobId> = []
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -19,9 +19,11 @@
 /** A task that is, or may be, on a machine. It counts until it is cleared. */
 export interface Placement {
   readonly job: JobState
+  /** The task's place in its job's array, from 0. */
   readonly index: number
   readonly task: TaskId
   readonly machine: MachineId
+  /** The machine's agent epoch when the task was placed: once it rises, the task is off the machine. */
   readonly agentEpoch: AgentEpoch
   readonly attempt: Attempt
   /** Only a durable placement may be started. */
@@ -34,7 +36,9 @@
   readonly inherited: boolean
   /** Not null: the task is to leave the machine. */
   stop: { readonly reason: StopReason; readonly gracePeriodS: number; readonly since: MonotonicTime } | null
+  /** When this owner placed it, or adopted it from a former one. */
   readonly placedAt: MonotonicTime
+  /** When the machine first reported that it runs; null: not yet. */
   runningSince: MonotonicTime | null
   /** How often the worker was commanded to start it without effect. */
   unacknowledgedStarts: number
@@ -46,11 +50,14 @@
 export class JobState {
   readonly request: JobSpec
   readonly submitted: WallTime
+  /** By task index; 1: finished. */
   private readonly finished: Uint8Array
   private finishedCount = 0
+  /** By task index. */
   readonly placements = new Map<number, Placement>()
   /** Tasks that were placed once and are to run again. */
   private readonly requeued: Array<number> = []
+  /** Tasks from this index on were never placed by this owner. */
   private nextUnplaced = 0
   /** Finished tasks that the store doesn't know of yet. */
   readonly unsavedFinishes = new Set<number>()
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -220,7 +220,7 @@
     const { valueKb } = this.store.limits
     for (const entry of pages) {
       const page = addJob(this.folded(entry), record)
-      const key = entry.key as StoreKey<JobPage>
+      const { key } = entry
       if (fitsValue(key, page, valueKb)) return { key, page }
     }
     const key = keys.jobPage(bucketOf(record.spec.id), pages.length)
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -99,7 +99,7 @@
       if (job.unsavedFinishes.size === 0 || job.finalized) continue
       if (!builder.addFinishes(job, [...job.unsavedFinishes])) break
     }
-    if (builder.empty) return null
+    if (builder.isEmpty) return null
     this.reclaimDeadSlots()
     const compacted = this.slots.size > COMPACTION_THRESHOLD_SLOTS ? this.compactOldest(builder) : []
     const { slot, modRevision } = this.freeSlots.pop() ?? { slot: this.nextSlot++, modRevision: ABSENT }
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -25,6 +25,7 @@
 import type { JobState, Placement } from "./job-state.ts"
 import { CONDITIONS_PER_OPERATION, pageConditions } from "./page-conditions.ts"
 import { PlacementLedger, type SlotWrite } from "./placement-ledger.ts"
+import { WritePacer } from "./write-pacer.ts"
 
 const PAUSE_MS = 150
 /** While finishes wait, it is looked this often whether they are due; else hardly ever. */
@@ -73,12 +74,20 @@
   private readonly starts = new Set<Placement>()
   private readonly unsavedJobs = new Set<JobState>()
   private unsavedSince: MonotonicTime = NEVER
-  private lastWriteAt: MonotonicTime = NEVER
+  private readonly pacer: WritePacer
   private inFlight: ReadonlySet<Placement> = new Set()
   private readonly workAdded = new Signal()
 
   constructor(private readonly options: PlacementWriterOptions) {
-    this.ledger = new PlacementLedger({ valueKb: options.store.limits.valueKb })
+    const { store, now } = options
+    const { valueKb, writesPerSecond } = store.limits
+    this.ledger = new PlacementLedger({ valueKb })
+    this.pacer = new WritePacer({
+      store,
+      now,
+      spacingMs: (load) =>
+        1000 / (interpolateByLoad(load, CALM_WRITE_FRACTION, BUSY_WRITE_FRACTION) * writesPerSecond),
+    })
   }
 
   /** Makes the placement durable as soon as the store has capacity. */
@@ -126,7 +135,7 @@
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
       // What becomes ready while this waits for its turn goes along.
-      yield* this.awaitTurn()
+      yield* this.pacer.awaitTurn
       const write = this.prepareWrite()
       if (write === null) return
       for (const placement of write.starts) this.starts.delete(placement)
@@ -138,18 +147,6 @@
     })
   }
 
-  /** Until the last write is long enough ago, and the store has capacity for another one. */
-  private awaitTurn() {
-    return Effect.gen({ self: this }, function* () {
-      const { store, now } = this.options
-      const fraction = interpolateByLoad(store.writeLoad(), CALM_WRITE_FRACTION, BUSY_WRITE_FRACTION)
-      const pauseMs = addMs(this.lastWriteAt, 1000 / (fraction * store.limits.writesPerSecond)) - now()
-      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* store.awaitWriteCapacity(1, 2)
-      this.lastWriteAt = now()
-    })
-  }
-
   /** What is still to be written; null when nothing is. */
   private prepareWrite(): SlotWrite | null {
     const { store, epoch } = this.options
--- a/packages/jobs/src/slot-builder.ts
+++ b/packages/jobs/src/slot-builder.ts
@@ -34,7 +34,7 @@
   }
 
   /** Whether it says nothing yet. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.starts.length === 0 && this.finishes.length === 0
   }
 
@@ -60,7 +60,7 @@
     const bytes = JOB_BYTES + RUN_BYTES * runs.length
     if (bytes > this.freeBytes) {
       const maxTasks = Math.floor((this.freeBytes - JOB_BYTES) / RUN_BYTES)
-      if (this.empty && maxTasks > 0) this.addFinishes(job, indexes.slice(0, maxTasks))
+      if (this.isEmpty && maxTasks > 0) this.addFinishes(job, indexes.slice(0, maxTasks))
       return false
     }
     this.freeBytes -= bytes
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -83,7 +83,9 @@
    * machines have room.
    */
   rentable(team: Team, used: QuotaAmount, claims: ReadonlyArray<TeamClaim>): QuotaAmount {
-    const byShard = new Map<string, QuotaAmount>(Object.entries(this.allocationsOf(team.name)))
+    const byShard = new Map<ShardName, QuotaAmount>()
+    for (const [shard, amount] of Object.entries(this.allocationsOf(team.name)))
+      byShard.set(shard as ShardName, amount)
     for (const { shard, team: claimedTeam, cpus, gpus } of claims)
       if (claimedTeam === team.name) byShard.set(shard, { cpus, gpus })
     byShard.delete(this.options.shard)
--- a/scenarios/late-transactions.sexp
+++ b/scenarios/late-transactions.sexp
@@ -5,4 +5,4 @@
   (at 12 (cancel 1)) (at 30 (cancel 8)) (at 50 (cancel 15)) (at 70 (cancel 20))
   (at 40 (crash host-0 4)) (at 150 (crash-all 2))
   (expect (all-over) (happened lateAfterNewer 60) (happened lateRefused 40) (happened lateApplied 5))
-  (guard "packages/jobs/src/job-ends.ts" "{ key, modRevision: before }," ""))
+  (guard "packages/jobs/src/job-ends.ts" "{ key, modRevision: baseRevision }," ""))
