--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -161,11 +161,16 @@
     })
   }
   private makeJobStore(): JobStore {
-    return new JobStore(this.options.store, this.membership, this.jobIndex, {
-      changed: (entry, request) => this.jobChanged(entry, request),
-      remembered: (id) => this.progress.finalStatus(id),
-      remember: (id, status) => this.progress.remember(id, status),
-      shardOf: (request) => this.shardOfJob(request),
+    return new JobStore({
+      store: this.options.store,
+      membership: this.membership,
+      jobIndex: this.jobIndex,
+      events: {
+        changed: (entry, request) => this.jobChanged(entry, request),
+        cachedFinal: (id) => this.progress.finalStatus(id),
+        cacheFinal: (id, status) => this.progress.remember(id, status),
+        shardOf: (request) => this.shardOfJob(request),
+      },
     })
   }
   private makeInventory(): CloudInventory {
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -1,3 +1,14 @@
+/**
+ * Owns the writes of one shard's placements and finishes. It never reports a
+ * placement as durable before its slot is surely written, nor gives one up
+ * while a write that holds it may still be carried out.
+ *
+ * Why a lost or late write is harmless: each is made on the shard epoch, on its
+ * slot's revision, and on the revisions of the pages of the jobs that it places
+ * tasks of. Until it is known what became of it, only the very same write is
+ * sent again; and once one of its conditions has failed, it fails for every
+ * late copy as well.
+ */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
 import {
@@ -12,177 +23,205 @@
 import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobState, Placement } from "./job-state.ts"
-import { type Draft, PlacementLedger } from "./placement-ledger.ts"
+import { CONDITIONS_PER_OPERATION, pageConditions } from "./page-conditions.ts"
+import { PlacementLedger, type SlotWrite } from "./placement-ledger.ts"
+import { WritePacer } from "./write-pacer.ts"
 
 const PAUSE_MS = 150
-/** Finishes are looked at this often, nothing is hardly ever. */
-const TICK_MS = 500
+/** While finishes wait, it is looked this often whether they are due; else hardly ever. */
+const FINISHES_CHECK_MS = 500
 const IDLE_MS = 5_000
 /**
  * Finishes wait for the next starts' write, at most this long: the worker
- * keeps an exited task until it is told to forget it, so a lost finish is told
- * again.
+ * keeps an exited task until it is commanded to purge it, so a lost finish is
+ * reported again.
  */
 const FINISHES_WAIT_MS = 2_000
 
 /**
- * Share of the state service's changes that one part's slots may use: where
- * many small jobs come, starts wait a little so that more of them go together.
+ * Fraction of the store's writes that one shard's slots may use: where many
+ * small jobs come, starts wait a little so that more of them go together.
  */
-const CALM_SLOT_SHARE = 0.3
-const BUSY_SLOT_SHARE = 0.12
+const CALM_WRITE_FRACTION = 0.3
+const BUSY_WRITE_FRACTION = 0.12
+/** On the shard and on the slot. */
+const OWN_CONDITIONS = 2
 
-export interface CommitEvents {
+/** What becomes of placements. */
+export interface PlacementWriterEvents {
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
   /** A placement that won't become durable: its job was cancelled meanwhile. */
-  readonly unwanted: (placement: Placement) => void
+  readonly abandoned: (placement: Placement) => void
 }
 
-/** The pages of the job table that hold these jobs, as they were when the jobs were last heard of. */
-export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
-  const pages = new Map<string, ModRevision>()
-  for (const { page, modRevision } of jobs) pages.set(page, modRevision)
-  return [...pages].map(([path, modRevision]) => ({ key: path, modRevision }))
+/** What a shard's writer of placements works with. */
+export interface PlacementWriterOptions {
+  readonly shard: ShardName
+  /** Of the ownership on whose behalf slots are written; it fences every write. */
+  readonly epoch: ModRevision
+  readonly store: StoreClient
+  readonly membership: Pick<Membership, "readBarrier">
+  readonly now: () => MonotonicTime
+  /** False while the node must not write on the shard's behalf. */
+  readonly active: () => boolean
+  readonly events: PlacementWriterEvents
 }
 
-/** Writes down what became of one part's tasks: starts at once, finishes by the way. */
+/** Writes down what became of one shard's tasks: starts at once, finishes along with them. */
 export class PlacementWriter {
   readonly ledger: PlacementLedger
   private readonly starts = new Set<Placement>()
-  private readonly finishing = new Set<JobState>()
-  private finishingSince: MonotonicTime = NEVER
-  private wroteAt: MonotonicTime = NEVER
+  private readonly unsavedJobs = new Set<JobState>()
+  private unsavedSince: MonotonicTime = NEVER
+  private readonly pacer: WritePacer
   private inFlight: ReadonlySet<Placement> = new Set()
-  private readonly signal = new Signal()
-
-  constructor(
-    private readonly shard: ShardName,
-    private readonly epoch: ModRevision,
-    private readonly store: StoreClient,
-    private readonly membership: Membership,
-    private readonly now: () => MonotonicTime,
-    private readonly active: () => boolean,
-    private readonly events: CommitEvents,
-  ) {
-    this.ledger = new PlacementLedger(store.limits.valueKb)
+  private readonly workAdded = new Signal()
+
+  constructor(private readonly options: PlacementWriterOptions) {
+    const { store, now } = options
+    const { valueKb, writesPerSecond } = store.limits
+    this.ledger = new PlacementLedger({ valueKb })
+    this.pacer = new WritePacer({
+      store,
+      now,
+      spacingMs: (load) =>
+        1000 / (interpolateByLoad(load, CALM_WRITE_FRACTION, BUSY_WRITE_FRACTION) * writesPerSecond),
+    })
   }
 
+  /** Makes the placement durable as soon as the store has capacity. */
   place(placement: Placement): void {
     this.starts.add(placement)
-    this.signal.notify()
+    this.workAdded.notify()
   }
-  /** Its placement is on the way to the state service: it may become durable any moment. */
+
+  /** Whether its write is on the way to the store: it may become durable any moment. */
   isInFlight(placement: Placement): boolean {
     return this.inFlight.has(placement)
   }
+
   /** A task of the job finished, and others of it have not. */
-  finished(job: JobState): void {
-    if (job.unsaved.size === 0 || this.finishing.has(job)) return
-    if (this.finishing.size === 0) {
-      this.finishingSince = this.now()
-      this.signal.notify()
+  recordFinishes(job: JobState): void {
+    if (job.unsavedFinishes.size === 0 || this.unsavedJobs.has(job)) return
+    if (this.unsavedJobs.size === 0) {
+      this.unsavedSince = this.options.now()
+      this.workAdded.notify()
     }
-    this.finishing.add(job)
+    this.unsavedJobs.add(job)
   }
-  /** The job's end says all that its finishes would. */
-  ended(job: JobState): void {
-    this.finishing.delete(job)
+
+  /** The job's final state says all that its finishes would. */
+  discardFinishes(job: JobState): void {
+    this.unsavedJobs.delete(job)
   }
 
+  /** Writes until it is interrupted. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.starts.size === 0 && !this.finishesDue())
-          yield* this.signal.wait(this.finishing.size > 0 ? TICK_MS : IDLE_MS)
-        if (!this.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.starts.size > 0 || this.finishesDue()) yield* this.writeSlot()
+        if (this.starts.size === 0 && !this.finishesAreDue())
+          yield* this.workAdded.wait(this.unsavedJobs.size > 0 ? FINISHES_CHECK_MS : IDLE_MS)
+        if (!this.options.active()) return yield* Effect.sleep(PAUSE_MS)
+        if (this.starts.size > 0 || this.finishesAreDue()) yield* this.writeSlot()
       }),
     ),
   )
-  private finishesDue(): boolean {
-    return this.finishing.size > 0 && this.now() > addMs(this.finishingSince, FINISHES_WAIT_MS)
-  }
-  private get shardCondition(): Condition {
-    return { key: keys.shard(this.shard), modRevision: this.epoch }
-  }
-  private get mostConditions(): number {
-    return 4 * this.store.limits.maxOperations
+
+  private finishesAreDue(): boolean {
+    return this.unsavedJobs.size > 0 && this.options.now() > addMs(this.unsavedSince, FINISHES_WAIT_MS)
   }
 
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
       // What becomes ready while this waits for its turn goes along.
-      const share = interpolateByLoad(this.store.writeLoad(), CALM_SLOT_SHARE, BUSY_SLOT_SHARE)
-      const pauseMs = addMs(this.wroteAt, 1000 / (share * this.store.limits.writesPerSecond)) - this.now()
-      if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-      yield* this.store.awaitWriteCapacity(1, 2)
-      this.wroteAt = this.now()
-      for (const placement of this.starts) {
-        if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
-      }
-      for (const job of this.finishing) if (job.over || job.unsaved.size === 0) this.finishing.delete(job)
-      const draft = this.ledger.draft(this.starts, this.finishing, this.mostConditions - 2, this.epoch)
-      if (draft === null) return
-      for (const placement of draft.starts) this.starts.delete(placement)
-      this.inFlight = new Set(draft.starts)
-      yield* this.write(draft)
+      yield* this.pacer.awaitTurn
+      const write = this.prepareWrite()
+      if (write === null) return
+      for (const placement of write.starts) this.starts.delete(placement)
+      this.inFlight = new Set(write.starts)
+      yield* this.write(write)
       this.inFlight = new Set()
-      for (const job of this.finishing) if (job.unsaved.size === 0) this.finishing.delete(job)
-      this.finishingSince = this.now()
+      for (const job of this.unsavedJobs) if (job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
+      this.unsavedSince = this.options.now()
     })
   }
 
-  /** Until the draft is durable, or surely never will be. */
-  private write(draft: Draft) {
+  /** What is still to be written; null when nothing is. */
+  private prepareWrite(): SlotWrite | null {
+    const { store, epoch } = this.options
+    for (const placement of this.starts) {
+      if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
+    }
+    for (const job of this.unsavedJobs)
+      if (job.finalized || job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
+    const maxJobs = CONDITIONS_PER_OPERATION * store.limits.maxOperations - OWN_CONDITIONS
+    return this.ledger.prepareWrite({ starts: this.starts, finished: this.unsavedJobs, maxJobs, epoch })
+  }
+
+  private conditionsOf(write: SlotWrite): ReadonlyArray<Condition> {
+    const { shard, epoch } = this.options
+    return [
+      { key: keys.shard(shard), modRevision: epoch },
+      { key: keys.slot(shard, write.slot), modRevision: write.baseRevision },
+      ...pageConditions(write.jobs),
+    ]
+  }
+
+  /**
+   * Until the write is durable, or surely never will be. A loop rather than a
+   * Schedule: what the slot was read to hold decides on another attempt.
+   */
+  private write(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.slot(this.shard, draft.slot)
-      const when = [
-        this.shardCondition,
-        { key: path, modRevision: draft.before },
-        ...pageConditions(draft.jobs),
-      ]
-      const apply: Array<Operation> = [put(path, draft.record)]
-      for (let tries = 0; ; tries++) {
-        const done = yield* Effect.result(
-          this.store.compareAndSwap(when, apply, tries === 0 ? "reserved" : 2),
-        )
-        if (Result.isSuccess(done) && done.success.ok) return this.saved(draft, done.success.revision)
-        if (Result.isFailure(done) && done.failure.outcome === "refused" && tries === 0) {
+      const { store, membership, shard } = this.options
+      const key = keys.slot(shard, write.slot)
+      const conditions = this.conditionsOf(write)
+      const operations: ReadonlyArray<Operation> = [put(key, write.record)]
+      for (let attempt = 0; ; attempt++) {
+        const priority = attempt === 0 ? "reserved" : 2
+        const written = yield* Effect.result(store.compareAndSwap(conditions, operations, priority))
+        if (Result.isSuccess(written) && written.success.ok)
+          return this.committed(write, written.success.revision)
+        if (Result.isFailure(written) && written.failure.outcome === "refused" && attempt === 0) {
           yield* Effect.sleep(PAUSE_MS)
-          return this.dropped(draft, draft.before)
+          return this.aborted(write, write.baseRevision)
         }
         // Without an answer it may have been written, or may yet be: as long
         // as that isn't known, only the very same write is tried again.
-        const failed = Result.isSuccess(done) && !done.success.ok ? done.success.failedKeys : null
-        const read = yield* Effect.result(this.store.get(path))
+        const read = yield* Effect.result(store.get(key))
         if (Result.isFailure(read)) {
           yield* Effect.sleep(PAUSE_MS)
           continue
         }
         const modRevision = read.success?.modRevision ?? ABSENT
-        const written = read.success?.value.write
-        const { epoch, number } = draft.record.write
-        if (written?.epoch === epoch && written.number === number) return this.saved(draft, modRevision)
-        if (failed === null) continue
+        if (isSameWrite(read.success?.value.write, write)) return this.committed(write, modRevision)
+        const conditionFailed = Result.isSuccess(written)
+        if (!conditionFailed) continue
         // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(this.membership.readBarrier.since)
-        return this.dropped(draft, modRevision)
+        yield* Effect.result(membership.readBarrier.since)
+        return this.aborted(write, modRevision)
       }
     })
   }
-  private saved(draft: Draft, modRevision: ModRevision): void {
-    this.ledger.saved(draft, modRevision)
-    this.events.durable(draft.starts)
+
+  private committed(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.committed(write, modRevision)
+    this.options.events.durable(write.starts)
   }
-  private dropped(draft: Draft, modRevision: ModRevision): void {
-    this.ledger.dropped(draft, modRevision)
-    for (const placement of draft.starts) {
-      // What a draft only repeated of an older slot is durable there, and may
+
+  private aborted(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.aborted(write, modRevision)
+    for (const placement of write.starts) {
+      // What a write only repeated of an older slot is durable there, and may
       // run: it stays counted until it is surely off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
       if (placement.stop === null) this.starts.add(placement)
-      else this.events.unwanted(placement)
+      else this.options.events.abandoned(placement)
     }
   }
 }
+
+/** Whether the slot holds this very write: its epoch and number are never used for another one. */
+const isSameWrite = (stored: SlotWrite["record"]["write"] | undefined, { record }: SlotWrite): boolean =>
+  stored?.epoch === record.write.epoch && stored.number === record.write.number
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -62,14 +62,26 @@
     this.node = node
     this.events = events
     const { store, membership, clocks, jobIndex } = node
-    this.now = clocks.monotonicNow
-    this.placementWriter = new PlacementWriter(shard, epoch, store, membership, clocks.monotonicNow, mayAct, {
-      durable: events.durable,
-      unwanted: (placement) => this.unplace(placement),
+    const now = clocks.monotonicNow
+    this.now = now
+    this.placementWriter = new PlacementWriter({
+      shard,
+      epoch,
+      store,
+      membership,
+      now,
+      active: mayAct,
+      events: { durable: events.durable, abandoned: (placement) => this.unplace(placement) },
     })
-    this.ends = new JobEnds(shard, epoch, store, membership, jobIndex, clocks.monotonicNow, mayAct, {
-      ended: (ends) => node.jobsEnded(ends),
-      fold: (page) => node.foldJobs(page),
+    this.ends = new JobEnds({
+      shard,
+      epoch,
+      store,
+      membership,
+      jobIndex,
+      now,
+      active: mayAct,
+      events: { ended: (ends) => node.jobsEnded(ends), fold: (page) => node.foldJobs(page) },
     })
   }
 
@@ -90,7 +102,8 @@
     for (const { key, value, modRevision } of slots) {
       // The store's codec decoded it by its key, which is a slot's: the list's type can't say so.
       const slot = Number(key.slice(key.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore(slot, modRevision, value as PlacementRecord, jobOf, now)
+      const record = value as PlacementRecord
+      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })
     }
   }
 
@@ -114,7 +127,7 @@
       this.jobs.set(id, job)
       this.events.arrived(record.spec)
       // During a failover its placements aren't read yet: a cancelled job would seem to have none.
-      if (this.events.isReady() && job.ended) this.settle(job)
+      if (this.events.isReady() && job.awaitsFinalState) this.settle(job)
       this.events.changed()
       return
     }
@@ -124,9 +137,9 @@
 
   /** A task of the job finished or was cleared, or the job was cancelled. */
   settle(job: JobState): void {
-    if (job.over) return
-    if (!job.ended) return this.placementWriter.finished(job)
-    this.placementWriter.ended(job)
+    if (job.finalized) return
+    if (!job.awaitsFinalState) return this.placementWriter.recordFinishes(job)
+    this.placementWriter.discardFinishes(job)
     this.ends.add(job)
   }
 
@@ -142,7 +155,7 @@
     for (const placement of [...job.placements.values()]) {
       if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.unplace(placement)
       else {
-        job.stop(placement, { reason: "cancelled", leewayS: 0, since })
+        job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since })
         this.events.commandsDue(placement.machine)
       }
     }
@@ -159,8 +172,8 @@
 
   private remove(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
-    job.over = true
-    this.placementWriter.ended(job)
+    job.finalized = true
+    this.placementWriter.discardFinishes(job)
     for (const placement of job.placements.values()) this.events.release(placement)
     this.events.removed(job)
     this.events.changed()
--- a/packages/shard/src/machine-checks.ts
+++ b/packages/shard/src/machine-checks.ts
@@ -56,8 +56,8 @@
         if (placement.stop !== null || checkpointIntervalS === 0) continue
         // Heartbeats, and the stop itself, take time too.
         if (leftS >= checkpointSaveS + STOP_DELAY_S) continue
-        const leewayS = Math.max(checkpointSaveS, leftS)
-        placement.job.stop(placement, { reason: "drain", leewayS, since: now })
+        const gracePeriodS = Math.max(checkpointSaveS, leftS)
+        placement.job.stop(placement, { reason: "drain", gracePeriodS, since: now })
         this.options.commandsDue(session.id)
       }
     }
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -77,6 +77,6 @@
     job.place(placement)
     session.hold(placement)
     registry.place(placement)
-    quotas.started(job.request.team)
+    quotas.taskStarted(job.request.team)
   }
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -76,7 +76,7 @@
   const views: Array<JobView> = []
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
-    if (job.cancelled || job.complete) continue
+    if (job.cancelled || job.allFinished) continue
     const { team, cores } = job.request
     const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
@@ -104,16 +104,16 @@
     spec,
     rank: suspect ? SUSPECT_RANK : priorityRank[spec.priority],
     queued: shard.failures.startable(job, now),
-    running: job.placements.size - job.leaving,
+    running: job.placements.size - job.stopping,
     zones: tasksByZone(shard, job),
     timeLeftS: timeLeftS(shard, spec, ageS, executionS),
     ageS,
     submitted,
     executionS,
     startWithinS: nextTarget(startTargets(shard, spec.jobClass, executionS), ageS, 0),
-    notStarted: job.unbegun && !suspect,
+    notStarted: job.notStarted && !suspect,
     withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
-    mayStart: job.notBefore === null || now >= job.notBefore,
+    mayStart: job.retryAfter === null || now >= job.retryAfter,
     avoids: shard.failures.avoidedBy(id, now),
   }
 }
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -172,7 +172,11 @@
     const { now, commandsDue } = this.input
     for (const { placement, savesS } of chosen) {
       this.stopped.add(placement)
-      placement.job.stop(placement, { reason: "preempted", leewayS: savesS + GRACE_MARGIN_S, since: now })
+      placement.job.stop(placement, {
+        reason: "preempted",
+        gracePeriodS: savesS + GRACE_MARGIN_S,
+        since: now,
+      })
       commandsDue(placement.machine)
       this.shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -17,7 +17,7 @@
   tasksWithinHeadroom,
 } from "@sorreltally/planner"
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
-import type { Amount, ShareNeed } from "@sorreltally/quota"
+import type { AllocationDemand, QuotaAmount } from "@sorreltally/quota"
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { ShardView } from "./shard-context.ts"
 
@@ -36,7 +36,10 @@
   accelerators: maxGpus - use.accelerators,
 })
 
-const amountOf = ({ cores, accelerators }: QuotaHeadroom): Amount => ({ cpus: cores, gpus: accelerators })
+const amountOf = ({ cores, accelerators }: QuotaHeadroom): QuotaAmount => ({
+  cpus: cores,
+  gpus: accelerators,
+})
 
 /** Cores of our machines, ready or booting, on which no task is placed. */
 export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, QuotaHeadroom>): number => {
@@ -152,7 +155,7 @@
     coresLeft -= tasks * spec.cores
     const suspect = shard.failures.isSuspect(job.id)
     all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
-    const waiting = { notStarted: job.unbegun && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
+    const waiting = { notStarted: job.notStarted && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
     if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
     if (smallestTask === null || spec.cores < smallestTask.cores) smallestTask = spec
   }
@@ -166,22 +169,25 @@
   use: QuotaHeadroom,
   quotas: ReadonlyArray<QuotaDemand>,
   unusedCores: number,
-): ShareNeed => {
+): AllocationDemand => {
   const { all, starved, smallestTask } = teamQueue(shard, team, use, unusedCores)
   const others = quotas.filter((demand) => demand.team === team.name)
   const anyBefore = ({ rank, since }: QueuedQuota) =>
     others.some((demand) => goesFirst(demand, { shard: shard.name, team: team.name, rank, since }))
-  const need = (queue: QueuedQuota, asked: ShareNeed["asked"]): ShareNeed => ({
+  const need = (
+    queue: QueuedQuota,
+    competingDemand: AllocationDemand["competingDemand"],
+  ): AllocationDemand => ({
     used: amountOf(use),
-    wanted: { cpus: use.cores + queue.cpus, gpus: use.accelerators + queue.gpus },
+    demanded: { cpus: use.cores + queue.cpus, gpus: use.accelerators + queue.gpus },
     smallestTask:
       smallestTask === null ? null : { cpus: smallestTask.cores, gpus: smallestTask.accelerators },
-    asked,
+    competingDemand,
   })
-  if (others.length === 0) return need(all, "no")
-  if (!anyBefore(all)) return need(all, "after")
+  if (others.length === 0) return need(all, "none")
+  if (!anyBefore(all)) return need(all, "lowerPriority")
   // Guards against work of low rank that never begins while other shards have more urgent work than
   // the limit holds: some tasks of a job that waited too long go before it.
-  if (starved.cpus + starved.gpus > 0 && !anyBefore(starved)) return need(starved, "after")
-  return need(all, "first")
+  if (starved.cpus + starved.gpus > 0 && !anyBefore(starved)) return need(starved, "lowerPriority")
+  return need(all, "higherPriority")
 }
--- a/packages/shard/src/shard-failover.ts
+++ b/packages/shard/src/shard-failover.ts
@@ -54,6 +54,6 @@
     // shard only when no task can be on it.
     if (session === undefined) job.clear(placement)
     else session.hold(placement)
-    if (job.cancelled) job.stop(placement, { reason: "cancelled", leewayS: 0, since: now })
+    if (job.cancelled) job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since: now })
   }
 }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -112,15 +112,15 @@
     const { shard, epoch, registry, rentals, changed } = options
     const { platform, membership, store, clocks } = shard.node
     const { replica } = membership
-    this.quotas = new QuotaAllocation(
-      shard.name,
+    this.quotas = new QuotaAllocation({
+      shard: shard.name,
       epoch,
-      platform.deployment.teams,
+      teams: platform.deployment.teams,
       replica,
       store,
-      clocks.monotonicNow,
+      now: clocks.monotonicNow,
       changed,
-    )
+    })
     this.execution = new PlanExecution({ shard, epoch, registry, quotas: this.quotas, rentals })
   }
 
@@ -208,9 +208,9 @@
     const headroom: TeamHeadroom = { startable: new Map(), rentable: new Map() }
     for (const team of this.options.shard.node.platform.deployment.teams) {
       const { cores, accelerators } = used.get(team.name) ?? NO_QUOTA
-      const beyond = this.quotas.beyond(team, { cpus: cores, gpus: accelerators }, claims)
+      const beyond = this.quotas.rentable(team, { cpus: cores, gpus: accelerators }, claims)
       headroom.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
-      const share = this.quotas.share(team)
+      const share = this.quotas.allocated(team)
       headroom.startable.set(team.name, {
         cores: share.cpus - cores,
         accelerators: share.gpus - accelerators,
@@ -310,7 +310,7 @@
     const quotaInput = { jobs, startable: headroom.startable, used, unusedCores: unused }
     shard.node.publishDemand(shard.name, {
       machines: machineDemands(shard.name, decided.unplaced),
-      quotas: quotaDemands(shard, quotaInput).filter(({ team }) => !this.quotas.yields(team)),
+      quotas: quotaDemands(shard, quotaInput).filter(({ team }) => !this.quotas.isYielding(team)),
       claims: teamClaims(shard, used, decided.claims),
     })
   }
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -57,7 +57,7 @@
   private taskRunning(session: WorkerSession, placement: Placement, now: MonotonicTime): void {
     const { clocks, log } = this.context.node
     const { job } = placement
-    job.began(placement, now)
+    job.markRunning(placement, now)
     log.debug("task running", {
       task: placement.task,
       jobClass: job.request.jobClass,
@@ -71,8 +71,8 @@
     const { failures, node } = this.context
     const { job } = placement
     job.finish(placement.index)
-    job.refusals = 0
-    job.notBefore = null
+    job.startRefusals = 0
+    job.retryAfter = null
     failures.succeeded(job.id, session.id)
     if (placement.runningSince !== null && placement.stop === null)
       node.estimates.learn(job.request, (now - placement.runningSince) / 1000)
@@ -82,7 +82,7 @@
     const { job } = placement
     job.clear(placement)
     const pauseMs = this.pauseAfter(cause, job, session, now)
-    if (pauseMs > 0) job.notBefore = addMs(now, pauseMs)
+    if (pauseMs > 0) job.retryAfter = addMs(now, pauseMs)
     this.context.node.log.debug("task left machine", { task: placement.task, machine: session.id, cause })
   }
 
@@ -91,10 +91,10 @@
     if (cause === "error") return this.recordFailure(job, session, now)
     if (cause !== "insufficientResources" && cause !== "unknown") return 0
     // Repeatedly refused starts are retried ever less often.
-    job.refusals++
+    job.startRefusals++
     return Math.min(
       MAX_REFUSAL_PAUSE_MS,
-      REFUSAL_PAUSE_MS * 2 ** Math.min(MAX_REFUSAL_DOUBLINGS, job.refusals),
+      REFUSAL_PAUSE_MS * 2 ** Math.min(MAX_REFUSAL_DOUBLINGS, job.startRefusals),
     )
   }
 
--- a/packages/shard/test/quota-demand.test.ts
+++ b/packages/shard/test/quota-demand.test.ts
@@ -12,25 +12,28 @@
 
 test("what a shard wants of a limit is what its tasks use and what machines have capacity for", () => {
   const share = shareDemand(shardOf(job(1, 10)), team, use, [], 30)
-  assert.deepEqual([share.used.cpus, share.wanted.cpus, share.asked], [20, 48, "no"])
+  assert.deepEqual([share.used.cpus, share.demanded.cpus, share.competingDemand], [20, 48, "none"])
   assert.deepEqual(share.smallestTask, { cpus: 4, gpus: 0 })
   // No machine has capacity: quota would only lie idle.
-  assert.deepEqual(shareDemand(shardOf(job(1, 10)), team, use, [], 0).wanted.cpus, 20)
+  assert.deepEqual(shareDemand(shardOf(job(1, 10)), team, use, [], 0).demanded.cpus, 20)
 })
 
 test("the more urgent shard goes first, and so does the one whose work waits longer", () => {
   const shard = shardOf(job(1, 10, { priority: "standard" }))
-  assert.equal(shareDemand(shard, team, use, [asks(0)], 30).asked, "after")
-  assert.equal(shareDemand(shard, team, use, [asks(3)], 30).asked, "first")
+  assert.equal(shareDemand(shard, team, use, [asks(0)], 30).competingDemand, "lowerPriority")
+  assert.equal(shareDemand(shard, team, use, [asks(3)], 30).competingDemand, "higherPriority")
 })
 
 // Guards against work of low rank that never begins while other shards have more urgent work than the limit holds.
 test("of a starved job a few tasks go before more urgent work of other shards", () => {
   const share = shareDemand(shardOf(job(1, 200)), team, use, [asks(3)], 400)
   // A twentieth of 40 tasks of 4 cores.
-  assert.deepEqual([share.wanted.cpus, share.asked], [28, "after"])
-  assert.equal(shareDemand(shardOf(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).asked, "first")
-  assert.equal(shareDemand(shardOf(job(1, 100)), team, use, [asks(3)], 400).asked, "first")
+  assert.deepEqual([share.demanded.cpus, share.competingDemand], [28, "lowerPriority"])
+  assert.equal(
+    shareDemand(shardOf(job(1, 200)), team, use, [asks(STARVED_RANK)], 400).competingDemand,
+    "higherPriority",
+  )
+  assert.equal(shareDemand(shardOf(job(1, 100)), team, use, [asks(3)], 400).competingDemand, "higherPriority")
 })
 
 test("what a shard counts on of a limit is published in steps", () => {
@@ -45,7 +48,10 @@
   const large = shardOf(job(1, 200, { cores: 8 }))
   // 315 of 320 cores are used by this shard itself.
   const share = shareDemand(large, team, cores(315), [asks(0)], 400)
-  assert.deepEqual([share.wanted.cpus, share.smallestTask, share.asked], [315, null, "first"])
+  assert.deepEqual(
+    [share.demanded.cpus, share.smallestTask, share.competingDemand],
+    [315, null, "higherPriority"],
+  )
   const spec = { team: red, cores: 8, accelerators: 0, memGb: 1 }
   const jobs = [
     { id: "run-000001", spec, queued: 40, rank: 1, ageS: 10 },
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -65,7 +65,7 @@
   if (stop === null) return isReported || inherited ? null : { kind: "start", taskId, attempt }
   if (!isReported || reported.phase === "exited") return null
   // What is left of it: a stop may be repeated, and the task has had the rest.
-  const gracePeriodS = Math.max(0, stop.leewayS - (now - stop.since) / 1000)
+  const gracePeriodS = Math.max(0, stop.gracePeriodS - (now - stop.since) / 1000)
   if (reported.phase === "checkpointing" && gracePeriodS > 0) return null
   return { kind: "stop", taskId, attempt, gracePeriodS }
 }
--- a/packages/workers/test/builders.ts
+++ b/packages/workers/test/builders.ts
@@ -121,7 +121,7 @@
   return placement
 }
 export const stop = (placement: Placement): void => {
-  placement.stop = { reason: "cancelled", leewayS: 0, since: at(1) }
+  placement.stop = { reason: "cancelled", gracePeriodS: 0, since: at(1) }
 }
 
 export const startOf = (taskId: TaskId): Command => ({ kind: "start", taskId, attempt: ATTEMPT })
