--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -2,7 +2,7 @@
 import { InFlight, Signal } from "@sorreltally/concurrency"
 import { CommandForwarder, HeartbeatBalancer, HeartbeatForwarder, NodeLoads } from "@sorreltally/forwarding"
 import { JobIndex, JobStore } from "@sorreltally/jobs"
-import { DEADLINE_SHARD, type Host, Membership, shardOf } from "@sorreltally/membership"
+import { DEADLINE_SHARD, Membership, type MembershipListener, shardOf } from "@sorreltally/membership"
 import type {
   ForwardedHeartbeats,
   MachineHandoffMessage,
@@ -86,7 +86,7 @@
     private readonly log: Log,
     private readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>,
   ) {
-    const host: Host = {
+    const host: MembershipListener = {
       acquired: (shard, epoch) => this.acquired(shard, epoch),
       lost: (shard) => this.lost(shard),
       busy: () =>
@@ -339,7 +339,7 @@
       case "nodeLoad":
         return this.loads.received(from, message.load)
       case "jobChanged":
-        return this.membership.replica.hint(message.page)
+        return this.membership.replica.applyWrite(message.page)
       case "demand":
         return this.receiveDemand(message.demands)
       case "machineHandoff":
@@ -364,7 +364,7 @@
     for (const { engine } of this.engines.values()) engine.wake()
   }
   private receiveHandoff({ shard, block, machines }: MachineHandoffMessage): void {
-    this.membership.replica.hint(block)
+    this.membership.replica.applyWrite(block)
     const own = this.engines.get(shard)
     for (const { machineId, handoff } of machines) own?.engine.acceptHandoff(machineId, handoff)
   }
@@ -388,7 +388,7 @@
   /** A job was accepted or cancelled: its owner should know before the watch tells it. */
   private jobChanged(entry: Entry, request: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
-      this.membership.replica.hint(entry)
+      this.membership.replica.applyWrite(entry)
       const owner = this.membership.owner(this.shardOfJob(request))
       if (owner !== null && owner !== this.platform.nodeName)
         this.peers.send({ kind: "jobChanged", page: entry }, owner)
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -122,13 +122,13 @@
       const written = yield* Effect.result(this.store.compareAndSwap(when, [put(path, page)], "reserved"))
       const { replica, readBarrier } = this.membership
       if (Result.isSuccess(written) && written.success.ok) {
-        replica.hint({ key: path, value: page, modRevision: written.success.revision })
+        replica.applyWrite({ key: path, value: page, modRevision: written.success.revision })
         this.grew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
         yield* Effect.sleep(PAUSE_MS)
-        const fresh = yield* Effect.result(readBarrier.since)
+        const fresh = yield* Effect.result(readBarrier.wait)
         if (Result.isFailure(fresh)) return
       }
       this.settle(draft.jobs)
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -88,7 +88,7 @@
     return Effect.gen({ self: this }, function* () {
       const known = this.events.remembered(id)
       if (known !== null) return { kind: "final", status: known } as const
-      yield* this.membership.readBarrier.since
+      yield* this.membership.readBarrier.wait
       const found = yield* this.look(id)
       if (found.kind === "final") this.events.remember(id, found.status)
       return found
@@ -118,7 +118,7 @@
           yield* this.events.changed(entry, request)
           return { kind: "accepted" } as const
         }
-        yield* this.membership.readBarrier.since
+        yield* this.membership.readBarrier.wait
       }
     })
   }
@@ -159,8 +159,8 @@
         operations,
         3,
       )
-      if (!done.ok) return yield* this.membership.readBarrier.since
-      this.membership.replica.hint({ key: path, value: written, modRevision: done.revision })
+      if (!done.ok) return yield* this.membership.readBarrier.wait
+      this.membership.replica.applyWrite({ key: path, value: written, modRevision: done.revision })
     })
   }
 
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -166,7 +166,7 @@
         if (written?.epoch === epoch && written.number === number) return this.saved(draft, modRevision)
         if (failed === null) continue
         // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(this.membership.readBarrier.since)
+        yield* Effect.result(this.membership.readBarrier.wait)
         return this.dropped(draft, modRevision)
       }
     })
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -45,10 +45,12 @@
   } as unknown as StoreClient
   const replica = new Replica()
   const items = () => [...stored].map(([key, entry]) => ({ key, ...entry }))
-  const readBarrier = { since: Effect.sync(() => replica.reload(items(), revision as Revision)) } as never
+  const readBarrier = {
+    wait: Effect.sync(() => replica.loadSnapshot(items(), revision as Revision)),
+  } as never
   const jobIndex = new JobIndex(replica)
   const table = new JobStore(state, { replica, readBarrier }, jobIndex, {
-    changed: (entry) => Effect.sync(() => replica.hint(entry)),
+    changed: (entry) => Effect.sync(() => replica.applyWrite(entry)),
     remembered: () => null,
     remember: () => {},
     shardOf: () => SHARD,
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -65,10 +65,10 @@
 const nodeOf = (store: Store) => {
   const replica = new Replica()
   const jobIndex = new JobIndex(replica)
-  const refresh = () => replica.reload(store.under("s/"), store.revision as Revision)
-  const readBarrier = { since: Effect.sync(refresh) } as never
+  const refresh = () => replica.loadSnapshot(store.under("s/"), store.revision as Revision)
+  const readBarrier = { wait: Effect.sync(refresh) } as never
   const table = new JobStore(store.client, { replica, readBarrier }, jobIndex, {
-    changed: (entry) => Effect.sync(() => replica.hint(entry)),
+    changed: (entry) => Effect.sync(() => replica.applyWrite(entry)),
     remembered: () => null,
     remember: () => {},
     shardOf: () => SHARD,
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -60,7 +60,7 @@
           : { ok: true, revision: ++modRevision }
       }),
   } as unknown as StoreClient
-  const membership = { readBarrier: { since: Effect.void }, replica: {} } as unknown as Membership
+  const membership = { readBarrier: { wait: Effect.void }, replica: {} } as unknown as Membership
   const unwanted: Array<Placement> = []
   const commits = new PlacementWriter(
     "deadline" as ShardName,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,5 +1,5 @@
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
-import { MIRRORED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { NodeLeaseKeeper, type NodeLeaseTimes } from "./node-lease.ts"
 import { ReadBarrier } from "./read-barrier.ts"
@@ -19,7 +19,7 @@
 }
 
 /** The rest of the controller, as membership sees it. */
-export interface Host extends ShardListener {
+export interface MembershipListener extends ShardListener {
   /** It has work, and should hear of changes as soon as can be. */
   readonly busy: () => boolean
 }
@@ -43,7 +43,7 @@
   constructor(
     settings: MembershipSettings,
     private readonly store: StoreClient,
-    host: Host,
+    host: MembershipListener,
     private readonly now: () => MonotonicTime,
     private readonly log: Log,
     fork: (effect: Effect.Effect<unknown>) => void,
@@ -105,10 +105,10 @@
     return Effect.gen({ self: this }, function* () {
       // Obtaining the grant takes time: the mirror is as fresh as its read, not as the grant.
       const listed = this.now()
-      const { items, revision } = yield* this.store.list(MIRRORED)
+      const { items, revision } = yield* this.store.list(REPLICATED)
       const live = yield* this.nodeLease.join(items)
-      this.replica.reload(items, revision)
-      this.replica.hint(live)
+      this.replica.loadSnapshot(items, revision)
+      this.replica.applyWrite(live)
       this.watch.broughtUpTo(listed)
       this.log.info("membership joined", { incarnation: live.value.incarnation, revision })
     })
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -1,5 +1,5 @@
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
-import { MIRRORED, type StoreClient, type StoreError } from "@sorreltally/store"
+import { REPLICATED, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
@@ -27,7 +27,7 @@
   ) {}
 
   /** Until the mirror holds all that was so when this was called. */
-  readonly since: Effect.Effect<void, StoreError> = Effect.suspend(() =>
+  readonly wait: Effect.Effect<void, StoreError> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const waiter = yield* Deferred.make<void, StoreError>()
       this.waiting.push(waiter)
@@ -59,10 +59,10 @@
   }
   private bringUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const news = yield* this.store.watch(MIRRORED, this.replica.revision, 0)
-      if (news.kind === "events") return this.replica.apply(news.events, news.revision)
-      const { items, revision } = yield* this.store.list(MIRRORED)
-      this.replica.reload(items, revision)
+      const news = yield* this.store.watch(REPLICATED, this.replica.revision, 0)
+      if (news.kind === "events") return this.replica.applyEvents(news.events, news.revision)
+      const { items, revision } = yield* this.store.list(REPLICATED)
+      this.replica.loadSnapshot(items, revision)
     })
   }
 }
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -1,5 +1,5 @@
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
-import { MIRRORED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
@@ -59,11 +59,11 @@
         const answerMs = Math.min(LONGEST_ANSWER_MS, blockMs)
         const { revision } = this.replica
         const news = yield* Effect.result(
-          this.store.watch(MIRRORED, revision, Math.floor(blockMs), Math.floor(answerMs)),
+          this.store.watch(REPLICATED, revision, Math.floor(blockMs), Math.floor(answerMs)),
         )
         if (Result.isFailure(news)) return yield* Effect.sleep(RETRY_MS)
         if (news.success.kind === "compacted") return yield* this.readAll()
-        this.replica.apply(news.success.events, news.success.revision)
+        this.replica.applyEvents(news.success.events, news.success.revision)
         this.broughtUpTo(sent)
         // Every change wakes every node's watch: what comes in one go costs one request.
         yield* Effect.sleep(this.pauseMs())
@@ -76,9 +76,9 @@
   }
   private readAll() {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.store.list(MIRRORED))
+      const read = yield* Effect.result(this.store.list(REPLICATED))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
-      this.replica.reload(read.success.items, read.success.revision)
+      this.replica.loadSnapshot(read.success.items, read.success.revision)
     })
   }
 }
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -29,7 +29,7 @@
     return this.find(key)?.modRevision ?? ABSENT
   }
   /** Every key of one family. */
-  under(family: string): Iterable<Entry> {
+  entriesOf(family: string): Iterable<Entry> {
     return this.families.get(family)?.values() ?? []
   }
   /** Returns how to stop listening. */
@@ -44,7 +44,7 @@
    * What a full read found; whatever it doesn't hold is gone, unless it is
    * newer than the revision that the read stands for.
    */
-  reload(items: ReadonlyArray<Entry>, revision: Revision): void {
+  loadSnapshot(items: ReadonlyArray<Entry>, revision: Revision): void {
     if (revision < this.revision) return
     const found = new Set(items.map((i) => i.key))
     for (const family of this.families.values()) {
@@ -55,7 +55,7 @@
     for (const item of items) if (this.isNews(item.key, item.modRevision)) this.keep(item)
     this.reach(revision)
   }
-  apply(changes: ReadonlyArray<WatchEvent>, revision: Revision): void {
+  applyEvents(changes: ReadonlyArray<WatchEvent>, revision: Revision): void {
     for (const change of changes) {
       // The mirror holds everything up to its revision: an older change is old news.
       if (change.modRevision <= (this.revision as number)) continue
@@ -70,12 +70,12 @@
    * watch does. A hint as old as what the watch has brought says nothing: the
    * key may have been deleted since.
    */
-  hint(entry: Entry): void {
+  applyWrite(entry: Entry): void {
     if (entry.modRevision > (this.revision as number) && this.isNews(entry.key, entry.modRevision))
       this.keep(entry)
   }
   /** A transaction of ours deleted the key. */
-  bury(path: string, modRevision: ModRevision): void {
+  applyDelete(path: string, modRevision: ModRevision): void {
     if (modRevision <= (this.revision as number)) return
     this.buried.set(path, modRevision)
     if (this.modRevision(path) < modRevision) this.drop(path)
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -167,7 +167,7 @@
         this.store.compareAndSwap([{ key: path, modRevision: epoch }], [put(path, record)], 0),
       )
       if (Result.isSuccess(done) && done.success.ok)
-        this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
+        this.replica.applyWrite({ key: path, value: record, modRevision: done.success.revision })
     })
   }
 
@@ -215,7 +215,7 @@
         when.push({ key: keys.node(from), modRevision: this.replica.modRevision(keys.node(from)) })
       const won = yield* Effect.result(this.store.compareAndSwap(when, [put(path, record)], 0))
       if (Result.isFailure(won) || !won.success.ok) return yield* this.lookWhoOwns(shard, from)
-      this.replica.hint({ key: path, value: record, modRevision: won.success.revision })
+      this.replica.applyWrite({ key: path, value: record, modRevision: won.success.revision })
       this.gain(shard, won.success.revision, from)
     })
   }
@@ -228,7 +228,7 @@
       const read = yield* Effect.result(this.store.get(keys.shard(shard)))
       if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_MS)
       const seen = read.success
-      this.replica.hint(seen)
+      this.replica.applyWrite(seen)
       const { owner, incarnation } = seen.value as ShardRecord
       const ours = owner === this.self && incarnation === this.nodeLease.current?.incarnation
       if (ours && !this.owned.has(shard)) this.gain(shard, seen.modRevision, from)
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -130,7 +130,7 @@
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(PAUSE_MS)
-      yield* Effect.result(this.membership.readBarrier.since)
+      yield* Effect.result(this.membership.readBarrier.wait)
     })
   }
 
@@ -189,7 +189,7 @@
         }
         const done = yield* Effect.result(this.store.compareAndSwap(when, [put(path, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        replica.hint({ key: path, value: block, modRevision: done.success.revision })
+        replica.applyWrite({ key: path, value: block, modRevision: done.success.revision })
       }
       this.fresh = this.fresh.filter((b) => !batch.includes(b))
       for (const { settled } of batch) settled()
@@ -267,8 +267,8 @@
       for (const [id] of current) this.edits.delete(id)
       const modRevision = done.success.revision
       for (const change of apply) {
-        if (change.kind === "put") replica.hint({ key: change.key, value: change.value, modRevision })
-        else replica.bury(change.key, modRevision)
+        if (change.kind === "put") replica.applyWrite({ key: change.key, value: change.value, modRevision })
+        else replica.applyDelete(change.key, modRevision)
       }
       for (const [, { settled }] of current) settled(true)
     })
--- a/packages/provisioning/test/machine-records-overtaken.test.ts
+++ b/packages/provisioning/test/machine-records-overtaken.test.ts
@@ -33,7 +33,7 @@
   const writes: Array<MachineBlock> = []
   let modRevision = 10
   const wrote = (v: MachineBlock) =>
-    replica.hint({ key: path, value: v, modRevision: ++modRevision as ModRevision })
+    replica.applyWrite({ key: path, value: v, modRevision: ++modRevision as ModRevision })
   wrote(block(ours, 0))
   /** What happens before the writer gives up waiting for its answer. */
   let beforeGivenUp: (() => void) | null = null
@@ -50,7 +50,7 @@
         return Effect.fail(new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }))
       }),
   } as unknown as StoreClient
-  const membership = { replica, readBarrier: { since: Effect.void } } as unknown as Membership
+  const membership = { replica, readBarrier: { wait: Effect.void } } as unknown as Membership
   const writer = new MachineRecordWriter(
     ours,
     5 as ModRevision,
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -43,10 +43,10 @@
             : Effect.never
         }),
     } as unknown as StoreClient
-    const since = Effect.sync(() => {
+    const wait = Effect.sync(() => {
       for (const [i, shard] of this.meanwhile.entries()) this.put(shard, 8 + i)
     })
-    const membership = { replica: this.replica, readBarrier: { since } }
+    const membership = { replica: this.replica, readBarrier: { wait } }
     this.writer = new MachineRecordWriter(
       ours,
       EPOCH,
@@ -61,7 +61,7 @@
   private put(shard: ShardName, token: number): void {
     const machines = [{ machineId: machine, shard: shard, token: token as FencingToken, rentedAfterS: 0 }]
     const value: MachineBlock = { ...kind, rentedAt: 0, machines }
-    this.replica.hint({ key: path, value, modRevision: ++this.revision as ModRevision })
+    this.replica.applyWrite({ key: path, value, modRevision: ++this.revision as ModRevision })
   }
   /** What an edit was settled as; null: it is still open after a while. */
   async settle(edit: Edit): Promise<boolean | null> {
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -287,7 +287,7 @@
         // At once: without quota nothing can be rented or started, and these are few.
         const done = yield* Effect.result(this.store.compareAndSwap(when, [put(path, record)], 1))
         if (Result.isSuccess(done) && done.success.ok) {
-          this.replica.hint({ key: path, value: record, modRevision: done.success.revision })
+          this.replica.applyWrite({ key: path, value: record, modRevision: done.success.revision })
           return
         }
         // Another part's owner has our part: its epoch fences all that we sent.
@@ -295,7 +295,7 @@
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
         unanswered ||= Result.isFailure(done) && done.failure.outcome === "unknown"
         const read = yield* Effect.result(this.store.get(path))
-        if (Result.isSuccess(read) && read.success !== null) this.replica.hint(read.success)
+        if (Result.isSuccess(read) && read.success !== null) this.replica.applyWrite(read.success)
         // While the record is as it was, the lost change may still come.
         const moved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== before
         yield* Effect.sleep(RETRY_MS)
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -31,7 +31,7 @@
   constructor(shares: Readonly<Record<string, number>>) {
     const record = Object.fromEntries(Object.entries(shares).map(([shard, amount]) => [shard, cpus(amount)]))
     this.stored = { value: { shares: record } as QuotaRecord, modRevision: 7 }
-    this.replica.hint({ key: path, value: this.stored.value, modRevision: 7 as ModRevision })
+    this.replica.applyWrite({ key: path, value: this.stored.value, modRevision: 7 as ModRevision })
     const state = {
       get: () => Effect.sync(() => ({ key: path, ...this.stored })),
       compareAndSwap: (_: unknown, apply: ReadonlyArray<{ readonly value: QuotaRecord }>) =>
@@ -193,14 +193,14 @@
   const fixture = new Fixture({ [ours]: 0, "part-1": 94 })
   const waits = { uses: 0, wants: 40, asked: "first" } as const
   fixture.adjust(waits)
-  fixture.replica.hint({
+  fixture.replica.applyWrite({
     key: path,
     value: { shares: { "part-1": cpus(98) } } as QuotaRecord,
     modRevision: 8 as ModRevision,
   })
   fixture.now = 20_000 as MonotonicTime
   assert.equal(fixture.adjust(waits), null)
-  fixture.replica.hint({
+  fixture.replica.applyWrite({
     key: path,
     value: { shares: { "part-1": cpus(94) } } as QuotaRecord,
     modRevision: 9 as ModRevision,
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -165,7 +165,7 @@
         !machineIndex.gone.has(m.id) &&
         (m.ageS >= ADOPT_AFTER_S || m.status === "running")
       if (!inventory.listedHere.some(unknown)) return
-      const fresh = yield* Effect.result(membership.readBarrier.since)
+      const fresh = yield* Effect.result(membership.readBarrier.wait)
       if (Result.isFailure(fresh)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const listed of inventory.listedHere) {
--- a/packages/store/src/records.ts
+++ b/packages/store/src/records.ts
@@ -35,7 +35,7 @@
 const digits = (n: number, length: number): string => String(n).padStart(length, "0")
 
 /** Prefix of all keys that every controller mirrors. */
-export const MIRRORED = "s/"
+export const REPLICATED = "s/"
 /** Prefixes of the families of keys that somebody listens to. */
 export const SHARDS = "s/part/"
 export const MACHINE_BLOCKS = "s/block/"
@@ -331,7 +331,7 @@
 
 /** Keys of one kind share the path up to its second slash: `s/job/`, `s/part/`, … A key without one is its own family. */
 export const familyOf = (key: string): string => {
-  const end = key.indexOf("/", MIRRORED.length)
+  const end = key.indexOf("/", REPLICATED.length)
   return end < 0 ? key : key.slice(0, end + 1)
 }
 
--- a/scenarios/close-polls.sexp
+++ b/scenarios/close-polls.sexp
@@ -5,4 +5,4 @@
   (at 15 (cancel 1)) (at 25 (cancel 4)) (at 35 (cancel 20))
   (expect (all-over) (happened closeAfterAccepted 800) (happened closeAfterEnd 500) (happened closeAfterCancelled 100))
   (guard "packages/jobs/src/job-store.ts"
-    "      yield* this.membership.readBarrier.since\n      const found" "      const found"))
+    "      yield* this.membership.readBarrier.wait\n      const found" "      const found"))
