--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -86,26 +86,26 @@
     private readonly log: Log,
     private readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>,
   ) {
-    const host: MembershipListener = {
+    const listener: MembershipListener = {
       acquired: (shard, epoch) => this.acquired(shard, epoch),
       lost: (shard) => this.lost(shard),
-      busy: () =>
+      isBusy: () =>
         [...this.engines.values()].some(({ engine }) => engine.jobs.size + engine.machines.size > 0),
     }
     this.commands = new InFlight(sizesOf(platform).commands)
-    this.membership = new Membership(
-      {
+    this.membership = new Membership({
+      settings: {
         self: platform.nodeName,
         nodes,
         ...cancellationBudget(platform.deployment.workers, operators.membership),
         stateRps: platform.deployment.store.requestsPerSecond,
       },
       store,
-      host,
-      clocks.monotonicNow,
+      listener,
+      now: clocks.monotonicNow,
       log,
       fork,
-    )
+    })
     this.machineIndex = new MachineIndex(this.membership.replica)
     const { clockSkewMs: timeBoundMs, machineLimits, workers } = platform.deployment
     this.heartbeatForwarder = new HeartbeatForwarder({
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,3 +1,7 @@
+/**
+ * A node's membership in the cluster: its lease, its replica of the store, and the shards that it owns.
+ * Owns the answer to "may this node act?"; never acts for a shard itself (see `MembershipListener`).
+ */
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
@@ -8,87 +12,100 @@
 import { type ShardListener, ShardOwnership } from "./shard-ownership.ts"
 import { allShards } from "./shards.ts"
 
+/** Settings of a node's membership. */
 export interface MembershipSettings extends NodeLeaseTimes {
   readonly self: NodeName
   /** All controllers, this one included, in the same order on every node. */
   readonly nodes: ReadonlyArray<NodeName>
-  /** After this long without an answered watch a node stops acting. */
+  /** A node whose replica wasn't refreshed for this long stops acting. */
   readonly watchFreshMs: number
-  /** What the state service takes of all nodes together. */
+  /** Requests a second that the store takes of all nodes together. */
   readonly stateRps: number
 }
 
 /** The rest of the controller, as membership sees it. */
 export interface MembershipListener extends ShardListener {
-  /** It has work, and should hear of changes as soon as can be. */
-  readonly busy: () => boolean
+  /** Whether its shards have work, and should learn of changes as soon as can be. */
+  readonly isBusy: () => boolean
+}
+
+/** What a membership needs. */
+export interface MembershipOptions {
+  readonly settings: MembershipSettings
+  readonly store: StoreClient
+  readonly listener: MembershipListener
+  readonly now: () => MonotonicTime
+  readonly log: Log
+  /** Starts a fiber that the node's scope owns. */
+  readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
 const REJOIN_MS = 400
 
 /**
- * Grants, parts and epochs. A node owns a part from its winning transaction
- * until it can no longer be sure that its grant lives and that it has heard of
- * every cancellation; see docs/design.md for the argument.
+ * Node lease, shards and shard epochs. A node owns a shard from its winning
+ * transaction until it can no longer be sure that its lease is valid and that
+ * it has learned of every cancellation; see docs/design.md for the argument.
  */
 export class Membership {
   readonly replica = new Replica()
   readonly shards: ReadonlyArray<ShardName>
-  /** For answers that must not be older than their question. */
+  /** For answers that must not be older than their query. */
   readonly readBarrier: ReadBarrier
+  private readonly store: StoreClient
+  private readonly now: () => MonotonicTime
+  private readonly log: Log
   private readonly nodeLease: NodeLeaseKeeper
   private readonly watch: ReplicaWatch
   private readonly ownership: ShardOwnership
 
-  constructor(
-    settings: MembershipSettings,
-    private readonly store: StoreClient,
-    host: MembershipListener,
-    private readonly now: () => MonotonicTime,
-    private readonly log: Log,
-    fork: (effect: Effect.Effect<unknown>) => void,
-  ) {
-    const { self, nodes, watchFreshMs } = settings
+  constructor({ settings, store, listener, now, log, fork }: MembershipOptions) {
+    const { self, nodes, watchFreshMs: freshMs, stateRps } = settings
     const { replica } = this
+    this.store = store
+    this.now = now
+    this.log = log
     this.shards = allShards(nodes)
-    // Requests to the state service are few, and every node has to watch: at
-    // most this often, and as often again to answer users.
-    const spacingMs = watchSpacingMs(nodes.length, settings.stateRps)
-    this.nodeLease = new NodeLeaseKeeper(self, settings, store, now, log)
-    this.watch = new ReplicaWatch(store, replica, spacingMs, watchFreshMs, host.busy, now)
-    const broughtUp = (sent: MonotonicTime) => this.watch.broughtUpTo(sent)
-    this.readBarrier = new ReadBarrier(store, replica, spacingMs, broughtUp, now, fork)
-    const holdsLease = () => this.holdsLease()
-    this.ownership = new ShardOwnership(
+    // The store takes few requests, and every node has to watch: at most this
+    // often, and as often again to answer users.
+    const spacingMs = watchSpacingMs(nodes.length, stateRps)
+    this.nodeLease = new NodeLeaseKeeper({ self, times: settings, store, now, log })
+    this.watch = new ReplicaWatch({ store, replica, spacingMs, freshMs, isBusy: listener.isBusy, now })
+    const caughtUp = (sent: MonotonicTime) => this.watch.markCurrentAsOf(sent)
+    this.readBarrier = new ReadBarrier({ store, replica, spacingMs, caughtUp, now, fork })
+    this.ownership = new ShardOwnership({
       self,
       nodes,
-      this.shards,
+      shards: this.shards,
       store,
       replica,
-      this.nodeLease,
-      holdsLease,
-      host,
+      nodeLease: this.nodeLease,
+      holdsLease: () => this.holdsLease(),
+      listener,
       now,
       log,
-    )
+    })
   }
 
-  /** May this node act for its parts, and answer from its memory? */
+  /** Whether this node may act for its shards, and answer from its memory. */
   holdsLease(): boolean {
     const now = this.now()
     return this.nodeLease.holds(now) && this.watch.isFresh(now)
   }
+  /** This life of the node; null while it is no member. */
   incarnation(): Incarnation | null {
     return this.nodeLease.current?.incarnation ?? null
   }
+  /** The node that owns a shard by the replica, if its incarnation still lives. */
   owner(shard: ShardName): NodeName | null {
     return this.ownership.owner(shard)
   }
-  /** An owner can't go on: the part starts over under a new epoch. */
+  /** This node's controller of the shard can't go on: the shard starts over under a new epoch. */
   relinquish(shard: ShardName): void {
     this.ownership.relinquish(shard, "its controller failed")
   }
 
+  /** Joins, stays a member until the lease has ended, and joins again. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
@@ -103,14 +120,14 @@
 
   private join() {
     return Effect.gen({ self: this }, function* () {
-      // Obtaining the grant takes time: the mirror is as fresh as its read, not as the grant.
+      // Obtaining the lease takes time: the replica is as fresh as its read, not as the lease.
       const listed = this.now()
       const { items, revision } = yield* this.store.list(REPLICATED)
-      const live = yield* this.nodeLease.join(items)
+      const nodeEntry = yield* this.nodeLease.join(items)
       this.replica.loadSnapshot(items, revision)
-      this.replica.applyWrite(live)
-      this.watch.broughtUpTo(listed)
-      this.log.info("membership joined", { incarnation: live.value.incarnation, revision })
+      this.replica.applyWrite(nodeEntry)
+      this.watch.markCurrentAsOf(listed)
+      this.log.info("membership joined", { incarnation: nodeEntry.value.incarnation, revision })
     })
   }
 }
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -1,3 +1,7 @@
+/**
+ * The node's lease in the store, and the node key attached to it. Owns for how long this node may believe
+ * that its lease is valid; never counts a validity from anything but the sending of its own request.
+ */
 import {
   ABSENT,
   addMs,
@@ -9,74 +13,97 @@
   NEVER,
   type NodeName,
 } from "@sorreltally/protocol"
-import { type Entry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
-import { Effect, Random, Result } from "effect"
+import { type Entry, findEntry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
+import { Data, Effect, Random, Result } from "effect"
 
+/** How long a node's lease lasts, in milliseconds. */
 export interface NodeLeaseTimes {
+  /** The store ends the lease this long after its last keep-alive. */
   readonly leaseTtlMs: number
+  /** The node stops believing in its lease this much earlier. */
   readonly leaseMarginMs: number
 }
 
-/** One life of a controller under its name, and the grant that it lasts as long as. */
+/** One life of a controller under its name, and the lease that it lasts as long as. */
 export interface MembershipLease {
   readonly incarnation: Incarnation
   readonly lease: LeaseId
-  /** Revision of the live key, which goes when the grant ends. */
+  /** Revision of the node key, which the store deletes when the lease ends. */
   readonly nodeRevision: ModRevision
 }
 
-/** Touches in a grant's ttl while all goes well; one or two may get lost. */
-const TOUCHES_PER_TTL = 5
-/** A touch that failed is repeated sooner. */
+/**
+ * The node key still exists, attached to the lease of an earlier life of this
+ * node: the join was refused and may be repeated once that lease has ended.
+ */
+export class NodeKeyExistsError extends Data.TaggedError("NodeKeyExistsError")<{
+  readonly operation: "join"
+  readonly outcome: "refused"
+  readonly node: NodeName
+}> {
+  override get message(): string {
+    return `join of ${this.node} refused: its node key still exists under an earlier lease; join again once that has ended`
+  }
+}
+
+/** What a node lease needs. */
+export interface NodeLeaseOptions {
+  readonly self: NodeName
+  readonly times: NodeLeaseTimes
+  readonly store: StoreClient
+  readonly now: () => MonotonicTime
+  readonly log: Log
+}
+
+/** Keep-alives in a lease's TTL while all goes well; one or two may get lost. */
+const KEEP_ALIVES_PER_TTL = 5
+/** A keep-alive that failed is repeated sooner. */
 const RETRIES_PER_TTL = 10
-const LONGEST_TOUCH_MS = 2_000
+const MAX_KEEP_ALIVE_MS = 2_000
 
-/** Obtains the node's grant and live key, and renews them until the grant has ended. */
+/** Obtains the node's lease and node key, and keeps the lease alive until it has ended. */
 export class NodeLeaseKeeper {
   private membershipLease: MembershipLease | null = null
   private validUntil: MonotonicTime = NEVER
 
-  constructor(
-    private readonly self: NodeName,
-    private readonly times: NodeLeaseTimes,
-    private readonly store: StoreClient,
-    private readonly now: () => MonotonicTime,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly options: NodeLeaseOptions) {}
 
+  /** The lease since the last join, valid or not; null before and after. */
   get current(): MembershipLease | null {
     return this.membershipLease
   }
-  /** Whether the grant surely lives. */
+  /** Whether the lease surely lives. */
   holds(now: MonotonicTime): boolean {
     return this.membershipLease !== null && now < this.validUntil
   }
 
-  /** Returns the live key as written. `items` is what a read has just found. */
-  join(items: ReadonlyArray<Entry>) {
+  /** Begins a new incarnation. Returns the node key as written; `entries` is what a read has just found. */
+  join(entries: ReadonlyArray<Entry>) {
     return Effect.gen({ self: this }, function* () {
-      const path = keys.node(this.self)
-      const former = items.find((item) => item.key === path)
+      const { self, store, times, now } = this.options
+      const key = keys.node(self)
+      const former = findEntry(entries, key)
       if (former !== undefined) {
-        // Whoever held this name is dead, for we run under it now. Ending its
-        // grant frees its parts at once instead of when the grant runs out;
-        // what it still has under way is fenced by the parts' new epochs.
-        yield* this.store.revokeLease((former.value as NodeRecord).leaseId)
+        // The process that wrote this key is dead, for we run under its name now.
+        // Ending its lease frees its shards at once instead of when the lease
+        // expires; writes that it has under way are fenced by the shards' new epochs.
+        yield* store.revokeLease(former.value.leaseId)
       }
       const incarnation = yield* this.newIncarnation()
-      const asked = this.now()
-      const lease = yield* this.store.createLease(this.times.leaseTtlMs)
+      const sent = now()
+      const lease = yield* store.createLease(times.leaseTtlMs)
       const record: NodeRecord = { incarnation, leaseId: lease }
-      // A copy of this that is carried out late finds the key there, or the grant ended.
-      const won = yield* this.store.compareAndSwap(
-        [{ key: path, modRevision: ABSENT }],
-        [put(path, record, lease)],
+      // A copy of this that is carried out late finds the key there, or the lease ended.
+      const written = yield* store.compareAndSwap(
+        [{ key, modRevision: ABSENT }],
+        [put(key, record, lease)],
         0,
       )
-      if (!won.ok) return yield* Effect.fail("the former grant still stands" as const)
-      this.membershipLease = { incarnation, lease, nodeRevision: won.revision }
-      this.extend(asked)
-      return { key: path, value: record, modRevision: won.revision }
+      if (!written.ok)
+        return yield* new NodeKeyExistsError({ operation: "join", outcome: "refused", node: self })
+      this.membershipLease = { incarnation, lease, nodeRevision: written.revision }
+      this.extend(sent)
+      return { key, value: record, modRevision: written.revision }
     })
   }
   private newIncarnation() {
@@ -84,42 +111,48 @@
       const high = yield* Random.nextInt
       const low = yield* Random.nextInt
       const digits = Math.abs(high).toString(36) + Math.abs(low).toString(36)
-      return `${this.self}.${digits}` as Incarnation
+      return `${this.options.self}.${digits}` as Incarnation
     })
   }
+  /** The lease has ended: this node isn't a member until it joins again. */
   leave(): void {
     this.membershipLease = null
     this.validUntil = NEVER
   }
 
-  /** Ends when the grant has. */
+  /**
+   * Keeps the lease alive; returns when the store says that it has ended. A
+   * loop rather than a `Schedule`, as each pause depends on the keep-alive before it.
+   */
   readonly renew: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      const { leaseTtlMs } = this.times
-      const timeoutMs = Math.min(LONGEST_TOUCH_MS, leaseTtlMs / 3)
-      let pauseMs = leaseTtlMs / TOUCHES_PER_TTL
+      const { store, times, now, log } = this.options
+      const { leaseTtlMs } = times
+      const timeoutMs = Math.min(MAX_KEEP_ALIVE_MS, leaseTtlMs / 3)
+      let pauseMs = leaseTtlMs / KEEP_ALIVES_PER_TTL
       for (;;) {
         yield* Effect.sleep(pauseMs)
         if (this.membershipLease === null) return
-        const sent = this.now()
-        const touched = yield* Effect.result(this.store.keepAlive(this.membershipLease.lease, timeoutMs))
-        if (Result.isFailure(touched)) {
-          this.log.debug("lease keep-alive failed", { status: touched.failure.status })
+        const sent = now()
+        const renewed = yield* Effect.result(store.keepAlive(this.membershipLease.lease, timeoutMs))
+        if (Result.isFailure(renewed)) {
+          log.debug("lease keep-alive failed", { status: renewed.failure.status })
           pauseMs = leaseTtlMs / RETRIES_PER_TTL
           continue
         }
-        if (!touched.success) return
+        if (!renewed.success) return
         this.extend(sent)
-        pauseMs = leaseTtlMs / TOUCHES_PER_TTL
+        pauseMs = leaseTtlMs / KEEP_ALIVES_PER_TTL
       }
     }),
   )
   /**
-   * Counted from the sending of our own request, never from an outage's end:
-   * the state service then gives the grant its full time again, but who was out of
-   * touch may have missed cancellations meanwhile.
+   * Counted from the sending of our own request, never from the end of an
+   * outage: the store then gives the lease its full TTL again, but a node that
+   * was cut off may have missed cancellations meanwhile.
    */
   private extend(sent: MonotonicTime): void {
-    this.validUntil = addMs(sent, this.times.leaseTtlMs - this.times.leaseMarginMs)
+    const { leaseTtlMs, leaseMarginMs } = this.options.times
+    this.validUntil = addMs(sent, leaseTtlMs - leaseMarginMs)
   }
 }
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -1,3 +1,7 @@
+/**
+ * Linearizable reads from the replica. Owns the requests that bring the replica up to a query's moment;
+ * never lets a query pass on a request that was sent before the query arrived.
+ */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
@@ -5,35 +9,40 @@
 
 type Waiter = Deferred.Deferred<void, StoreError>
 
+/** What a read barrier needs. */
+export interface ReadBarrierOptions {
+  readonly store: StoreClient
+  readonly replica: Replica
+  /** The least time between two requests to the store. */
+  readonly spacingMs: number
+  /** Called when the replica holds all that was durable at that moment, at which its request was sent. */
+  readonly caughtUp: (sent: MonotonicTime) => void
+  readonly now: () => MonotonicTime
+  /** Starts a fiber that the node's scope owns. */
+  readonly fork: (effect: Effect.Effect<unknown>) => void
+}
+
 /**
- * Makes sure that the mirror is not older than a question. One request to the
- * state service, *sent* after the questions came, serves all of them: its
- * answer brings the mirror up to the revision that it names, and whatever was
- * told to anybody before is not newer than that.
+ * Makes sure that the replica is not older than a query. One request to the
+ * store, *sent* after the queries arrived, serves all of them: its response
+ * brings the replica up to the revision that it names, and whatever anybody was
+ * answered before is not newer than that.
  */
 export class ReadBarrier {
   private waiting: Array<Waiter> = []
-  private busy = false
+  private isServing = false
   private lastSent: MonotonicTime = NEVER
 
-  constructor(
-    private readonly store: StoreClient,
-    private readonly replica: Replica,
-    private readonly spacingMs: number,
-    /** Told when the mirror has been brought up, and when that was asked for. */
-    private readonly broughtUp: (sent: MonotonicTime) => void,
-    private readonly now: () => MonotonicTime,
-    private readonly fork: (effect: Effect.Effect<unknown>) => void,
-  ) {}
+  constructor(private readonly options: ReadBarrierOptions) {}
 
-  /** Until the mirror holds all that was so when this was called. */
+  /** Until the replica holds all that was durable when this was begun; fails when the store can't say. */
   readonly wait: Effect.Effect<void, StoreError> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const waiter = yield* Deferred.make<void, StoreError>()
       this.waiting.push(waiter)
-      if (!this.busy) {
-        this.busy = true
-        this.fork(this.serve())
+      if (!this.isServing) {
+        this.isServing = true
+        this.options.fork(this.serve())
       }
       return yield* Deferred.await(waiter)
     }),
@@ -41,28 +50,30 @@
 
   private serve() {
     return Effect.gen({ self: this }, function* () {
+      const { spacingMs, now, caughtUp } = this.options
       while (this.waiting.length > 0) {
-        const pauseMs = addMs(this.lastSent, this.spacingMs) - this.now()
+        const pauseMs = addMs(this.lastSent, spacingMs) - now()
         if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-        const asked = this.waiting
+        const served = this.waiting
         this.waiting = []
-        this.lastSent = this.now()
-        const done = yield* Effect.result(this.bringUp())
-        if (Result.isSuccess(done)) this.broughtUp(this.lastSent)
-        for (const waiter of asked)
+        this.lastSent = now()
+        const done = yield* Effect.result(this.catchUp())
+        if (Result.isSuccess(done)) caughtUp(this.lastSent)
+        for (const waiter of served)
           yield* Result.isSuccess(done)
             ? Deferred.succeed(waiter, undefined)
             : Deferred.fail(waiter, done.failure)
       }
-      this.busy = false
+      this.isServing = false
     })
   }
-  private bringUp(): Effect.Effect<void, StoreError> {
+  private catchUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const news = yield* this.store.watch(REPLICATED, this.replica.revision, 0)
-      if (news.kind === "events") return this.replica.applyEvents(news.events, news.revision)
-      const { items, revision } = yield* this.store.list(REPLICATED)
-      this.replica.loadSnapshot(items, revision)
+      const { store, replica } = this.options
+      const watched = yield* store.watch(REPLICATED, replica.revision, 0)
+      if (watched.kind === "events") return replica.applyEvents(watched.events, watched.revision)
+      const { items, revision } = yield* store.list(REPLICATED)
+      replica.loadSnapshot(items, revision)
     })
   }
 }
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -1,84 +1,98 @@
+/**
+ * Keeps the replica up to date by watching the store, and decides until when it counts as fresh. Never
+ * counts an answer as fresher than the moment when its request was sent.
+ */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
-/** Share of the state service's requests that all nodes' watches may use. */
+/** Share of the store's requests that all nodes' watches may use. */
 const WATCH_SHARE = 0.3
-/** Watches in the time after which a mirror without news counts as stale. */
-const WATCHES_PER_FRESH = 3
-/** Beyond its blocking time, a watch's answer is waited for this long. */
-const LONGEST_ANSWER_MS = 2_000
+/** Watches in the time after which a replica that wasn't refreshed counts as stale. */
+const WATCHES_PER_FRESHNESS = 3
+/** Beyond its blocking time, a watch's response is waited for this long. */
+const MAX_RESPONSE_MS = 2_000
 /**
- * A node whose parts have no work watches this much less often: of jobs it
- * hears by hints, for users it asks anew, and every change is paid by all nodes.
+ * A node whose shards have no work watches this much less often: of jobs it
+ * learns from its peers, for users it asks the store, and every change is paid by all nodes.
  */
 const IDLE_FACTOR = 3
-/** The pause between watches takes at most this share of the time after which a mirror is stale. */
-const LONGEST_PAUSE_SHARE = 1 / 4
+/** The pause between watches takes at most this share of the time after which a replica is stale. */
+const MAX_PAUSE_SHARE = 1 / 4
 const RETRY_MS = 200
 
-/** The pause between two watches of one node, by what the state service takes of all of them. */
-export const watchSpacingMs = (nodes: number, stateRps: number): number =>
-  (1000 * nodes) / (WATCH_SHARE * stateRps)
+/** The pause between two watches of one node, by the requests a second that the store takes of all nodes. */
+export const watchSpacingMs = (nodes: number, requestsPerSecond: number): number =>
+  (1000 * nodes) / (WATCH_SHARE * requestsPerSecond)
+
+/** What a watch of the replica needs. */
+export interface ReplicaWatchOptions {
+  readonly store: StoreClient
+  readonly replica: Replica
+  /** The pause between two watches. */
+  readonly spacingMs: number
+  /**
+   * An owner learns of cancellations by its watch: one whose replica was not
+   * refreshed for this long must stop acting.
+   */
+  readonly freshMs: number
+  /** Whether this node's shards have work, and should learn of changes as soon as can be. */
+  readonly isBusy: () => boolean
+  readonly now: () => MonotonicTime
+}
 
-/** Keeps the mirror up to date, and knows until when it counts as fresh. */
+/** Watches the replicated keys, and knows until when the replica counts as fresh. */
 export class ReplicaWatch {
   private freshUntil: MonotonicTime = NEVER
 
-  constructor(
-    private readonly store: StoreClient,
-    private readonly replica: Replica,
-    private readonly spacingMs: number,
-    /**
-     * An owner hears of cancellations by its watch; so one that hasn't been
-     * told anything for this long must stop acting.
-     */
-    private readonly freshMs: number,
-    /** It has work, and should hear of changes as soon as can be. */
-    private readonly busy: () => boolean,
-    private readonly now: () => MonotonicTime,
-  ) {}
+  constructor(private readonly options: ReplicaWatchOptions) {}
 
+  /** Whether the replica holds all that was durable `freshMs` ago. */
   isFresh(now: MonotonicTime): boolean {
     return now < this.freshUntil
   }
   /**
-   * The mirror holds all that was so when a request was sent. What became
-   * durable after the sending may be missing, however late the answer came.
+   * The replica holds all that was durable when a request was sent. What became
+   * durable after the sending may be missing, however late the response came.
    */
-  broughtUpTo(sent: MonotonicTime): void {
-    this.freshUntil = Math.max(this.freshUntil, addMs(sent, this.freshMs)) as MonotonicTime
+  markCurrentAsOf(sent: MonotonicTime): void {
+    this.freshUntil = Math.max(this.freshUntil, addMs(sent, this.options.freshMs)) as MonotonicTime
   }
 
-  readonly run: Effect.Effect<never> = Effect.suspend(() =>
-    Effect.forever(
-      Effect.gen({ self: this }, function* () {
-        const sent = this.now()
-        const blockMs = this.freshMs / WATCHES_PER_FRESH
-        const answerMs = Math.min(LONGEST_ANSWER_MS, blockMs)
-        const { revision } = this.replica
-        const news = yield* Effect.result(
-          this.store.watch(REPLICATED, revision, Math.floor(blockMs), Math.floor(answerMs)),
-        )
-        if (Result.isFailure(news)) return yield* Effect.sleep(RETRY_MS)
-        if (news.success.kind === "compacted") return yield* this.readAll()
-        this.replica.applyEvents(news.success.events, news.success.revision)
-        this.broughtUpTo(sent)
-        // Every change wakes every node's watch: what comes in one go costs one request.
-        yield* Effect.sleep(this.pauseMs())
-      }),
-    ),
-  )
+  /**
+   * Watches for as long as it isn't interrupted. A loop rather than a
+   * `Schedule`, as each pause depends on how the watch before it ended.
+   */
+  readonly run: Effect.Effect<never> = Effect.suspend(() => Effect.forever(this.watchOnce()))
+
+  private watchOnce() {
+    return Effect.gen({ self: this }, function* () {
+      const { store, replica, freshMs, now } = this.options
+      const sent = now()
+      const blockMs = freshMs / WATCHES_PER_FRESHNESS
+      const responseMs = Math.min(MAX_RESPONSE_MS, blockMs)
+      const watched = yield* Effect.result(
+        store.watch(REPLICATED, replica.revision, Math.floor(blockMs), Math.floor(responseMs)),
+      )
+      if (Result.isFailure(watched)) return yield* Effect.sleep(RETRY_MS)
+      if (watched.success.kind === "compacted") return yield* this.readAll()
+      replica.applyEvents(watched.success.events, watched.success.revision)
+      this.markCurrentAsOf(sent)
+      // Every change wakes every node's watch: changes that come together cost one request.
+      yield* Effect.sleep(this.pauseMs())
+    })
+  }
   private pauseMs(): number {
-    const pauseMs = this.busy() ? this.spacingMs : IDLE_FACTOR * this.spacingMs
-    return Math.min(pauseMs, LONGEST_PAUSE_SHARE * this.freshMs)
+    const { spacingMs, freshMs, isBusy } = this.options
+    return Math.min(isBusy() ? spacingMs : IDLE_FACTOR * spacingMs, MAX_PAUSE_SHARE * freshMs)
   }
   private readAll() {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* Effect.result(this.store.list(REPLICATED))
+      const { store, replica } = this.options
+      const read = yield* Effect.result(store.list(REPLICATED))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
-      this.replica.loadSnapshot(read.success.items, read.success.revision)
+      replica.loadSnapshot(read.success.items, read.success.revision)
     })
   }
 }
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -1,95 +1,104 @@
+/**
+ * This node's replica of the keys that all nodes replicate. Owns the entries in memory and the order in
+ * which changes are applied; it never asks the store anything, and never goes back to an older revision
+ * of a key, in whatever order snapshots, watch events and writes of our own arrive.
+ */
 import { ABSENT, type ModRevision, type Revision } from "@sorreltally/protocol"
 import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/store"
 
-export type ReplicaListener = (path: string, entry: Entry | null) => void
+/** Called with each key of a family that changed, and its entry, or null when the key was deleted. */
+export type ReplicaListener = (key: string, entry: Entry | null) => void
 
 /**
- * This node's copy of the mirrored keys. It holds at least every change up to
- * `revision`: whoever has made sure that this is recent enough (see `Freshness`)
- * may tell users what it says.
+ * A copy of the replicated keys. It holds at least every change up to
+ * `revision`: whoever has made sure that this is recent enough (see
+ * `ReadBarrier`) may answer users from it.
  */
 export class Replica {
   private readonly families = new Map<string, Map<string, Entry>>()
   private readonly listeners = new Map<string, Set<ReplicaListener>>()
   /**
-   * Keys that a transaction of ours deleted before the watch has told of it.
-   * Guards against a slow watch that brings the key's last change back.
+   * Keys that a transaction of ours deleted, with its revision, until the watch
+   * has reached it: a watch that lags must not bring back the key's last put.
    */
-  private readonly buried = new Map<string, ModRevision>()
+  private readonly tombstones = new Map<string, ModRevision>()
+  /** All changes of the store up to this revision have been applied. */
   revision = 0 as Revision
 
+  /** The entry under a key, or null if there is none. */
   get<A>(key: StoreKey<A>): Entry<A> | null {
     return (this.find(key) ?? null) as Entry<A> | null
   }
   private find(key: string): Entry | undefined {
     return this.families.get(familyOf(key))?.get(key)
   }
-  /** The revision that last wrote the key. */
+  /** The revision that last wrote the key; `ABSENT` if there is no such key. */
   modRevision(key: string): ModRevision {
     return this.find(key)?.modRevision ?? ABSENT
   }
-  /** Every key of one family. */
+  /** The entries of one family of keys. */
   entriesOf(family: string): Iterable<Entry> {
     return this.families.get(family)?.values() ?? []
   }
-  /** Returns how to stop listening. */
+  /** Calls the listener at every change of the family's keys; returns how to stop that. */
   listen(family: string, listener: ReplicaListener): () => void {
-    const of = this.listeners.get(family) ?? new Set()
-    this.listeners.set(family, of)
-    of.add(listener)
-    return () => of.delete(listener)
+    const listeners = this.listeners.get(family) ?? new Set()
+    this.listeners.set(family, listeners)
+    listeners.add(listener)
+    return () => listeners.delete(listener)
   }
 
   /**
-   * What a full read found; whatever it doesn't hold is gone, unless it is
-   * newer than the revision that the read stands for.
+   * Takes in a full read at a revision. A key that it lacks has been deleted,
+   * unless the replica holds a newer change of it.
    */
-  loadSnapshot(items: ReadonlyArray<Entry>, revision: Revision): void {
+  loadSnapshot(entries: ReadonlyArray<Entry>, revision: Revision): void {
     if (revision < this.revision) return
-    const found = new Set(items.map((i) => i.key))
+    const present = new Set(entries.map(({ key }) => key))
     for (const family of this.families.values()) {
       for (const entry of [...family.values()]) {
-        if (!found.has(entry.key) && entry.modRevision <= (revision as number)) this.drop(entry.key)
+        if (!present.has(entry.key) && entry.modRevision <= (revision as number)) this.delete(entry.key)
       }
     }
-    for (const item of items) if (this.isNews(item.key, item.modRevision)) this.keep(item)
-    this.reach(revision)
+    for (const entry of entries) if (this.isNewer(entry.key, entry.modRevision)) this.put(entry)
+    this.advanceTo(revision)
   }
-  applyEvents(changes: ReadonlyArray<WatchEvent>, revision: Revision): void {
-    for (const change of changes) {
-      // The mirror holds everything up to its revision: an older change is old news.
-      if (change.modRevision <= (this.revision as number)) continue
-      if (!change.deleted) {
-        if (this.isNews(change.key, change.modRevision)) this.keep(change)
-      } else if (this.modRevision(change.key) < change.modRevision) this.drop(change.key)
+  /** Takes in the events of a watch, which are all changes up to a revision. */
+  applyEvents(events: ReadonlyArray<WatchEvent>, revision: Revision): void {
+    for (const event of events) {
+      // The replica holds all changes up to its revision: an event that isn't newer was repeated.
+      if (event.modRevision <= (this.revision as number)) continue
+      if (!event.deleted) {
+        if (this.isNewer(event.key, event.modRevision)) this.put(event)
+      } else if (this.modRevision(event.key) < event.modRevision) this.delete(event.key)
     }
-    this.reach(revision)
+    this.advanceTo(revision)
   }
   /**
-   * What a transaction of ours, or a peer's hint, says of a key before the
-   * watch does. A hint as old as what the watch has brought says nothing: the
+   * Takes in a write that is known before the watch reports it: one of our own,
+   * or one that a peer sent. One that the watch has passed is ignored, as the
    * key may have been deleted since.
    */
   applyWrite(entry: Entry): void {
-    if (entry.modRevision > (this.revision as number) && this.isNews(entry.key, entry.modRevision))
-      this.keep(entry)
+    if (entry.modRevision > (this.revision as number) && this.isNewer(entry.key, entry.modRevision))
+      this.put(entry)
   }
-  /** A transaction of ours deleted the key. */
-  applyDelete(path: string, modRevision: ModRevision): void {
+  /** Takes in that a transaction of our own deleted the key, before the watch reports it. */
+  applyDelete(key: string, modRevision: ModRevision): void {
     if (modRevision <= (this.revision as number)) return
-    this.buried.set(path, modRevision)
-    if (this.modRevision(path) < modRevision) this.drop(path)
+    this.tombstones.set(key, modRevision)
+    if (this.modRevision(key) < modRevision) this.delete(key)
   }
 
-  private isNews(path: string, modRevision: ModRevision): boolean {
-    return this.modRevision(path) < modRevision && (this.buried.get(path) ?? ABSENT) < modRevision
+  private isNewer(key: string, modRevision: ModRevision): boolean {
+    return this.modRevision(key) < modRevision && (this.tombstones.get(key) ?? ABSENT) < modRevision
   }
-  private reach(revision: Revision): void {
+  private advanceTo(revision: Revision): void {
     if (revision > this.revision) this.revision = revision
-    for (const [path, modRevision] of this.buried)
-      if (modRevision <= (this.revision as number)) this.buried.delete(path)
+    for (const [key, modRevision] of this.tombstones)
+      if (modRevision <= (this.revision as number)) this.tombstones.delete(key)
   }
-  private keep({ key, value, modRevision }: Entry): void {
+  private put({ key, value, modRevision }: Entry): void {
     const name = familyOf(key)
     let family = this.families.get(name)
     if (family === undefined) {
@@ -100,9 +109,9 @@
     family.set(key, entry)
     for (const listener of this.listeners.get(name) ?? []) listener(key, entry)
   }
-  private drop(path: string): void {
-    const name = familyOf(path)
-    if (this.families.get(name)?.delete(path) !== true) return
-    for (const listener of this.listeners.get(name) ?? []) listener(path, null)
+  private delete(key: string): void {
+    const name = familyOf(key)
+    if (this.families.get(name)?.delete(key) !== true) return
+    for (const listener of this.listeners.get(name) ?? []) listener(key, null)
   }
 }
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -8,6 +8,11 @@
   readonly value: A
   readonly modRevision: ModRevision
 }
+/** The entry of one key among those of a list. */
+export const findEntry = <A>(entries: ReadonlyArray<Entry>, key: StoreKey<A>): Entry<A> | undefined =>
+  // The key's type says what its codec decoded.
+  entries.find((entry) => entry.key === key) as Entry<A> | undefined
+
 /** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
 export interface Condition {
   readonly key: string
--- a/scenarios/hand-over-late.sexp
+++ b/scenarios/hand-over-late.sexp
@@ -7,4 +7,4 @@
   (expect (all-over) (happened handBacks 1) (happened takeOvers 8) (happened lateRefused 2) (happened lateApplied 2) (happened lostAnswers 3))
   (guard "packages/membership/src/shard-ownership.ts"
     "if (former !== undefined && epoch <= former) return" "")
-  (guard "packages/membership/src/shard-ownership.ts" "{ key: path, modRevision: this.replica.modRevision(path) }," ""))
+  (guard "packages/membership/src/shard-ownership.ts" "{ key, modRevision: this.options.replica.modRevision(key) }," ""))
--- a/scenarios/known.sexp
+++ b/scenarios/known.sexp
@@ -3,4 +3,4 @@
   (at 1 (submit pieces 4 cores 4 run 150) (submit pieces 4 cores 4 run 150 due 400))
   (at 20 (state-outage 12)) (at 40 (state-refuses host-1 20)) (at 45 (lose-messages 0.1 10))
   (expect (all-over) (served))
-  (guard "packages/membership/src/read-barrier.ts" "      this.busy = false\n" ""))
+  (guard "packages/membership/src/read-barrier.ts" "      this.isServing = false\n" ""))
