--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,5 +1,6 @@
 export * from "./membership.ts"
 export * from "./node-lease.ts"
+export * from "./owned-shards.ts"
 export * from "./read-barrier.ts"
 export * from "./replica.ts"
 export * from "./replica-watch.ts"
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -6,10 +6,11 @@
 import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { NodeLeaseKeeper, type NodeLeaseTimes } from "./node-lease.ts"
+import type { ShardListener } from "./owned-shards.ts"
 import { ReadBarrier } from "./read-barrier.ts"
 import { Replica } from "./replica.ts"
 import { ReplicaWatch, watchSpacingMs } from "./replica-watch.ts"
-import { type ShardListener, ShardOwnership } from "./shard-ownership.ts"
+import { ShardOwnership } from "./shard-ownership.ts"
 import { allShards } from "./shards.ts"
 
 /** Settings of a node's membership. */
--- a/scenarios/hand-over-late.sexp
+++ b/scenarios/hand-over-late.sexp
@@ -5,6 +5,7 @@
   (at 30 (crash host-1 3)) (at 47 (late-transactions 1 10)) (at 80 (crash host-2 0.4)) (at 94 (late-transactions 0.7 30)) (at 100 (crash host-1 0.3))
   (at 140 (lost-answers 0.6 30)) (at 141 (end-each 2 0.3))
   (expect (all-over) (happened handBacks 1) (happened takeOvers 8) (happened lateRefused 2) (happened lateApplied 2) (happened lostAnswers 3))
-  (guard "packages/membership/src/shard-ownership.ts"
+  (guard "packages/membership/src/owned-shards.ts"
     "if (former !== undefined && epoch <= former) return" "")
-  (guard "packages/membership/src/shard-ownership.ts" "{ key, modRevision: this.options.replica.modRevision(key) }," ""))
+  (guard "packages/membership/src/shard-acquisition.ts"
+    "[unchanged(keys.shard(shard)), own]" "[own]"))
