--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -1,6 +1,6 @@
 /**
  * Client of the state service: a key-value store with compare-and-swap transactions, leases and watches
- * (protocol, "Controller nodes -> state service"). Values are records, see `records.ts`.
+ * (protocol, "Controller nodes -> state service"). Values are records, see `records/`.
  */
 
 import {
@@ -27,7 +27,7 @@
   type WirePage,
 } from "./codec.ts"
 import type { CompareAndSwapResult, Condition, Entry, Operation, WatchResult } from "./model.ts"
-import type { StoreKey } from "./records.ts"
+import type { StoreKey } from "./records/keys.ts"
 
 /** What was asked of the store. */
 export type StoreOperation =
--- a/packages/store/src/codec.ts
+++ b/packages/store/src/codec.ts
@@ -1,7 +1,7 @@
 /** Codec of the state service's bodies (protocol, "Controller nodes -> state service"); records have their own. */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
 import type { Condition, Entry, Operation, WatchEvent } from "./model.ts"
-import { decodeRecord, encodeRecord } from "./records.ts"
+import { decodeRecord, encodeRecord } from "./records/codecs.ts"
 
 /** One key, as `GET /kv/{key}` and lists answer it. */
 export interface WireEntry {
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./client.ts"
 export * from "./model.ts"
-export * from "./records.ts"
+export * from "./records/index.ts"
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -1,6 +1,6 @@
 /** What the store holds and what can be asked of it, in the terms of a key-value store. */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
-import type { StoreKey } from "./records.ts"
+import type { StoreKey } from "./records/keys.ts"
 
 /** A record, its key, and the revision that wrote it. */
 export interface Entry<A = unknown> {
