--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -5,7 +5,7 @@
 import { TestClock } from "effect/testing"
 import { KEEP_ALIVE_MS, LEASE, membershipOn, onTestClock, storeWith } from "./builders.ts"
 
-const unavailable = new StoreError({ operation: "grantLease", outcome: "refused", status: 503 })
+const unavailable = new StoreError({ operation: "createLease", outcome: "refused", status: 503 })
 
 test("a node whose lease has expired loses its shards and its right to act before the TTL is over", () =>
   onTestClock(
--- a/packages/store/src/codec.ts
+++ b/packages/store/src/codec.ts
@@ -1,16 +1,18 @@
-/** Codec of the state service's bodies (protocol, "Controller nodes -> state service"); records have their own. */
+/**
+ * Codec of the store's requests and responses (protocol, "Controller nodes -> state service"); records have
+ * their own. Responses are taken as the protocol says: the store is trusted, and every watch event is
+ * decoded by every node, so that a second look at each field would be paid all day.
+ */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
-import type { Condition, Entry, Operation, WatchEvent } from "./model.ts"
+import type { Condition, Entry, Operation, WatchEvent, WatchResult } from "./model.ts"
 import { decodeRecord, encodeRecord } from "./records/codecs.ts"
 
-/** One key, as `GET /kv/{key}` and lists answer it. */
-export interface WireEntry {
+interface WireEntry {
   readonly path: string
   readonly v: unknown
   readonly stamp: ModRevision
 }
-/** One page of a list. */
-export interface WirePage {
+interface WirePage {
   readonly items: ReadonlyArray<WireEntry>
   readonly more: boolean
   readonly epoch: Revision
@@ -21,43 +23,84 @@
   readonly v?: unknown
   readonly stamp: ModRevision
 }
-/** The answer of a watch. */
-export interface WireNews {
+interface WireNews {
   readonly epoch: Revision
   readonly news: ReadonlyArray<WireChange>
 }
-/** The answer of a transaction that was applied. */
-export interface WireCompareAndSwap {
-  readonly epoch: ModRevision
-}
-/** The answer of a transaction some of whose conditions did not hold. */
-export interface WireConflict {
-  readonly failed: ReadonlyArray<string>
-}
-/** The answer of `POST /grants`. */
-export interface WireLease {
-  readonly permit: LeaseId
+
+/** Where each request goes. */
+export const paths = {
+  key: (key: string) => `/kv/${key}`,
+  /** A page of the keys under a prefix, after a key; from the first one after "". */
+  page: (prefix: string, after: string, size: number) => {
+    const from = after === "" ? "" : `&after=${encodeURIComponent(after)}`
+    return `/kv?starts=${encodeURIComponent(prefix)}${from}&page=${size}`
+  },
+  transaction: "/multi",
+  leases: "/grants",
+  lease: (lease: LeaseId) => `/grants/${lease}`,
+  keepAlive: (lease: LeaseId) => `/grants/${lease}/touch`,
+  watch: (prefix: string, after: Revision, blockMs: number) =>
+    `/watch?starts=${encodeURIComponent(prefix)}&after=${after}&block_ms=${blockMs}`,
 }
 
-/** Decodes one key. */
-export const decodeEntry = ({ path, v, stamp }: WireEntry): Entry => ({
+const entryOf = ({ path, v, stamp }: WireEntry): Entry => ({
   key: path,
   value: decodeRecord(path, v),
   modRevision: stamp,
 })
-/** Decodes one change of a watch. */
-export const decodeChange = (change: WireChange): WatchEvent => {
+/** Decodes the response to a read of one key. */
+export const decodeEntry = (body: unknown): Entry => entryOf(body as WireEntry)
+
+/** One page of a list. */
+export interface EntryPage {
+  readonly entries: ReadonlyArray<Entry>
+  readonly revision: Revision
+  /** The key after which the next page begins; null after the last page. */
+  readonly next: string | null
+}
+/** Decodes one page of a list. */
+export const decodePage = (body: unknown): EntryPage => {
+  const { items, more, epoch } = body as WirePage
+  const last = items.at(-1)
+  return {
+    entries: items.map(entryOf),
+    revision: epoch,
+    next: more && last !== undefined ? last.path : null,
+  }
+}
+
+const eventOf = (change: WireChange): WatchEvent => {
   const { stamp: modRevision } = change
   if (change.delete !== undefined) return { key: change.delete, value: null, modRevision, deleted: true }
   const key = change.set!
   return { key, value: decodeRecord(key, change.v), modRevision, deleted: false }
 }
-/** One element of a transaction's `when`. */
-export const encodeCondition = ({ key, modRevision }: Condition) => ({ path: key, stamp: modRevision })
-/** One element of a transaction's `apply`. */
-export const encodeOperation = (operation: Operation) => {
+/** Decodes the response to a watch. */
+export const decodeEvents = (body: unknown): WatchResult => {
+  const { epoch, news } = body as WireNews
+  return { kind: "events", revision: epoch, events: news.map(eventOf) }
+}
+
+const encodeCondition = ({ key, modRevision }: Condition) => ({ path: key, stamp: modRevision })
+const encodeOperation = (operation: Operation) => {
   if (operation.kind === "delete") return { delete: operation.key }
   const { key, value, leaseId } = operation
   const encoded = { set: key, v: encodeRecord(key, value) }
   return leaseId === undefined ? encoded : { ...encoded, permit: leaseId }
 }
+/** Encodes a transaction. */
+export const encodeTransaction = (
+  conditions: ReadonlyArray<Condition>,
+  operations: ReadonlyArray<Operation>,
+) => ({ when: conditions.map(encodeCondition), apply: operations.map(encodeOperation) })
+/** Decodes the response to a transaction that was applied: the revision that it wrote. */
+export const decodeCommit = (body: unknown): ModRevision => (body as { readonly epoch: ModRevision }).epoch
+/** Decodes the response to a transaction some of whose conditions did not hold: their keys. */
+export const decodeConflict = (body: unknown): ReadonlyArray<string> =>
+  (body as { readonly failed: ReadonlyArray<string> }).failed
+
+/** Encodes the request for a lease. */
+export const encodeLeaseRequest = (ttlMs: number) => ({ ttl_ms: ttlMs })
+/** Decodes the response to it. */
+export const decodeLease = (body: unknown): LeaseId => (body as { readonly permit: LeaseId }).permit
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,3 +1,5 @@
 export * from "./client.ts"
+export * from "./errors.ts"
+export * from "./make-client.ts"
 export * from "./model.ts"
 export * from "./records/index.ts"
--- /dev/null
+++ b/packages/store/src/make-client.ts
@@ -0,0 +1,37 @@
+/** Puts a store client together: requests over HTTP, and a limit on writes that all controllers share. */
+import { type Address, HttpClient, processClocks } from "@sorreltally/protocol"
+import { SharedRateLimit } from "@sorreltally/rate-limit"
+import { Effect } from "effect"
+import type { StoreClient, StoreLimits } from "./client.ts"
+import { compareAndSwap, createLease, get, keepAlive, list, revokeLease, sendTo, watch } from "./requests.ts"
+
+/** A client of the store at this address that shares the store's limits with `nodes` controllers. */
+export const makeStoreClient = (
+  address: Address,
+  limits: StoreLimits,
+  nodes: number,
+): Effect.Effect<StoreClient, never, HttpClient> =>
+  Effect.gen(function* () {
+    const send = sendTo(yield* HttpClient, address)
+    const clocks = yield* processClocks
+    const rateLimit = new SharedRateLimit({
+      limit: limits.writesPerSecond,
+      nodes,
+      burst: Math.max(limits.maxOperations, limits.writesPerSecond / 2),
+      now: clocks.monotonicNow,
+    })
+    return {
+      get: get(send),
+      list: list(send),
+      compareAndSwap: compareAndSwap(send, rateLimit),
+      awaitWriteCapacity: (operations, priority) => rateLimit.acquire(operations, priority),
+      createLease: createLease(send),
+      keepAlive: keepAlive(send),
+      revokeLease: revokeLease(send),
+      watch: watch(send),
+      limits,
+      writeRate: () => rateLimit.usage,
+      setPeerWriteRate: (perSecond) => rateLimit.setPeerUsage(perSecond),
+      writeLoad: () => rateLimit.load,
+    }
+  })
