--- a/packages/concurrency/src/signal.ts
+++ b/packages/concurrency/src/signal.ts
@@ -1,17 +1,19 @@
+/** Wakes a loop from synchronous code. Holds one waiter at a time; carries no data, so signals merge. */
 import { Effect } from "effect"
 
-/** Wakes one waiting loop; a notice given while nobody waits is kept. */
+/** Wakes the one loop that waits for it; a signal while nobody waits is kept. */
 export class Signal {
   private raised = false
   private resume: (() => void) | null = null
 
+  /** Wakes the waiting loop, or the next one that waits. */
   notify(): void {
     this.raised = true
     const resume = this.resume
     this.resume = null
     resume?.()
   }
-  /** Until a notice comes, or `ms` have passed. */
+  /** Until the next signal, or until `ms` have passed. */
   wait(ms: number): Effect.Effect<void> {
     return Effect.callback<void>((resume) => {
       if (this.raised) return resume(Effect.void)
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -98,7 +98,7 @@
         self: platform.nodeName,
         nodes,
         ...cancellationBudget(platform.deployment.workers, operators.membership),
-        stateRps: platform.deployment.store.requestsPerSecond,
+        storeRequestsPerSecond: platform.deployment.store.requestsPerSecond,
       },
       store,
       listener,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -21,7 +21,7 @@
   /** A node whose replica wasn't refreshed for this long stops acting. */
   readonly watchFreshMs: number
   /** Requests a second that the store takes of all nodes together. */
-  readonly stateRps: number
+  readonly storeRequestsPerSecond: number
 }
 
 /** The rest of the controller, as membership sees it. */
@@ -61,7 +61,7 @@
   private readonly ownership: ShardOwnership
 
   constructor({ settings, store, listener, now, log, fork }: MembershipOptions) {
-    const { self, nodes, watchFreshMs: freshMs, stateRps } = settings
+    const { self, nodes, watchFreshMs: freshMs, storeRequestsPerSecond } = settings
     const { replica } = this
     this.store = store
     this.now = now
@@ -69,7 +69,7 @@
     this.shards = allShards(nodes)
     // The store takes few requests, and every node has to watch: at most this
     // often, and as often again to answer users.
-    const spacingMs = watchSpacingMs(nodes.length, stateRps)
+    const spacingMs = watchSpacingMs(nodes.length, storeRequestsPerSecond)
     this.nodeLease = new NodeLeaseKeeper({ self, times: settings, store, now, log })
     this.watch = new ReplicaWatch({ store, replica, spacingMs, freshMs, isBusy: listener.isBusy, now })
     const caughtUp = (sent: MonotonicTime) => this.watch.markCurrentAsOf(sent)
@@ -114,7 +114,7 @@
         if (Result.isFailure(joined)) return yield* Effect.sleep(REJOIN_MS)
         yield* Effect.raceAllFirst([this.nodeLease.renew, this.watch.run, this.ownership.run])
         this.nodeLease.leave()
-        this.ownership.dropAll("node lease lost")
+        this.ownership.loseAll("node lease lost")
       }),
     ),
   )
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -27,7 +27,7 @@
 /** One life of a controller under its name, and the lease that it lasts as long as. */
 export interface MembershipLease {
   readonly incarnation: Incarnation
-  readonly lease: LeaseId
+  readonly leaseId: LeaseId
   /** Revision of the node key, which the store deletes when the lease ends. */
   readonly nodeRevision: ModRevision
 }
@@ -91,17 +91,17 @@
       }
       const incarnation = yield* this.newIncarnation()
       const sent = now()
-      const lease = yield* store.createLease(times.leaseTtlMs)
-      const record: NodeRecord = { incarnation, leaseId: lease }
+      const leaseId = yield* store.createLease(times.leaseTtlMs)
+      const record: NodeRecord = { incarnation, leaseId }
       // A copy of this that is carried out late finds the key there, or the lease ended.
       const written = yield* store.compareAndSwap(
         [{ key, modRevision: ABSENT }],
-        [put(key, record, lease)],
+        [put(key, record, leaseId)],
         0,
       )
       if (!written.ok)
         return yield* new NodeKeyExistsError({ operation: "join", outcome: "refused", node: self })
-      this.membershipLease = { incarnation, lease, nodeRevision: written.revision }
+      this.membershipLease = { incarnation, leaseId, nodeRevision: written.revision }
       this.extend(sent)
       return { key, value: record, modRevision: written.revision }
     })
@@ -134,7 +134,7 @@
         yield* Effect.sleep(pauseMs)
         if (this.membershipLease === null) return
         const sent = now()
-        const renewed = yield* Effect.result(store.keepAlive(this.membershipLease.lease, timeoutMs))
+        const renewed = yield* Effect.result(store.keepAlive(this.membershipLease.leaseId, timeoutMs))
         if (Result.isFailure(renewed)) {
           log.debug("lease keep-alive failed", { status: renewed.failure.status })
           pauseMs = leaseTtlMs / RETRIES_PER_TTL
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -22,8 +22,12 @@
    * has reached it: a watch that lags must not bring back the key's last put.
    */
   private readonly tombstones = new Map<string, ModRevision>()
+  private appliedRevision = 0 as Revision
+
   /** All changes of the store up to this revision have been applied. */
-  revision = 0 as Revision
+  get revision(): Revision {
+    return this.appliedRevision
+  }
 
   /** The entry under a key, or null if there is none. */
   get<A>(key: StoreKey<A>): Entry<A> | null {
@@ -94,7 +98,7 @@
     return this.modRevision(key) < modRevision && (this.tombstones.get(key) ?? ABSENT) < modRevision
   }
   private advanceTo(revision: Revision): void {
-    if (revision > this.revision) this.revision = revision
+    if (revision > this.appliedRevision) this.appliedRevision = revision
     for (const [key, modRevision] of this.tombstones)
       if (modRevision <= (this.revision as number)) this.tombstones.delete(key)
   }
--- a/packages/membership/src/shard-ownership.ts
+++ b/packages/membership/src/shard-ownership.ts
@@ -56,7 +56,7 @@
     this.owned.lose(shard, reason)
   }
   /** Stops owning all shards. */
-  dropAll(reason: string): void {
+  loseAll(reason: string): void {
     this.owned.loseAll(reason)
   }
 
--- a/packages/membership/test/builders.ts
+++ b/packages/membership/test/builders.ts
@@ -24,8 +24,8 @@
 
 const silentLog: Log = { error: () => {}, info: () => {}, debug: () => {} }
 
-/** A store that grants every wish; a test replaces the answers that it is about. */
-export const storeWith = (answers: Partial<StoreClient> = {}): StoreClient =>
+/** A store that does all that is asked of it; a test replaces the responses that it is about. */
+export const storeWith = (responses: Partial<StoreClient> = {}): StoreClient =>
   ({
     createLease: () => Effect.succeed(LEASE),
     revokeLease: () => Effect.void,
@@ -33,7 +33,7 @@
     list: () => Effect.succeed({ items: [], revision: 4 as Revision }),
     watch: () => Effect.never,
     compareAndSwap: () => Effect.succeed({ ok: true, revision: 5 as ModRevision }),
-    ...answers,
+    ...responses,
   }) as StoreClient
 
 /** A node's lease on the test's clock, and that clock. */
@@ -57,7 +57,7 @@
         leaseTtlMs: LEASE_TTL_MS,
         leaseMarginMs: LEASE_MARGIN_MS,
         watchFreshMs: 10 * LEASE_TTL_MS,
-        stateRps: 10,
+        storeRequestsPerSecond: 10,
       },
       store,
       listener: {
--- a/packages/rate-limit/src/shared-rate-limit.ts
+++ b/packages/rate-limit/src/shared-rate-limit.ts
@@ -1,6 +1,7 @@
 /**
  * Rate limits that all controllers share without a coordinator: each node takes what it needs and
- * backs off when the service rejects a request (adaptive, AIMD).
+ * backs off when the service rejects a request (adaptive, AIMD). Owns when a request may be sent, and
+ * never sends or repeats one itself.
  */
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import { Effect } from "effect"
@@ -42,16 +43,17 @@
 /** Load up to which delay counts more than batching, and from which on batching counts most. */
 const CALM_LOAD = 0.35
 const BUSY_LOAD = 0.5
-/** A value between one for a calm service and one for a busy one, by the share of its limit that is used. */
+/** A value between one for a calm service and one for a busy one; `load` is the share of its limit that is used. */
 export const interpolateByLoad = (load: number, calm: number, busy: number): number => {
   const share = Math.min(1, Math.max(0, (load - CALM_LOAD) / (BUSY_LOAD - CALM_LOAD)))
   return calm + share * (busy - calm)
 }
 
-/** A service's limit, and how many controllers share it. */
+/** What a shared rate limit needs: the service's limit, and how many controllers share it. */
 export interface SharedRateLimitOptions {
   /** Requests, or other units of cost, a second of all nodes together. */
   readonly limit: number
+  /** Controllers that share the limit, this one included. */
   readonly nodes: number
   /** Cost that may go at once after a pause. */
   readonly burst: number
@@ -59,9 +61,9 @@
 }
 
 /**
- * A limit on requests a second that all controllers share. Their needs are
- * uneven and nobody deals the limit out: each node takes what it needs, a
- * little more as time goes by, and backs off when the service answers 429.
+ * A limit on requests a second that all controllers share. Their demand is
+ * uneven and nobody divides the limit among them: a token bucket's rate rises
+ * while requests wait, and is lowered when the service rejects one with 429.
  */
 export class SharedRateLimit {
   private readonly limit: number
@@ -89,16 +91,16 @@
     this.rejectedAt = addMs(this.refilledAt, -SAME_REJECTION_MS)
   }
 
-  /** What this node used a second, of late. */
+  /** Cost a second that this node used, averaged over about two seconds. */
   get usage(): number {
     this.decayUsage(this.now())
     return this.usagePerSecond
   }
-  /** Share of the limit that all nodes together use, as far as this one has heard. */
+  /** Share of the limit that all nodes together use, by what the others last reported. */
   get load(): number {
     return (this.usage + this.peerUsage) / this.limit
   }
-  /** Takes in what the other nodes report that they use together: the rest is ours. */
+  /** Takes in the cost a second that the other nodes report to use together: the rest is ours. */
   setPeerUsage(perSecond: number): void {
     this.peerUsage = perSecond
     this.rate = Math.min(this.rate, this.maxRate)
@@ -145,7 +147,7 @@
     return Effect.onInterrupt(step, () => leave)
   }
 
-  /** The service answered 429: others use more than we thought. */
+  /** The service rejected a request with 429: the others use more than they reported. */
   rejected(): void {
     const now = this.now()
     this.refill(now)
