--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -6,7 +6,7 @@
 import { InFlight } from "@sorreltally/concurrency"
 import { CommandForwarder, HeartbeatBalancer, HeartbeatForwarder, NodeLoads } from "@sorreltally/forwarding"
 import { JobIndex, JobStore } from "@sorreltally/jobs"
-import { type Host, Membership, shardOf } from "@sorreltally/membership"
+import { Membership, type MembershipListener, shardOf } from "@sorreltally/membership"
 import type { NodeLoad, PeerChannel, PeerMessage } from "@sorreltally/peers"
 import {
   type Clocks,
@@ -117,24 +117,24 @@
 
   private makeMembership(): Membership {
     const { platform, operators, nodes, store, clocks, log, fork } = this.options
-    const host: Host = {
+    const listener: MembershipListener = {
       acquired: (shard, epoch) => this.shards.start(shard, epoch),
       lost: (shard) => this.shards.stop(shard),
-      busy: () => this.shards.haveWork,
+      isBusy: () => this.shards.haveWork,
     }
-    return new Membership(
-      {
+    return new Membership({
+      settings: {
         self: platform.nodeName,
         nodes,
         ...cancellationBudget(platform.deployment.workers, operators.membership),
-        stateRps: platform.deployment.store.requestsPerSecond,
+        storeRequestsPerSecond: platform.deployment.store.requestsPerSecond,
       },
       store,
-      host,
-      clocks.monotonicNow,
+      listener,
+      now: clocks.monotonicNow,
       log,
       fork,
-    )
+    })
   }
   private makeCommandForwarder(): CommandForwarder {
     const { platform, peers, httpClient, clocks, fork } = this.options
@@ -262,7 +262,7 @@
       case "nodeLoad":
         return this.loads.received(from, message.load)
       case "jobChanged":
-        return this.membership.replica.hint(message.page)
+        return this.membership.replica.applyWrite(message.page)
       case "demand":
         return this.demandExchange.received(message.demands)
       case "machineHandoff":
@@ -310,7 +310,7 @@
   private jobChanged(entry: Entry, request: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
       const { platform, peers } = this.options
-      this.membership.replica.hint(entry)
+      this.membership.replica.applyWrite(entry)
       const owner = this.membership.owner(this.shardOfJob(request))
       if (owner !== null && owner !== platform.nodeName)
         peers.send({ kind: "jobChanged", page: entry }, owner)
--- a/packages/controller/src/machine-handoffs.ts
+++ b/packages/controller/src/machine-handoffs.ts
@@ -38,7 +38,7 @@
   /** Takes in machines that another node hands off to a shard of this one. */
   received({ shard, block, machines }: MachineHandoffMessage): void {
     const { shards, membership } = this.options
-    membership.replica.hint(block)
+    membership.replica.applyWrite(block)
     const own = shards.get(shard)
     for (const { machineId, handoff } of machines) own?.acceptHandoff(machineId, handoff)
   }
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -123,13 +123,13 @@
         store.compareAndSwap(this.conditionsOf(write), [put(key, page)], "reserved"),
       )
       if (Result.isSuccess(written) && written.success.ok) {
-        membership.replica.hint({ key, value: page, modRevision: written.success.revision })
+        membership.replica.applyWrite({ key, value: page, modRevision: written.success.revision })
         this.endsPagesGrew.notify()
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
         yield* Effect.sleep(PAUSE_MS)
-        const fresh = yield* Effect.result(membership.readBarrier.since)
+        const fresh = yield* Effect.result(membership.readBarrier.wait)
         if (Result.isFailure(fresh)) return
       }
       this.settle(write.jobs)
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -104,7 +104,7 @@
     return Effect.gen({ self: this }, function* () {
       const known = this.events.cachedFinal(id)
       if (known !== null) return { kind: "final", status: known } as const
-      yield* this.membership.readBarrier.since
+      yield* this.membership.readBarrier.wait
       const found = yield* this.lookUp(id)
       if (found.kind === "final") this.events.cacheFinal(id, found.status)
       return found
@@ -134,7 +134,7 @@
           yield* this.events.changed(entry, spec)
           return { kind: "accepted" } as const
         }
-        yield* this.membership.readBarrier.since
+        yield* this.membership.readBarrier.wait
       }
     })
   }
@@ -173,8 +173,8 @@
       const { page: written, operations } = this.writesOf(key, this.folded(page))
       const conditions = [{ key, modRevision: page.modRevision }]
       const result = yield* this.store.compareAndSwap(conditions, operations, 3)
-      if (!result.ok) return yield* this.membership.readBarrier.since
-      this.membership.replica.hint({ key, value: written, modRevision: result.revision })
+      if (!result.ok) return yield* this.membership.readBarrier.wait
+      this.membership.replica.applyWrite({ key, value: written, modRevision: result.revision })
     })
   }
 
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -199,7 +199,7 @@
         const conditionFailed = Result.isSuccess(written)
         if (!conditionFailed) continue
         // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(membership.readBarrier.since)
+        yield* Effect.result(membership.readBarrier.wait)
         return this.aborted(write, modRevision)
       }
     })
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -141,15 +141,15 @@
 export const nodeOn = (store: MemoryStore, shard: ShardName) => {
   const replica = new Replica()
   const jobIndex = new JobIndex(replica)
-  const refresh = () => replica.reload(store.entriesUnder("s/"), store.revision)
-  const readBarrier = { since: Effect.sync(refresh) } as never
+  const refresh = () => replica.loadSnapshot(store.entriesUnder("s/"), store.revision)
+  const readBarrier = { wait: Effect.sync(refresh) } as never
   const membership = { replica, readBarrier }
   const jobStore = new JobStore({
     store: store.client,
     membership,
     jobIndex,
     events: {
-      changed: (entry) => Effect.sync(() => replica.hint(entry)),
+      changed: (entry) => Effect.sync(() => replica.applyWrite(entry)),
       cachedFinal: () => null,
       cacheFinal: () => {},
       shardOf: () => shard,
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -30,7 +30,7 @@
     shard: "deadline" as ShardName,
     epoch: 5 as ModRevision,
     store,
-    membership: { readBarrier: { since: Effect.void } } as unknown as Membership,
+    membership: { readBarrier: { wait: Effect.void } } as unknown as Membership,
     now: () => performance.now() as MonotonicTime,
     active: () => true,
     events: { durable: () => {}, abandoned: (placement) => abandoned.push(placement) },
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -116,7 +116,7 @@
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
       yield* Effect.sleep(PAUSE_MS)
-      yield* Effect.result(this.options.membership.readBarrier.since)
+      yield* Effect.result(this.options.membership.readBarrier.wait)
     })
   }
 
@@ -133,7 +133,7 @@
         const { conditions, key, block } = write
         const done = yield* Effect.result(store.compareAndSwap(conditions, [put(key, block)], "reserved"))
         if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        replica.hint({ key, value: block, modRevision: done.success.revision })
+        replica.applyWrite({ key, value: block, modRevision: done.success.revision })
       }
       this.additions = this.additions.filter((addition) => !batch.includes(addition))
       for (const { settled } of batch) settled()
@@ -189,8 +189,9 @@
     const current = written.filter(([id, pending]) => this.edits.get(id) === pending)
     for (const [id] of current) this.edits.delete(id)
     for (const operation of operations) {
-      if (operation.kind === "put") replica.hint({ key: operation.key, value: operation.value, modRevision })
-      else replica.bury(operation.key, modRevision)
+      if (operation.kind === "put")
+        replica.applyWrite({ key: operation.key, value: operation.value, modRevision })
+      else replica.applyDelete(operation.key, modRevision)
     }
     for (const [, { settled }] of current) settled(true)
   }
--- a/packages/provisioning/test/builders.ts
+++ b/packages/provisioning/test/builders.ts
@@ -44,7 +44,7 @@
   /** Has the replica show a block; returns its revision. */
   const show = (value: MachineBlock): ModRevision => {
     const modRevision = ++revision as ModRevision
-    replica.hint({ key, value, modRevision })
+    replica.applyWrite({ key, value, modRevision })
     return modRevision
   }
   const showMachine = (shard: ShardName, token: number): void => {
@@ -63,7 +63,7 @@
         return write(block)
       }),
   } as unknown as StoreClient
-  const membership = { replica, readBarrier: { since: Effect.sync(catchUp) } } as unknown as Membership
+  const membership = { replica, readBarrier: { wait: Effect.sync(catchUp) } } as unknown as Membership
   const writer = new MachineRecordWriter({
     shard: ours,
     epoch: 5 as ModRevision,
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -182,14 +182,14 @@
         const written = yield* Effect.result(store.compareAndSwap(conditions, [put(key, record)], 1))
         if (Result.isSuccess(written)) {
           if (written.success.ok)
-            return replica.hint({ key, value: record, modRevision: written.success.revision })
+            return replica.applyWrite({ key, value: record, modRevision: written.success.revision })
           // Another node owns the shard: its epoch fences all that was sent.
           if (written.success.failedKeys.includes(shardKey)) return
         }
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
         unanswered ||= Result.isFailure(written) && written.failure.outcome === "unknown"
         const read = yield* Effect.result(store.get(key))
-        if (Result.isSuccess(read) && read.success !== null) replica.hint(read.success)
+        if (Result.isSuccess(read) && read.success !== null) replica.applyWrite(read.success)
         // While the record is as it was, the unanswered change may still be carried out.
         const hasMoved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== baseRevision
         yield* Effect.sleep(RETRY_PAUSE_MS)
--- a/packages/quota/test/builders.ts
+++ b/packages/quota/test/builders.ts
@@ -46,7 +46,7 @@
 
   constructor(coresByShard: Readonly<Record<string, number>>) {
     const value = recordOf(coresByShard)
-    this.replica.hint({ key: quotaKey, value, modRevision: FIRST_REVISION })
+    this.replica.applyWrite({ key: quotaKey, value, modRevision: FIRST_REVISION })
     const store = {
       get: () => Effect.succeed({ key: quotaKey, value, modRevision: FIRST_REVISION }),
       compareAndSwap: (_: unknown, operations: ReadonlyArray<{ readonly value: QuotaRecord }>) =>
@@ -76,7 +76,7 @@
   /** The record as a watch event brings it. */
   receiveRecord(coresByShard: Readonly<Record<string, number>>, modRevision: number): void {
     const value = recordOf(coresByShard)
-    this.replica.hint({ key: quotaKey, value, modRevision: modRevision as ModRevision })
+    this.replica.applyWrite({ key: quotaKey, value, modRevision: modRevision as ModRevision })
   }
 
   /** Starts the change that is due by this demand; null: none is. */
--- a/packages/shard/src/machine-adoption.ts
+++ b/packages/shard/src/machine-adoption.ts
@@ -29,7 +29,7 @@
       const { inventory, membership } = this.shard.node
       if (!inventory.listedHere.some((machine) => this.isUnknown(machine))) return
       // A record may have been written that the replica doesn't show yet.
-      const barrier = yield* Effect.result(membership.readBarrier.since)
+      const barrier = yield* Effect.result(membership.readBarrier.wait)
       if (Result.isFailure(barrier)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const machine of inventory.listedHere) {
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -1,6 +1,6 @@
 /** What the store holds and what can be asked of it, in the terms of a key-value store. */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
-import type { StoreKey } from "./records.ts"
+import type { StoreKey } from "./records/keys.ts"
 
 /** A record, its key, and the revision that wrote it. */
 export interface Entry<A = unknown> {
@@ -8,6 +8,11 @@
   readonly value: A
   readonly modRevision: ModRevision
 }
+/** The entry of one key among those of a list. */
+export const findEntry = <A>(entries: ReadonlyArray<Entry>, key: StoreKey<A>): Entry<A> | undefined =>
+  // The key's type says what its codec decoded.
+  entries.find((entry) => entry.key === key) as Entry<A> | undefined
+
 /** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
 export interface Condition {
   readonly key: string
