--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -1,6 +1,6 @@
-import type { Deployment } from "./deployment.ts"
-import type { MembershipTroubles } from "./membership-troubles.ts"
-import type { UserTroubles } from "./user-troubles.ts"
+import type { Deployment } from "../simulation/deployment.ts"
+import type { MembershipTroubles } from "./membership-faults.ts"
+import type { UserTroubles } from "./user-faults.ts"
 
 /**
  * What a trouble does to the deployment for some time. Random days place a
--- a/packages/testkit/src/faults/fault-kinds.ts
+++ b/packages/testkit/src/faults/fault-kinds.ts
@@ -1,6 +1,6 @@
 import { cancellationBudget } from "@sorreltally/settings"
+import type { Luck } from "../simulation/simulation.ts"
 import type { TroubleEffect } from "./effects.ts"
-import type { Luck } from "./sim.ts"
 
 /** What the draws of a day depend on. */
 export interface DaySettings {
--- a/packages/testkit/src/faults/faults.ts
+++ b/packages/testkit/src/faults/faults.ts
@@ -1,7 +1,7 @@
 import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/protocol"
-import type { Deployment } from "./deployment.ts"
-import type { Machine } from "./machines.ts"
-import type { CutMode, Departure, Request } from "./net.ts"
+import type { Machine } from "../services/machine.ts"
+import type { Deployment } from "../simulation/deployment.ts"
+import type { CutMode, Departure, Request } from "../simulation/network.ts"
 
 const PARTS = "s/part/"
 const BLOCKS = "s/block/"
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -1,4 +1,4 @@
-import type { Deployment } from "./deployment.ts"
+import type { Deployment } from "../simulation/deployment.ts"
 
 /** A new leader acts within some tens of milliseconds: what was so at the change has to be seen before. */
 const LEADER_LOOK_MS = 20
--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -1,6 +1,6 @@
 import { DEADLINE_SHARD, shardOf } from "@sorreltally/membership"
 import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
-import type { Deployment } from "./deployment.ts"
+import type { Deployment } from "../simulation/deployment.ts"
 
 /** A cancelled job still has this much of its estimate to go, so that only a stop ends its tasks. */
 const LONG_TO_GO_S = 20
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,8 +1,8 @@
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
-import type { Refusal } from "./user-rules.ts"
-import type { Event, Users } from "./users.ts"
+import type { Rules } from "../invariants/invariants.ts"
+import type { Refusal } from "../invariants/user-invariants.ts"
+import type { Event, Users } from "../services/users.ts"
+import type { Sim } from "../simulation/simulation.ts"
 
 /** After an event, all nodes are asked this much later each time. */
 const CLOSE_POLLS_MS = [0, 0.3, 1, 2, 4, 8, 15, 30, 60, 120]
--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -1,7 +1,7 @@
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { isLimited, type Team } from "@sorreltally/settings"
-import type { Sim } from "./sim.ts"
-import { UserRules } from "./user-rules.ts"
+import type { Sim } from "../simulation/simulation.ts"
+import { UserRules } from "./user-invariants.ts"
 
 export interface OnMachine {
   readonly machine: string
--- a/packages/testkit/src/invariants/service-objectives.ts
+++ b/packages/testkit/src/invariants/service-objectives.ts
@@ -1,5 +1,5 @@
 import type { WireJob } from "@sorreltally/protocol"
-import type { UserRules } from "./user-rules.ts"
+import type { UserRules } from "./user-invariants.ts"
 
 /** Of each class, the share of its jobs that counts as its largest, at least one. */
 const LARGEST_SHARE = 0.1
--- a/packages/testkit/src/invariants/user-invariants.ts
+++ b/packages/testkit/src/invariants/user-invariants.ts
@@ -1,5 +1,5 @@
 import type { WireJob } from "@sorreltally/protocol"
-import type { Sim } from "./sim.ts"
+import type { Sim } from "../simulation/simulation.ts"
 
 /** What a user asked of a job. */
 export type Question = "submit" | "poll" | "cancel"
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -1,8 +1,8 @@
 import type { WireJob } from "@sorreltally/protocol"
-import type { Cloud } from "./cloud.ts"
-import type { Machine } from "./machines.ts"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
+import type { Cloud } from "../services/cloud.ts"
+import type { Machine } from "../services/machine.ts"
+import type { Sim } from "../simulation/simulation.ts"
+import type { Rules } from "./invariants.ts"
 
 /** Once all troubles are over, no job waits this long while it could run. */
 const LONGEST_WAIT_MS = 90_000
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -14,8 +14,12 @@
 import { parseArgs } from "node:util"
 import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
 import { NO_LIMIT } from "@sorreltally/settings"
-import { Cloud } from "./cloud.ts"
-import { LoopbackNet } from "./loopback-net.ts"
+import { Rules } from "../invariants/invariants.ts"
+import { Cloud } from "../services/cloud.ts"
+import { StateService } from "../services/state-service.ts"
+import { Users } from "../services/users.ts"
+import { LoopbackNet } from "../simulation/loopback-network.ts"
+import { Sim } from "../simulation/simulation.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
 import type { Usage } from "./probe.ts"
 import {
@@ -27,10 +31,6 @@
   processorShares,
   type Shares,
 } from "./profile-summary.ts"
-import { Rules } from "./rules.ts"
-import { Sim } from "./sim.ts"
-import { StateService } from "./state.ts"
-import { Users } from "./users.ts"
 
 const NODES = 5
 const ZONES = ["a", "b", "c"]
--- a/packages/testkit/src/random-days/coverage.ts
+++ b/packages/testkit/src/random-days/coverage.ts
@@ -1,4 +1,4 @@
-import { type DrawnPair, troubleEffects } from "./effects.ts"
+import { type DrawnPair, troubleEffects } from "../faults/effects.ts"
 import { troubleNames } from "./random-day.ts"
 
 interface Count {
--- a/packages/testkit/src/random-days/day-run.ts
+++ b/packages/testkit/src/random-days/day-run.ts
@@ -1,7 +1,7 @@
-import type { DrawnPair } from "./effects.ts"
+import type { DrawnPair } from "../faults/effects.ts"
+import { readScenario } from "../scenarios/scenario.ts"
+import type { TraceDigest } from "../simulation/trace-digest.ts"
 import { type RandomDay, scenarioOf } from "./random-day.ts"
-import { readScenario } from "./scenario.ts"
-import type { TraceDigest } from "./trace-digest.ts"
 
 /** What one run of a random day showed. */
 export interface DayResult {
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -1,4 +1,6 @@
-import type { TroubleEffect } from "./effects.ts"
+import type { TroubleEffect } from "../faults/effects.ts"
+import { type DaySettings, type Trouble, type TroubleKind, troubleKinds } from "../faults/fault-kinds.ts"
+import { Luck } from "../simulation/simulation.ts"
 import {
   busiestTeamS,
   CANCELLATIONS_LAST_S,
@@ -7,8 +9,6 @@
   type JobWanted,
   type UserEvent,
 } from "./random-jobs.ts"
-import { Luck } from "./sim.ts"
-import { type DaySettings, type Trouble, type TroubleKind, troubleKinds } from "./trouble-kinds.ts"
 
 /** A trouble that begins at some time of the day, and the pair that it is the second one of. */
 export interface TroubleEvent {
--- a/packages/testkit/src/random-days/random-jobs.ts
+++ b/packages/testkit/src/random-days/random-jobs.ts
@@ -1,5 +1,5 @@
-import type { Luck } from "./sim.ts"
-import type { DaySettings } from "./trouble-kinds.ts"
+import type { DaySettings } from "../faults/fault-kinds.ts"
+import type { Luck } from "../simulation/simulation.ts"
 
 /** What a user does in a random day; `job` numbers the day's jobs in the order of their submission. */
 export type UserEvent = {
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -1,10 +1,10 @@
 import { type ChildProcess, fork } from "node:child_process"
 import { parseArgs } from "node:util"
+import { TraceDigest } from "../simulation/trace-digest.ts"
 import { Coverage } from "./coverage.ts"
 import { type DayResult, runDay } from "./day-run.ts"
 import { drawDay, scenarioOf } from "./random-day.ts"
 import { shrink } from "./shrink.ts"
-import { TraceDigest } from "./trace-digest.ts"
 
 // Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
 // day that fails with its scenario, then how often the pairs of troubles met, and with --digest the digest of
--- a/packages/testkit/src/scenarios/actions.ts
+++ b/packages/testkit/src/scenarios/actions.ts
@@ -1,5 +1,5 @@
 import type { NodeName } from "@sorreltally/protocol"
-import type { World } from "./world.ts"
+import type { World } from "../simulation/simulated-deployment.ts"
 
 /** The words after the verb of one scenario entry. */
 export type Args = ReadonlyArray<string>
--- a/packages/testkit/src/scenarios/digests.ts
+++ b/packages/testkit/src/scenarios/digests.ts
@@ -1,10 +1,10 @@
 import { type ChildProcess, fork } from "node:child_process"
 import { readdirSync, readFileSync, writeFileSync } from "node:fs"
 import { parseArgs } from "node:util"
-import { runDay } from "./day-run.ts"
-import { drawDay } from "./random-day.ts"
+import { runDay } from "../random-days/day-run.ts"
+import { drawDay } from "../random-days/random-day.ts"
+import { TraceDigest } from "../simulation/trace-digest.ts"
 import { readScenario } from "./scenario.ts"
-import { TraceDigest } from "./trace-digest.ts"
 
 // Trace digests of all scenarios and of the random days 1 to N, on several processes:
 // `npm run digests -- --out FILE` writes them, `npm run digests -- --compare FILE` compares them with written
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -1,5 +1,5 @@
+import type { CutMode } from "../simulation/network.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
-import type { CutMode } from "./net.ts"
 
 const mode = (args: Args, at: number) => (args[at] ?? "hold") as CutMode
 
--- a/packages/testkit/src/scenarios/golden-recording.ts
+++ b/packages/testkit/src/scenarios/golden-recording.ts
@@ -6,10 +6,10 @@
 import { bucketOf } from "@sorreltally/jobs"
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import { unpack } from "msgpackr"
-import { type DeploymentDump, dumpDeployment } from "./deployment-dump.ts"
-import type { Request } from "./net.ts"
+import { type DeploymentDump, dumpDeployment } from "../simulation/deployment-dump.ts"
+import type { Request } from "../simulation/network.ts"
+import type { World } from "../simulation/simulated-deployment.ts"
 import { readScenario } from "./scenario.ts"
-import type { World } from "./world.ts"
 
 /** A request and its answer; bodies are JSON text as sent, `null` for none. */
 export interface ExchangeSample {
--- a/packages/testkit/src/scenarios/once.ts
+++ b/packages/testkit/src/scenarios/once.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs"
+import { TraceDigest } from "../simulation/trace-digest.ts"
 import { readScenario } from "./scenario.ts"
-import { TraceDigest } from "./trace-digest.ts"
 
 // Runs one scenario file: `node once.js FILE [SEED-SHIFT] [--digest]`, prints what failed, with VERBOSE the log,
 // and with --digest the digest of all its messages.
--- a/packages/testkit/src/scenarios/scenario.ts
+++ b/packages/testkit/src/scenarios/scenario.ts
@@ -1,15 +1,15 @@
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import { type Form, parse } from "sexpr-plus"
+import { type TroubleEffect, troubleEffects } from "../faults/effects.ts"
+import { epochsOwnedTwice } from "../invariants/epoch-invariant.ts"
+import type { Setup } from "../simulation/deployment.ts"
+import { type Sending, usualSetup, World } from "../simulation/simulated-deployment.ts"
+import type { TraceDigest } from "../simulation/trace-digest.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
-import type { Setup } from "./deployment.ts"
-import { type TroubleEffect, troubleEffects } from "./effects.ts"
-import { epochsOwnedTwice } from "./epoch-rule.ts"
+import { troubleActions } from "./fault-actions.ts"
 import { limitActions } from "./limit-actions.ts"
 import { membershipActions } from "./membership-actions.ts"
-import type { TraceDigest } from "./trace-digest.ts"
-import { troubleActions } from "./trouble-actions.ts"
 import { HARMLESS, happened, userActions, userExpectations } from "./user-actions.ts"
-import { type Sending, usualSetup, World } from "./world.ts"
 
 /** A piece of source without which the scenario must fail. */
 interface Guard {
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -1,6 +1,6 @@
+import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
+import type { World } from "../simulation/simulated-deployment.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
-import { largestOfClasses, notBegunWithin, unserved } from "./service-rules.ts"
-import type { World } from "./world.ts"
 
 const seconds = (args: Args, at: number, or: number): number => number(args, at, or) * 1000
 
--- a/packages/testkit/src/services/cloud.ts
+++ b/packages/testkit/src/services/cloud.ts
@@ -1,8 +1,8 @@
 import type { WireMachineType } from "@sorreltally/protocol"
-import { Machine, type MachineDump, type WorkerTimes } from "./machines.ts"
-import type { Net, Request } from "./net.ts"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
+import type { Rules } from "../invariants/invariants.ts"
+import type { Net, Request } from "../simulation/network.ts"
+import type { Sim } from "../simulation/simulation.ts"
+import { Machine, type MachineDump, type WorkerTimes } from "./machine.ts"
 
 export interface CloudSettings {
   readonly types: ReadonlyArray<WireMachineType>
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -1,7 +1,7 @@
 import type { WireCommand, WireHeartbeat, WireJob, WireMachineType } from "@sorreltally/protocol"
-import type { Net } from "./net.ts"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
+import type { Rules } from "../invariants/invariants.ts"
+import type { Net } from "../simulation/network.ts"
+import type { Sim } from "../simulation/simulation.ts"
 
 /** A task on a machine, as plain data. */
 export interface TaskDump extends Omit<Task, "callOff"> {}
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -1,4 +1,4 @@
-import type { Sim } from "./sim.ts"
+import type { Sim } from "../simulation/simulation.ts"
 
 const LATE_LEAST_MS = 2_000
 const LATE_MOST_MS = 12_000
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -1,6 +1,6 @@
-import type { Net, Request } from "./net.ts"
+import type { Net, Request } from "../simulation/network.ts"
+import type { Sim } from "../simulation/simulation.ts"
 import { Operations } from "./operations.ts"
-import type { Sim } from "./sim.ts"
 import { StateFaults } from "./state-faults.ts"
 
 interface Held {
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -1,7 +1,7 @@
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
-import type { Net } from "./net.ts"
-import type { Sim } from "./sim.ts"
-import type { Question, UserRules } from "./user-rules.ts"
+import type { Question, UserRules } from "../invariants/user-invariants.ts"
+import type { Net } from "../simulation/network.ts"
+import type { Sim } from "../simulation/simulation.ts"
 
 /** A user's request was answered; status 0: not in time. */
 type Answered = (status: number, state: string | null) => void
--- a/packages/testkit/src/simulation/deployment-dump.ts
+++ b/packages/testkit/src/simulation/deployment-dump.ts
@@ -4,11 +4,11 @@
  * keep nothing outside of the state service, and begin anew.
  */
 import type { JobId } from "@sorreltally/protocol"
-import type { CloudDump } from "./cloud.ts"
+import type { UserRulesDump } from "../invariants/user-invariants.ts"
+import type { CloudDump } from "../services/cloud.ts"
+import type { StateDump } from "../services/state-service.ts"
 import type { Setup } from "./deployment.ts"
-import type { StateDump } from "./state.ts"
-import type { UserRulesDump } from "./user-rules.ts"
-import { World } from "./world.ts"
+import { World } from "./simulated-deployment.ts"
 
 /** Everything outside of the controllers. Times are in milliseconds of the simulation's clock. */
 export interface DeploymentDump {
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,10 +1,10 @@
 import type { NodeName } from "@sorreltally/protocol"
-import type { Cloud } from "./cloud.ts"
-import type { Net } from "./net.ts"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
-import type { StateService } from "./state.ts"
-import type { Users } from "./users.ts"
+import type { Rules } from "../invariants/invariants.ts"
+import type { Cloud } from "../services/cloud.ts"
+import type { StateService } from "../services/state-service.ts"
+import type { Users } from "../services/users.ts"
+import type { Net } from "./network.ts"
+import type { Sim } from "./simulation.ts"
 
 export interface Setup {
   readonly seed: number
--- a/packages/testkit/src/simulation/loopback-network.ts
+++ b/packages/testkit/src/simulation/loopback-network.ts
@@ -1,7 +1,7 @@
 /** The stand-ins' network over real sockets: every host listens on a loopback port of its own. */
 import { Agent, createServer, type Server as HttpServer, request as httpRequest } from "node:http"
 import type { AddressInfo } from "node:net"
-import { type Answer, Net, type Request, type Server } from "./net.ts"
+import { type Answer, Net, type Request, type Server } from "./network.ts"
 
 const LOOPBACK = "127.0.0.1"
 /** How the stand-ins write the address of a machine, see `Machine` and `Cloud`. */
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -1,4 +1,4 @@
-import type { Sim } from "./sim.ts"
+import type { Sim } from "./simulation.ts"
 import type { TraceDigest } from "./trace-digest.ts"
 
 export interface Request {
--- a/packages/testkit/src/simulation/work-costs.ts
+++ b/packages/testkit/src/simulation/work-costs.ts
@@ -1,5 +1,5 @@
 /** What each event of a controller's work takes, for simulated nodes that have a share of a processor. */
-import type { Request } from "./net.ts"
+import type { Request } from "./network.ts"
 
 /** Milliseconds on a whole core; rounded up from what `npm run measure` shows for young processes. */
 const REPORT_MS = 0.25
--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict"
 import { readdirSync, readFileSync } from "node:fs"
 import { it } from "node:test"
-import { readScenario } from "../src/scenario.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 // As many as there were before names and layout of the sources were changed. Guards name
 // source text, so that a rename can break one; dropping it would be the easy way out.
--- a/packages/testkit/test/epoch-invariant.test.ts
+++ b/packages/testkit/test/epoch-invariant.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { acquisitionsIn, epochsOwnedTwice } from "../src/epoch-rule.ts"
-import { readScenario } from "../src/scenario.ts"
+import { acquisitionsIn, epochsOwnedTwice } from "../src/invariants/epoch-invariant.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 // Guards against a log line that is renamed and leaves the rule without anything to judge.
 test("every shard's first owner is told from what controllers log", () => {
--- a/packages/testkit/test/faults.test.ts
+++ b/packages/testkit/test/faults.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { troubleEffects } from "../src/effects.ts"
-import { drawDay, pairsOf, scenarioOf, troubleNames } from "../src/random-day.ts"
-import { readScenario } from "../src/scenario.ts"
+import { troubleEffects } from "../src/faults/effects.ts"
+import { drawDay, pairsOf, scenarioOf, troubleNames } from "../src/random-days/random-day.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 /** Other seeds are for sweeps: `npm run sweep`. */
 const DAYS = 30
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -3,9 +3,9 @@
 import { readFileSync } from "node:fs"
 import { before, describe, it } from "node:test"
 import type { JobId } from "@sorreltally/protocol"
-import { type DeploymentDump, resumeDeployment } from "../src/deployment-dump.ts"
-import { epochsOwnedTwice } from "../src/epoch-rule.ts"
-import type { World } from "../src/world.ts"
+import { epochsOwnedTwice } from "../src/invariants/epoch-invariant.ts"
+import { type DeploymentDump, resumeDeployment } from "../src/simulation/deployment-dump.ts"
+import type { World } from "../src/simulation/simulated-deployment.ts"
 
 const dump = JSON.parse(
   readFileSync("packages/testkit/test/golden/deployment.json", "utf8"),
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -6,7 +6,6 @@
 import assert from "node:assert/strict"
 import { readFileSync } from "node:fs"
 import { describe, it } from "node:test"
-import type { DeploymentDump } from "../src/deployment-dump.ts"
 import {
   type ExchangeSample,
   type FrameSample,
@@ -15,7 +14,8 @@
   record,
   recordKind,
   type SettingsSamples,
-} from "../src/golden-recording.ts"
+} from "../src/scenarios/golden-recording.ts"
+import type { DeploymentDump } from "../src/simulation/deployment-dump.ts"
 import {
   bodyBytes,
   cloudAnswers,
--- a/packages/testkit/test/guards.test.ts
+++ b/packages/testkit/test/guards.test.ts
@@ -4,7 +4,7 @@
 import { resolve } from "node:path"
 import { test } from "node:test"
 import { build } from "esbuild"
-import { readScenario } from "../src/scenario.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 /** Some run for half a minute on a calm machine. */
 const LONGEST_RUN_MS = 240_000
@@ -19,7 +19,7 @@
       assert.equal(source.split(guard.from).length, 2, "the guard's text must stand once in the source")
       const outfile = `target/mutants/${file}-${n}.js`
       await build({
-        entryPoints: ["packages/testkit/src/once.ts"],
+        entryPoints: ["packages/testkit/src/scenarios/once.ts"],
         outfile,
         bundle: true,
         platform: "node",
--- a/packages/testkit/test/scenario.test.ts
+++ b/packages/testkit/test/scenario.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { readScenario } from "../src/scenario.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 // Guards against a scenario that seems to play several seeds and plays one.
 test("an entry that takes one number refuses several, and says where", () => {
--- a/packages/testkit/test/scenarios.test.ts
+++ b/packages/testkit/test/scenarios.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { readdirSync, readFileSync } from "node:fs"
 import { test } from "node:test"
-import { readScenario } from "../src/scenario.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 /** Scenarios that fail for a real fault which isn't mended yet, with the cause: run and printed, passed over by the verdict. */
 const knownRed = new Map(
--- a/packages/testkit/test/shrink.test.ts
+++ b/packages/testkit/test/shrink.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { DayResult } from "../src/day-run.ts"
-import { drawDay, type RandomDay, scenarioOf } from "../src/random-day.ts"
-import { shrink } from "../src/shrink.ts"
+import type { DayResult } from "../src/random-days/day-run.ts"
+import { drawDay, type RandomDay, scenarioOf } from "../src/random-days/random-day.ts"
+import { shrink } from "../src/random-days/shrink.ts"
 
 const MOST_RUNS = 500
 const resultOf = ({ seed }: RandomDay, failures: ReadonlyArray<string>): DayResult => ({
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { Net } from "../src/net.ts"
-import { readScenario } from "../src/scenario.ts"
-import { Sim } from "../src/sim.ts"
-import { TraceDigest } from "../src/trace-digest.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
+import { Net } from "../src/simulation/network.ts"
+import { Sim } from "../src/simulation/simulation.ts"
+import { TraceDigest } from "../src/simulation/trace-digest.ts"
 
 const SHORT = '(scenario "short" (until 30) (at 2 (submit pieces 3)) (at 5 (crash host-1 4)))'
 
--- a/packages/testkit/test/user-invariants.test.ts
+++ b/packages/testkit/test/user-invariants.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
-import { Rules } from "../src/rules.ts"
-import { largestOfClasses, notBegunWithin, unserved } from "../src/service-rules.ts"
-import { Sim } from "../src/sim.ts"
+import { Rules } from "../src/invariants/invariants.ts"
+import { largestOfClasses, notBegunWithin, unserved } from "../src/invariants/service-objectives.ts"
+import { Sim } from "../src/simulation/simulation.ts"
 
 // Each rule is shown to fire on events that break it, and to be silent on the nearest ones that don't.
 
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
-import { Cloud } from "../src/cloud.ts"
-import { Net } from "../src/net.ts"
-import { Rules } from "../src/rules.ts"
-import { Sim } from "../src/sim.ts"
-import { WaitingRule } from "../src/waiting-rule.ts"
+import { Rules } from "../src/invariants/invariants.ts"
+import { WaitingRule } from "../src/invariants/waiting-invariant.ts"
+import { Cloud } from "../src/services/cloud.ts"
+import { Net } from "../src/simulation/network.ts"
+import { Sim } from "../src/simulation/simulation.ts"
 
 const type = {
   name: "small",
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -25,11 +25,11 @@
   for (const program of ["measure", "probe"])
     await build({
       ...common,
-      entryPoints: [`packages/testkit/src/${program}.ts`],
+      entryPoints: [`packages/testkit/src/measure/${program}.ts`],
       outfile: `target/${program}.js`,
     })
 } else if (process.argv.includes("--golden")) {
-  const entryPoints = ["packages/testkit/src/golden-recorder.ts"]
+  const entryPoints = ["packages/testkit/src/scenarios/golden-recorder.ts"]
   await build({ ...common, entryPoints, outfile: "target/golden-recorder.js" })
 } else if (!process.argv.includes("--tests")) {
   await build(daemon)
@@ -46,9 +46,9 @@
   // esbuild itself, which one test uses, stays outside of the bundle.
   await build({ ...common, entryPoints: tests, outdir: "target/tests", external: ["esbuild"] })
   for (const [program, out] of [
-    ["once", "scenario"],
-    ["sweep", "sweep"],
-    ["digests", "digests"],
+    ["scenarios/once", "scenario"],
+    ["random-days/sweep", "sweep"],
+    ["scenarios/digests", "digests"],
   ])
     await build({
       ...common,
