--- a/packages/testkit/src/faults/fault-kinds.ts
+++ b/packages/testkit/src/faults/fault-kinds.ts
@@ -1,6 +1,6 @@
 import { cancellationBudget } from "@sorreltally/settings"
-import type { Luck } from "../simulation/simulation.ts"
-import type { TroubleEffect } from "./effects.ts"
+import type { RandomSource } from "../simulation/simulation.ts"
+import type { FaultEffect } from "./effects.ts"
 
 /** What the draws of a day depend on. */
 export interface DaySettings {
@@ -18,44 +18,44 @@
   /** The share that its work really has; null: its work takes no time. */
   readonly processorShare: number | null
 }
-/** When an effect of a trouble is to be expected, in seconds after the trouble began. */
+/** When an effect of a fault is to be expected, in seconds after the fault began. */
 interface EffectWindow {
-  readonly effect: TroubleEffect
+  readonly effect: FaultEffect
   readonly fromS: number
   readonly toS: number
 }
-/** One trouble as drawn: its scenario verb with arguments, and how long it lasts. */
-export interface Trouble {
+/** One fault as drawn: its scenario verb with arguments, and how long it lasts. */
+export interface DrawnFault {
   readonly form: string
   readonly lastsS: number
   readonly windows: ReadonlyArray<EffectWindow>
 }
-export interface TroubleKind {
+export interface FaultKind {
   readonly name: string
-  readonly draw: (luck: Luck, settings: DaySettings) => Trouble
+  readonly draw: (random: RandomSource, settings: DaySettings) => DrawnFault
 }
 
-/** How long a take-over goes on once the former owner's grant has ended. */
-const TAKE_OVER_S = 4
+/** How long a failover goes on once the former owner's lease has ended. */
+const FAILOVER_S = 4
 const AFTER_RETURN_S = 6
-/** A silence shows once a report or two are missed. */
-const SILENCE_SHOWS_S = 6
+/** A silence shows once a heartbeat or two are missed. */
+const SILENCE_NOTICED_S = 6
 const RECOVERY_S = 20
 
-const window = (effect: TroubleEffect, fromS: number, toS: number): ReadonlyArray<EffectWindow> =>
+const window = (effect: FaultEffect, fromS: number, toS: number): ReadonlyArray<EffectWindow> =>
   toS > fromS ? [{ effect, fromS, toS }] : []
 
-/** How long the grant of a controller stands that can't renew it. */
-const grantS = ({ leaseS, cancelS }: DaySettings): number => {
+/** How long the lease of a controller stands that can't renew it. */
+const leaseTtlS = ({ leaseS, cancelS }: DaySettings): number => {
   const times = { leaseS, cancellationLimitS: cancelS }
   return cancellationBudget(times, { "grant-ttl-ms": null, "grant-margin-ms": null }).leaseTtlMs / 1000
 }
-/** A controller that acts no longer, and can renew its grant again after `lastsS`. */
+/** A controller that acts no longer, and can renew its lease again after `lastsS`. */
 const lapse = (lastsS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
-  const standsS = grantS(settings)
+  const ttlS = leaseTtlS(settings)
   return [
-    ...window("entitlement-lapses", standsS / 2, Math.min(lastsS, standsS)),
-    ...(lastsS > standsS ? window("take-over", standsS, standsS + TAKE_OVER_S) : []),
+    ...window("entitlement-lapses", ttlS / 2, Math.min(lastsS, ttlS)),
+    ...(lastsS > ttlS ? window("take-over", ttlS, ttlS + FAILOVER_S) : []),
     ...afterReturn(lastsS),
   ]
 }
@@ -65,56 +65,56 @@
   window("work-lost", fromS + 0.2, fromS + RECOVERY_S)
 /** Machines that nobody hears, or that hear nobody: up to their lease, then what they ran is lost. */
 const silence = (lastsS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
-  ...window("machines-silent", SILENCE_SHOWS_S, Math.min(lastsS, leaseS)),
+  ...window("machines-silent", SILENCE_NOTICED_S, Math.min(lastsS, leaseS)),
   ...(lastsS > leaseS + 1 ? workLost(leaseS + 1) : []),
 ]
 
-const whole = (luck: Luck, low: number, high: number) => Math.floor(luck.between(low, high + 1))
-const controller = (luck: Luck, { nodes }: DaySettings) =>
-  luck.chance(0.5) ? "leader" : `host-${whole(luck, 0, nodes - 1)}`
-const cutMode = (luck: Luck) => luck.pick(["hold", "hold", "drop", "reset"])
+const whole = (random: RandomSource, low: number, high: number) => Math.floor(random.between(low, high + 1))
+const controller = (random: RandomSource, { nodes }: DaySettings) =>
+  random.chance(0.5) ? "leader" : `host-${whole(random, 0, nodes - 1)}`
+const cutMode = (random: RandomSource) => random.pick(["hold", "hold", "drop", "reset"])
 /** Half of the spells end within the workers' lease, the others after it. */
-const spell = (luck: Luck, { leaseS }: DaySettings) =>
-  luck.chance(0.5) ? whole(luck, 3, leaseS - 2) : whole(luck, leaseS + 2, leaseS + 33)
+const spell = (random: RandomSource, { leaseS }: DaySettings) =>
+  random.chance(0.5) ? whole(random, 3, leaseS - 2) : whole(random, leaseS + 2, leaseS + 33)
 
-const kind = (name: string, draw: TroubleKind["draw"]): TroubleKind => ({ name, draw })
+const kind = (name: string, draw: FaultKind["draw"]): FaultKind => ({ name, draw })
 
-/** Every trouble that random days draw, mostly under the name of its scenario verb. */
-export const troubleKinds: ReadonlyArray<TroubleKind> = [
-  kind("crash", (luck, settings) => {
-    const backS = luck.pick([0.2, 1, 4, 8, 20])
-    const windows = backS < grantS(settings) ? window("take-over", 0.3, backS + TAKE_OVER_S) : []
+/** Every fault that random days draw, mostly under the name of its scenario verb. */
+export const faultKinds: ReadonlyArray<FaultKind> = [
+  kind("crash", (random, settings) => {
+    const backS = random.pick([0.2, 1, 4, 8, 20])
+    const windows = backS < leaseTtlS(settings) ? window("take-over", 0.3, backS + FAILOVER_S) : []
     return {
-      form: `(crash ${controller(luck, settings)} ${backS})`,
+      form: `(crash ${controller(random, settings)} ${backS})`,
       lastsS: backS,
       windows: [...windows, ...lapse(backS, settings)],
     }
   }),
-  kind("crash-all", (luck, { leaseS }) => {
-    const backS = luck.pick([0.3, 3, 8, leaseS + 4])
+  kind("crash-all", (random, { leaseS }) => {
+    const backS = random.pick([0.3, 3, 8, leaseS + 4])
     return {
       form: `(crash-all ${backS})`,
       lastsS: backS,
       windows: [
-        ...window("take-over", 0.1, backS + TAKE_OVER_S),
+        ...window("take-over", 0.1, backS + FAILOVER_S),
         ...afterReturn(backS),
         ...silence(backS, leaseS),
       ],
     }
   }),
-  kind("end-leaders", (luck) => {
-    const times = whole(luck, 3, 10)
-    const everyS = luck.pick([1, 3, 8, 12])
-    const backS = luck.pick([0.2, 1, 4])
+  kind("end-leaders", (random) => {
+    const times = whole(random, 3, 10)
+    const everyS = random.pick([1, 3, 8, 12])
+    const backS = random.pick([0.2, 1, 4])
     return {
       form: `(end-leaders ${times} ${everyS} ${backS})`,
       lastsS: times * everyS,
       windows: window("take-over", 0.3, times * everyS),
     }
   }),
-  kind("end-each", (luck, { nodes }) => {
-    const everyS = luck.pick([0.2, 1, 5])
-    const backS = luck.pick([0.2, 1, 8])
+  kind("end-each", (random, { nodes }) => {
+    const everyS = random.pick([0.2, 1, 5])
+    const backS = random.pick([0.2, 1, 8])
     const lastsS = nodes * everyS + backS
     return {
       form: `(end-each ${everyS} ${backS})`,
@@ -122,66 +122,68 @@
       windows: [...window("take-over", 0.3, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("cancel-at-hand-overs", (luck) => {
-    const lastsS = whole(luck, 20, 60)
+  kind("cancel-at-hand-overs", (random) => {
+    const lastsS = whole(random, 20, 60)
     return {
-      form: `(cancel-at-hand-overs ${whole(luck, 1, 3)} ${lastsS})`,
+      form: `(cancel-at-hand-overs ${whole(random, 1, 3)} ${lastsS})`,
       lastsS,
       windows: window("user-pressure", 0, lastsS),
     }
   }),
-  kind("state-outage", (luck, settings) => {
-    const lastsS = luck.chance(0.6) ? whole(luck, 3, 25) : whole(luck, settings.cancelS, settings.cancelS + 8)
+  kind("state-outage", (random, settings) => {
+    const lastsS = random.chance(0.6)
+      ? whole(random, 3, 25)
+      : whole(random, settings.cancelS, settings.cancelS + 8)
     return {
       form: `(state-outage ${lastsS})`,
       lastsS,
       windows: [...window("state-outage", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("state-refuses", (luck, settings) => {
-    const lastsS = whole(luck, 3, 40)
+  kind("state-refuses", (random, settings) => {
+    const lastsS = whole(random, 3, 40)
     return {
-      form: `(state-refuses ${controller(luck, settings)} ${lastsS})`,
+      form: `(state-refuses ${controller(random, settings)} ${lastsS})`,
       lastsS,
       windows: lapse(lastsS, settings),
     }
   }),
-  kind("state-slow", (luck) => {
-    const lastsS = whole(luck, 5, 40)
+  kind("state-slow", (random) => {
+    const lastsS = whole(random, 5, 40)
     return {
-      form: `(state-slow ${luck.pick([200, 800, 2_000])} ${lastsS})`,
+      form: `(state-slow ${random.pick([200, 800, 2_000])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("late-transactions", (luck) => {
-    const lastsS = whole(luck, 5, 40)
+  kind("late-transactions", (random) => {
+    const lastsS = whole(random, 5, 40)
     return {
-      form: `(late-transactions ${luck.pick([0.05, 0.2, 0.5])} ${lastsS})`,
+      form: `(late-transactions ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("lost-answers", (luck) => {
-    const lastsS = whole(luck, 5, 40)
+  kind("lost-answers", (random) => {
+    const lastsS = whole(random, 5, 40)
     return {
-      form: `(lost-answers ${luck.pick([0.05, 0.2, 0.5])} ${lastsS})`,
+      form: `(lost-answers ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("cloud-outage", (luck) => {
-    const lastsS = whole(luck, 3, 30)
+  kind("cloud-outage", (random) => {
+    const lastsS = whole(random, 3, 30)
     return {
       form: `(cloud-outage ${lastsS})`,
       lastsS,
       windows: [...window("cloud-outage", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("cut-machines", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("cut-machines", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(cut-machines ${whole(luck, 1, 6)} ${lastsS} ${cutMode(luck)})`,
+      form: `(cut-machines ${whole(random, 1, 6)} ${lastsS} ${cutMode(random)})`,
       lastsS,
       windows: [
         ...window("network-cut", 0, lastsS),
@@ -190,139 +192,139 @@
       ],
     }
   }),
-  kind("cut-zones", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("cut-zones", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(cut-zones ${lastsS} ${cutMode(luck)})`,
+      form: `(cut-zones ${lastsS} ${cutMode(random)})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("cut-zone", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("cut-zone", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(cut-zone ${luck.pick(settings.zones)} ${lastsS} ${cutMode(luck)})`,
+      form: `(cut-zone ${random.pick(settings.zones)} ${lastsS} ${cutMode(random)})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...lapse(lastsS, settings)],
     }
   }),
-  kind("cut-peers", (luck, settings) => {
-    const lastsS = whole(luck, 3, 40)
+  kind("cut-peers", (random, settings) => {
+    const lastsS = whole(random, 3, 40)
     return {
-      form: `(cut-peers ${controller(luck, settings)} ${lastsS})`,
+      form: `(cut-peers ${controller(random, settings)} ${lastsS})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("refuse-peers", (luck) => {
-    const lastsS = whole(luck, 3, 30)
+  kind("refuse-peers", (random) => {
+    const lastsS = whole(random, 3, 30)
     return {
       form: `(refuse-peers ${lastsS})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("cut-orders", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("cut-orders", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
       form: `(cut-orders ${lastsS})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  kind("isolate", (luck, settings) => {
-    const lastsS = whole(luck, 3, 50)
+  kind("isolate", (random, settings) => {
+    const lastsS = whole(random, 3, 50)
     return {
-      form: `(isolate ${controller(luck, settings)} ${lastsS})`,
+      form: `(isolate ${controller(random, settings)} ${lastsS})`,
       lastsS,
       windows: [...window("network-cut", 0, lastsS), ...lapse(lastsS, settings)],
     }
   }),
-  kind("freeze", (luck, settings) => {
-    const lastsS = whole(luck, 5, 35)
-    const sending = luck.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
+  kind("freeze", (random, settings) => {
+    const lastsS = whole(random, 5, 35)
+    const sending = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
     return {
-      form: `(freeze ${controller(luck, settings)} ${lastsS}${sending})`,
+      form: `(freeze ${controller(random, settings)} ${lastsS}${sending})`,
       lastsS,
       windows:
         sending === ""
           ? lapse(lastsS, settings)
-          : window("entitlement-lapses", 0.6 * grantS(settings), grantS(settings)),
+          : window("entitlement-lapses", 0.6 * leaseTtlS(settings), leaseTtlS(settings)),
     }
   }),
-  kind("hang", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("hang", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(hang ${whole(luck, 1, 6)} ${lastsS})`,
+      form: `(hang ${whole(random, 1, 6)} ${lastsS})`,
       lastsS,
       windows: [...silence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
     }
   }),
-  kind("machines-receive-nothing", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("machines-receive-nothing", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(machines-receive-nothing ${whole(luck, 1, 6)} ${lastsS})`,
+      form: `(machines-receive-nothing ${whole(random, 1, 6)} ${lastsS})`,
       lastsS,
       windows: [...silence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
     }
   }),
-  kind("machines-send-nothing", (luck, settings) => {
-    const lastsS = spell(luck, settings)
+  kind("machines-send-nothing", (random, settings) => {
+    const lastsS = spell(random, settings)
     return {
-      form: `(machines-send-nothing ${whole(luck, 1, 6)} ${lastsS} ${luck.pick(["reset", "drop"])})`,
+      form: `(machines-send-nothing ${whole(random, 1, 6)} ${lastsS} ${random.pick(["reset", "drop"])})`,
       lastsS,
       windows: [...silence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
     }
   }),
-  kind("late-reports", (luck) => {
-    const lastsS = whole(luck, 10, 40)
+  kind("late-reports", (random) => {
+    const lastsS = whole(random, 10, 40)
     return {
-      form: `(late-reports ${luck.pick([0.1, 0.3, 0.6])} ${lastsS})`,
+      form: `(late-reports ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("late-reports-for-next", (luck) => {
-    const lastsS = whole(luck, 10, 40)
+  kind("late-reports-for-next", (random) => {
+    const lastsS = whole(random, 10, 40)
     return {
-      form: `(late-reports ${luck.pick([0.1, 0.3])} ${lastsS} for-next)`,
+      form: `(late-reports ${random.pick([0.1, 0.3])} ${lastsS} for-next)`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("late-commands", (luck) => {
-    const lastsS = whole(luck, 10, 40)
+  kind("late-commands", (random) => {
+    const lastsS = whole(random, 10, 40)
     return {
-      form: `(late-commands ${luck.pick([0.1, 0.3, 0.6])} ${lastsS})`,
+      form: `(late-commands ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("fast-boots", (luck) => {
-    const lastsS = whole(luck, 20, 60)
+  kind("fast-boots", (random) => {
+    const lastsS = whole(random, 20, 60)
     return {
-      form: `(fast-boots ${lastsS} ${luck.pick([1, 2])})`,
+      form: `(fast-boots ${lastsS} ${random.pick([1, 2])})`,
       lastsS,
       windows: window("fast-boots", 0, lastsS),
     }
   }),
-  kind("reboot", (luck) => {
-    const downS = luck.pick([0.1, 0.5, 5])
-    return { form: `(reboot ${whole(luck, 1, 6)} ${downS})`, lastsS: downS, windows: workLost(0) }
+  kind("reboot", (random) => {
+    const downS = random.pick([0.1, 0.5, 5])
+    return { form: `(reboot ${whole(random, 1, 6)} ${downS})`, lastsS: downS, windows: workLost(0) }
   }),
-  kind("die", (luck) => ({ form: `(die ${whole(luck, 1, 6)})`, lastsS: 0, windows: workLost(0) })),
-  kind("take-spot", (luck) => {
-    const noticeS = luck.pick([0, 0, 8, 15])
+  kind("die", (random) => ({ form: `(die ${whole(random, 1, 6)})`, lastsS: 0, windows: workLost(0) })),
+  kind("take-spot", (random) => {
+    const noticeS = random.pick([0, 0, 8, 15])
     return {
-      form: `(take-spot ${whole(luck, 1, 6)} ${noticeS})`,
+      form: `(take-spot ${whole(random, 1, 6)} ${noticeS})`,
       lastsS: noticeS,
       windows: workLost(noticeS),
     }
   }),
-  kind("cancel-burst", (luck, { leaseS }) => {
-    const hangS = luck.pick([0, 0, 8, leaseS - 2, leaseS + 10])
+  kind("cancel-burst", (random, { leaseS }) => {
+    const hangS = random.pick([0, 0, 8, leaseS - 2, leaseS + 10])
     return {
-      form: `(cancel-burst ${whole(luck, 2, 6)} ${hangS})`,
+      form: `(cancel-burst ${whole(random, 2, 6)} ${hangS})`,
       lastsS: hangS,
       windows: [
         ...window("cancelling", 0.05, Math.max(0.5, Math.min(hangS, leaseS))),
@@ -330,42 +332,42 @@
       ],
     }
   }),
-  kind("cancel-at-end", (luck) => {
-    const lastsS = whole(luck, 30, 90)
+  kind("cancel-at-end", (random) => {
+    const lastsS = whole(random, 30, 90)
     return {
-      form: `(cancel-at-end ${luck.pick([0.2, 0.5])} ${lastsS})`,
+      form: `(cancel-at-end ${random.pick([0.2, 0.5])} ${lastsS})`,
       lastsS,
       windows: window("user-pressure", 0, lastsS),
     }
   }),
-  kind("odd-requests", (luck) => {
-    const lastsS = whole(luck, 20, 60)
+  kind("odd-requests", (random) => {
+    const lastsS = whole(random, 20, 60)
     return { form: `(odd-requests ${lastsS})`, lastsS, windows: window("user-pressure", 0, lastsS) }
   }),
-  kind("close-polls", (luck) => {
-    const lastsS = whole(luck, 20, 60)
+  kind("close-polls", (random) => {
+    const lastsS = whole(random, 20, 60)
     return { form: `(close-polls ${lastsS})`, lastsS, windows: window("user-pressure", 0, lastsS) }
   }),
-  kind("lose-messages", (luck) => {
-    const lastsS = whole(luck, 5, 30)
+  kind("lose-messages", (random) => {
+    const lastsS = whole(random, 5, 30)
     return {
       form: `(lose-messages 0.03 ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("slow-links", (luck) => {
-    const lastsS = whole(luck, 10, 40)
+  kind("slow-links", (random) => {
+    const lastsS = whole(random, 10, 40)
     return {
-      form: `(slow-links ${luck.pick([0.1, 0.4, 0.8])} ${lastsS})`,
+      form: `(slow-links ${random.pick([0.1, 0.4, 0.8])} ${lastsS})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
   }),
-  kind("repeat-messages", (luck) => {
-    const lastsS = whole(luck, 5, 30)
+  kind("repeat-messages", (random) => {
+    const lastsS = whole(random, 5, 30)
     return {
-      form: `(repeat-messages 0.05 ${lastsS} ${luck.pick([5, 20, 70])})`,
+      form: `(repeat-messages 0.05 ${lastsS} ${random.pick([5, 20, 70])})`,
       lastsS,
       windows: window("messages-astray", 0, lastsS),
     }
--- /dev/null
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -0,0 +1,301 @@
+import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/protocol"
+import type { Machine } from "../services/machine.ts"
+import type { Deployment } from "../simulation/deployment.ts"
+import type { CutMode, Departure, Request } from "../simulation/network.ts"
+
+const SHARD_PREFIX = "s/part/"
+const MACHINE_BLOCK_PREFIX = "s/block/"
+/** Late copies of heartbeats come at most this many leases later. */
+const MAX_HEARTBEAT_DELAY_LEASES = 2.2
+const MAX_COMMAND_DELAY_MS = 16_000
+/** Within this time a new owner has read what it took over and heard its first heartbeats. */
+const NEW_LEADER_STARTUP_MS = 2_000
+
+/** By then a controller can tell that a machine's heartbeats don't come any more. */
+const SILENCE_NOTICED_MS = 10_000
+
+const startsTasks = ({ path, body }: Request): boolean =>
+  path === "/orders" && (body as WireCommandBatch).orders.some(({ verb }) => verb === "start")
+
+/** What can ail a machine without its being gone. */
+type MachineFault = "receives nothing" | "sends nothing" | "cut" | "hung"
+
+/** Faults of machines and of the network between them and the controllers. */
+export class InfrastructureFaults {
+  /** Machines that are under each kind of fault right now. */
+  private readonly affectedUntil: Record<MachineFault, Map<string, number>> = {
+    "receives nothing": new Map(),
+    "sends nothing": new Map(),
+    cut: new Map(),
+    hung: new Map(),
+  }
+  private readonly isolated = new Set<NodeName>()
+  private readonly keptHeartbeats: Array<Departure> = []
+  private readonly acquiredAt = new Map<string, number>()
+
+  constructor(private readonly deployment: Deployment) {
+    deployment.state.listeners.push((path, value) => {
+      if (!path.startsWith(SHARD_PREFIX)) return
+      const { owner } = (value ?? {}) as { readonly owner?: string | null }
+      if (owner != null) this.shardAcquired(path)
+    })
+  }
+
+  // --- what meets what ----------------------------------------------------------
+
+  private markAffected(by: MachineFault, ids: Iterable<string>, forMs: number): void {
+    const until = this.deployment.simulation.now + forMs
+    for (const id of ids) this.affectedUntil[by].set(id, Math.max(until, this.affectedUntil[by].get(id) ?? 0))
+  }
+  private isAffected(by: MachineFault, id: string): boolean {
+    return this.deployment.simulation.now < (this.affectedUntil[by].get(id) ?? 0)
+  }
+  /** A shard has a new owner. */
+  private shardAcquired(part: string): void {
+    const { simulation, cloud } = this.deployment
+    const first = !this.acquiredAt.has(part)
+    this.acquiredAt.set(part, simulation.now)
+    if (first) return
+    for (const by of Object.keys(this.affectedUntil) as Array<MachineFault>) {
+      for (const machine of this.running())
+        if (this.isAffected(by, machine.id))
+          simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTasks)
+    }
+    const recorded = [...this.deployment.state.keys].filter(([path]) => path.startsWith(MACHINE_BLOCK_PREFIX))
+    const records = recorded.map(([, { v }]) => JSON.stringify(v))
+    for (const { id, status } of cloud.machines.values()) {
+      if (status === "running" && !records.some((record) => record.includes(id)))
+        simulation.occurrences.count("machines up without a record at a take-over")
+    }
+    this.deliverKeptHeartbeats()
+  }
+  /** A controller answered a request with 200. */
+  answered(node: NodeName, path: string): void {
+    const { occurrences } = this.deployment.simulation
+    if (path === "/v1/report" && this.isolated.has(node))
+      occurrences.count("reports answered by an isolated controller")
+    if (path.endsWith("/cancel") && this.isolated.size > 0)
+      occurrences.count("cancellations confirmed while a controller is isolated")
+  }
+
+  // --- messages late --------------------------------------------------------------
+
+  /** Of that share of the workers' heartbeats a copy arrives again, from 2 s to well over a lease later. */
+  delayHeartbeats(share: number, forMs: number): void {
+    const { simulation, network } = this.deployment
+    const longestMs = this.deployment.cloud.settings.times.lease_s * 1000 * MAX_HEARTBEAT_DELAY_LEASES
+    this.deployment.invariants.faultLasts(forMs + longestMs)
+    const end = network.intercept((departure) => {
+      if (departure.request.path === "/v1/report" && simulation.random.chance(share)) {
+        const afterMs = simulation.random.between(2_000, longestMs)
+        departure.deliverCopy(departure.to, afterMs)
+        simulation.after(afterMs, () => this.countLateHeartbeat(departure))
+      }
+      return "pass"
+    })
+    simulation.after(forMs, end)
+  }
+  /** Copies of that share are kept until a shard has a new owner, and then reach all controllers at once. */
+  keepHeartbeatsForNextLeader(share: number, forMs: number): void {
+    const { simulation, network } = this.deployment
+    const end = network.intercept((departure) => {
+      if (departure.request.path === "/v1/report" && simulation.random.chance(share))
+        this.keptHeartbeats.push(departure)
+      return "pass"
+    })
+    simulation.after(forMs, end)
+  }
+  private deliverKeptHeartbeats(): void {
+    const { simulation, names } = this.deployment
+    if (this.keptHeartbeats.length > 0) this.deployment.invariants.faultLasts(NEW_LEADER_STARTUP_MS)
+    for (const departure of this.keptHeartbeats.splice(0)) {
+      // Before, while and after the new owner reads what it took over.
+      const afterMs = simulation.random.between(0, NEW_LEADER_STARTUP_MS)
+      for (const node of names) departure.deliverCopy(node, afterMs)
+      simulation.after(afterMs, () => {
+        simulation.occurrences.count("old reports at all controllers as a leader begins")
+        this.countLateHeartbeat(departure)
+      })
+    }
+  }
+  private countLateHeartbeat({ from, request }: Departure): void {
+    const { occurrences } = this.deployment.simulation
+    const machine = this.deployment.cloud.machines.get(from)
+    const copy = request.body as WireHeartbeat
+    occurrences.count("late reports")
+    if (machine === undefined) return occurrences.count("late reports of machines that are gone")
+    if (copy.tenure > machine.tenure || (copy.tenure === machine.tenure && copy.tick > machine.lastTick))
+      occurrences.count("late reports of a worker's former self")
+    if (copy.tenure < machine.tenure) occurrences.count("late reports of an earlier session")
+    const newestAttempt = (taskId: string) => Math.max(...this.running().map((m) => m.attemptOf(taskId)))
+    if (copy.pieces.some((task) => task.try < newestAttempt(task.piece)))
+      occurrences.count("late reports of an earlier attempt")
+  }
+  /** That share of direct commands is held up, unanswered, and carried out once, 2 to 16 s late. */
+  delayCommands(share: number, forMs: number): void {
+    const { simulation, network } = this.deployment
+    this.deployment.invariants.faultLasts(forMs + MAX_COMMAND_DELAY_MS)
+    const end = network.intercept((departure) => {
+      if (departure.request.path !== "/orders" || !simulation.random.chance(share)) return "pass"
+      const sent = simulation.now
+      departure.deliverCopy(
+        departure.to,
+        simulation.random.between(2_000, MAX_COMMAND_DELAY_MS),
+        ({ status }) => {
+          simulation.occurrences.count(status === 200 ? "late commands carried out" : "late commands refused")
+          const leaderChanged = [...this.acquiredAt.values()].some((at) => at > sent)
+          if (leaderChanged) simulation.occurrences.count("late commands of a leader before the present one")
+        },
+      )
+      return "withhold"
+    })
+    simulation.after(forMs, end)
+  }
+  /** Machines that reach no controller, while direct commands reach them and are answered. */
+  machinesSendNothing(count: number, forMs: number, mode: CutMode): void {
+    const { simulation, network, names } = this.deployment
+    const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
+    const nodes = new Set<string>(names)
+    this.markAffected("sends nothing", ids, forMs)
+    const verdict = mode === "reset" ? "refuse" : "withhold"
+    const silentFrom = simulation.now + SILENCE_NOTICED_MS
+    const end = network.intercept(({ from, to, request }) => {
+      if (ids.has(to) && simulation.now > silentFrom && startsTasks(request))
+        simulation.occurrences.count("starts sent to machines that send nothing")
+      return ids.has(from) && nodes.has(to) ? verdict : "pass"
+    })
+    simulation.after(forMs, end)
+  }
+  /** New machines are up within so long. */
+  bootFast(withinMs: number, forMs: number): void {
+    const { settings } = this.deployment.cloud
+    settings.bootWithinMs = withinMs
+    this.deployment.simulation.after(forMs, () => {
+      settings.bootWithinMs = null
+    })
+  }
+
+  // --- machines and cuts -------------------------------------------------------------
+
+  /** One zone apart from everything outside of it. */
+  cutZone(zone: string, forMs: number, mode: CutMode): void {
+    const withServices = (host: string) => this.deployment.zoneOf(host) === zone
+    const ids = this.running()
+      .filter((m) => m.zone === zone)
+      .map((m) => m.id)
+    this.markAffected("cut", ids, forMs)
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut((a, b) => withServices(a) && !withServices(b), mode),
+    )
+  }
+  /** Controllers can't connect to each other. */
+  refusePeers(forMs: number): void {
+    const nodes = new Set<string>(this.deployment.names)
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut((a, b) => nodes.has(a) && nodes.has(b), "reset"),
+    )
+  }
+  /** Machines stop with all that is on them; the list says so much later. */
+  die(count: number): void {
+    for (const machine of this.someMachines(count)) machine.die()
+  }
+
+  running(): ReadonlyArray<Machine> {
+    return [...this.deployment.cloud.machines.values()].filter((m) => m.status === "running" && !m.gone)
+  }
+  someMachines(count: number): ReadonlyArray<Machine> {
+    const from = [...this.running()]
+    const out: Array<Machine> = []
+    while (out.length < count && from.length > 0) {
+      out.push(...from.splice(Math.floor(this.deployment.simulation.random.next() * from.length), 1))
+    }
+    return out
+  }
+  /** Machines with tasks before idle ones: a fault of a machine without work says little. */
+  private busyMachinesFirst(count: number): ReadonlyArray<Machine> {
+    const shuffled = this.someMachines(Number.POSITIVE_INFINITY)
+    return [...shuffled]
+      .sort((a, b) => Number(b.runningTasks > 0) - Number(a.runningTasks > 0))
+      .slice(0, count)
+  }
+  cutMachines(count: number, forMs: number, mode: CutMode): void {
+    const ids = new Set(this.someMachines(count).map((m) => m.id))
+    this.markAffected("cut", ids, forMs)
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut((a) => ids.has(a), mode),
+    )
+  }
+  cutZones(forMs: number, mode: CutMode): void {
+    const [one, two] = this.deployment.setup.zones
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut(
+        (a, b) => this.deployment.zoneOf(a) === one && this.deployment.zoneOf(b) === two,
+        mode,
+      ),
+    )
+  }
+  /** One controller apart from the others; everything else reaches it. */
+  cutPeers(node: NodeName, forMs: number): void {
+    const others = new Set<string>(this.deployment.names.filter((n) => n !== node))
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut((a, b) => a === node && others.has(b), "drop"),
+    )
+  }
+  /** Only the way from controllers to some machines: late `/orders`, while heartbeats go through. */
+  cutCommands(forMs: number): void {
+    const nodes = new Set<string>(this.deployment.names)
+    const ids = new Set(this.running().map((m) => m.id))
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cutOneWay((from, to) => nodes.has(from) && ids.has(to), "hold"),
+    )
+  }
+  /** One controller that its workers and users still reach, without state service and other controllers. */
+  isolate(node: NodeName, forMs: number): void {
+    this.isolated.add(node)
+    this.deployment.simulation.after(forMs, () => this.isolated.delete(node))
+    const lost = new Set<string>(["state", ...this.deployment.names.filter((n) => n !== node)])
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cut((a, b) => a === node && lost.has(b), "drop"),
+    )
+  }
+  /** Machines whose heartbeats arrive, and that hear nothing. */
+  machinesReceiveNothing(count: number, forMs: number): void {
+    const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
+    this.markAffected("receives nothing", ids, forMs)
+    this.deployment.simulation.after(
+      forMs,
+      this.deployment.network.cutOneWay((_, to) => ids.has(to), "drop"),
+    )
+  }
+  reboot(count: number, afterMs: number): void {
+    for (const machine of this.someMachines(count)) machine.reboot(afterMs)
+  }
+  hang(count: number, forMs: number): void {
+    for (const machine of this.someMachines(count)) {
+      this.markAffected("hung", [machine.id], forMs)
+      machine.hang(true)
+      this.deployment.simulation.after(forMs, () => machine.hang(false))
+    }
+  }
+  /** From now on, every task that runs on these machines fails. */
+  makeFaulty(count: number): void {
+    for (const machine of this.someMachines(count)) {
+      machine.faulty = true
+      this.deployment.cloud.faulty.add(machine.id)
+    }
+  }
+  takeSpot(count: number, noticeMs: number): void {
+    for (const machine of this.someMachines(count)) {
+      machine.warningUntil = noticeMs > 0 ? this.deployment.simulation.now + noticeMs : null
+      if (noticeMs > 0) machine.change()
+      this.deployment.simulation.after(noticeMs, () => this.deployment.cloud.take(machine.id))
+    }
+  }
+}
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -1,22 +1,22 @@
 import type { Deployment } from "../simulation/deployment.ts"
 
 /** A new leader acts within some tens of milliseconds: what was so at the change has to be seen before. */
-const LEADER_LOOK_MS = 20
-const OVERLOAD_LOOK_MS = 500
+const LEADER_CHECK_INTERVAL_MS = 20
+const OVERLOAD_CHECK_INTERVAL_MS = 500
 
 /**
- * Counts how often troubles met while teams were at their limits, so that a
+ * Counts how often faults met while teams were at their limits, so that a
  * scenario can assert that its meeting came about. Judged by what the
  * stand-ins know: tasks that run, machines that hang or are cut off, and who
- * owns the leader's part.
+ * owns the leader's shard.
  */
-export class LimitMeetings {
+export class LimitCoincidences {
   readonly count = {
     /** Changes of the leader while every team was at its limit and had work waiting. */
     leaderChangesAtLimit: 0,
     /** Tasks of cancelled jobs on machines out of reach when the leader had changed. */
     cancelledOutOfReach: 0,
-    /** Jobs whose cancellation was asked for after a leader had ended and before the next one owned its part. */
+    /** Jobs whose cancellation was asked for after a leader had ended and before the next one owned its shard. */
     cancelledBetweenLeaders: 0,
     /** Looks at which urgent and other work waited in vain for room while links were slow. */
     overloadedOnSlowLinks: 0,
@@ -25,14 +25,14 @@
   private incarnation: string | null = null
   private cancelledAtEnd: ReadonlySet<string> | null = null
 
-  constructor(private readonly world: Deployment) {
-    this.every(LEADER_LOOK_MS, () => this.lookAtLeader())
-    this.every(OVERLOAD_LOOK_MS, () => {
-      if (world.net.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
+  constructor(private readonly deployment: Deployment) {
+    this.every(LEADER_CHECK_INTERVAL_MS, () => this.checkLeader())
+    this.every(OVERLOAD_CHECK_INTERVAL_MS, () => {
+      if (deployment.network.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
     })
   }
   private every(ms: number, look: () => void): void {
-    this.world.sim.after(ms, () => {
+    this.deployment.simulation.after(ms, () => {
       look()
       this.every(ms, look)
     })
@@ -41,11 +41,11 @@
   /** A controller is about to end. */
   crashed(name: string): void {
     if (this.leader !== name || this.cancelledAtEnd !== null) return
-    this.cancelledAtEnd = new Set(this.world.rules.users.askedToCancel)
+    this.cancelledAtEnd = new Set(this.deployment.invariants.users.askedToCancel)
   }
 
-  private lookAtLeader(): void {
-    const owner = this.world.state.keys.get("s/part/deadline")?.v as
+  private checkLeader(): void {
+    const owner = this.deployment.state.keys.get("s/part/deadline")?.v as
       | { readonly owner: string; readonly incarnation: string }
       | undefined
     if (owner === undefined || owner.incarnation === this.incarnation) return
@@ -56,10 +56,10 @@
   }
 
   private leaderChanged(): void {
-    const { users } = this.world.rules
-    if (this.world.rules.limitedTeams().every((team) => this.isAtLimit(team)))
+    const { users } = this.deployment.invariants
+    if (this.deployment.invariants.limitedTeams().every((team) => this.isAtLimit(team)))
       this.count.leaderChangesAtLimit++
-    for (const { job, machine } of this.world.rules.placed())
+    for (const { job, machine } of this.deployment.invariants.placed())
       if (users.askedToCancel.has(job) && this.isOutOfReach(machine)) this.count.cancelledOutOfReach++
     const before = this.cancelledAtEnd
     this.cancelledAtEnd = null
@@ -71,8 +71,8 @@
   private isAtLimit(team: string): boolean {
     let smallest = Number.POSITIVE_INFINITY
     for (const { owner, cores } of this.waiting()) if (owner === team) smallest = Math.min(smallest, cores)
-    const { rules } = this.world
-    return Number.isFinite(smallest) && rules.usedBy(team) + smallest > rules.limitOf(team)
+    const { invariants } = this.deployment
+    return Number.isFinite(smallest) && invariants.usedBy(team) + smallest > invariants.limitOf(team)
   }
   private urgentAndOthersWait(): boolean {
     let urgent = false
@@ -85,16 +85,18 @@
   }
   /** Accepted jobs that aren't cancelled, with tasks that don't run. */
   private *waiting() {
-    const { rules } = this.world
+    const { invariants } = this.deployment
     const placed = new Map<string, number>()
-    for (const { job } of rules.placed()) placed.set(job, (placed.get(job) ?? 0) + 1)
-    for (const [job, request] of rules.submitted) {
-      if (!rules.users.isAccepted(job) || rules.users.askedToCancel.has(job)) continue
-      if (rules.users.finishedTasks(job) + (placed.get(job) ?? 0) < request.pieces) yield request
+    for (const { job } of invariants.placed()) placed.set(job, (placed.get(job) ?? 0) + 1)
+    for (const [job, request] of invariants.submitted) {
+      if (!invariants.users.isAccepted(job) || invariants.users.askedToCancel.has(job)) continue
+      if (invariants.users.finishedTasks(job) + (placed.get(job) ?? 0) < request.pieces) yield request
     }
   }
   private isOutOfReach(machine: string): boolean {
-    const { cloud, net, names } = this.world
-    return cloud.machines.get(machine)?.isHung === true || names.every((node) => net.isApart(machine, node))
+    const { cloud, network, names } = this.deployment
+    return (
+      cloud.machines.get(machine)?.isHung === true || names.every((node) => network.isApart(machine, node))
+    )
   }
 }
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,8 +1,8 @@
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
-import type { Rules } from "../invariants/invariants.ts"
+import type { Invariants } from "../invariants/invariants.ts"
 import type { Refusal } from "../invariants/user-invariants.ts"
-import type { Event, Users } from "../services/users.ts"
-import type { Sim } from "../simulation/simulation.ts"
+import type { UserEvent, Users } from "../services/users.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 
 /** After an event, all nodes are asked this much later each time. */
 const CLOSE_POLLS_MS = [0, 0.3, 1, 2, 4, 8, 15, 30, 60, 120]
@@ -13,12 +13,12 @@
 const BURST_WITHIN_MS = 200
 /** A task has long to go if this much of its estimate is left. */
 const LONG_TO_GO_S = 15
-const MOST_HUNG = 8
+const MAX_HUNG = 8
 const FAR_APART_MS = 15_000
 const ODD_REQUEST_EVERY_MS = 700
 
 /** Requests of users that meet each other, or are odd; each can be counted. */
-export class UserTroubles {
+export class UserFaults {
   private closePollsUntil = 0
   /** Of the jobs accepted meanwhile, the share that is cancelled at once. */
   private cancelledAtOnce = 0
@@ -43,60 +43,63 @@
   }
 
   constructor(
-    private readonly sim: Sim,
+    private readonly simulation: Simulation,
     private readonly users: Users,
-    private readonly rules: Rules,
+    private readonly invariants: Invariants,
   ) {
     users.on.push((event, job) => this.told(event, job))
-    rules.onComplete.push((job) => this.completed(job as JobId))
+    invariants.onComplete.push((job) => this.completed(job as JobId))
   }
 
   areOn(): boolean {
-    return this.sim.now < Math.max(this.closePollsUntil, this.cancelAtEnd.until, this.oddUntil)
+    return this.simulation.now < Math.max(this.closePollsUntil, this.cancelAtEnd.until, this.oddUntil)
   }
   /** All nodes are polled within milliseconds of each event, and submissions repeated. */
   closePolls(forMs: number, cancelledAtOnce: number): void {
     this.cancelledAtOnce = cancelledAtOnce
-    this.closePollsUntil = Math.max(this.closePollsUntil, this.sim.now + forMs)
+    this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + forMs)
   }
-  private told(event: Event, job: JobId): void {
+  private told(event: UserEvent, job: JobId): void {
     if (event === "accepted") this.cancelLater(job)
-    if (this.sim.now >= this.closePollsUntil) return
+    if (this.simulation.now >= this.closePollsUntil) return
     if (event === "cancelled") return this.askAll(job, () => this.count.closeAfterCancelled++)
     this.askAll(job, () => this.count.closeAfterAccepted++)
-    if (this.sim.luck.chance(this.cancelledAtOnce)) this.users.cancel(job)
+    if (this.simulation.random.chance(this.cancelledAtOnce)) this.users.cancel(job)
   }
   private askAll(job: JobId, met: () => void): void {
-    const event = this.sim.now
+    const event = this.simulation.now
     const answered = (status: number) => {
-      if (status === 200 && this.sim.now <= event + CLOSE_MS) met()
+      if (status === 200 && this.simulation.now <= event + CLOSE_MS) met()
     }
     for (const ms of CLOSE_POLLS_MS) {
-      for (const node of this.users.nodes) this.sim.after(ms, () => this.users.look(job, node, answered))
+      for (const node of this.users.nodes)
+        this.simulation.after(ms, () => this.users.look(job, node, answered))
     }
-    for (const ms of [1, 20, 90]) this.sim.after(ms, () => this.users.resubmit(job))
+    for (const ms of [1, 20, 90]) this.simulation.after(ms, () => this.users.resubmit(job))
   }
 
   /** That share of the jobs accepted meanwhile is cancelled soon after. */
   cancelSome(share: number, forMs: number): void {
-    this.cancelSoon = { share, until: this.sim.now + forMs }
+    this.cancelSoon = { share, until: this.simulation.now + forMs }
   }
   private cancelLater(job: JobId): void {
     const { share, until } = this.cancelSoon
-    if (this.sim.now >= until || !this.sim.luck.chance(share)) return
-    this.sim.after(this.sim.luck.between(0, CANCELLED_WITHIN_MS), () => this.users.cancel(job))
+    if (this.simulation.now >= until || !this.simulation.random.chance(share)) return
+    this.simulation.after(this.simulation.random.between(0, CANCELLED_WITHIN_MS), () =>
+      this.users.cancel(job),
+    )
   }
   /** That share of the jobs that end is cancelled as the last task does. */
   cancelAtEnds(share: number, forMs: number): void {
-    this.cancelAtEnd = { share, until: this.sim.now + forMs }
+    this.cancelAtEnd = { share, until: this.simulation.now + forMs }
   }
   private completed(job: JobId): void {
-    if (this.sim.now < this.closePollsUntil) this.askAll(job, () => this.count.closeAfterEnd++)
-    const first = this.rules.users.firstFinishedAt.get(job) ?? this.sim.now
-    const { lastCrashAt } = this.rules
-    if (first < lastCrashAt && first + FAR_APART_MS < this.sim.now) this.count.endsFarApart++
+    if (this.simulation.now < this.closePollsUntil) this.askAll(job, () => this.count.closeAfterEnd++)
+    const first = this.invariants.users.firstFinishedAt.get(job) ?? this.simulation.now
+    const { lastCrashAt } = this.invariants
+    if (first < lastCrashAt && first + FAR_APART_MS < this.simulation.now) this.count.endsFarApart++
     const { share, until } = this.cancelAtEnd
-    if (this.sim.now >= until || !this.sim.luck.chance(share)) return
+    if (this.simulation.now >= until || !this.simulation.random.chance(share)) return
     this.users.cancel(job, (_, state) => {
       if (state === "done") this.count.endsTold++
       else this.count.endsCancelled++
@@ -105,47 +108,49 @@
 
   /** Cancels jobs that run and have long to go, within a moment; returns machines of theirs, to hang. */
   cancelBurst(count: number): ReadonlyArray<string> {
-    const jobs = this.rules.jobsWithLongToGo(LONG_TO_GO_S).slice(0, count)
+    const jobs = this.invariants.jobsWithLongToGo(LONG_TO_GO_S).slice(0, count)
     const machines = new Set<string>()
     for (const job of jobs) {
       this.count.burst++
-      for (const machine of this.rules.machinesOf(job)) machines.add(machine)
-      this.sim.after(this.sim.luck.between(0, BURST_WITHIN_MS), () => this.users.cancel(job as JobId))
+      for (const machine of this.invariants.machinesOf(job)) machines.add(machine)
+      this.simulation.after(this.simulation.random.between(0, BURST_WITHIN_MS), () =>
+        this.users.cancel(job as JobId),
+      )
     }
-    const hung = [...machines].slice(0, MOST_HUNG)
+    const hung = [...machines].slice(0, MAX_HUNG)
     this.count.burstHung += hung.length
     return hung
   }
 
   /** Repeated submissions of unfinished jobs, cancels of done ones, jobs that no node may accept. */
   oddRequests(forMs: number): void {
-    const until = this.sim.now + forMs
+    const until = this.simulation.now + forMs
     this.oddUntil = Math.max(this.oddUntil, until)
     const next = () => {
-      if (this.sim.now >= until) return
+      if (this.simulation.now >= until) return
       this.oddRequest()
-      this.sim.after(this.sim.luck.between(0.5, 1.5) * ODD_REQUEST_EVERY_MS, next)
+      this.simulation.after(this.simulation.random.between(0.5, 1.5) * ODD_REQUEST_EVERY_MS, next)
     }
     next()
   }
   private oddRequest(): void {
-    const { luck } = this.sim
+    const { random } = this.simulation
     const finals = (done: boolean) =>
-      this.users.jobs.filter((id) => (this.rules.users.finalState(id) !== null) === done)
-    const unfinished = finals(false).filter((id) => this.rules.users.isAccepted(id))
-    const done = finals(true).filter((id) => this.rules.users.finalState(id) === "done")
-    const kind = luck.next()
+      this.users.jobs.filter((id) => (this.invariants.users.finalState(id) !== null) === done)
+    const unfinished = finals(false).filter((id) => this.invariants.users.isAccepted(id))
+    const done = finals(true).filter((id) => this.invariants.users.finalState(id) === "done")
+    const kind = random.next()
     this.count.odd++
-    if (kind < 0.25 && unfinished.length > 0) return this.users.resubmit(luck.pick(unfinished))
-    if (kind < 0.4 && done.length > 0) return this.users.cancelDone(luck.pick(done))
+    if (kind < 0.25 && unfinished.length > 0) return this.users.resubmit(random.pick(unfinished))
+    if (kind < 0.4 && done.length > 0) return this.users.cancelDone(random.pick(done))
     if (kind < 0.5) return this.users.askAboutNobody()
     this.submitInVain()
   }
   private submitInVain(): void {
     const id = `run-${String(900_000 + ++this.oddJobs).padStart(6, "0")}` as JobId
-    const { change, refusal } = this.sim.luck.pick(ODD_JOBS)
+    const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
     const request = change({ ...PLAIN, id })
-    this.rules.users.asksInVain(id, refusal)
+    this.invariants.users.asksInVain(id, refusal)
     const attempt = (node?: NodeName) =>
       this.users.ask(
         "submit",
@@ -158,8 +163,11 @@
       )
     attempt()
     // At each node, some of which may not know the machine types yet.
-    for (const node of this.users.nodes) this.sim.after(this.sim.luck.between(1, 2_000), () => attempt(node))
-    this.sim.after(this.sim.luck.between(1, 20_000), () => this.users.look(id, this.users.nodes[0]!))
+    for (const node of this.users.nodes)
+      this.simulation.after(this.simulation.random.between(1, 2_000), () => attempt(node))
+    this.simulation.after(this.simulation.random.between(1, 20_000), () =>
+      this.users.look(id, this.users.nodes[0]!),
+    )
   }
 }
 
--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -1,7 +1,7 @@
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { isLimited, type Team } from "@sorreltally/settings"
-import type { Sim } from "../simulation/simulation.ts"
-import { UserRules } from "./user-invariants.ts"
+import type { Simulation } from "../simulation/simulation.ts"
+import { UserInvariants } from "./user-invariants.ts"
 
 export interface OnMachine {
   readonly machine: string
@@ -10,14 +10,14 @@
   readonly spot: boolean
 }
 
-/** How long after a confirmed cancellation a task may still start, with no trouble on or just over. */
+/** How long after a confirmed cancellation a task may still start, with no fault on or just over. */
 const LATE_START_MS = 3_000
-const TROUBLE_LINGERS_MS = 30_000
+const FAULT_AFTERMATH_MS = 30_000
 
 /** Checks the protocol's rules at every step of a simulated day. */
-export class Rules {
+export class Invariants {
   readonly broken: Array<string> = []
-  readonly users: UserRules
+  readonly users: UserInvariants
   private readonly places = new Map<string, OnMachine & { readonly since: number }>()
   /** CPUs by team. */
   private readonly used = new Map<string, number>()
@@ -27,23 +27,23 @@
   private readonly startsByJob = new Map<string, number>()
   /** Starts of jobs whose user had been told before that they are cancelled. */
   startsAfterCancellation = 0
-  /** No trouble is under way after this. */
+  /** No fault is under way after this. */
   quietFrom = 0
   /** When a controller last ended. */
   lastCrashAt = Number.NEGATIVE_INFINITY
   readonly begunAt = new Map<string, number>()
   /** Jobs submitted with a mistake: their tasks fail on every machine. */
   readonly mistaken = new Set<string>()
-  /** Told when a job's last task has completed, at that very moment. */
+  /** Called when a job's last task has completed, at that very moment. */
   readonly onComplete: Array<(job: string) => void> = []
 
   constructor(
-    private readonly sim: Sim,
+    private readonly simulation: Simulation,
     private readonly teams: ReadonlyArray<Team>,
     private readonly types: ReadonlyArray<WireMachineType>,
     private readonly cancelS: number,
   ) {
-    this.users = new UserRules(sim, (rule, what) => this.say(rule, what))
+    this.users = new UserInvariants(simulation, (rule, what) => this.say(rule, what))
   }
 
   get submitted(): ReadonlyMap<string, WireJob> {
@@ -51,14 +51,14 @@
   }
 
   private say(rule: string, what: string): void {
-    this.broken.push(`${rule} at ${(this.sim.now / 1000).toFixed(1)} s: ${what}`)
+    this.broken.push(`${rule} at ${(this.simulation.now / 1000).toFixed(1)} s: ${what}`)
   }
 
   /** The task has its image and runs from now on. */
   began(job: string, index: number, at: OnMachine): void {
     this.starts++
     this.startsByJob.set(job, this.startsOf(job) + 1)
-    if (!this.begunAt.has(job)) this.begunAt.set(job, this.sim.now)
+    if (!this.begunAt.has(job)) this.begunAt.set(job, this.simulation.now)
     const request = this.submitted.get(job)!
     const task = `${job}/${index}`
     const other = this.places.get(task)
@@ -83,7 +83,7 @@
         `${task} on ${at.machine} (${at.type}, ${at.zone}, ${at.spot ? "spot" : "steady"})`,
       )
     }
-    this.places.set(task, { ...at, since: this.sim.now })
+    this.places.set(task, { ...at, since: this.simulation.now })
     const used = (this.used.get(request.owner) ?? 0) + (other === undefined ? request.cores : 0)
     this.used.set(request.owner, used)
     const team = this.teams.find((t) => t.name === request.owner)!
@@ -153,7 +153,7 @@
     for (const [task, { since }] of this.places) {
       const job = task.slice(0, task.indexOf("/"))
       if (this.users.askedToCancel.has(job)) continue
-      const leftS = this.submitted.get(job)!.expected_s - (this.sim.now - since) / 1000
+      const leftS = this.submitted.get(job)!.expected_s - (this.simulation.now - since) / 1000
       if (leftS >= leastS) left.set(job, Math.max(leftS, left.get(job) ?? 0))
     }
     return [...left].sort(([, a], [, b]) => b - a).map(([job]) => job)
@@ -164,12 +164,12 @@
     const at = this.users.cancelledAt.get(job)
     if (at === undefined) return
     this.startsAfterCancellation++
-    const quiet = this.sim.now > this.quietFrom + TROUBLE_LINGERS_MS
-    if (quiet && this.sim.now > at + LATE_START_MS) this.say("started_cancelled", task)
+    const quiet = this.simulation.now > this.quietFrom + FAULT_AFTERMATH_MS
+    if (quiet && this.simulation.now > at + LATE_START_MS) this.say("started_cancelled", task)
   }
   private checkCancelled(task: string, job: string): void {
     const at = this.users.cancelledAt.get(job)
-    if (at !== undefined && this.sim.now > at + this.cancelS * 1000) this.say("ran_cancelled", task)
+    if (at !== undefined && this.simulation.now > at + this.cancelS * 1000) this.say("ran_cancelled", task)
   }
   /** A job that somebody cancels isn't confirmed as over yet, or has tasks on machines. */
   cancellationUnderWay(): boolean {
@@ -177,9 +177,9 @@
     if ([...askedToCancel].some((job) => this.users.finalState(job) === null)) return true
     return [...this.places.keys()].some((task) => askedToCancel.has(task.slice(0, task.indexOf("/"))))
   }
-  /** A trouble begins, and lasts that long. */
-  trouble(forMs: number): void {
-    this.quietFrom = Math.max(this.quietFrom, this.sim.now + forMs)
+  /** A fault begins, and lasts that long. */
+  faultLasts(forMs: number): void {
+    this.quietFrom = Math.max(this.quietFrom, this.simulation.now + forMs)
   }
   /** To be called now and then. */
   look(): void {
--- a/packages/testkit/src/invariants/service-objectives.ts
+++ b/packages/testkit/src/invariants/service-objectives.ts
@@ -1,5 +1,5 @@
 import type { WireJob } from "@sorreltally/protocol"
-import type { UserRules } from "./user-invariants.ts"
+import type { UserInvariants } from "./user-invariants.ts"
 
 /** Of each class, the share of its jobs that counts as its largest, at least one. */
 const LARGEST_SHARE = 0.1
@@ -10,13 +10,13 @@
 }
 
 /** Jobs that count: nobody asked to cancel them. */
-const counted = (rules: UserRules): ReadonlyArray<WireJob> =>
-  [...rules.submitted.values()].filter(({ id }) => !rules.askedToCancel.has(id))
+const counted = (invariants: UserInvariants): ReadonlyArray<WireJob> =>
+  [...invariants.submitted.values()].filter(({ id }) => !invariants.askedToCancel.has(id))
 
 /** The largest jobs of each class, by their tasks' resources; all that tie with the smallest of them. */
-export const largestOfClasses = (rules: UserRules): ReadonlySet<string> => {
+export const largestOfClasses = (invariants: UserInvariants): ReadonlySet<string> => {
   const classes = new Map<string, Array<WireJob>>()
-  for (const job of counted(rules)) classes.set(job.lane, [...(classes.get(job.lane) ?? []), job])
+  for (const job of counted(invariants)) classes.set(job.lane, [...(classes.get(job.lane) ?? []), job])
   const size = (job: WireJob) => job.pieces * job.cores
   const largest = new Set<string>()
   for (const jobs of classes.values()) {
@@ -28,16 +28,16 @@
 }
 
 /** Classes, teams, and the largest jobs of classes, of which less than half is done. */
-export const unserved = (rules: UserRules): ReadonlyArray<string> => {
-  const largest = largestOfClasses(rules)
+export const unserved = (invariants: UserInvariants): ReadonlyArray<string> => {
+  const largest = largestOfClasses(invariants)
   const groups = new Map<string, Tally>()
-  for (const { id, lane, owner } of counted(rules)) {
+  for (const { id, lane, owner } of counted(invariants)) {
     const names = [`class ${lane}`, `team ${owner}`]
     if (largest.has(id)) names.push(`the largest of class ${lane}`)
     for (const name of names) {
       const tally = groups.get(name) ?? { jobs: 0, done: 0 }
       tally.jobs++
-      if (rules.state(id) === "done") tally.done++
+      if (invariants.state(id) === "done") tally.done++
       groups.set(name, tally)
     }
   }
@@ -46,13 +46,13 @@
 
 /** Jobs of which no task began within that time of their submission, largest first. */
 export const notBegunWithin = (
-  rules: UserRules,
+  invariants: UserInvariants,
   begunAt: ReadonlyMap<string, number>,
   ms: number,
   now: number,
 ): ReadonlyArray<string> => {
-  const late = counted(rules).filter(
-    ({ id }) => (begunAt.get(id) ?? now) > (rules.submittedAt.get(id) ?? 0) + ms,
+  const late = counted(invariants).filter(
+    ({ id }) => (begunAt.get(id) ?? now) > (invariants.submittedAt.get(id) ?? 0) + ms,
   )
   return late.sort((a, b) => b.pieces - a.pieces).map(({ id }) => id)
 }
--- a/packages/testkit/src/invariants/user-invariants.ts
+++ b/packages/testkit/src/invariants/user-invariants.ts
@@ -1,5 +1,5 @@
 import type { WireJob } from "@sorreltally/protocol"
-import type { Sim } from "../simulation/simulation.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 
 /** What a user asked of a job. */
 export type Question = "submit" | "poll" | "cancel"
@@ -15,7 +15,7 @@
 }
 
 /** What users asked for and were told, job by job. Times are in milliseconds. */
-export interface UserRulesDump {
+export interface UserInvariantsDump {
   readonly submitted: ReadonlyArray<readonly [job: string, request: WireJob]>
   readonly submittedAt: ReadonlyArray<readonly [job: string, at: number]>
   readonly askedToCancel: ReadonlyArray<string>
@@ -31,7 +31,7 @@
 const UNDECIDED: ReadonlySet<number> = new Set([0, 429, 503, 504])
 
 /** Checks what users are told of their jobs, across all nodes and by the millisecond. */
-export class UserRules {
+export class UserInvariants {
   readonly submitted = new Map<string, WireJob>()
   readonly submittedAt = new Map<string, number>()
   readonly askedToCancel = new Set<string>()
@@ -46,12 +46,12 @@
   private readonly doneTasks = new Map<string, Set<number>>()
 
   constructor(
-    private readonly sim: Sim,
+    private readonly simulation: Simulation,
     private readonly say: (rule: string, what: string) => void,
   ) {}
 
   /** What it knows, as plain data. */
-  dump(): UserRulesDump {
+  dump(): UserInvariantsDump {
     return {
       submitted: [...this.submitted],
       submittedAt: [...this.submittedAt],
@@ -62,7 +62,7 @@
     }
   }
   /** Holds later answers to what users were told before the dump, too. */
-  restore(dump: UserRulesDump): void {
+  restore(dump: UserInvariantsDump): void {
     for (const [job, request] of dump.submitted) this.submitted.set(job, request)
     for (const [job, at] of dump.submittedAt) this.submittedAt.set(job, at)
     for (const job of dump.askedToCancel) this.askedToCancel.add(job)
@@ -74,7 +74,7 @@
   /** A user submits a job that can run. */
   asksToRun(request: WireJob): void {
     this.submitted.set(request.id, request)
-    this.submittedAt.set(request.id, this.sim.now)
+    this.submittedAt.set(request.id, this.simulation.now)
   }
   /** A user submits what no node may accept. */
   asksInVain(job: string, refusal: Refusal): void {
@@ -85,11 +85,11 @@
   }
   /** A question about a job was sent to a node. */
   asked(job: string): void {
-    if (!this.unansweredSince.has(job)) this.unansweredSince.set(job, this.sim.now)
+    if (!this.unansweredSince.has(job)) this.unansweredSince.set(job, this.simulation.now)
   }
 
   finished(job: string, index: number): void {
-    if (!this.firstFinishedAt.has(job)) this.firstFinishedAt.set(job, this.sim.now)
+    if (!this.firstFinishedAt.has(job)) this.firstFinishedAt.set(job, this.simulation.now)
     const done = this.doneTasks.get(job) ?? new Set()
     this.doneTasks.set(job, done.add(index))
   }
@@ -152,7 +152,7 @@
     if (bound) this.say("went_back", `${job}: ${final.state}, now ${state}`)
   }
   private remember(job: string, state: string | null): void {
-    const now = this.sim.now
+    const now = this.simulation.now
     const told = this.told.get(job) ?? { acceptedAt: now, state: "queued", final: null }
     this.told.set(job, told)
     if (told.final !== null) return
@@ -163,13 +163,13 @@
 
   /**
    * Whoever asks about an accepted job has to get an answer in time, however
-   * others fare; the time counts while no trouble is on.
+   * others fare; the time counts while no fault is on.
    */
   checkAnswered(quietFrom: number): void {
     for (const [job, since] of this.unansweredSince) {
-      if (!this.told.has(job) || this.sim.now <= Math.max(since, quietFrom) + FORGOTTEN_MS) continue
+      if (!this.told.has(job) || this.simulation.now <= Math.max(since, quietFrom) + FORGOTTEN_MS) continue
       this.say("forgotten", `${job}: no answer for ${FORGOTTEN_MS / 1000} s`)
-      this.unansweredSince.set(job, this.sim.now)
+      this.unansweredSince.set(job, this.simulation.now)
     }
   }
 }
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -1,11 +1,11 @@
 import type { WireJob } from "@sorreltally/protocol"
 import type { Cloud } from "../services/cloud.ts"
 import type { Machine } from "../services/machine.ts"
-import type { Sim } from "../simulation/simulation.ts"
-import type { Rules } from "./invariants.ts"
+import type { Simulation } from "../simulation/simulation.ts"
+import type { Invariants } from "./invariants.ts"
 
-/** Once all troubles are over, no job waits this long while it could run. */
-const LONGEST_WAIT_MS = 90_000
+/** Once all faults are over, no job waits this long while it could run. */
+const MAX_WAIT_MS = 90_000
 
 interface Room {
   readonly machine: Machine
@@ -23,19 +23,19 @@
  * its team is under its limit. Judged by what the stand-in itself knows:
  * machines that are up and can be given work, and the tasks that are on them.
  */
-export class WaitingRule {
+export class WaitingInvariant {
   private readonly waiting = new Map<string, Waiting>()
 
   constructor(
-    private readonly sim: Sim,
-    private readonly rules: Rules,
+    private readonly simulation: Simulation,
+    private readonly invariants: Invariants,
     private readonly cloud: Cloud,
   ) {}
 
   /** To be called now and then. */
   look(): void {
-    const { now } = this.sim
-    if (now <= this.rules.quietFrom) return this.waiting.clear()
+    const { now } = this.simulation
+    if (now <= this.invariants.quietFrom) return this.waiting.clear()
     const rooms: Array<Room> = []
     const zonesOf = new Map<string, Map<string, number>>()
     const usedByTeam = new Map<string, number>()
@@ -43,7 +43,7 @@
       if (machine.gone || machine.status !== "running") continue
       const room = { machine, cores: machine.type.cores, mem: machine.type.mem_gb }
       for (const { job } of machine.occupants()) {
-        const request = this.rules.submitted.get(job)
+        const request = this.invariants.submitted.get(job)
         if (request === undefined) continue
         room.cores -= request.cores
         room.mem -= request.mem_gb
@@ -53,20 +53,20 @@
       }
       if (!machine.isHung && machine.warningUntil === null) rooms.push(room)
     }
-    for (const [job, request] of this.rules.submitted) {
+    for (const [job, request] of this.invariants.submitted) {
       const zones = zonesOf.get(job) ?? new Map<string, number>()
       if (!this.couldStart(job, request, zones, rooms, usedByTeam.get(request.owner) ?? 0)) {
         this.waiting.delete(job)
         continue
       }
-      const occupants = this.rules.startsOf(job)
+      const occupants = this.invariants.startsOf(job)
       const before = this.waiting.get(job)
       if (before === undefined || before.occupants !== occupants) {
         this.waiting.set(job, { since: now, occupants })
-      } else if (now > before.since + LONGEST_WAIT_MS) {
-        this.rules.report(
+      } else if (now > before.since + MAX_WAIT_MS) {
+        this.invariants.report(
           "left_waiting",
-          `${job}: a machine that fits had room for ${LONGEST_WAIT_MS / 1000} s`,
+          `${job}: a machine that fits had room for ${MAX_WAIT_MS / 1000} s`,
         )
         this.waiting.set(job, { since: now, occupants })
       }
@@ -80,11 +80,11 @@
     rooms: ReadonlyArray<Room>,
     used: number,
   ): boolean {
-    if (!this.rules.isLive(job)) return false
+    if (!this.invariants.isLive(job)) return false
     let placed = 0
     for (const count of zones.values()) placed += count
-    if (placed + this.rules.users.finishedTasks(job) >= request.pieces) return false
-    if (used + request.cores > this.rules.limitOf(request.owner) + 1e-6) return false
+    if (placed + this.invariants.users.finishedTasks(job) >= request.pieces) return false
+    if (used + request.cores > this.invariants.limitOf(request.owner) + 1e-6) return false
     return rooms.some((room) => fits(request, zones, room))
   }
 }
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -14,12 +14,12 @@
 import { parseArgs } from "node:util"
 import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
 import { NO_LIMIT } from "@sorreltally/settings"
-import { Rules } from "../invariants/invariants.ts"
+import { Invariants } from "../invariants/invariants.ts"
 import { Cloud } from "../services/cloud.ts"
 import { StateService } from "../services/state-service.ts"
 import { Users } from "../services/users.ts"
-import { LoopbackNet } from "../simulation/loopback-network.ts"
-import { Sim } from "../simulation/simulation.ts"
+import { LoopbackNetwork } from "../simulation/loopback-network.ts"
+import { Simulation } from "../simulation/simulation.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
 import type { Usage } from "./probe.ts"
 import {
@@ -103,7 +103,7 @@
   ],
 }
 const FILL_S = 45
-const TAKE_OVER_S = 12
+const FAILOVER_S = 12
 const ROWS = 70
 
 const { values, positionals } = parseArgs({
@@ -145,7 +145,7 @@
   gpus: 0,
   gpus_max: NO_LIMIT,
 }))
-const ruledTeams = teams.map(({ name, cpus, cpus_max, gpus, gpus_max }) => ({
+const invariantTeams = teams.map(({ name, cpus, cpus_max, gpus, gpus_max }) => ({
   name: name as TeamName,
   cpus,
   maxCpus: cpus_max,
@@ -154,12 +154,12 @@
 }))
 const limits = { rps: 150, write_rps: 15, value_kb: 8, txn_ops: 8 }
 
-const sim = new Sim(1)
-const net = new LoopbackNet(sim)
-const rules = new Rules(sim, ruledTeams, types, TIMES.cancel_s)
+const simulation = new Simulation(1)
+const network = new LoopbackNetwork(simulation)
+const invariants = new Invariants(simulation, invariantTeams, types, TIMES.cancel_s)
 const names = Array.from({ length: NODES }, (_, i) => `host-${i}` as NodeName)
-new StateService(sim, net, limits)
-const cloud = new Cloud(sim, net, rules, {
+new StateService(simulation, network, limits)
+const cloud = new Cloud(simulation, network, invariants, {
   types,
   capacity: 300 * scale,
   lagMs: 3_000,
@@ -168,10 +168,10 @@
   neverBoots: 0,
   bootWithinMs: null,
 })
-const users = new Users(sim, net, rules.users, names)
+const users = new Users(simulation, network, invariants.users, names)
 
 const began = performance.now()
-setInterval(() => sim.runUntil(performance.now() - began), TURN_MS)
+setInterval(() => simulation.runUntil(performance.now() - began), TURN_MS)
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms))
 
 const makeControllers = async (): Promise<ReadonlyArray<MeasuredController>> => {
@@ -179,7 +179,7 @@
   const ports: Array<readonly [number, number]> = []
   for (const name of names) {
     ports.push([await freePort(), await freePort()])
-    net.locate(name, ports.at(-1)![0])
+    network.locate(name, ports.at(-1)![0])
   }
   const address = (port: number) => `127.0.0.1:${port}`
   return names.map((name, i) => {
@@ -192,7 +192,7 @@
       peers: names.flatMap((peer, j) =>
         j === i ? [] : [{ node_name: peer, area: ZONES[j % ZONES.length], peer_addr: address(ports[j]![1]) }],
       ),
-      outside: { cloud: address(net.portOf("cloud")), state: address(net.portOf("state")) },
+      outside: { cloud: address(network.portOf("cloud")), state: address(network.portOf("state")) },
       facts: {
         nodes: NODES,
         zones: ZONES,
@@ -237,7 +237,7 @@
 }
 const keepSubmitting = (kind: LoadKind): void => {
   submit(kind)
-  sim.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
+  simulation.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
 }
 
 const say = (line = ""): void => console.log(line)
@@ -246,7 +246,7 @@
 const usages = (nodes: ReadonlyArray<MeasuredController>): Promise<ReadonlyArray<Usage>> =>
   Promise.all(nodes.map((node) => node.ask({ kind: "usage" })))
 
-const tell = (
+const printUsage = (
   nodes: ReadonlyArray<MeasuredController>,
   before: ReadonlyArray<Usage>,
   after: ReadonlyArray<Usage>,
@@ -264,16 +264,16 @@
   const sum = after.reduce((all, is, i) => all + is.processorMs - before[i]!.processorMs, 0)
   say(`  all: ${(sum / tookMs).toFixed(3)} of a core`)
 }
-const tellTraffic = (tookMs: number): void => {
-  for (const [kind, { requests, bytes, answeredBytes }] of net.traffic)
+const printTraffic = (tookMs: number): void => {
+  for (const [kind, { requests, bytes, answeredBytes }] of network.traffic)
     say(
       `  ${kind}: ${((requests * 1000) / tookMs).toFixed(1)} a second, ` +
         `${Math.round(bytes / requests)} bytes, answered with ${Math.round(answeredBytes / requests)}`,
     )
-  net.traffic.clear()
+  network.traffic.clear()
 }
 const bundled = modulesOfBundle(readFileSync("target/main.js", "utf8"))
-const tellShares = (shares: Shares, unit: string): void => {
+const printShares = (shares: Shares, unit: string): void => {
   let all = 0
   for (const [name, amount] of shares) if (name !== "idle") all += amount
   for (const [name, amount] of largest(shares, ROWS))
@@ -297,21 +297,21 @@
   for (const node of nodes) {
     const file = `${folder}/${name}-${node.name}.${of === "processor" ? "cpuprofile" : "heapprofile"}`
     await node.ask({ kind: "finish", file })
-    if (told.includes(node)) tellProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
+    if (told.includes(node)) printProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
   }
 }
-const tellProfile = (name: string, text: string, of: "processor" | "allocation"): void => {
+const printProfile = (name: string, text: string, of: "processor" | "allocation"): void => {
   say(`  ${name}:`)
   const profile = JSON.parse(text)
   if (of === "allocation") {
     const bytes = allocationShares(profile, bundled)
-    return tellShares(new Map([...bytes].map(([what, size]) => [what, size / 1024])), "KiB")
+    return printShares(new Map([...bytes].map(([what, size]) => [what, size / 1024])), "KiB")
   }
-  tellShares(processorShares(profile, bundled), "ms")
+  printShares(processorShares(profile, bundled), "ms")
   say("   by function:")
-  tellShares(processorByFunction(profile, bundled), "ms")
+  printShares(processorByFunction(profile, bundled), "ms")
   say("   by function with all it calls:")
-  tellShares(inclusiveByFunction(profile, bundled), "ms")
+  printShares(inclusiveByFunction(profile, bundled), "ms")
 }
 const profiled = async (
   name: string,
@@ -331,12 +331,12 @@
 ): Promise<void> => {
   const before = await usages(nodes)
   const at = performance.now()
-  net.traffic.clear()
+  network.traffic.clear()
   await work()
   const tookMs = performance.now() - at
   say(`${name}, ${seconds1(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
-  tell(nodes, before, await usages(nodes), tookMs)
-  tellTraffic(tookMs)
+  printUsage(nodes, before, await usages(nodes), tookMs)
+  printTraffic(tookMs)
 }
 const startAll = async (name: string, nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
   const at = performance.now()
@@ -383,14 +383,14 @@
   if (!values.quick) {
     await nodes[leader]!.end()
     const left = nodes.filter((_, i) => i !== leader)
-    await phase("leader lost", left, () => pause(1000 * TAKE_OVER_S))
+    await phase("leader lost", left, () => pause(1000 * FAILOVER_S))
     for (const node of left) await node.end()
     await pause(4_000)
     await startAll("all lost", nodes)
-    await phase("after the loss of all", nodes, () => pause(1000 * TAKE_OVER_S))
+    await phase("after the loss of all", nodes, () => pause(1000 * FAILOVER_S))
   }
   for (const node of nodes) await node.end()
-  net.closeAll()
+  network.closeAll()
   process.exit(0)
 }
 await main()
--- a/packages/testkit/src/random-days/day-run.ts
+++ b/packages/testkit/src/random-days/day-run.ts
@@ -17,8 +17,14 @@
   const began = performance.now()
   const tookMs = () => Math.round(performance.now() - began)
   try {
-    const { failures, world } = readScenario(scenarioOf(day)).run({ trace })
-    return { seed: day.seed, failures, pairs: world.pairs, starts: world.rules.starts, tookMs: tookMs() }
+    const { failures, deployment } = readScenario(scenarioOf(day)).run({ trace })
+    return {
+      seed: day.seed,
+      failures,
+      pairs: deployment.pairs,
+      starts: deployment.invariants.starts,
+      tookMs: tookMs(),
+    }
   } catch (cause) {
     const thrown = `threw: ${(cause as Error).stack ?? String(cause)}`
     return { seed: day.seed, failures: [thrown], pairs: [], starts: 0, tookMs: tookMs() }
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -1,6 +1,6 @@
-import type { TroubleEffect } from "../faults/effects.ts"
-import { type DaySettings, type Trouble, type TroubleKind, troubleKinds } from "../faults/fault-kinds.ts"
-import { Luck } from "../simulation/simulation.ts"
+import type { FaultEffect } from "../faults/effects.ts"
+import { type DaySettings, type DrawnFault, type FaultKind, faultKinds } from "../faults/fault-kinds.ts"
+import { RandomSource } from "../simulation/simulation.ts"
 import {
   busiestTeamS,
   CANCELLATIONS_LAST_S,
@@ -10,36 +10,36 @@
   type UserEvent,
 } from "./random-jobs.ts"
 
-/** A trouble that begins at some time of the day, and the pair that it is the second one of. */
-export interface TroubleEvent {
+/** A fault that begins at some time of the day, and the pair that it is the second one of. */
+export interface FaultEvent {
   readonly atS: number
   readonly form: string
-  readonly meets: MeetingPair | null
+  readonly meets: FaultPair | null
 }
-/** The second trouble begins inside that effect of the first one. */
-export interface MeetingPair {
+/** The second fault begins inside that effect of the first one. */
+export interface FaultPair {
   readonly first: string
-  readonly effect: TroubleEffect
+  readonly effect: FaultEffect
   readonly second: string
 }
-/** A day of random work and troubles. All of it follows from the seed. */
+/** A day of random work and faults. All of it follows from the seed. */
 export interface RandomDay {
   readonly seed: number
   readonly settings: DaySettings
   readonly users: ReadonlyArray<UserEvent>
-  readonly troubles: ReadonlyArray<TroubleEvent>
+  readonly faults: ReadonlyArray<FaultEvent>
 }
 
 const PAIRS_A_DAY = 3
-const FIRST_TROUBLE_S = 12
+const FIRST_FAULT_S = 12
 /** The first draws of seeds that lie side by side resemble each other. */
 const DRAWS_SKIPPED = 50
 const BEGUN_WITHIN_S = 240
 const UNTIL_S = 700
-/** Users who cancel many jobs at once: drawn like a trouble, though nothing fails. */
+/** Users who cancel many jobs at once: drawn like a fault, though nothing fails. */
 const CANCELLATIONS = "cancellations"
-/** What can be the first or the second trouble of a pair: each has an effect that lasts. */
-export const troubleNames: ReadonlyArray<string> = [...troubleKinds.map(({ name }) => name), CANCELLATIONS]
+/** What can be the first or the second fault of a pair: each has an effect that lasts. */
+export const faultNames: ReadonlyArray<string> = [...faultKinds.map(({ name }) => name), CANCELLATIONS]
 
 const usualDay: DaySettings = {
   nodes: 3,
@@ -53,19 +53,19 @@
   cores: 0.4,
   processorShare: null,
 }
-/** A short lease, and `cancel_s` above it by little more than the shortest grant that a controller can live with. */
-const tight = (usual: DaySettings, luck: Luck): DaySettings => {
-  const leaseS = luck.pick([8, 12, 18, 27])
-  return { ...usual, leaseS, cancelS: leaseS + luck.pick([2, 2.5, 4, 8]) }
+/** A short lease, and `cancel_s` above it by little more than the shortest node lease that a controller can live with. */
+const tight = (usual: DaySettings, random: RandomSource): DaySettings => {
+  const leaseS = random.pick([8, 12, 18, 27])
+  return { ...usual, leaseS, cancelS: leaseS + random.pick([2, 2.5, 4, 8]) }
 }
-const drawSettings = (luck: Luck): DaySettings => {
-  const usual = { ...usualDay, teamLimit: luck.pick([24, 48, 200]) }
-  return luck.pick<() => DaySettings>([
+const drawSettings = (random: RandomSource): DaySettings => {
+  const usual = { ...usualDay, teamLimit: random.pick([24, 48, 200]) }
+  return random.pick<() => DaySettings>([
     () => usual,
     () => usual,
     () => usual,
-    () => tight(usual, luck),
-    () => tight({ ...usual, nodes: luck.pick([2, 3, 5]) }, luck),
+    () => tight(usual, random),
+    () => tight({ ...usual, nodes: random.pick([2, 3, 5]) }, random),
     () => ({ ...usual, nodes: 2 }),
     () => ({ ...usual, nodes: 7, zones: ["a", "b", "c"] }),
     () => ({ ...usual, zones: ["a"] }),
@@ -74,53 +74,53 @@
   ])()
 }
 
-/** With the smallest one, a few machines are enough for reports to be shared. */
+/** With the smallest one, a few machines are enough for heartbeats to be shared. */
 const CORES = [0.4, 0.0016, 0.0004]
 /** Shares of a core that the nodes really have; null: their work takes no time. */
 const SHARES = [null, null, 0.2, 0.1, 0.05]
 
-const kindNamed = (name: string): TroubleKind => troubleKinds.find((kind) => kind.name === name)!
-const cancellations = (): Trouble => ({
+const kindNamed = (name: string): FaultKind => faultKinds.find((kind) => kind.name === name)!
+const cancellations = (): DrawnFault => ({
   form: "",
   lastsS: CANCELLATIONS_LAST_S,
   windows: [{ effect: "cancelling", fromS: 0.2, toS: CANCELLATIONS_LAST_S }],
 })
 
 /**
- * Which two troubles make pair number `index` of all days: every first trouble
+ * Which two faults make pair number `index` of all days: every first fault
  * comes up once in as many pairs as there are, and all pairs in their square.
  */
 const pairAt = (index: number): { readonly first: string; readonly second: string } => {
-  const round = Math.floor(index / troubleNames.length)
-  const first = index % troubleNames.length
-  return { first: troubleNames[first]!, second: troubleNames[(first + round) % troubleNames.length]! }
+  const round = Math.floor(index / faultNames.length)
+  const first = index % faultNames.length
+  return { first: faultNames[first]!, second: faultNames[(first + round) % faultNames.length]! }
 }
 
-/** Draws the days one after the other: users, then pairs of troubles, and now and then one that stands alone. */
+/** Draws the days one after the other: users, then pairs of faults, and now and then one that stands alone. */
 export const drawDay = (seed: number): RandomDay => {
-  const luck = new Luck(seed)
-  for (let i = 0; i < DRAWS_SKIPPED; i++) luck.next()
-  // Where cores are few, a busy owner has the other nodes receive its workers' reports.
-  const settings = { ...drawSettings(luck), cores: luck.pick(CORES), processorShare: luck.pick(SHARES) }
-  const users = [...drawUsers(luck, settings)]
-  const troubles: Array<TroubleEvent> = []
-  const add = (name: string, atS: number, meets: MeetingPair | null): Trouble => {
-    const trouble = name === CANCELLATIONS ? cancellations() : kindNamed(name).draw(luck, settings)
-    if (name === CANCELLATIONS) users.push(...drawCancellations(luck, users, atS))
-    troubles.push({ atS, form: trouble.form, meets })
-    return trouble
+  const random = new RandomSource(seed)
+  for (let i = 0; i < DRAWS_SKIPPED; i++) random.next()
+  // Where cores are few, a busy owner has the other nodes receive its workers' heartbeats.
+  const settings = { ...drawSettings(random), cores: random.pick(CORES), processorShare: random.pick(SHARES) }
+  const users = [...drawUsers(random, settings)]
+  const faults: Array<FaultEvent> = []
+  const add = (name: string, atS: number, meets: FaultPair | null): DrawnFault => {
+    const fault = name === CANCELLATIONS ? cancellations() : kindNamed(name).draw(random, settings)
+    if (name === CANCELLATIONS) users.push(...drawCancellations(random, users, atS))
+    faults.push({ atS, form: fault.form, meets })
+    return fault
   }
-  let atS = FIRST_TROUBLE_S + luck.between(0, 20)
+  let atS = FIRST_FAULT_S + random.between(0, 20)
   for (let i = 0; i < PAIRS_A_DAY; i++) {
     const { first, second } = pairAt((seed - 1) * PAIRS_A_DAY + i)
     const { windows } = add(first, atS, null)
-    const { effect, fromS, toS } = luck.pick(windows)
-    const secondS = atS + luck.between(fromS, toS)
+    const { effect, fromS, toS } = random.pick(windows)
+    const secondS = atS + random.between(fromS, toS)
     add(second, secondS, { first, effect, second })
-    if (luck.chance(0.3)) add(luck.pick(troubleNames), secondS + luck.between(0, 10), null)
-    atS = secondS + luck.between(5, 25)
+    if (random.chance(0.3)) add(random.pick(faultNames), secondS + random.between(0, 10), null)
+    atS = secondS + random.between(5, 25)
   }
-  return { seed, settings, users, troubles }
+  return { seed, settings, users, faults }
 }
 
 interface Line {
@@ -128,7 +128,7 @@
   readonly text: string
 }
 const seconds = (atS: number) => atS.toFixed(2)
-const troubleLine = ({ atS, form, meets }: TroubleEvent): Line => {
+const faultLine = ({ atS, form, meets }: FaultEvent): Line => {
   const pair = meets === null ? "" : `(pair ${meets.first} ${meets.effect} ${meets.second})`
   return { atS, text: `(at ${seconds(atS)} ${[pair, form].filter((f) => f !== "").join(" ")})` }
 }
@@ -137,15 +137,15 @@
   `pieces ${pieces} cores ${cores} run ${runS} owner ${owner} ${others}`.trimEnd()
 
 /** The day as a scenario, which runs alone and can be kept. */
-export const scenarioOf = ({ seed, settings, users, troubles }: RandomDay): string => {
+export const scenarioOf = ({ seed, settings, users, faults }: RandomDay): string => {
   const submitted = users.filter(({ does }) => does === "submit").sort((a, b) => a.atS - b.atS)
   const positions = new Map(submitted.map(({ job }, position) => [job, position]))
   const userLine = (event: UserEvent): Line => {
     const what = event.does === "submit" ? optionsOf(event.wanted) : positions.get(event.job)
     return { atS: event.atS, text: `(at ${seconds(event.atS)} (${event.does} ${what}))` }
   }
-  const begin = troubles.filter(({ form, meets }) => form !== "" || meets !== null)
-  const lines = [...users.map(userLine), ...begin.map(troubleLine)].sort((a, b) => a.atS - b.atS)
+  const begin = faults.filter(({ form, meets }) => form !== "" || meets !== null)
+  const lines = [...users.map(userLine), ...begin.map(faultLine)].sort((a, b) => a.atS - b.atS)
   const { nodes, zones, leaseS, cancelS, teamLimit, capacity, stateRps, stateWrites, cores, processorShare } =
     settings
   // More work than fits within the team's limit has to wait, the largest jobs too.
@@ -158,5 +158,5 @@
 }
 
 /** The pairs that were drawn for the day. */
-export const pairsOf = ({ troubles }: RandomDay): ReadonlyArray<MeetingPair> =>
-  troubles.flatMap(({ meets }) => (meets === null ? [] : [meets]))
+export const pairsOf = ({ faults }: RandomDay): ReadonlyArray<FaultPair> =>
+  faults.flatMap(({ meets }) => (meets === null ? [] : [meets]))
--- a/packages/testkit/src/random-days/random-jobs.ts
+++ b/packages/testkit/src/random-days/random-jobs.ts
@@ -1,5 +1,5 @@
 import type { DaySettings } from "../faults/fault-kinds.ts"
-import type { Luck } from "../simulation/simulation.ts"
+import type { RandomSource } from "../simulation/simulation.ts"
 
 /** What a user does in a random day; `job` numbers the day's jobs in the order of their submission. */
 export type UserEvent = {
@@ -23,88 +23,88 @@
 const SUBMISSIONS_UNTIL_S = 130
 /** Jobs submitted longer ago are mostly over. */
 const RECENT_S = 70
-const MOST_CANCELLED_AT_ONCE = 8
+const MAX_CANCELLED_AT_ONCE = 8
 export const CANCELLATIONS_LAST_S = 0.6
 
-const whole = (luck: Luck, low: number, high: number) => Math.floor(luck.between(low, high + 1))
+const whole = (random: RandomSource, low: number, high: number) => Math.floor(random.between(low, high + 1))
 
 /** A scattered job is refused where there is only one zone. */
-const placement = (luck: Luck, { zones }: DaySettings): string =>
-  luck.pick([
+const placement = (random: RandomSource, { zones }: DaySettings): string =>
+  random.pick([
     "",
     "",
     " together yes",
     zones.length > 1 ? " scatter yes" : "",
-    ` zone ${luck.pick(zones)}`,
+    ` zone ${random.pick(zones)}`,
     " build large",
     " spot no",
-    ` zone ${luck.pick(zones)} spot no`,
+    ` zone ${random.pick(zones)} spot no`,
   ])
-const anyJob = (luck: Luck, settings: DaySettings, pieces: number): JobWanted => {
-  const cores = luck.pick(pieces > 12 ? [1, 2] : [1, 2, 4, 8])
-  const due = luck.chance(0.5) ? ` due ${whole(luck, 30, 150)}` : ""
-  const saves = luck.chance(0.4) ? " snapshot 5 flush 2" : ""
-  const urgency = luck.pick(["standard", "standard", "high", "best_effort"])
-  const others = `urgency ${urgency} image img-${whole(luck, 1, 3)}${due}${saves}${placement(luck, settings)}`
-  return { pieces, cores, runS: whole(luck, 4, 45), owner: luck.pick(TEAMS), others }
+const anyJob = (random: RandomSource, settings: DaySettings, pieces: number): JobWanted => {
+  const cores = random.pick(pieces > 12 ? [1, 2] : [1, 2, 4, 8])
+  const due = random.chance(0.5) ? ` due ${whole(random, 30, 150)}` : ""
+  const saves = random.chance(0.4) ? " snapshot 5 flush 2" : ""
+  const urgency = random.pick(["standard", "standard", "high", "best_effort"])
+  const others = `urgency ${urgency} image img-${whole(random, 1, 3)}${due}${saves}${placement(random, settings)}`
+  return { pieces, cores, runS: whole(random, 4, 45), owner: random.pick(TEAMS), others }
 }
 
 /** Jobs that come now and then, some of them cancelled or submitted again. */
-const mixedJobs = (luck: Luck, settings: DaySettings): ReadonlyArray<UserEvent> => {
+const mixedJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += luck.between(2, 14)) {
-    const pieces = luck.chance(0.25) ? 1 : luck.chance(0.1) ? whole(luck, 20, 60) : whole(luck, 2, 12)
-    const wanted = anyJob(luck, settings, pieces)
-    if (luck.chance(MISTAKEN_SHARE)) {
+  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(2, 14)) {
+    const pieces = random.chance(0.25) ? 1 : random.chance(0.1) ? whole(random, 20, 60) : whole(random, 2, 12)
+    const wanted = anyJob(random, settings, pieces)
+    if (random.chance(MISTAKEN_SHARE)) {
       events.push({ atS, job, does: "submit", wanted: { ...wanted, others: `${wanted.others} mistake yes` } })
-      events.push({ atS: atS + luck.between(20, 120), job, does: "cancel" })
+      events.push({ atS: atS + random.between(20, 120), job, does: "cancel" })
       continue
     }
     events.push({ atS, job, does: "submit", wanted })
-    if (luck.chance(0.25)) events.push({ atS: atS + luck.between(0, 40), job, does: "cancel" })
-    if (luck.chance(0.15)) events.push({ atS: atS + luck.between(20, 100), job, does: "resubmit" })
+    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 40), job, does: "cancel" })
+    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
   }
   return events
 }
 
 /** One-task jobs one after the other, a quarter of them cancelled, among a few larger ones. */
-const oneTaskJobs = (luck: Luck, settings: DaySettings): ReadonlyArray<UserEvent> => {
+const oneTaskJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  const secondsApart = luck.pick([0.5, 1, 2])
+  const secondsApart = random.pick([0.5, 1, 2])
   const untilS = Math.min(SUBMISSIONS_UNTIL_S, 80 * secondsApart)
-  const due = luck.chance(0.5) ? "due 60" : ""
+  const due = random.chance(0.5) ? "due 60" : ""
   for (let job = 0, atS = 1; atS < untilS; job++, atS += secondsApart) {
-    const large = luck.chance(0.05)
-    const small = { pieces: 1, cores: 1, runS: whole(luck, 2, 20), owner: luck.pick(TEAMS), others: due }
-    const wanted = large ? anyJob(luck, settings, whole(luck, 4, 12)) : small
+    const large = random.chance(0.05)
+    const small = { pieces: 1, cores: 1, runS: whole(random, 2, 20), owner: random.pick(TEAMS), others: due }
+    const wanted = large ? anyJob(random, settings, whole(random, 4, 12)) : small
     events.push({ atS, job, does: "submit", wanted })
-    if (luck.chance(0.25)) events.push({ atS: atS + luck.between(0, 20), job, does: "cancel" })
-    if (luck.chance(0.05)) events.push({ atS: atS + luck.between(20, 100), job, does: "resubmit" })
+    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 20), job, does: "cancel" })
+    if (random.chance(0.05)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
   }
   return events
 }
 
 /** Jobs of two or three tasks that run long, so that their ends lie far apart. */
-const longJobs = (luck: Luck, settings: DaySettings): ReadonlyArray<UserEvent> => {
+const longJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += luck.between(4, 16)) {
+  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(4, 16)) {
     const wanted: JobWanted = {
-      pieces: whole(luck, 2, 3),
-      cores: luck.pick([2, 4, 8]),
-      runS: whole(luck, 30, 120),
-      owner: luck.pick(TEAMS),
-      others: `${luck.chance(0.5) ? `due ${whole(luck, 120, 300)}` : ""}${placement(luck, settings)}`,
+      pieces: whole(random, 2, 3),
+      cores: random.pick([2, 4, 8]),
+      runS: whole(random, 30, 120),
+      owner: random.pick(TEAMS),
+      others: `${random.chance(0.5) ? `due ${whole(random, 120, 300)}` : ""}${placement(random, settings)}`,
     }
     events.push({ atS, job, does: "submit", wanted })
-    if (luck.chance(0.3)) events.push({ atS: atS + luck.between(5, 60), job, does: "cancel" })
-    if (luck.chance(0.15)) events.push({ atS: atS + luck.between(20, 100), job, does: "resubmit" })
+    if (random.chance(0.3)) events.push({ atS: atS + random.between(5, 60), job, does: "cancel" })
+    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
   }
   return events
 }
 
 /** What the users of a day do, in any order of time. */
-export const drawUsers = (luck: Luck, settings: DaySettings): ReadonlyArray<UserEvent> =>
-  luck.pick([mixedJobs, mixedJobs, oneTaskJobs, longJobs])(luck, settings)
+export const drawUsers = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> =>
+  random.pick([mixedJobs, mixedJobs, oneTaskJobs, longJobs])(random, settings)
 
 /** How long the busiest team's work takes at its limit, or on the large machines of one zone and kind. */
 export const busiestTeamS = (
@@ -122,17 +122,17 @@
 
 /** Cancels some of the jobs that were submitted within the last minute or so, all within a moment. */
 export const drawCancellations = (
-  luck: Luck,
+  random: RandomSource,
   users: ReadonlyArray<UserEvent>,
   atS: number,
 ): ReadonlyArray<UserEvent> => {
   const recent = users.filter(
     ({ does, atS: submittedS }) => does === "submit" && submittedS < atS && submittedS > atS - RECENT_S,
   )
-  const first = recent.length === 0 ? [] : [luck.pick(recent)]
-  const others = recent.filter((event) => !first.includes(event) && luck.chance(0.5))
-  return [...first, ...others.slice(0, MOST_CANCELLED_AT_ONCE - 1)].map(({ job }, position) => ({
-    atS: position === 0 ? atS : atS + luck.between(0, CANCELLATIONS_LAST_S),
+  const first = recent.length === 0 ? [] : [random.pick(recent)]
+  const others = recent.filter((event) => !first.includes(event) && random.chance(0.5))
+  return [...first, ...others.slice(0, MAX_CANCELLED_AT_ONCE - 1)].map(({ job }, position) => ({
+    atS: position === 0 ? atS : atS + random.between(0, CANCELLATIONS_LAST_S),
     job,
     does: "cancel",
   }))
--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -1,15 +1,15 @@
 import type { DayResult } from "./day-run.ts"
-import type { RandomDay, TroubleEvent } from "./random-day.ts"
+import type { FaultEvent, RandomDay } from "./random-day.ts"
 import type { UserEvent } from "./random-jobs.ts"
 
-type Piece = { readonly user: UserEvent } | { readonly trouble: TroubleEvent }
+type Piece = { readonly user: UserEvent } | { readonly fault: FaultEvent }
 
 /** What failed, without times and names: a smaller day has to fail in the same way. */
 const failureKind = ({ failures }: DayResult): string =>
   (failures[0] ?? "").replace(/run-\d+(\/\d+)?/g, "").replace(/[\d.]+/g, "")
 
-const piecesOf = ({ users, troubles }: RandomDay): ReadonlyArray<Piece> => [
-  ...troubles.map((trouble) => ({ trouble })),
+const piecesOf = ({ users, faults }: RandomDay): ReadonlyArray<Piece> => [
+  ...faults.map((fault) => ({ fault })),
   ...users.map((user) => ({ user })),
 ]
 /** Cancellations of jobs that nobody submits any more go as well. */
@@ -19,7 +19,7 @@
   return {
     ...day,
     users: users.filter(({ job }) => submitted.has(job)),
-    troubles: pieces.flatMap((piece) => ("trouble" in piece ? [piece.trouble] : [])),
+    faults: pieces.flatMap((piece) => ("fault" in piece ? [piece.fault] : [])),
   }
 }
 
@@ -31,16 +31,16 @@
   day: RandomDay,
   failed: DayResult,
   run: (day: RandomDay) => DayResult,
-  mostRuns: number,
+  maxRuns: number,
 ): RandomDay => {
   const kind = failureKind(failed)
   let smallest = day
   let runs = 0
-  const stillFails = (candidate: RandomDay) => runs++ < mostRuns && failureKind(run(candidate)) === kind
+  const stillFails = (candidate: RandomDay) => runs++ < maxRuns && failureKind(run(candidate)) === kind
   let size = Math.ceil(piecesOf(day).length / 2)
-  while (runs < mostRuns) {
+  while (runs < maxRuns) {
     let dropped = false
-    for (let at = 0; at < piecesOf(smallest).length && runs < mostRuns; ) {
+    for (let at = 0; at < piecesOf(smallest).length && runs < maxRuns; ) {
       const pieces = piecesOf(smallest)
       const candidate = withPieces(smallest, [...pieces.slice(0, at), ...pieces.slice(at + size)])
       if (stillFails(candidate)) {
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -7,7 +7,7 @@
 import { shrink } from "./shrink.ts"
 
 // Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
-// day that fails with its scenario, then how often the pairs of troubles met, and with --digest the digest of
+// day that fails with its scenario, then how often the pairs of faults met, and with --digest the digest of
 // each day's messages as it ends. Exits with 1 if a day failed.
 
 const { values } = parseArgs({
@@ -20,7 +20,7 @@
     "day-limit-s": { type: "string", default: "180" },
   },
 })
-const MOST_SHRINKING_RUNS = 200
+const MAX_SHRINKING_RUNS = 200
 
 /** `digest`: of the day's messages; null if it wasn't asked for, or the process ended before the day. */
 type SweptDay = DayResult & { readonly digest: string | null }
@@ -96,7 +96,7 @@
   }
 
   report(): number {
-    for (const result of this.failed) this.tellFailure(result)
+    for (const result of this.failed) this.printFailure(result)
     const seeds = this.failed.map(({ seed }) => seed).join(" ")
     process.stdout.write(
       `${this.ran} days, ${this.starts} task starts, ${this.failed.length} days failed${seeds === "" ? "" : `: ${seeds}`}\n` +
@@ -104,9 +104,9 @@
     )
     return this.failed.length === 0 ? 0 : 1
   }
-  private tellFailure(result: DayResult): void {
+  private printFailure(result: DayResult): void {
     const day = drawDay(result.seed)
-    const shown = values.shrink ? shrink(day, result, runDay, MOST_SHRINKING_RUNS) : day
+    const shown = values.shrink ? shrink(day, result, runDay, MAX_SHRINKING_RUNS) : day
     process.stdout.write(`\n; seed ${result.seed}: ${result.failures.join("; ")}\n${scenarioOf(shown)}\n\n`)
   }
 }
--- a/packages/testkit/src/scenarios/golden-recorder.ts
+++ b/packages/testkit/src/scenarios/golden-recorder.ts
@@ -12,13 +12,13 @@
 const lines = (items: ReadonlyArray<unknown>): string =>
   `[\n${items.map((item) => JSON.stringify(item)).join(",\n")}\n]\n`
 
-const { recording, deployment } = record()
+const { recording, dump } = record()
 const files: Record<string, string> = {
   exchanges: lines(recording.exchanges),
   records: lines(recording.records),
   frames: lines(recording.frames),
   settings: `${JSON.stringify(recording.settings)}\n`,
-  deployment: `${JSON.stringify(deployment)}\n`,
+  deployment: `${JSON.stringify(dump)}\n`,
 }
 mkdirSync(DIRECTORY, { recursive: true })
 for (const [name, text] of Object.entries(files)) {
--- a/packages/testkit/src/scenarios/golden-recording.ts
+++ b/packages/testkit/src/scenarios/golden-recording.ts
@@ -8,7 +8,7 @@
 import { unpack } from "msgpackr"
 import { type DeploymentDump, dumpDeployment } from "../simulation/deployment-dump.ts"
 import type { Request } from "../simulation/network.ts"
-import type { World } from "../simulation/simulated-deployment.ts"
+import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import { readScenario } from "./scenario.ts"
 
 /** A request and its answer; bodies are JSON text as sent, `null` for none. */
@@ -46,16 +46,16 @@
 /** The first samples of a kind are taken whatever they show. */
 const TAKEN_ANYWAY = 2
 /** A kind has at most so many samples, however much new they show. */
-const MOST_OF_A_KIND = 24
+const MAX_SAMPLES_PER_KIND = 24
 /** Larger bodies show nothing that smaller ones don't. */
-const MOST_BYTES = 6_000
+const MAX_SAMPLE_BYTES = 6_000
 /** A string that may be one of a fixed set, such as a status. */
 const WORD = /^[a-z][a-z_]{2,19}$/
 
 /**
  * Days that between them bring about every kind of message and record: jobs of
  * all options, cancelled, mistaken and refused ones; lost, hung and faulty
- * machines, spot notices, preemption with checkpoints, strays; reports and
+ * machines, spot notices, preemption with checkpoints, orphaned tasks; heartbeats and
  * commands that nodes pass on for each other; ends of nodes and outages.
  */
 const DAYS: ReadonlyArray<string> = [
@@ -90,7 +90,7 @@
 /** Users cancel two jobs each time; at the last one their tasks are still on machines when the day is kept. */
 const STORE_DAY_CANCELLATIONS_AT_MS = [50_000, 95_000, 149_000]
 const CANCELLED_EACH_TIME = 2
-/** So many final states of one bucket, with ids as long as may be, fill a page's part of them. */
+/** So many final states of one bucket, with ids as long as may be, fill its share of a page. */
 const JOBS_OF_ONE_BUCKET = 75
 const FIRST_LONG_ID = 10n ** 19n
 
@@ -135,7 +135,7 @@
   offer(sample: Sample, shows: ReadonlyArray<unknown>, bytes: number): void {
     const { kind } = sample
     const count = this.counts.get(kind) ?? 0
-    if (bytes > MOST_BYTES || count >= MOST_OF_A_KIND) return
+    if (bytes > MAX_SAMPLE_BYTES || count >= MAX_SAMPLES_PER_KIND) return
     const shown = this.shown.get(kind) ?? new Set()
     const features = shows.flatMap((value, index) => featuresOf(value, `${index}`))
     if (count >= TAKEN_ANYWAY && features.every((feature) => shown.has(feature))) return
@@ -159,32 +159,32 @@
   const answerer = to === "cloud" || to === "state" ? to : to.startsWith("i-") ? "worker" : "controller"
   return `${answerer} ${method} ${form}`
 }
-/** Records with the same path but for its last part are of one kind. */
+/** Records whose paths differ only in the last segment are of one kind. */
 export const recordKind = (path: string): string => {
   const [first, second] = path.split("/")
   return first === "s" ? `s/${second}` : first!
 }
 
-/** Looks on at worlds and takes samples. */
+/** Looks on at deployments and takes samples. */
 class Recorder {
   private readonly exchanges = new Sampler<ExchangeSample>()
   private readonly records = new Sampler<RecordSample>()
   private readonly frames = new Sampler<FrameSample>()
   private platform = ""
 
-  readonly watch = (world: World): void => {
-    this.platform = JSON.stringify(world.platformFile(1))
-    this.watchRequests(world)
-    world.state.listeners.push((path, value) => {
+  readonly watch = (deployment: SimulatedDeployment): void => {
+    this.platform = JSON.stringify(deployment.platformFile(1))
+    this.watchRequests(deployment)
+    deployment.state.listeners.push((path, value) => {
       if (value === null) return
       const text = JSON.stringify(value)
       this.records.offer({ kind: recordKind(path), path, text }, [value], text.length)
     })
-    world.onFrame.push((frame) => this.frame(frame))
+    deployment.onFrame.push((frame) => this.frame(frame))
   }
-  private watchRequests({ net }: World): void {
-    const send = net.request.bind(net)
-    net.request = (from, to, request, done) => {
+  private watchRequests({ network }: SimulatedDeployment): void {
+    const send = network.request.bind(network)
+    network.request = (from, to, request, done) => {
       const text = JSON.stringify(request.body ?? null)
       send(from, to, request, (answer) => {
         if (answer !== null) this.exchange(to, request, text, answer.status, answer.body)
@@ -248,31 +248,32 @@
   return ids
 }
 /** Small jobs of one bucket come one after the other, so that its page has to be archived. */
-const fillOneBucket = (world: World): void => {
+const fillOneBucket = (deployment: SimulatedDeployment): void => {
   for (const [n, id] of idsOfOneBucket().entries())
-    world.sim.after(10_000 + n * 1_700, () => world.users.submit(longJob(id)))
+    deployment.simulation.after(10_000 + n * 1_700, () => deployment.users.submit(longJob(id)))
 }
 
 /** Users cancel some of the largest jobs that aren't over. */
-const cancelLiveJobs = ({ rules, users }: World): void => {
-  const piecesOf = (id: JobId): number => rules.submitted.get(id)!.pieces
-  const live = users.jobs.filter((id) => rules.isLive(id)).sort((a, b) => piecesOf(b) - piecesOf(a))
+const cancelLiveJobs = ({ invariants, users }: SimulatedDeployment): void => {
+  const piecesOf = (id: JobId): number => invariants.submitted.get(id)!.pieces
+  const live = users.jobs.filter((id) => invariants.isLive(id)).sort((a, b) => piecesOf(b) - piecesOf(a))
   for (const id of live.slice(0, CANCELLED_EACH_TIME)) users.cancel(id)
 }
 
 /** What the days and the deployment in the middle of one of them show. */
-export const record = (): { readonly recording: Recording; readonly deployment: DeploymentDump } => {
+export const record = (): { readonly recording: Recording; readonly dump: DeploymentDump } => {
   const recorder = new Recorder()
   for (const day of DAYS) readScenario(day).run({ prepare: recorder.watch })
-  let deployment: DeploymentDump | null = null
-  const prepare = (world: World) => {
-    recorder.watch(world)
-    fillOneBucket(world)
-    for (const atMs of STORE_DAY_CANCELLATIONS_AT_MS) world.sim.after(atMs, () => cancelLiveJobs(world))
-    world.sim.after(STORE_DAY_KEPT_AT_MS, () => {
-      deployment = JSON.parse(JSON.stringify(dumpDeployment(world))) as DeploymentDump
+  let dump: DeploymentDump | null = null
+  const prepare = (deployment: SimulatedDeployment) => {
+    recorder.watch(deployment)
+    fillOneBucket(deployment)
+    for (const atMs of STORE_DAY_CANCELLATIONS_AT_MS)
+      deployment.simulation.after(atMs, () => cancelLiveJobs(deployment))
+    deployment.simulation.after(STORE_DAY_KEPT_AT_MS, () => {
+      dump = JSON.parse(JSON.stringify(dumpDeployment(deployment))) as DeploymentDump
     })
   }
   readScenario(STORE_DAY).run({ prepare })
-  return { recording: recorder.recording, deployment: deployment! }
+  return { recording: recorder.recording, dump: dump! }
 }
--- a/packages/testkit/src/scenarios/once.ts
+++ b/packages/testkit/src/scenarios/once.ts
@@ -6,17 +6,19 @@
 // and with --digest the digest of all its messages.
 const [file, seedShift] = process.argv.slice(2).filter((argument) => argument !== "--digest")
 const trace = process.argv.includes("--digest") ? new TraceDigest() : undefined
-const { failures, world } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run({ trace })
-if (process.env.VERBOSE !== undefined) process.stdout.write(`${world.logged.join("\n")}\n`)
+const { failures, deployment } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run({
+  trace,
+})
+if (process.env.VERBOSE !== undefined) process.stdout.write(`${deployment.logged.join("\n")}\n`)
 if (process.env.VERBOSE !== undefined) {
-  for (const id of world.users.jobs) {
-    const state = world.rules.users.state(id)
+  for (const id of deployment.users.jobs) {
+    const state = deployment.invariants.users.state(id)
     if (state !== "done" && state !== "withdrawn")
-      process.stdout.write(`${id} ${state} ${world.stored(id)}\n`)
+      process.stdout.write(`${id} ${state} ${deployment.stored(id)}\n`)
   }
 }
 if (process.env.VERBOSE !== undefined)
-  for (const [what, count] of Object.entries(world.sim.occurrences.all()))
+  for (const [what, count] of Object.entries(deployment.simulation.occurrences.all()))
     process.stdout.write(`${count} ${what}\n`)
 if (trace !== undefined) process.stdout.write(`digest ${trace.digest()}\n`)
 process.stdout.write(`${failures.join("\n")}\n`)
--- a/packages/testkit/src/scenarios/scenario.ts
+++ b/packages/testkit/src/scenarios/scenario.ts
@@ -1,12 +1,12 @@
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import { type Form, parse } from "sexpr-plus"
-import { type TroubleEffect, troubleEffects } from "../faults/effects.ts"
+import { type FaultEffect, faultEffects } from "../faults/effects.ts"
 import { epochsOwnedTwice } from "../invariants/epoch-invariant.ts"
-import type { Setup } from "../simulation/deployment.ts"
-import { type Sending, usualSetup, World } from "../simulation/simulated-deployment.ts"
+import type { DeploymentSetup } from "../simulation/deployment.ts"
+import { defaultSetup, type FreezePoint, SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import type { TraceDigest } from "../simulation/trace-digest.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
-import { troubleActions } from "./fault-actions.ts"
+import { faultActions } from "./fault-actions.ts"
 import { limitActions } from "./limit-actions.ts"
 import { membershipActions } from "./membership-actions.ts"
 import { HARMLESS, happened, userActions, userExpectations } from "./user-actions.ts"
@@ -21,8 +21,8 @@
 export interface RunOptions {
   /** Takes in the messages of all seeds. */
   readonly trace?: TraceDigest
-  /** Is handed each world before its time begins. */
-  readonly prepare?: (world: World) => void
+  /** Is handed each deployment before its time begins. */
+  readonly prepare?: (deployment: SimulatedDeployment) => void
 }
 export interface Scenario {
   readonly name: string
@@ -31,7 +31,7 @@
 }
 interface Result {
   readonly failures: ReadonlyArray<string>
-  readonly world: World
+  readonly deployment: SimulatedDeployment
 }
 
 /** Options of a job, written `name value`; the rest is as usual. */
@@ -78,114 +78,125 @@
 ])
 
 let jobCount = 0
-const job = (world: World, args: Args): JobId => world.users.jobs[number(args, 0, 0)]!
+const job = (deployment: SimulatedDeployment, args: Args): JobId => deployment.users.jobs[number(args, 0, 0)]!
 
 /** Everything a scenario can make happen. Times are in seconds. */
 const actions: Record<string, Action> = {
-  ...troubleActions,
+  ...faultActions,
   ...limitActions,
   ...userActions,
   ...membershipActions,
   /** With `mistake yes` its tasks fail on every machine. */
-  submit: (world, args) => {
+  submit: (deployment, args) => {
     const id = `run-${String(++jobCount).padStart(6, "0")}` as JobId
     const at = args.indexOf("mistake")
-    if (at >= 0 && args[at + 1] === "yes") world.rules.mistaken.add(id)
-    world.users.submit(jobFrom(id, args))
+    if (at >= 0 && args[at + 1] === "yes") deployment.invariants.mistaken.add(id)
+    deployment.users.submit(jobFrom(id, args))
   },
   /** Many jobs: how many, over how many seconds, then what each is like. */
-  stream: (world, args) => {
+  stream: (deployment, args) => {
     const [count, overS] = [number(args, 0, 10), number(args, 1, 10)]
     for (let i = 0; i < count; i++)
-      world.sim.after((i * overS * 1000) / count, () => actions.submit!(world, args.slice(2)))
+      deployment.simulation.after((i * overS * 1000) / count, () =>
+        actions.submit!(deployment, args.slice(2)),
+      )
   },
-  resubmit: (world, args) => world.users.resubmit(job(world, args)),
-  cancel: (world, args) => world.users.cancel(job(world, args)),
-  "ask-about-nobody": (world) => world.users.askAboutNobody(),
-  crash: (world, args) => world.crash(node(world, args), number(args, 1, 4) * 1000),
-  "crash-all": (world, args) => {
-    for (const name of world.names) world.crash(name, number(args, 0, 4) * 1000)
+  resubmit: (deployment, args) => deployment.users.resubmit(job(deployment, args)),
+  cancel: (deployment, args) => deployment.users.cancel(job(deployment, args)),
+  "ask-about-nobody": (deployment) => deployment.users.askAboutNobody(),
+  crash: (deployment, args) => deployment.crash(node(deployment, args), number(args, 1, 4) * 1000),
+  "crash-all": (deployment, args) => {
+    for (const name of deployment.names) deployment.crash(name, number(args, 0, 4) * 1000)
   },
-  "cloud-outage": (world, args) => {
-    world.cloud.outage(true)
-    world.sim.after(number(args, 0, 10) * 1000, () => world.cloud.outage(false))
+  "cloud-outage": (deployment, args) => {
+    deployment.cloud.outage(true)
+    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
   },
-  /** Says which pair of troubles comes next, and notes whether the first one's effect is there. */
-  pair: (world, [first, effect, second]) => {
-    if (!troubleEffects.includes(effect as TroubleEffect)) throw new Error(`unknown effect ${effect}`)
-    const met = world.effects.has(effect as TroubleEffect)
-    world.pairs.push({ first: first!, effect: effect as TroubleEffect, second: second!, met })
+  /** Says which pair of faults comes next, and notes whether the first one's effect is there. */
+  pair: (deployment, [first, effect, second]) => {
+    if (!faultEffects.includes(effect as FaultEffect)) throw new Error(`unknown effect ${effect}`)
+    const met = deployment.effects.has(effect as FaultEffect)
+    deployment.pairs.push({ first: first!, effect: effect as FaultEffect, second: second!, met })
   },
-  capacity: (world, args) => {
-    world.cloud.settings.capacity = number(args, 0, 0)
+  capacity: (deployment, args) => {
+    deployment.cloud.settings.capacity = number(args, 0, 0)
   },
-  freeze: (world, args) =>
-    world.freeze(node(world, args), number(args, 1, 30) * 1000, (args[2] ?? null) as Sending | null),
+  freeze: (deployment, args) =>
+    deployment.freeze(
+      node(deployment, args),
+      number(args, 1, 30) * 1000,
+      (args[2] ?? null) as FreezePoint | null,
+    ),
 }
 
 const atMost = (what: string, count: number, args: Args): string | null =>
   count <= number(args, 0, 0) ? null : `${count} ${what}, expected at most ${args[0]}`
 
 /** What a scenario can ask for at its end, besides unbroken rules. */
-const expectations: Record<string, (world: World, args: Args) => string | null> = {
+const expectations: Record<string, (deployment: SimulatedDeployment, args: Args) => string | null> = {
   ...userExpectations,
-  done: (world, args) => {
-    const { done } = world.users.counts()
+  done: (deployment, args) => {
+    const { done } = deployment.users.counts()
     return done >= number(args, 0, 1) ? null : `${done} jobs are done, expected ${args[0]}`
   },
-  "all-over": (world) => {
-    const { done, withdrawn, jobs } = world.users.counts()
+  "all-over": (deployment) => {
+    const { done, withdrawn, jobs } = deployment.users.counts()
     return done + withdrawn === jobs ? null : `${done} done and ${withdrawn} withdrawn of ${jobs} jobs`
   },
-  withdrawn: (world, args) => {
-    const { withdrawn } = world.users.counts()
+  withdrawn: (deployment, args) => {
+    const { withdrawn } = deployment.users.counts()
     return withdrawn >= number(args, 0, 1) ? null : `${withdrawn} jobs are withdrawn, expected ${args[0]}`
   },
-  "starts-at-most": (world, args) =>
-    world.rules.starts <= number(args, 0, 0)
+  "starts-at-most": (deployment, args) =>
+    deployment.invariants.starts <= number(args, 0, 0)
       ? null
-      : `${world.rules.starts} starts, expected at most ${args[0]}`,
-  "machines-at-most": (world, args) => {
-    const have = world.cloud.machines.size
+      : `${deployment.invariants.starts} starts, expected at most ${args[0]}`,
+  "machines-at-most": (deployment, args) => {
+    const have = deployment.cloud.machines.size
     return have <= number(args, 0, 0) ? null : `${have} machines are left, expected at most ${args[0]}`
   },
-  "state-requests-at-most": (world, args) => atMost("requests", world.state.count.requests, args),
-  "state-changes-at-most": (world, args) => atMost("changes", world.state.count.changes, args),
-  "cloud-calls-at-most": (world, args) => atMost("calls of the cloud", world.cloud.calls, args),
-  "peer-kilobytes-at-most": (world, args) =>
-    atMost("kilobytes between controllers", Math.round(world.count.peerBytes / 1024), args),
-  "commands-at-once-at-most": (world, args) => atMost("commands at once", world.count.commandsAtOnce, args),
-  "workers-at-one-node-at-least": (world, args) =>
-    world.count.workersAtOne >= number(args, 0, 0)
+  "state-requests-at-most": (deployment, args) => atMost("requests", deployment.state.count.requests, args),
+  "state-changes-at-most": (deployment, args) => atMost("changes", deployment.state.count.changes, args),
+  "cloud-calls-at-most": (deployment, args) => atMost("calls of the cloud", deployment.cloud.calls, args),
+  "peer-kilobytes-at-most": (deployment, args) =>
+    atMost("kilobytes between controllers", Math.round(deployment.count.peerBytes / 1024), args),
+  "commands-at-once-at-most": (deployment, args) =>
+    atMost("commands at once", deployment.count.commandsAtOnce, args),
+  "workers-at-one-node-at-least": (deployment, args) =>
+    deployment.count.workersAtOne >= number(args, 0, 0)
       ? null
-      : `${world.count.workersAtOne} workers at one node, not ${args[0]}`,
-  "workers-at-one-node-at-most": (world, args) =>
-    atMost("workers at one node", world.count.workersAtOne, args),
-  "rented-at-most": (world, args) => atMost("machines rented", world.cloud.rented, args),
+      : `${deployment.count.workersAtOne} workers at one node, not ${args[0]}`,
+  "workers-at-one-node-at-most": (deployment, args) =>
+    atMost("workers at one node", deployment.count.workersAtOne, args),
+  "rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
   /** At least so many faulty machines were given back as such, and none that isn't. */
-  "faulty-returned": (world, args) => {
-    const returned = world.logged.filter((line) => line.includes('"reason":"faulty"'))
+  "faulty-returned": (deployment, args) => {
+    const returned = deployment.logged.filter((line) => line.includes('"reason":"faulty"'))
     const healthy = returned.find((line) => {
       const id = /"machine":"([^"]+)"/.exec(line)?.[1] ?? ""
-      return !world.cloud.faulty.has(id)
+      return !deployment.cloud.faulty.has(id)
     })
     if (healthy !== undefined) return `given back though it isn't faulty: ${healthy}`
     return returned.length >= number(args, 0, 1)
       ? null
       : `${returned.length} machines given back as faulty, expected ${args[0]}`
   },
-  "rented-at-least": (world, args) =>
-    world.cloud.rented >= number(args, 0, 0) ? null : `${world.cloud.rented} machines rented, not ${args[0]}`,
+  "rented-at-least": (deployment, args) =>
+    deployment.cloud.rented >= number(args, 0, 0)
+      ? null
+      : `${deployment.cloud.rented} machines rented, not ${args[0]}`,
   /** So many of the pairs that the scenario names really met. */
-  "pairs-met-at-least": (world, args) => {
-    const met = world.pairs.filter((pair) => pair.met).length
-    return met >= number(args, 0, 1) ? null : `${met} of ${world.pairs.length} pairs met, expected ${args[0]}`
+  "pairs-met-at-least": (deployment, args) => {
+    const met = deployment.pairs.filter((pair) => pair.met).length
+    return met >= number(args, 0, 1)
+      ? null
+      : `${met} of ${deployment.pairs.length} pairs met, expected ${args[0]}`
   },
-  "no-machine": (world) => expectations["machines-at-most"]!(world, ["0"]),
-  "log-has": (world, args) =>
-    world.logged.some((l) => l.includes(args[0]!)) ? null : `never logged: ${args[0]}`,
-  "log-has-no": (world, args) => {
-    const line = world.logged.find((l) => l.includes(args[0]!))
+  "no-machine": (deployment) => expectations["machines-at-most"]!(deployment, ["0"]),
+  "log-has": (deployment, args) =>
+    deployment.logged.some((l) => l.includes(args[0]!)) ? null : `never logged: ${args[0]}`,
+  "log-has-no": (deployment, args) => {
+    const line = deployment.logged.find((l) => l.includes(args[0]!))
     return line === undefined ? null : `logged: ${line}`
   },
 }
@@ -198,17 +209,20 @@
   })
 }
 
-/** Troubles that a scenario has to bring together, by the name under which that is counted. */
-interface Meeting {
+/** Faults that a scenario has to bring together, by the name under which that is counted. */
+interface Coincidence {
   readonly what: string
   readonly least: number
 }
 
-/** Counted over all seeds of a scenario: whether rare troubles meet on one seed changes with every random draw. */
-const neverMet = ({ what, least }: Meeting, worlds: ReadonlyArray<World>): string | null => {
+/** Counted over all seeds of a scenario: whether rare faults meet on one seed changes with every random draw. */
+const neverMet = (
+  { what, least }: Coincidence,
+  worlds: ReadonlyArray<SimulatedDeployment>,
+): string | null => {
   let total = 0
-  for (const world of worlds) {
-    const count = happened(world)[what]
+  for (const deployment of worlds) {
+    const count = happened(deployment)[what]
     if (count === undefined) return `nothing is counted as ${what}`
     total += count
   }
@@ -224,7 +238,7 @@
   const top = parse(text)[0]
   if (top?.type !== "list") throw new Error("expected (scenario …)")
   const [, title, ...entries] = top.content
-  let setup: Setup = usualSetup
+  let setup: DeploymentSetup = defaultSetup
   let untilS = 120
   const events: Array<{
     readonly atS: number
@@ -232,8 +246,8 @@
     readonly args: Args
     readonly lastsS: number
   }> = []
-  const wishes: Array<(world: World) => string | null> = []
-  const meetings: Array<Meeting> = []
+  const requirements: Array<(deployment: SimulatedDeployment) => string | null> = []
+  const coincidences: Array<Coincidence> = []
   let seeds: ReadonlyArray<number> = []
   const guards: Array<Guard> = []
   for (const entry of entries) {
@@ -246,7 +260,7 @@
         const [name, ...args] = words(form)
         const action = actions[name ?? ""]
         if (action === undefined) throw new Error(`line ${form.location.start.line}: unknown action ${name}`)
-        // Troubles name how long they last among their numbers.
+        // Faults name how long they last among their numbers.
         const lastsS = Math.max(0, ...args.map(Number).filter(Number.isFinite))
         events.push({
           atS: Number(words(at!)[0]),
@@ -262,13 +276,13 @@
       for (const form of entry.content.slice(1)) {
         const [name, ...args] = words(form)
         if (name === "happened") {
-          meetings.push({ what: args[0] ?? "", least: number(args, 1, 1) })
+          coincidences.push({ what: args[0] ?? "", least: number(args, 1, 1) })
           continue
         }
-        const wish = expectations[name ?? ""]
-        if (wish === undefined)
+        const requirement = expectations[name ?? ""]
+        if (requirement === undefined)
           throw new Error(`line ${form.location.start.line}: unknown expectation ${name}`)
-        wishes.push((world) => wish(world, args))
+        requirements.push((deployment) => requirement(deployment, args))
       }
     } else if (what === "guard") {
       const [, file, from, to] = words(entry)
@@ -304,36 +318,37 @@
         runOnce(seed + seedShift, options),
       )
       const failures = runs.flatMap((run) => run.failures)
-      const worlds = runs.map(({ world }) => world)
-      for (const meeting of meetings) {
+      const worlds = runs.map(({ deployment }) => deployment)
+      for (const meeting of coincidences) {
         const complaint = neverMet(meeting, worlds)
         if (complaint !== null) failures.push(complaint)
       }
-      return { failures, world: (runs.find((run) => run.failures.length > 0) ?? runs[0])!.world }
+      return { failures, deployment: (runs.find((run) => run.failures.length > 0) ?? runs[0])!.deployment }
     },
   }
 
   /** Everything but the meetings has to hold on each seed. */
   function runOnce(seed: number, { trace, prepare }: RunOptions): Result {
     jobCount = 0
-    const world = new World({ ...setup, seed })
+    const deployment = new SimulatedDeployment({ ...setup, seed })
     trace?.run(seed)
-    world.net.trace = trace ?? null
-    prepare?.(world)
+    deployment.network.trace = trace ?? null
+    prepare?.(deployment)
     for (const { atS, action, args, lastsS } of events)
-      world.sim.after(atS * 1000, () => {
-        world.rules.trouble(lastsS * 1000)
-        action(world, args)
+      deployment.simulation.after(atS * 1000, () => {
+        deployment.invariants.faultLasts(lastsS * 1000)
+        action(deployment, args)
       })
-    world.sim.runUntil(untilS * 1000)
-    const failures = [...world.rules.broken.slice(0, 5)]
-    if (world.rules.broken.length > 5) failures.push(`… and ${world.rules.broken.length - 5} more`)
-    for (const line of world.logged) if (line.includes(" error ")) failures.push(line)
-    failures.push(...epochsOwnedTwice(world.logged))
-    for (const wish of wishes) {
-      const complaint = wish(world)
+    deployment.simulation.runUntil(untilS * 1000)
+    const failures = [...deployment.invariants.broken.slice(0, 5)]
+    if (deployment.invariants.broken.length > 5)
+      failures.push(`… and ${deployment.invariants.broken.length - 5} more`)
+    for (const line of deployment.logged) if (line.includes(" error ")) failures.push(line)
+    failures.push(...epochsOwnedTwice(deployment.logged))
+    for (const requirement of requirements) {
+      const complaint = requirement(deployment)
       if (complaint !== null) failures.push(complaint)
     }
-    return { failures, world }
+    return { failures, deployment }
   }
 }
--- a/packages/testkit/src/services/cloud.ts
+++ b/packages/testkit/src/services/cloud.ts
@@ -1,7 +1,7 @@
 import type { WireMachineType } from "@sorreltally/protocol"
-import type { Rules } from "../invariants/invariants.ts"
-import type { Net, Request } from "../simulation/network.ts"
-import type { Sim } from "../simulation/simulation.ts"
+import type { Invariants } from "../invariants/invariants.ts"
+import type { Network, Request } from "../simulation/network.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 import { Machine, type MachineDump, type WorkerTimes } from "./machine.ts"
 
 export interface CloudSettings {
@@ -47,19 +47,19 @@
   private history: Array<{ readonly at: number; readonly hosts: ReadonlyArray<Record<string, unknown>> }> = []
 
   constructor(
-    private readonly sim: Sim,
-    private readonly net: Net,
-    private readonly rules: Rules,
+    private readonly simulation: Simulation,
+    private readonly network: Network,
+    private readonly invariants: Invariants,
     readonly settings: CloudSettings,
   ) {
-    net.listen("cloud", (request, _from, answer) => {
-      sim.after(sim.luck.between(20, 120), () => answer(this.serve(request)))
+    network.listen("cloud", (request, _from, answer) => {
+      simulation.after(simulation.random.between(20, 120), () => answer(this.serve(request)))
     })
     const record = () => {
-      this.history.push({ at: sim.now, hosts: this.listNow() })
-      while (this.history.length > 1 && this.history[1]!.at < sim.now - 3 * settings.lagMs)
+      this.history.push({ at: simulation.now, hosts: this.listNow() })
+      while (this.history.length > 1 && this.history[1]!.at < simulation.now - 3 * settings.lagMs)
         this.history.shift()
-      sim.after(500, record)
+      simulation.after(500, record)
     }
     record()
   }
@@ -85,7 +85,7 @@
 
   outage(on: boolean): void {
     this.down = on
-    if (!on) this.lastBackAt = this.sim.now
+    if (!on) this.lastBackAt = this.simulation.now
   }
   isDown(): boolean {
     return this.down
@@ -98,7 +98,7 @@
       site: m.zone,
       loaners: m.spot,
       status: m.status,
-      held_s: (this.sim.now - m.rented) / 1000,
+      held_s: (this.simulation.now - m.rented) / 1000,
     }))
   }
 
@@ -112,7 +112,7 @@
       return { status: 200, body: {} }
     }
     if (request.method === "GET") {
-      const asOf = this.sim.now - this.settings.lagMs * this.sim.luck.between(1, 2)
+      const asOf = this.simulation.now - this.settings.lagMs * this.simulation.random.between(1, 2)
       const seen = [...this.history].reverse().find((h) => h.at <= asOf)
       const after = url.searchParams.get("after") ?? ""
       const page = Number(url.searchParams.get("page") ?? 500)
@@ -155,9 +155,9 @@
       type,
       zone,
       spot,
-      this.sim,
-      this.net,
-      this.rules,
+      this.simulation,
+      this.network,
+      this.invariants,
       times,
       nodes,
       this.saved,
@@ -167,10 +167,10 @@
   }
   private bootLater(machine: Machine): void {
     const { neverBoots, bootWithinMs } = this.settings
-    if (this.sim.luck.chance(neverBoots)) return
-    const usualMs = machine.type.startup_s * 1000 * this.sim.luck.between(0.6, 1.5)
-    const bootMs = bootWithinMs === null ? usualMs : this.sim.luck.between(0, bootWithinMs)
-    this.sim.after(bootMs, () => machine.boot())
+    if (this.simulation.random.chance(neverBoots)) return
+    const usualMs = machine.type.startup_s * 1000 * this.simulation.random.between(0.6, 1.5)
+    const bootMs = bootWithinMs === null ? usualMs : this.simulation.random.between(0, bootWithinMs)
+    this.simulation.after(bootMs, () => machine.boot())
   }
   take(id: string): void {
     this.machines.get(id)?.remove()
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -1,10 +1,10 @@
 import type { WireCommand, WireHeartbeat, WireJob, WireMachineType } from "@sorreltally/protocol"
-import type { Rules } from "../invariants/invariants.ts"
-import type { Net } from "../simulation/network.ts"
-import type { Sim } from "../simulation/simulation.ts"
+import type { Invariants } from "../invariants/invariants.ts"
+import type { Network } from "../simulation/network.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 
 /** A task on a machine, as plain data. */
-export interface TaskDump extends Omit<Task, "callOff"> {}
+export interface TaskDump extends Omit<Task, "cancelTimer"> {}
 /** A machine and its worker, as plain data. Times are in milliseconds. */
 export interface MachineDump {
   readonly id: string
@@ -30,7 +30,7 @@
   stored: boolean
   progressS: number
   since: number
-  callOff: () => void
+  cancelTimer: () => void
 }
 /** A task that takes room on a machine. */
 export interface Occupant {
@@ -64,7 +64,7 @@
   private timer: () => void = () => {}
   private hung = false
   private life = 0
-  private missed: Array<() => void> = []
+  private deferred: Array<() => void> = []
   warningUntil: number | null = null
   gone = false
   /** Every task that runs here fails soon. */
@@ -78,27 +78,27 @@
     readonly type: WireMachineType,
     readonly zone: string,
     readonly spot: boolean,
-    private readonly sim: Sim,
-    private readonly net: Net,
-    private readonly rules: Rules,
+    private readonly simulation: Simulation,
+    private readonly network: Network,
+    private readonly invariants: Invariants,
     private readonly times: WorkerTimes,
     private readonly nodes: ReadonlyArray<string>,
     /** Where checkpoints are kept: outside of the machine. */
     private readonly saved: Map<string, number>,
   ) {
-    this.rented = sim.now
-    this.lastAnswered = sim.now
-    this.node = Math.floor(sim.luck.next() * nodes.length)
+    this.rented = simulation.now
+    this.lastAnswered = simulation.now
+    this.node = Math.floor(simulation.random.next() * nodes.length)
   }
 
   boot(): void {
     if (this.gone) return
     this.status = "running"
-    this.lastAnswered = this.sim.now
-    this.net.listen(
+    this.lastAnswered = this.simulation.now
+    this.network.listen(
       this.id,
       (request, _from, answer) => {
-        const came = this.sim.now
+        const came = this.simulation.now
         this.whenAwake(() => {
           if (request.path === "/inspect") return answer({ status: 200, body: this.body() })
           const { baton, tenure, orders } = request.body as {
@@ -108,15 +108,15 @@
           }
           if (baton === undefined || tenure === undefined) return answer({ status: 400, body: {} })
           if (baton < this.baton || tenure !== this.tenure) {
-            this.sim.occurrences.count(
+            this.simulation.occurrences.count(
               baton < this.baton
                 ? "commands of a deposed leader refused"
                 : "commands of an earlier session refused",
             )
             return answer({ status: 409, body: this.body() })
           }
-          if (this.sim.now - came > GIVEN_UP_MS)
-            this.sim.occurrences.count("commands carried out on resuming")
+          if (this.simulation.now - came > GIVEN_UP_MS)
+            this.simulation.occurrences.count("commands carried out on resuming")
           this.hear(baton)
           this.execute(orders)
           answer({ status: 200, body: this.body() })
@@ -130,7 +130,7 @@
 
   dump(): MachineDump {
     const { id, type, zone, spot, status, rented, tenure, tick, baton, lastAnswered } = this
-    const tasks = [...this.tasks.values()].map(({ callOff: _, ...task }) => task)
+    const tasks = [...this.tasks.values()].map(({ cancelTimer: _, ...task }) => task)
     const images = [...this.images]
     const facts = { id, zone, spot, status, rented, tenure, tick, baton, lastAnswered }
     return { ...facts, type: type.name, images, tasks }
@@ -145,41 +145,41 @@
     for (const image of dump.images) this.images.add(image)
     this.boot()
     this.lastAnswered = dump.lastAnswered
-    for (const task of dump.tasks) this.restoreTask({ ...task, callOff: () => {} })
+    for (const task of dump.tasks) this.restoreTask({ ...task, cancelTimer: () => {} })
   }
   private restoreTask(task: Task): void {
     this.tasks.set(`${task.job}/${task.index}`, task)
     if (task.status === "exited") return
     const { status, since } = task
-    const request = this.rules.submitted.get(task.job)!
-    const ranS = (this.sim.now - since) / 1000
+    const request = this.invariants.submitted.get(task.job)!
+    const ranS = (this.simulation.now - since) / 1000
     if (status === "pulling") {
       const leftMs = Math.max(0, (request.image_gb / this.type.pull_gb_per_s - ranS) * 1000)
-      task.callOff = this.sim.after(leftMs, () => this.whenAwake(() => this.begin(task, request)))
+      task.cancelTimer = this.simulation.after(leftMs, () => this.whenAwake(() => this.begin(task, request)))
       return
     }
     task.status = "pulling"
     this.begin(task, request)
     task.since = since
-    task.callOff()
+    task.cancelTimer()
     const piece = `${task.job}/${task.index}`
     const leftS = Math.max(0, request.expected_s - (this.saved.get(piece) ?? 0) - ranS)
-    task.callOff = this.sim.after(leftS * 1000, () => this.whenAwake(() => this.complete(task)))
+    task.cancelTimer = this.simulation.after(leftS * 1000, () => this.whenAwake(() => this.complete(task)))
     if (status === "flushing") this.stop(task, request.flush_s)
   }
 
   hang(on: boolean): void {
     this.hung = on
     if (on) return
-    this.sim.lastResumedAt = this.sim.now
-    const missed = this.missed
-    this.missed = []
-    for (const run of missed) run()
+    this.simulation.lastResumedAt = this.simulation.now
+    const deferred = this.deferred
+    this.deferred = []
+    for (const run of deferred) run()
   }
   /** Off and on again: it knows nothing of its former self, whatever it cached or ran. */
   reboot(afterMs: number): void {
     if (this.gone || this.status !== "running") return
-    this.net.close(this.id)
+    this.network.close(this.id)
     this.timer()
     for (const task of this.tasks.values()) this.drop(task)
     this.tasks.clear()
@@ -189,9 +189,9 @@
     this.baton = 0
     this.life++
     this.inFlight = false
-    this.missed = []
+    this.deferred = []
     this.hung = false
-    this.sim.after(afterMs, () => this.boot())
+    this.simulation.after(afterMs, () => this.boot())
   }
   get lastTick(): number {
     return this.tick
@@ -199,7 +199,7 @@
   /** How long ago the last answered report was sent, if the machine has tasks to lose. */
   unansweredForMs(): number {
     const running = this.status === "running" && this.tasks.size > 0
-    return running ? this.sim.now - this.lastAnswered : 0
+    return running ? this.simulation.now - this.lastAnswered : 0
   }
   get isHung(): boolean {
     return this.hung
@@ -220,31 +220,31 @@
   }
   private whenAwake(run: () => void): void {
     if (this.gone) return
-    if (this.hung) this.missed.push(() => this.whenAwake(run))
+    if (this.hung) this.deferred.push(() => this.whenAwake(run))
     else run()
   }
   /** It stops on its own; the cloud lists it as running for a while, then as failed. */
   die(): void {
     const { gone } = this
     this.remove()
-    if (!gone) this.sim.after(SHOWN_RUNNING_MS, () => (this.status = "failed"))
+    if (!gone) this.simulation.after(SHOWN_RUNNING_MS, () => (this.status = "failed"))
   }
   /** Power off: nothing runs, nothing answers. */
   remove(): void {
     if (this.gone) return
     this.gone = true
-    this.net.close(this.id)
+    this.network.close(this.id)
     this.timer()
     for (const task of this.tasks.values()) this.drop(task)
     this.tasks.clear()
   }
   private drop(task: Task): void {
-    task.callOff()
-    if (task.status === "running" && this.rules.submitted.get(task.job)?.site != null)
-      this.sim.occurrences.count("tasks of jobs bound to a zone lost")
+    task.cancelTimer()
+    if (task.status === "running" && this.invariants.submitted.get(task.job)?.site != null)
+      this.simulation.occurrences.count("tasks of jobs bound to a zone lost")
     if (task.status === "running" || task.status === "flushing") {
-      this.rules.workLostAt = this.sim.now
-      this.rules.ended(task.job, task.index, this.id)
+      this.invariants.workLostAt = this.simulation.now
+      this.invariants.ended(task.job, task.index, this.id)
     }
     task.status = "gone"
   }
@@ -253,15 +253,15 @@
     if (this.gone || life !== this.life) return
     // Also while it hangs: it can resume within its lease only, and runs nothing until then.
     this.expire()
-    this.sim.after(250, () => this.checkLease(life))
+    this.simulation.after(250, () => this.checkLease(life))
   }
   private expire(): void {
-    if (this.sim.now - this.lastAnswered <= this.times.lease_s * 1000) return
-    this.sim.occurrences.count("tasks lost by their lease", this.runningTasks)
+    if (this.simulation.now - this.lastAnswered <= this.times.lease_s * 1000) return
+    this.simulation.occurrences.count("tasks lost by their lease", this.runningTasks)
     for (const task of this.tasks.values()) this.drop(task)
     this.tasks.clear()
     this.tenure++
-    this.lastAnswered = this.sim.now
+    this.lastAnswered = this.simulation.now
     this.change()
   }
 
@@ -281,7 +281,8 @@
       tenure: this.tenure,
       tick: ++this.tick,
       baton: this.baton,
-      warning_s: this.warningUntil === null ? null : Math.max(0, (this.warningUntil - this.sim.now) / 1000),
+      warning_s:
+        this.warningUntil === null ? null : Math.max(0, (this.warningUntil - this.simulation.now) / 1000),
       pieces,
     } as unknown as WireHeartbeat
   }
@@ -292,18 +293,18 @@
   }
   change(): void {
     this.again = true
-    this.schedule(Math.max(0, this.lastSent + 500 - this.sim.now))
+    this.schedule(Math.max(0, this.lastSent + 500 - this.simulation.now))
   }
   private schedule(ms: number): void {
     this.timer()
-    this.timer = this.sim.after(ms, () => this.whenAwake(() => this.report()))
+    this.timer = this.simulation.after(ms, () => this.whenAwake(() => this.report()))
   }
 
   private report(): void {
     if (this.inFlight) return
     this.inFlight = true
     this.again = false
-    const sent = this.sim.now
+    const sent = this.simulation.now
     const { tenure, life } = this
     this.lastSent = sent
     const to = this.nodes[this.node]!
@@ -318,17 +319,17 @@
       this.node = (this.node + 1) % this.nodes.length
       this.schedule(1000)
     }
-    this.sim.after(4000, () => this.whenAwake(() => finish(tryNext)))
-    this.net.request(this.id, to, { method: "POST", path: "/v1/report", body: this.body() }, (answer) => {
+    this.simulation.after(4000, () => this.whenAwake(() => finish(tryNext)))
+    this.network.request(this.id, to, { method: "POST", path: "/v1/report", body: this.body() }, (answer) => {
       this.whenAwake(() => {
-        if (this.sim.now - sent >= 4000) return
+        if (this.simulation.now - sent >= 4000) return
         finish(() => {
           if (answer?.status === 421) {
             const steward = (answer.body as { steward?: string } | null)?.steward
             const at = this.nodes.indexOf(steward ?? "")
             if (at < 0 || at === this.node) return tryNext()
             this.node = at
-            return this.schedule(this.sim.luck.between(0, 500))
+            return this.schedule(this.simulation.random.between(0, 500))
           }
           if (answer?.status !== 200) return tryNext()
           const { baton, orders } = answer.body as { baton?: number; orders: Array<WireCommand> }
@@ -337,8 +338,8 @@
             this.hear(baton)
             this.execute(orders)
           }
-          const regular = this.times.report_s * 1000 * this.sim.luck.between(0.75, 1.25)
-          this.schedule(this.again ? Math.max(0, this.lastSent + 500 - this.sim.now) : regular)
+          const regular = this.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
+          this.schedule(this.again ? Math.max(0, this.lastSent + 500 - this.simulation.now) : regular)
         })
       })
     })
@@ -362,7 +363,7 @@
     const at = piece.indexOf("/")
     const job = piece.slice(0, at)
     const index = Number(piece.slice(at + 1))
-    const request = this.rules.submitted.get(job)
+    const request = this.invariants.submitted.get(job)
     const task: Task = {
       job,
       index,
@@ -371,35 +372,39 @@
       cause: null,
       stored: false,
       progressS: 0,
-      since: this.sim.now,
-      callOff: () => {},
+      since: this.simulation.now,
+      cancelTimer: () => {},
     }
     if (known !== undefined && known.status !== "exited") return
     this.tasks.set(piece, task)
     if (request === undefined) return this.exit(task, "unknown")
     let cores = this.type.cores
     for (const other of this.tasks.values()) {
-      if (other.status !== "exited") cores -= this.rules.submitted.get(other.job)?.cores ?? 0
+      if (other.status !== "exited") cores -= this.invariants.submitted.get(other.job)?.cores ?? 0
     }
     if (cores < -1e-6) return this.exit(task, "no_room")
     const pullS = this.images.has(request.bundle) ? 0 : request.image_gb / this.type.pull_gb_per_s
-    task.callOff = this.sim.after(pullS * 1000, () => this.whenAwake(() => this.begin(task, request)))
+    task.cancelTimer = this.simulation.after(pullS * 1000, () =>
+      this.whenAwake(() => this.begin(task, request)),
+    )
   }
   private begin(task: Task, request: WireJob): void {
     if (task.status !== "pulling" || this.gone) return
     this.images.add(request.bundle)
     task.status = "running"
-    task.since = this.sim.now
-    this.rules.began(task.job, task.index, {
+    task.since = this.simulation.now
+    this.invariants.began(task.job, task.index, {
       machine: this.id,
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
     })
     this.change()
-    if (this.faulty || this.rules.mistaken.has(task.job)) {
-      this.sim.occurrences.count(this.faulty ? "tasks failed by their machine" : "tasks failed by their job")
-      task.callOff = this.sim.after(FAILS_AFTER_MS, () =>
+    if (this.faulty || this.invariants.mistaken.has(task.job)) {
+      this.simulation.occurrences.count(
+        this.faulty ? "tasks failed by their machine" : "tasks failed by their job",
+      )
+      task.cancelTimer = this.simulation.after(FAILS_AFTER_MS, () =>
         this.whenAwake(() => {
           if (task.status === "running" && !this.gone) this.exit(task, "error")
         }),
@@ -407,27 +412,29 @@
       return
     }
     const piece = `${task.job}/${task.index}`
-    const left = this.rules.isFinished(task.job, task.index)
+    const left = this.invariants.isFinished(task.job, task.index)
       ? 0
       : request.expected_s - (this.saved.get(piece) ?? 0)
-    task.callOff = this.sim.after(left * 1000 * this.speed, () => this.whenAwake(() => this.complete(task)))
+    task.cancelTimer = this.simulation.after(left * 1000 * this.speed, () =>
+      this.whenAwake(() => this.complete(task)),
+    )
   }
   private complete(task: Task): void {
     if (task.status !== "running" || this.gone) return
-    this.rules.finished(task.job, task.index)
+    this.invariants.finished(task.job, task.index)
     this.exit(task, "done")
   }
   private exit(task: Task, cause: string): void {
     if (task.status === "running" || task.status === "flushing")
-      this.rules.ended(task.job, task.index, this.id)
+      this.invariants.ended(task.job, task.index, this.id)
     task.status = "exited"
     task.cause = cause
     this.change()
   }
   private stop(task: Task, leewayS: number): void {
     if (task.status === "exited") return
-    const request = this.rules.submitted.get(task.job)
-    task.callOff()
+    const request = this.invariants.submitted.get(task.job)
+    task.cancelTimer()
     if (
       task.status === "running" &&
       request !== undefined &&
@@ -435,8 +442,8 @@
       leewayS >= request.flush_s
     ) {
       task.status = "flushing"
-      const ranS = (this.sim.now - task.since) / 1000 / this.speed
-      task.callOff = this.sim.after(request.flush_s * 1000, () =>
+      const ranS = (this.simulation.now - task.since) / 1000 / this.speed
+      task.cancelTimer = this.simulation.after(request.flush_s * 1000, () =>
         this.whenAwake(() => {
           if (task.status !== "flushing" || this.gone) return
           const piece = `${task.job}/${task.index}`
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -1,8 +1,8 @@
-import type { Sim } from "../simulation/simulation.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 
-const LATE_LEAST_MS = 2_000
-const LATE_MOST_MS = 12_000
-const OUTAGE_LOOK_MS = 100
+const MIN_DELAY_MS = 2_000
+const MAX_DELAY_MS = 12_000
+const OUTAGE_CHECK_INTERVAL_MS = 100
 
 /** What the state service does to transactions besides carrying them out, and how often it happened. */
 export class StateFaults {
@@ -29,7 +29,7 @@
   /** Writers of changes whose answers were lost, by revision, until somebody reads them. */
   private readonly unread = new Map<number, string>()
 
-  constructor(private readonly sim: Sim) {}
+  constructor(private readonly simulation: Simulation) {}
 
   areOn(): boolean {
     return this.lateShare > 0 || this.lostShare > 0 || this.slowMs > 0
@@ -40,23 +40,23 @@
    * whether it changed anything, or null while the service is out.
    */
   holdsBack(from: string, run: () => boolean | null): boolean {
-    if (this.lateShare === 0 || !this.sim.luck.chance(this.lateShare)) return false
+    if (this.lateShare === 0 || !this.simulation.random.chance(this.lateShare)) return false
     this.count.late++
     const before = this.carriedOut.get(from) ?? 0
     const carryOut = () => {
       const applied = run()
-      if (applied === null) return this.sim.after(OUTAGE_LOOK_MS, carryOut)
+      if (applied === null) return this.simulation.after(OUTAGE_CHECK_INTERVAL_MS, carryOut)
       if ((this.carriedOut.get(from) ?? 0) > before) this.count.lateAfterNewer++
       if (applied) this.count.lateApplied++
       else this.count.lateRefused++
     }
-    this.sim.after(this.sim.luck.between(LATE_LEAST_MS, LATE_MOST_MS), carryOut)
+    this.simulation.after(this.simulation.random.between(MIN_DELAY_MS, MAX_DELAY_MS), carryOut)
     return true
   }
   /** A transaction was carried out at once; true: its answer is lost. */
   losesAnswer(from: string, revision: number): boolean {
     this.carriedOut.set(from, (this.carriedOut.get(from) ?? 0) + 1)
-    if (!this.sim.luck.chance(this.lostShare)) return false
+    if (!this.simulation.random.chance(this.lostShare)) return false
     this.count.lostAnswers++
     this.unread.set(revision, from)
     return true
@@ -71,10 +71,10 @@
       if (writer !== by) this.count.lostReadByOthers++
     }
   }
-  /** How much longer one part of a request takes: its way there, or its answer. */
+  /** How much longer one leg of a request takes: the way there, or the answer. */
   delayMs(): number {
     if (this.slowMs === 0) return 0
     this.count.slow++
-    return this.sim.luck.between(0, this.slowMs / 2)
+    return this.simulation.random.between(0, this.slowMs / 2)
   }
 }
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -1,17 +1,17 @@
-import type { Net, Request } from "../simulation/network.ts"
-import type { Sim } from "../simulation/simulation.ts"
+import type { Network, Request } from "../simulation/network.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 import { Operations } from "./operations.ts"
 import { StateFaults } from "./state-faults.ts"
 
-interface Held {
+interface StoredEntry {
   v: unknown
   stamp: number
   permit: number | null
 }
-interface News {
+interface WatchEvent {
   readonly epoch: number
   readonly path: string
-  readonly entry: Held | null
+  readonly entry: StoredEntry | null
 }
 interface Condition {
   readonly path: string
@@ -25,24 +25,26 @@
 }
 
 /** The state service's whole store. */
-export interface StateDump {
+export interface StoreDump {
   readonly epoch: number
-  /** Number of the last grant made. */
+  /** Number of the last lease made. */
   readonly permits: number
   /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
   readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
-  readonly entries: ReadonlyArray<{ readonly path: string } & Readonly<Pick<Held, "v" | "stamp" | "permit">>>
+  readonly entries: ReadonlyArray<
+    { readonly path: string } & Readonly<Pick<StoredEntry, "v" | "stamp" | "permit">>
+  >
 }
 
-const KEPT_NEWS = 10_000
+const MAX_WATCH_EVENTS = 10_000
 
 /** A stand-in of the state service: its published protocol, kept in memory. */
 export class StateService {
-  readonly keys = new Map<string, Held>()
+  readonly keys = new Map<string, StoredEntry>()
   private epoch = 0
   private permits = 0
   private readonly grants = new Map<number, { ttl: number; until: number }>()
-  private readonly news: Array<News> = []
+  private readonly watchEvents: Array<WatchEvent> = []
   private waiting: Array<() => void> = []
   private down = false
   /** When it last came back for everybody or for one node. */
@@ -59,8 +61,8 @@
   private readonly changes: Bucket
 
   constructor(
-    private readonly sim: Sim,
-    net: Net,
+    private readonly simulation: Simulation,
+    network: Network,
     private readonly limits: {
       readonly rps: number
       readonly write_rps: number
@@ -68,19 +70,21 @@
       readonly value_kb: number
     },
   ) {
-    this.faults = new StateFaults(sim)
+    this.faults = new StateFaults(simulation)
     this.requests = new Bucket(limits.rps)
     this.changes = new Bucket(limits.write_rps)
-    net.listen("state", (request, from, answer) => {
-      const late = sim.luck.chance(0.02) ? sim.luck.between(50, 300) : sim.luck.between(1, 6)
-      const answerLater: typeof answer = (what) => sim.after(this.faults.delayMs(), () => answer(what))
-      sim.after(late + this.faults.delayMs(), () =>
+    network.listen("state", (request, from, answer) => {
+      const late = simulation.random.chance(0.02)
+        ? simulation.random.between(50, 300)
+        : simulation.random.between(1, 6)
+      const answerLater: typeof answer = (what) => simulation.after(this.faults.delayMs(), () => answer(what))
+      simulation.after(late + this.faults.delayMs(), () =>
         this.serve(request, from, this.faults.slowMs > 0 ? answerLater : answer),
       )
     })
     const expire = () => {
-      if (!this.down) for (const [id, grant] of this.grants) if (grant.until < sim.now) this.end(id)
-      sim.after(50, expire)
+      if (!this.down) for (const [id, grant] of this.grants) if (grant.until < simulation.now) this.end(id)
+      simulation.after(50, expire)
     }
     expire()
   }
@@ -88,22 +92,22 @@
   outage(on: boolean): void {
     this.down = on
     if (on) return
-    this.lastBackAt = this.sim.now
+    this.lastBackAt = this.simulation.now
     this.renewAll()
   }
   /** One node alone gets 503, and its leases run out. */
   refuse(node: string, on: boolean): void {
     if (on) this.refused.add(node)
     else this.refused.delete(node)
-    if (!on) this.lastBackAt = this.sim.now
+    if (!on) this.lastBackAt = this.simulation.now
   }
   isDown(): boolean {
     return this.down
   }
-  /** How much of a grant's time is over since it was made or touched; 0 if there is no such grant. */
-  grantShareOver(permit: number | null): number {
+  /** How much of a lease's time is over since it was made or touched; 0 if there is no such lease. */
+  leaseShareElapsed(permit: number | null): number {
     const grant = this.grants.get(permit ?? -1)
-    return grant === undefined ? 0 : 1 - (grant.until - this.sim.now) / grant.ttl
+    return grant === undefined ? 0 : 1 - (grant.until - this.simulation.now) / grant.ttl
   }
   /** When a key with the prefix was last written or deleted. */
   lastChangeAt(prefix: string): number {
@@ -118,18 +122,18 @@
     return this.down || this.refuses(node)
   }
   private renewAll(): void {
-    for (const grant of this.grants.values()) grant.until = this.sim.now + grant.ttl
+    for (const grant of this.grants.values()) grant.until = this.simulation.now + grant.ttl
   }
 
   /** Everything that it holds, as plain data. */
-  dump(): StateDump {
+  dump(): StoreDump {
     const { epoch, permits } = this
     const grants = [...this.grants].map(([permit, { ttl, until }]) => ({ permit, ttl, until }))
     const entries = [...this.keys].map(([path, held]) => ({ path, ...held }))
     return { epoch, permits, grants, entries }
   }
   /** Holds what a dump says, as though it had been there from the beginning. */
-  restore({ epoch, permits, grants, entries }: StateDump): void {
+  restore({ epoch, permits, grants, entries }: StoreDump): void {
     this.epoch = epoch
     this.permits = permits
     for (const { permit, ttl, until } of grants) this.grants.set(permit, { ttl, until })
@@ -150,7 +154,7 @@
     const changes = url.pathname === "/multi" ? ((body.apply as Array<Change> | undefined)?.length ?? 0) : 0
     this.count.requests++
     this.count.changes += changes
-    if (!this.requests.take(1, this.sim.now) || !this.changes.take(changes, this.sim.now)) {
+    if (!this.requests.take(1, this.simulation.now) || !this.changes.take(changes, this.simulation.now)) {
       this.count.refused++
       return answer({ status: 429, body: { error: "too many" } })
     }
@@ -180,7 +184,7 @@
     if (url.pathname === "/watch") return this.watch(url, from, answer)
     if (url.pathname === "/grants") {
       const ttl = body.ttl_ms as number
-      this.grants.set(++this.permits, { ttl, until: this.sim.now + ttl })
+      this.grants.set(++this.permits, { ttl, until: this.simulation.now + ttl })
       return answer({ status: 200, body: { permit: this.permits } })
     }
     const grant = /^\/grants\/(\d+)(\/touch)?$/.exec(url.pathname)
@@ -188,7 +192,7 @@
     const held = this.grants.get(id)
     if (grant === null || held === undefined) return answer({ status: 404, body: {} })
     if (grant[2] === undefined) this.end(id)
-    else held.until = this.sim.now + held.ttl
+    else held.until = this.simulation.now + held.ttl
     answer({ status: 200, body: {} })
   }
 
@@ -236,23 +240,23 @@
     return { status: 200, body: { epoch: this.epoch } }
   }
 
-  private change(path: string, entry: Held | null): void {
+  private change(path: string, entry: StoredEntry | null): void {
     this.operations.note(path, this.keys.get(path)?.v, entry?.v)
     if (entry === null) this.keys.delete(path)
     else this.keys.set(path, entry)
-    this.changedAt.set(path, this.sim.now)
-    this.news.push({ epoch: this.epoch, path, entry })
-    if (this.news.length > KEPT_NEWS) this.news.shift()
+    this.changedAt.set(path, this.simulation.now)
+    this.watchEvents.push({ epoch: this.epoch, path, entry })
+    if (this.watchEvents.length > MAX_WATCH_EVENTS) this.watchEvents.shift()
     for (const listener of this.listeners) listener(path, entry?.v ?? null)
   }
 
   private watch(url: URL, from: string, answer: (a: { status: number; body: unknown }) => void): void {
     const prefix = url.searchParams.get("starts") ?? ""
     const after = Number(url.searchParams.get("after"))
-    const oldest = this.news[0]?.epoch ?? 1
+    const oldest = this.watchEvents[0]?.epoch ?? 1
     if (after + 1 < oldest) return answer({ status: 410, body: {} })
-    const news = () =>
-      this.news
+    const watchEvents = () =>
+      this.watchEvents
         .filter((n) => n.epoch > after && n.path.startsWith(prefix))
         .map((n) =>
           n.entry === null
@@ -264,10 +268,10 @@
       if (over) return
       // Open watches wait through an outage, and while their node alone is refused.
       const blocked = this.isOutFor(from)
-      const found = blocked ? [] : news()
+      const found = blocked ? [] : watchEvents()
       if (found.length === 0 && (!final || blocked)) {
         this.waiting.push(() => look(false))
-        if (final) this.sim.after(200, () => look(true))
+        if (final) this.simulation.after(200, () => look(true))
         return
       }
       over = true
@@ -278,12 +282,12 @@
       answer({ status: 200, body: { epoch: this.epoch, news: found } })
     }
     look(false)
-    if (!over) this.sim.after(Number(url.searchParams.get("block_ms") ?? 0), () => look(true))
+    if (!over) this.simulation.after(Number(url.searchParams.get("block_ms") ?? 0), () => look(true))
   }
   private wake(): void {
     const waiting = this.waiting
     this.waiting = []
-    for (const look of waiting) this.sim.soon(look)
+    for (const look of waiting) this.simulation.enqueue(look)
   }
 }
 
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -1,12 +1,12 @@
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
-import type { Question, UserRules } from "../invariants/user-invariants.ts"
-import type { Net } from "../simulation/network.ts"
-import type { Sim } from "../simulation/simulation.ts"
+import type { Question, UserInvariants } from "../invariants/user-invariants.ts"
+import type { Network } from "../simulation/network.ts"
+import type { Simulation } from "../simulation/simulation.ts"
 
 /** A user's request was answered; status 0: not in time. */
 type Answered = (status: number, state: string | null) => void
 /** Something that a user was told for the first time, or asked to be. */
-export type Event = "accepted" | "cancelled"
+export type UserEvent = "accepted" | "cancelled"
 
 const ANSWER_MS: Record<Question, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
 const RETRY_MS = 1_000
@@ -16,77 +16,77 @@
 export class Users {
   readonly jobs: Array<JobId> = []
   /** Called as soon as a user hears of it. */
-  readonly on: Array<(event: Event, job: JobId) => void> = []
+  readonly on: Array<(event: UserEvent, job: JobId) => void> = []
 
   constructor(
-    private readonly sim: Sim,
-    private readonly net: Net,
-    private readonly rules: UserRules,
+    private readonly simulation: Simulation,
+    private readonly network: Network,
+    private readonly invariants: UserInvariants,
     readonly nodes: ReadonlyArray<NodeName>,
   ) {}
 
   /** Asks one node, any by default. */
   ask(how: Question, job: string, body: unknown, done: Answered, at?: NodeName): void {
-    const asked = this.sim.now
+    const asked = this.simulation.now
     let over = false
     const finish = (status: number, state: string | null) => {
       if (over) return
       over = true
-      this.rules.answered(job, how, status, state, asked)
+      this.invariants.answered(job, how, status, state, asked)
       done(status, state)
     }
-    this.rules.asked(job)
-    this.sim.after(ANSWER_MS[how], () => finish(0, null))
+    this.invariants.asked(job)
+    this.simulation.after(ANSWER_MS[how], () => finish(0, null))
     const request = { method: how === "poll" ? "GET" : "POST", path: pathOf(how, job), body }
-    this.net.request("users", at ?? this.sim.luck.pick(this.nodes), request, (answer) =>
+    this.network.request("users", at ?? this.simulation.random.pick(this.nodes), request, (answer) =>
       finish(answer?.status ?? 0, stateOf(answer?.body)),
     )
   }
 
   submit(request: WireJob): void {
-    this.rules.asksToRun(request)
+    this.invariants.asksToRun(request)
     this.jobs.push(request.id)
     this.attempt(request)
   }
-  /** Goes on with jobs that were submitted to an earlier world, and that the rules know. */
+  /** Goes on with jobs that were submitted to an earlier deployment, and that the rules know. */
   resume(jobs: Iterable<JobId>): void {
     for (const id of jobs) {
       this.jobs.push(id)
-      if (this.rules.isAccepted(id)) this.poll(id)
-      else this.attempt(this.rules.submitted.get(id)!)
-      if (this.rules.askedToCancel.has(id) && this.rules.finalState(id) === null) this.cancel(id)
+      if (this.invariants.isAccepted(id)) this.poll(id)
+      else this.attempt(this.invariants.submitted.get(id)!)
+      if (this.invariants.askedToCancel.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
     }
   }
   private attempt(request: WireJob): void {
     const attempt = () =>
       this.ask("submit", request.id, request, (status) => {
         if (status === 200 || status === 201) this.accepted(request.id)
-        else if (status !== 400 && status !== 422) this.sim.after(RETRY_MS, attempt)
+        else if (status !== 400 && status !== 422) this.simulation.after(RETRY_MS, attempt)
       })
     attempt()
   }
   private accepted(id: JobId): void {
     this.poll(id)
-    this.tell("accepted", id)
+    this.notify("accepted", id)
   }
   /** A repeated submission, at any later time. */
   resubmit(id: JobId, at?: NodeName): void {
-    this.ask("submit", id, this.rules.submitted.get(id), () => {}, at)
+    this.ask("submit", id, this.invariants.submitted.get(id), () => {}, at)
   }
   /** One question at one node. */
   look(id: JobId, at: NodeName, done: Answered = () => {}): void {
     this.ask("poll", id, null, done, at)
   }
   private poll(id: JobId): void {
-    const again = () => this.ask("poll", id, null, () => this.sim.after(POLL_EVERY_MS, again))
-    this.sim.after(this.sim.luck.between(500, 5_000), again)
+    const again = () => this.ask("poll", id, null, () => this.simulation.after(POLL_EVERY_MS, again))
+    this.simulation.after(this.simulation.random.between(500, 5_000), again)
   }
   /** Repeated until it is answered. */
   cancel(id: JobId, done: Answered = () => {}, at?: NodeName): void {
-    this.rules.asksToCancel(id)
+    this.invariants.asksToCancel(id)
     const answered: Answered = (status, state) => {
-      if (status !== 200) return this.sim.after(RETRY_MS, () => this.cancel(id, done))
-      if (state === "withdrawn") this.tell("cancelled", id)
+      if (status !== 200) return this.simulation.after(RETRY_MS, () => this.cancel(id, done))
+      if (state === "withdrawn") this.notify("cancelled", id)
       done(status, state)
     }
     this.ask("cancel", id, {}, answered, at)
@@ -98,12 +98,12 @@
   askAboutNobody(): void {
     this.ask("poll", "run-999999", null, () => {})
   }
-  private tell(event: Event, job: JobId): void {
+  private notify(event: UserEvent, job: JobId): void {
     for (const told of this.on) told(event, job)
   }
 
   counts(): { readonly done: number; readonly withdrawn: number; readonly jobs: number } {
-    const states = this.jobs.map((id) => this.rules.state(id))
+    const states = this.jobs.map((id) => this.invariants.state(id))
     const done = states.filter((s) => s === "done").length
     return { done, withdrawn: states.filter((s) => s === "withdrawn").length, jobs: this.jobs.length }
   }
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,12 +1,12 @@
 import type { NodeName } from "@sorreltally/protocol"
-import type { Rules } from "../invariants/invariants.ts"
+import type { Invariants } from "../invariants/invariants.ts"
 import type { Cloud } from "../services/cloud.ts"
 import type { StateService } from "../services/state-service.ts"
 import type { Users } from "../services/users.ts"
-import type { Net } from "./network.ts"
-import type { Sim } from "./simulation.ts"
+import type { Network } from "./network.ts"
+import type { Simulation } from "./simulation.ts"
 
-export interface Setup {
+export interface DeploymentSetup {
   readonly seed: number
   readonly nodes: number
   readonly zones: ReadonlyArray<string>
@@ -26,12 +26,12 @@
   readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
 }
 
-/** What of a simulated deployment its troubles act on, and those who look at it from outside see. */
+/** What of a simulated deployment its faults act on, and those who look at it from outside see. */
 export interface Deployment {
-  readonly setup: Setup
-  readonly sim: Sim
-  readonly net: Net
-  readonly rules: Rules
+  readonly setup: DeploymentSetup
+  readonly simulation: Simulation
+  readonly network: Network
+  readonly invariants: Invariants
   readonly state: StateService
   readonly cloud: Cloud
   readonly users: Users
--- a/packages/testkit/src/simulation/loopback-network.ts
+++ b/packages/testkit/src/simulation/loopback-network.ts
@@ -1,7 +1,7 @@
 /** The stand-ins' network over real sockets: every host listens on a loopback port of its own. */
 import { Agent, createServer, type Server as HttpServer, request as httpRequest } from "node:http"
 import type { AddressInfo } from "node:net"
-import { type Answer, Net, type Request, type Server } from "./network.ts"
+import { type Answer, Network, type Request, type Server } from "./network.ts"
 
 const LOOPBACK = "127.0.0.1"
 /** How the stand-ins write the address of a machine, see `Machine` and `Cloud`. */
@@ -9,7 +9,7 @@
 const USERS = "users"
 
 /** Replaces the simulated network: no delay, loss or cut but those of the sockets themselves. */
-export class LoopbackNet extends Net {
+export class LoopbackNetwork extends Network {
   private readonly listeners = new Map<string, HttpServer>()
   private readonly agents = new Map<string, Agent>()
   private readonly ports = new Map<string, number>()
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -1,4 +1,4 @@
-import type { Sim } from "./simulation.ts"
+import type { Simulation } from "./simulation.ts"
 import type { TraceDigest } from "./trace-digest.ts"
 
 export interface Request {
@@ -38,7 +38,7 @@
  * a cut can hold them back and deliver them once it heals, long after their
  * sender has given up.
  */
-export class Net {
+export class Network {
   private readonly servers = new Map<string, Server>()
   private readonly connectionsEnd = new Set<string>()
   private readonly cuts = new Set<Cut>()
@@ -54,7 +54,7 @@
   /** Takes in every message; null: nothing is traced. */
   trace: TraceDigest | null = null
 
-  constructor(private readonly sim: Sim) {}
+  constructor(private readonly simulation: Simulation) {}
 
   /**
    * `connectionsEnd`: what was sent to a former server of this host never
@@ -86,8 +86,8 @@
     this.cuts.add(cut)
     return () => {
       this.cuts.delete(cut)
-      this.lastHealedAt = this.sim.now
-      for (const deliver of cut.held) this.sim.after(this.sim.luck.between(0, 50), deliver)
+      this.lastHealedAt = this.simulation.now
+      for (const deliver of cut.held) this.simulation.after(this.simulation.random.between(0, 50), deliver)
     }
   }
 
@@ -96,13 +96,13 @@
     this.interceptors.add(interceptor)
     return () => {
       this.interceptors.delete(interceptor)
-      this.lastHealedAt = this.sim.now
+      this.lastHealedAt = this.simulation.now
     }
   }
   private verdict(from: string, to: string, request: Request, text: string): Verdict {
     const deliverCopy: Departure["deliverCopy"] = (host, afterMs, answered = () => {}) => {
       const sentTo = this.servers.get(host)
-      this.sim.after(afterMs, () => {
+      this.simulation.after(afterMs, () => {
         if (this.hasEnded(host, sentTo)) return
         this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(host, from, request, answer)
@@ -120,7 +120,7 @@
 
   /** Answers to copies and repetitions as well: that nobody hears them doesn't undo what the server did. */
   private traceAnswer(server: string, to: string, { path }: Request, { status, body }: Answer): void {
-    this.trace?.answer(this.sim.now, server, to, path, status, JSON.stringify(body ?? null))
+    this.trace?.answer(this.simulation.now, server, to, path, status, JSON.stringify(body ?? null))
   }
 
   /** The connection over which this went has ended, together with the server that it led to. */
@@ -139,22 +139,22 @@
     for (const cut of this.cuts) {
       if (!cut.apart(from, to) && (cut.oneWay || !cut.apart(to, from))) continue
       if (cut.mode === "hold") cut.held.push(() => this.carry(from, to, deliver, lost))
-      else if (cut.mode === "reset") this.sim.after(1, lost)
+      else if (cut.mode === "reset") this.simulation.after(1, lost)
       return
     }
-    if (this.sim.luck.chance(this.loss)) return
-    const slow = this.slowMs === 0 ? 0 : this.sim.luck.between(0, this.slowMs)
-    this.sim.after(slow + this.sim.luck.between(0.3, 3), deliver)
-    if (this.sim.luck.chance(this.repeat))
-      this.sim.after(this.sim.luck.between(5, this.repeatWithinMs), deliver)
+    if (this.simulation.random.chance(this.loss)) return
+    const slow = this.slowMs === 0 ? 0 : this.simulation.random.between(0, this.slowMs)
+    this.simulation.after(slow + this.simulation.random.between(0.3, 3), deliver)
+    if (this.simulation.random.chance(this.repeat))
+      this.simulation.after(this.simulation.random.between(5, this.repeatWithinMs), deliver)
   }
 
   /** `done(null)`: refused or reset. No call of `done` at all: silence. */
   request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
     const text = JSON.stringify(request.body ?? null)
-    this.trace?.request(this.sim.now, from, to, request.method, request.path, text)
+    this.trace?.request(this.simulation.now, from, to, request.method, request.path, text)
     const verdict = this.verdict(from, to, request, text)
-    if (verdict === "refuse") this.sim.after(1, () => done(null))
+    if (verdict === "refuse") this.simulation.after(1, () => done(null))
     if (verdict !== "pass") return
     let first = true
     const sentTo = this.servers.get(to)
--- a/packages/testkit/src/simulation/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -27,7 +27,7 @@
 ] as const
 export type MachineEvent = (typeof MACHINE_EVENTS)[number]
 
-/** How often each kind of event came about in a simulated day; scenarios assert that their troubles met. */
+/** How often each kind of event came about in a simulated day; scenarios assert that their faults met. */
 export class Occurrences {
   private readonly counts = new Map<MachineEvent, number>()
 
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -21,21 +21,21 @@
 } from "@sorreltally/settings"
 import { Effect, Exit, Random } from "effect"
 import { type DrawnPair, EffectObserver } from "../faults/effects.ts"
-import { Troubles } from "../faults/faults.ts"
-import { LimitMeetings } from "../faults/limit-coincidences.ts"
-import { MembershipTroubles } from "../faults/membership-faults.ts"
-import { UserTroubles } from "../faults/user-faults.ts"
-import { Rules } from "../invariants/invariants.ts"
-import { WaitingRule } from "../invariants/waiting-invariant.ts"
+import { InfrastructureFaults } from "../faults/infrastructure-faults.ts"
+import { LimitCoincidences } from "../faults/limit-coincidences.ts"
+import { MembershipFaults } from "../faults/membership-faults.ts"
+import { UserFaults } from "../faults/user-faults.ts"
+import { Invariants } from "../invariants/invariants.ts"
+import { WaitingInvariant } from "../invariants/waiting-invariant.ts"
 import { Cloud } from "../services/cloud.ts"
 import { StateService } from "../services/state-service.ts"
 import { Users } from "../services/users.ts"
-import type { Deployment, Setup } from "./deployment.ts"
-import { type Answer, Net, type Request } from "./network.ts"
-import { type Process, Sim } from "./simulation.ts"
+import type { Deployment, DeploymentSetup } from "./deployment.ts"
+import { type Answer, Network, type Request } from "./network.ts"
+import { type Process, Simulation } from "./simulation.ts"
 import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
 
-export const usualSetup: Setup = {
+export const defaultSetup: DeploymentSetup = {
   seed: 1,
   nodes: 3,
   zones: ["a", "b"],
@@ -50,59 +50,64 @@
   workers: { report_s: 3, lease_s: 27, cancel_s: 47 },
 }
 
-interface Life {
+interface ControllerProcess {
   readonly process: Process
-  readonly hear: { receive: ((frame: Uint8Array) => void) | null }
+  readonly inbox: { receive: ((frame: Uint8Array) => void) | null }
   /** It stands still as soon as it is about to send such a message, which leaves when it goes on. */
-  freezeAt: { readonly at: Sending; readonly ms: number } | null
+  freezeAt: { readonly at: FreezePoint; readonly ms: number } | null
 }
 /** What a controller may be about to send when it is made to stand still. */
-export type Sending = "answer" | "command" | "transaction" | "take-over" | "touch"
+export type FreezePoint = "answer" | "command" | "transaction" | "take-over" | "touch"
 
 /** A whole deployment: controllers, their surroundings, users, and the rules. */
-export class World implements Deployment {
-  readonly sim: Sim
-  readonly net: Net
-  readonly rules: Rules
+export class SimulatedDeployment implements Deployment {
+  readonly simulation: Simulation
+  readonly network: Network
+  readonly invariants: Invariants
   readonly state: StateService
   readonly cloud: Cloud
-  readonly troubles: Troubles
+  readonly faults: InfrastructureFaults
   readonly users: Users
-  readonly userTroubles: UserTroubles
-  readonly membershipTroubles: MembershipTroubles
-  readonly limitMeetings: LimitMeetings
+  readonly userFaults: UserFaults
+  readonly membershipFaults: MembershipFaults
+  readonly limitCoincidences: LimitCoincidences
   readonly names: ReadonlyArray<NodeName>
-  private readonly lives = new Map<NodeName, Life>()
+  private readonly controllers = new Map<NodeName, ControllerProcess>()
   readonly logged: Array<string> = []
-  /** Pairs of troubles that the scenario names, in order. */
+  /** Pairs of faults that the scenario names, in order. */
   readonly pairs: Array<DrawnPair> = []
   readonly effects = new EffectObserver(this)
   /** When a controller last started again after it had ended. */
   lastReturnAt = Number.NEGATIVE_INFINITY
-  private births = 0
+  private processesStarted = 0
   /** Bytes between controllers, the most commands under way at one, the most machines that reported to one last. */
   readonly count = { peerBytes: 0, commandsAtOnce: 0, workersAtOne: 0 }
-  private readonly reportsTo = new Map<string, NodeName>()
+  private readonly nodeOfWorker = new Map<string, NodeName>()
   private readonly workersAt = new Map<NodeName, number>()
 
-  /** Told of every frame between controllers as it is sent. */
+  /** Called with every frame between controllers as it is sent. */
   readonly onFrame: Array<(frame: Uint8Array) => void> = []
 
-  /** `beginsAtMs`: what the clock shows at its beginning, for a world that goes on from an earlier one. */
+  /** `beginsAtMs`: what the clock shows at its beginning, for a deployment that goes on from an earlier one. */
   constructor(
-    readonly setup: Setup,
+    readonly setup: DeploymentSetup,
     beginsAtMs = 0,
   ) {
-    this.sim = new Sim(setup.seed, beginsAtMs)
-    this.net = new Net(this.sim)
+    this.simulation = new Simulation(setup.seed, beginsAtMs)
+    this.network = new Network(this.simulation)
     this.names = Array.from({ length: setup.nodes }, (_, i) => `host-${i}` as NodeName)
     const types = [
       machineType("small", 8, 32, 0.6, 0.12, 6, setup.zones),
       machineType("large", 32, 128, 3, 0.6, 12, setup.zones),
     ]
-    this.rules = new Rules(this.sim, this.platform(0).deployment.teams, types, setup.workers.cancel_s)
-    this.state = new StateService(this.sim, this.net, this.platformFile(0).facts.state)
-    this.cloud = new Cloud(this.sim, this.net, this.rules, {
+    this.invariants = new Invariants(
+      this.simulation,
+      this.platform(0).deployment.teams,
+      types,
+      setup.workers.cancel_s,
+    )
+    this.state = new StateService(this.simulation, this.network, this.platformFile(0).facts.state)
+    this.cloud = new Cloud(this.simulation, this.network, this.invariants, {
       types,
       capacity: setup.capacity,
       lagMs: 3_000,
@@ -111,17 +116,17 @@
       neverBoots: setup.neverBoots,
       bootWithinMs: null,
     })
-    this.users = new Users(this.sim, this.net, this.rules.users, this.names)
-    this.userTroubles = new UserTroubles(this.sim, this.users, this.rules)
-    this.troubles = new Troubles(this)
-    this.membershipTroubles = new MembershipTroubles(this)
-    this.limitMeetings = new LimitMeetings(this)
-    for (let i = 0; i < setup.nodes; i++) this.sim.after(i * 150, () => this.start(this.names[i]!))
-    const waiting = new WaitingRule(this.sim, this.rules, this.cloud)
+    this.users = new Users(this.simulation, this.network, this.invariants.users, this.names)
+    this.userFaults = new UserFaults(this.simulation, this.users, this.invariants)
+    this.faults = new InfrastructureFaults(this)
+    this.membershipFaults = new MembershipFaults(this)
+    this.limitCoincidences = new LimitCoincidences(this)
+    for (let i = 0; i < setup.nodes; i++) this.simulation.after(i * 150, () => this.start(this.names[i]!))
+    const waiting = new WaitingInvariant(this.simulation, this.invariants, this.cloud)
     const look = () => {
-      this.rules.look()
+      this.invariants.look()
       waiting.look()
-      this.sim.after(500, look)
+      this.simulation.after(500, look)
     }
     look()
   }
@@ -175,12 +180,15 @@
   }
 
   private start(name: NodeName): void {
-    if (this.lives.has(name)) return
+    if (this.controllers.has(name)) return
     const index = this.names.indexOf(name)
-    const process = this.sim.process(this.sim.luck.between(-900, 900), this.setup.processorShare)
-    const hear: Life["hear"] = { receive: null }
-    const send = (what: Sending | null, go: () => void) => {
-      const life = this.lives.get(name)
+    const process = this.simulation.process(
+      this.simulation.random.between(-900, 900),
+      this.setup.processorShare,
+    )
+    const inbox: ControllerProcess["inbox"] = { receive: null }
+    const send = (what: FreezePoint | null, go: () => void) => {
+      const life = this.controllers.get(name)
       if (life?.process === process && life.freezeAt !== null && life.freezeAt.at === what) {
         process.freeze(life.freezeAt.ms)
         life.freezeAt = null
@@ -193,16 +201,16 @@
         this.count.peerBytes += bytes.length
         for (const told of this.onFrame) told(bytes)
         const deliver = () => {
-          const life = this.lives.get(to)
-          life?.process.whenAwake(() => life.hear.receive?.(bytes), peerMessageMs(bytes.length))
+          const life = this.controllers.get(to)
+          life?.process.whenAwake(() => life.inbox.receive?.(bytes), peerMessageMs(bytes.length))
         }
         process.whenAwake(() => {
-          this.net.trace?.frame(this.sim.now, name, to, bytes)
-          this.net.carry(name, to, deliver)
+          this.network.trace?.frame(this.simulation.now, name, to, bytes)
+          this.network.carry(name, to, deliver)
         })
       },
       receive: (handler) => {
-        hear.receive = handler
+        inbox.receive = handler
       },
     }
     let commands = 0
@@ -222,7 +230,7 @@
               ),
             ANSWER_MS,
           )
-        send(sendingOf(request), () => this.net.request(name, to, request, done))
+        send(freezePointOf(request), () => this.network.request(name, to, request, done))
       }).pipe(
         Effect.ensuring(
           Effect.sync(() => {
@@ -234,43 +242,44 @@
     const log = (level: string) => (message: string, facts?: Record<string, unknown>) => {
       if (!process.alive() || (level === "debug" && globalThis.process.env.VERBOSE !== "debug")) return
       this.logged.push(
-        `${(this.sim.now / 1000).toFixed(2)} ${name} ${level} ${message} ${JSON.stringify(facts ?? {})}`,
+        `${(this.simulation.now / 1000).toFixed(2)} ${name} ${level} ${message} ${JSON.stringify(facts ?? {})}`,
       )
     }
     const logs: Log = { error: log("error"), info: log("info"), debug: log("debug") }
-    const seed = `${this.setup.seed}/${++this.births}`
-    const inside = <A>(effect: Effect.Effect<A, never, HttpClient>): Effect.Effect<A> =>
+    const seed = `${this.setup.seed}/${++this.processesStarted}`
+    const withServices = <A>(effect: Effect.Effect<A, never, HttpClient>): Effect.Effect<A> =>
       process.provide(Effect.provideService(effect, HttpClient, exchange))
-    const dress = <A>(effect: Effect.Effect<A, never, HttpClient>) => Random.withSeed(inside(effect), seed)
-    const born = (node: Node) => {
-      Effect.runCallback(dress(node.run))
-      this.net.listen(name, (request, from, answer) => {
-        if (request.path === "/v1/report") this.reported(from, name)
+    const withSeed = <A>(effect: Effect.Effect<A, never, HttpClient>) =>
+      Random.withSeed(withServices(effect), seed)
+    const serve = (node: Node) => {
+      Effect.runCallback(withSeed(node.run))
+      this.network.listen(name, (request, from, answer) => {
+        if (request.path === "/v1/report") this.heartbeatReceived(from, name)
         process.whenAwake(() => {
           const incoming = { method: request.method, path: request.path, body: JSON.stringify(request.body) }
           node.serve(incoming, (outgoing) => {
             const report = request.path === "/v1/report" && outgoing.status === 200
-            if (report) this.membershipTroubles.answered(name, from)
-            if (outgoing.status === 200) this.troubles.answered(name, request.path)
+            if (report) this.membershipFaults.answered(name, from)
+            if (outgoing.status === 200) this.faults.answered(name, request.path)
             send(report ? "answer" : null, () => answer(outgoing))
           })
         }, requestMs(request))
       })
     }
-    this.lives.set(name, { process, hear, freezeAt: null })
+    this.controllers.set(name, { process, inbox, freezeAt: null })
     process.whenAwake(() =>
-      Effect.runCallback(dress(makeNode(this.platform(index), defaultOperators(), links, logs)), {
+      Effect.runCallback(withSeed(makeNode(this.platform(index), defaultOperators(), links, logs)), {
         onExit: (exit) => {
-          if (Exit.isSuccess(exit)) born(exit.value)
+          if (Exit.isSuccess(exit)) serve(exit.value)
         },
       }),
     )
   }
 
-  private reported(machine: string, to: NodeName): void {
-    const before = this.reportsTo.get(machine)
+  private heartbeatReceived(machine: string, to: NodeName): void {
+    const before = this.nodeOfWorker.get(machine)
     if (before === to) return
-    this.reportsTo.set(machine, to)
+    this.nodeOfWorker.set(machine, to)
     if (before !== undefined) this.workersAt.set(before, this.workersAt.get(before)! - 1)
     const there = (this.workersAt.get(to) ?? 0) + 1
     this.workersAt.set(to, there)
@@ -278,23 +287,23 @@
   }
 
   crash(name: NodeName, backAfterMs: number): void {
-    this.rules.trouble(backAfterMs)
-    this.rules.lastCrashAt = this.sim.now
-    this.limitMeetings.crashed(name)
-    this.lives.get(name)?.process.kill()
-    this.lives.delete(name)
-    this.net.close(name)
-    this.sim.after(backAfterMs, () => {
-      this.lastReturnAt = this.sim.now
+    this.invariants.faultLasts(backAfterMs)
+    this.invariants.lastCrashAt = this.simulation.now
+    this.limitCoincidences.crashed(name)
+    this.controllers.get(name)?.process.kill()
+    this.controllers.delete(name)
+    this.network.close(name)
+    this.simulation.after(backAfterMs, () => {
+      this.lastReturnAt = this.simulation.now
       this.start(name)
     })
   }
 
-  // --- trouble ----------------------------------------------------------------
+  // --- faults ----------------------------------------------------------------
 
   /** It stands still while its clocks run on: at once, or in the middle of sending something. */
-  freeze(name: NodeName, ms: number, at: Sending | null): void {
-    const life = this.lives.get(name)
+  freeze(name: NodeName, ms: number, at: FreezePoint | null): void {
+    const life = this.controllers.get(name)
     if (life === undefined) return
     if (at === null) life.process.freeze(ms)
     else life.freezeAt = { at, ms }
@@ -307,7 +316,7 @@
   }
 }
 
-const sendingOf = ({ path, body }: Request): Sending | null => {
+const freezePointOf = ({ path, body }: Request): FreezePoint | null => {
   if (path === "/orders") return "command"
   if (path.endsWith("/touch")) return "touch"
   if (path !== "/multi") return null
--- a/packages/testkit/src/simulation/simulation.ts
+++ b/packages/testkit/src/simulation/simulation.ts
@@ -9,8 +9,8 @@
   run: (() => void) | null
 }
 
-/** Seeded luck; every draw of a simulation comes from one of these. */
-export class Luck {
+/** Seeded randomness; every draw of a simulation comes from one of these. */
+export class RandomSource {
   private readonly generator
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed)
@@ -34,23 +34,23 @@
  * One thread, one queue and one clock for a whole simulated deployment: runs
  * that start alike go alike, and hours pass in seconds.
  */
-export class Sim {
+export class Simulation {
   now = 0
   /** When a process or machine that stood still last went on. */
   lastResumedAt = Number.NEGATIVE_INFINITY
   private count = 0
   private readonly timers: Array<Timer> = []
   private ready: Array<() => void> = []
-  readonly luck: Luck
+  readonly random: RandomSource
   readonly occurrences = new Occurrences()
 
   /** `beginsAtMs`: the time on the simulation's clock when it begins. */
   constructor(seed: number, beginsAtMs = 0) {
-    this.luck = new Luck(seed)
+    this.random = new RandomSource(seed)
     this.now = beginsAtMs
   }
 
-  soon(run: () => void): void {
+  enqueue(run: () => void): void {
     this.ready.push(run)
   }
   /** Returns how to call it off. */
@@ -110,12 +110,12 @@
    */
   process(wallOffsetMs: number, share: number | null = null): Process {
     let alive = true
-    let missed: Array<() => void> | null = null
+    let deferred: Array<() => void> | null = null
     const processor = new Processor(share, this.now)
     const unlessStill = (run: () => void): void => {
       if (!alive) return
-      if (missed === null) run()
-      else missed.push(run)
+      if (deferred === null) run()
+      else deferred.push(run)
     }
     const whenAwake = (run: () => void, workMs = 0): void => {
       const at = processor.schedule(this.now, workMs)
@@ -140,8 +140,8 @@
         }),
     }
     const scheduler = new Scheduler.MixedScheduler("async", (run) => {
-      // What follows from an event is a part of its work.
-      this.soon(() => unlessStill(run))
+      // What follows from an event belongs to its work.
+      this.enqueue(() => unlessStill(run))
       return () => {}
     })
     return {
@@ -156,13 +156,13 @@
       alive: () => alive,
       whenAwake,
       freeze: (ms) => {
-        if (missed !== null) return
-        missed = []
+        if (deferred !== null) return
+        deferred = []
         this.after(ms, () => {
-          const late = missed ?? []
-          missed = null
+          const late = deferred ?? []
+          deferred = null
           this.lastResumedAt = this.now
-          for (const run of late) this.soon(() => unlessStill(run))
+          for (const run of late) this.enqueue(() => unlessStill(run))
         })
       },
     }
--- a/packages/testkit/test/epoch-invariant.test.ts
+++ b/packages/testkit/test/epoch-invariant.test.ts
@@ -5,10 +5,10 @@
 
 // Guards against a log line that is renamed and leaves the rule without anything to judge.
 test("every shard's first owner is told from what controllers log", () => {
-  const { world } = readScenario('(scenario "quiet" (until 20))').run()
-  const shards = acquisitionsIn(world.logged).map(({ shard }) => shard)
-  assert.deepEqual([...new Set(shards)].sort(), ["deadline", ...world.names.map((_, i) => `part-${i}`)])
-  assert.deepEqual(epochsOwnedTwice(world.logged), [])
+  const { deployment } = readScenario('(scenario "quiet" (until 20))').run()
+  const shards = acquisitionsIn(deployment.logged).map(({ shard }) => shard)
+  assert.deepEqual([...new Set(shards)].sort(), ["deadline", ...deployment.names.map((_, i) => `part-${i}`)])
+  assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
 })
 
 test("a shard that is acquired twice under one epoch is reported", () => {
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -59,7 +59,7 @@
   const { reports } = message.body as { readonly reports: ReadonlyArray<readonly [number, unknown]> }
   return reports[0]![1]
 }
-/** What is wrong with a report; null for a good one. */
+/** What is wrong with a heartbeat; null for a good one. */
 export const reportFault = (body: unknown): string | null => {
   const decoded = decodeHeartbeat(body)
   return Result.isSuccess(decoded) ? null : decoded.failure.message
@@ -123,8 +123,8 @@
   return JSON.stringify(encodeRecord(ARCHIVE_PAGE, archived))
 }
 
-const LARGEST_SLOT_KB = 64
-const MOST_JOBS = 1_000
+const MAX_SLOT_KB = 64
+const MAX_JOBS = 1_000
 /** Any job will do for a slot's facts; it has as many tasks as they speak of. */
 const jobOf = (id: JobId): JobState => {
   const spec = { id, taskCount: 1_000 } as JobRecord["spec"]
@@ -139,7 +139,7 @@
     jobs.set(id, job)
     return job
   }
-  new PlacementLedger(LARGEST_SLOT_KB).restore(0, 1 as ModRevision, record, known, 0 as MonotonicTime)
+  new PlacementLedger(MAX_SLOT_KB).restore(0, 1 as ModRevision, record, known, 0 as MonotonicTime)
   const placements = record.placed.flatMap(
     ({ jobId }): Array<Placement> => [...known(jobId).placements.values()],
   )
@@ -147,10 +147,10 @@
   for (const job of finished)
     for (let index = 0; index < job.taskCount; index++) if (job.isFinished(index)) job.unsaved.add(index)
   const { epoch, number } = record.write
-  const ledger = new PlacementLedger(LARGEST_SLOT_KB)
+  const ledger = new PlacementLedger(MAX_SLOT_KB)
   // Each draft has the next write's number.
-  for (let n = 1; n < number; n++) ledger.draft(placements, finished, MOST_JOBS, epoch)
-  const draft = ledger.draft(placements, finished, MOST_JOBS, epoch)
+  for (let n = 1; n < number; n++) ledger.draft(placements, finished, MAX_JOBS, epoch)
+  const draft = ledger.draft(placements, finished, MAX_JOBS, epoch)
   return JSON.stringify(encodeRecord(SLOT, draft?.record))
 }
 
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -5,7 +5,7 @@
 import type { JobId } from "@sorreltally/protocol"
 import { epochsOwnedTwice } from "../src/invariants/epoch-invariant.ts"
 import { type DeploymentDump, resumeDeployment } from "../src/simulation/deployment-dump.ts"
-import type { World } from "../src/simulation/simulated-deployment.ts"
+import type { SimulatedDeployment } from "../src/simulation/simulated-deployment.ts"
 
 const dump = JSON.parse(
   readFileSync("packages/testkit/test/golden/deployment.json", "utf8"),
@@ -26,22 +26,22 @@
   readonly status: number
   readonly state: string | null
 }
-const askEveryNode = (world: World): ReadonlyArray<Answered> => {
+const askEveryNode = (deployment: SimulatedDeployment): ReadonlyArray<Answered> => {
   const answers: Array<Answered> = []
   for (const job of dump.jobs)
-    for (const node of world.names)
-      world.users.look(job, node, (status, state) => answers.push({ job, status, state }))
+    for (const node of deployment.names)
+      deployment.users.look(job, node, (status, state) => answers.push({ job, status, state }))
   return answers
 }
 
 describe("a store of an earlier version", () => {
-  let world: World
+  let deployment: SimulatedDeployment
   let answers: ReadonlyArray<Answered> = []
   before(() => {
-    world = resumeDeployment(dump, SEED)
-    world.sim.runUntil(dump.atMs + PLAYED_MS)
-    answers = askEveryNode(world)
-    world.sim.runUntil(dump.atMs + PLAYED_MS + QUESTIONS_MS)
+    deployment = resumeDeployment(dump, SEED)
+    deployment.simulation.runUntil(dump.atMs + PLAYED_MS)
+    answers = askEveryNode(deployment)
+    deployment.simulation.runUntil(dump.atMs + PLAYED_MS + QUESTIONS_MS)
   })
 
   it("holds jobs of all states, folded and archived pages, machines and quotas", () => {
@@ -68,15 +68,15 @@
       )
   })
   it("is taken up without a broken rule or an error in the log", () => {
-    assert.deepEqual(world.rules.broken, [])
-    assert.deepEqual(epochsOwnedTwice(world.logged), [])
+    assert.deepEqual(deployment.invariants.broken, [])
+    assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
     assert.deepEqual(
-      world.logged.filter((line) => line.includes(" error ")),
+      deployment.logged.filter((line) => line.includes(" error ")),
       [],
     )
   })
   it("loses no job: each is known to every node", () => {
-    assert.equal(answers.length, dump.jobs.length * world.names.length)
+    assert.equal(answers.length, dump.jobs.length * deployment.names.length)
     for (const { job, status } of answers) assert.equal(status, 200, job)
   })
   it("keeps the final state of every job that was over", () => {
@@ -89,7 +89,7 @@
     for (const { job, state } of answers) {
       if (finalAtFirst(job) !== null || isMistaken(job)) continue
       const cancelled = dump.users.askedToCancel.includes(job)
-      assert.equal(state, cancelled ? "withdrawn" : "done", `${job}: ${world.stored(job)}`)
+      assert.equal(state, cancelled ? "withdrawn" : "done", `${job}: ${deployment.stored(job)}`)
     }
   })
   it("goes on trying a job whose tasks fail on every machine", () => {
@@ -99,16 +99,19 @@
   })
   it("has no task of a job run anew that was over", () => {
     for (const job of dump.jobs)
-      if (finalAtFirst(job) !== null) assert.equal(world.rules.startsOf(job), 0, job)
+      if (finalAtFirst(job) !== null) assert.equal(deployment.invariants.startsOf(job), 0, job)
   })
   it("has no finished task run anew whose finish was stored", () => {
-    assert.ok(world.rules.starts > 0)
+    assert.ok(deployment.invariants.starts > 0)
     const finished = new Map(dump.users.finishedTasks)
     for (const job of dump.jobs) {
       if (finalAtFirst(job) !== null || isMistaken(job)) continue
-      const left = world.rules.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
+      const left = deployment.invariants.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
       // A task that a machine loses may start again: the day is calm, so none is.
-      assert.ok(world.rules.startsOf(job) <= left, `${job}: ${world.rules.startsOf(job)} starts of ${left}`)
+      assert.ok(
+        deployment.invariants.startsOf(job) <= left,
+        `${job}: ${deployment.invariants.startsOf(job)} starts of ${left}`,
+      )
     }
   })
 })
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -65,7 +65,7 @@
   ...ofKind("worker GET /inspect").map(({ answer }) => answer),
 ].map((text) => JSON.parse(text) as WireReport)
 
-/** The short form of a report, made from its wire names alone. */
+/** The short form of a heartbeat, made from its wire names alone. */
 const shortForm = (report: WireReport): unknown => {
   const { host, address, build, site, loaners, tenure, tick, baton, warning_s, pieces } = report
   const tasks = pieces.map((task) => [
@@ -290,7 +290,7 @@
 const fieldsOf = (value: unknown, at = ""): ReadonlyArray<string> => {
   if (Array.isArray(value)) return value.flatMap((item) => fieldsOf(item, `${at}[]`))
   if (typeof value !== "object" || value === null) return []
-  // Names of things, such as parts and machines, are no fields.
+  // Names of things, such as shards and machines, are no fields.
   const names = Object.keys(value).map((key) =>
     /[0-9]/.test(key) || at.endsWith(".at") || at.endsWith(".shares") ? "*" : key,
   )
--- a/packages/testkit/test/guards.test.ts
+++ b/packages/testkit/test/guards.test.ts
@@ -7,7 +7,7 @@
 import { readScenario } from "../src/scenarios/scenario.ts"
 
 /** Some run for half a minute on a calm machine. */
-const LONGEST_RUN_MS = 240_000
+const MAX_RUN_MS = 240_000
 
 // A scenario that names a guard must fail without it: otherwise it proves nothing.
 for (const file of readdirSync("scenarios").sort()) {
@@ -44,10 +44,10 @@
       })
       const run = spawnSync(process.execPath, [outfile, `scenarios/${file}`], {
         encoding: "utf8",
-        timeout: LONGEST_RUN_MS,
+        timeout: MAX_RUN_MS,
       })
       // Guards against a run beside other load that is taken for one that passed.
-      assert.equal(run.signal, null, `it was not over after ${LONGEST_RUN_MS / 1000} s`)
+      assert.equal(run.signal, null, `it was not over after ${MAX_RUN_MS / 1000} s`)
       assert.equal(run.status, 1, `it passed all the same: ${run.stdout}${run.stderr}`)
       assert.equal(run.stderr, "")
     })
