--- a/packages/testkit/test/scenarios.test.ts
+++ b/packages/testkit/test/scenarios.test.ts
@@ -16,7 +16,7 @@
   const scenario = readScenario(readFileSync(`scenarios/${file}`, "utf8"))
   const todo = knownRed.get(file) ?? false
   test(`${file}: ${scenario.name}`, { todo }, () => {
-    const { failures, world } = scenario.run()
-    assert.deepEqual(failures, [], `\n${world.logged.slice(-40).join("\n")}`)
+    const { failures, deployment } = scenario.run()
+    assert.deepEqual(failures, [], `\n${deployment.logged.slice(-40).join("\n")}`)
   })
 }
--- a/packages/testkit/test/shrink.test.ts
+++ b/packages/testkit/test/shrink.test.ts
@@ -15,16 +15,16 @@
 
 test("a failing day is shrunk to the events that it fails by", () => {
   const day = drawDay(1)
-  const trouble = day.troubles[2]!
+  const fault = day.faults[2]!
   const cancelled = day.users.find(({ does }) => does === "cancel")!
   const run = (candidate: RandomDay) => {
-    const fails = candidate.troubles.includes(trouble) && candidate.users.includes(cancelled)
+    const fails = candidate.faults.includes(fault) && candidate.users.includes(cancelled)
     // Times and names differ from run to run, and other days may fail in other ways.
     const count = candidate.users.length
     return resultOf(candidate, fails ? [`quota at ${count}.5 s: run-00000${count % 10}/1`] : ["went_back"])
   }
   const smallest = shrink(day, run(day), run, MOST_RUNS)
-  assert.deepEqual(smallest.troubles, [trouble])
+  assert.deepEqual(smallest.faults, [fault])
   assert.deepEqual(
     smallest.users.map(({ does, job }) => [does, job]),
     [
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import { readScenario } from "../src/scenarios/scenario.ts"
-import { Net } from "../src/simulation/network.ts"
-import { Sim } from "../src/simulation/simulation.ts"
+import { Network } from "../src/simulation/network.ts"
+import { Simulation } from "../src/simulation/simulation.ts"
 import { TraceDigest } from "../src/simulation/trace-digest.ts"
 
 const SHORT = '(scenario "short" (until 30) (at 2 (submit pieces 3)) (at 5 (crash host-1 4)))'
@@ -20,22 +20,24 @@
 })
 
 test("a traced run goes as one that isn't", () => {
-  const traced = readScenario(SHORT).run({ trace: new TraceDigest() }).world
-  const plain = readScenario(SHORT).run().world
+  const traced = readScenario(SHORT).run({ trace: new TraceDigest() }).deployment
+  const plain = readScenario(SHORT).run().deployment
   assert.deepEqual(traced.logged, plain.logged)
-  assert.equal(traced.sim.luck.next(), plain.sim.luck.next())
+  assert.equal(traced.simulation.random.next(), plain.simulation.random.next())
 })
 
 /** One request between two hosts, sent at `at`, and its answer. */
 const exchangeDigest = ({ at = 1, body = "a", status = 200, answer = "x", repeat = 0 } = {}): string => {
-  const sim = new Sim(1)
-  const net = new Net(sim)
+  const simulation = new Simulation(1)
+  const network = new Network(simulation)
   const trace = new TraceDigest()
-  net.trace = trace
-  net.repeat = repeat
-  net.listen("b", (_request, _from, reply) => reply({ status, body: { answer } }))
-  sim.after(at, () => net.request("a", "b", { method: "POST", path: "/p", body: { body } }, () => {}))
-  sim.runUntil(60_000)
+  network.trace = trace
+  network.repeat = repeat
+  network.listen("b", (_request, _from, reply) => reply({ status, body: { answer } }))
+  simulation.after(at, () =>
+    network.request("a", "b", { method: "POST", path: "/p", body: { body } }, () => {}),
+  )
+  simulation.runUntil(60_000)
   return trace.digest()
 }
 
--- a/packages/testkit/test/user-invariants.test.ts
+++ b/packages/testkit/test/user-invariants.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
-import { Rules } from "../src/invariants/invariants.ts"
+import { Invariants } from "../src/invariants/invariants.ts"
 import { largestOfClasses, notBegunWithin, unserved } from "../src/invariants/service-objectives.ts"
-import { Sim } from "../src/simulation/simulation.ts"
+import { Simulation } from "../src/simulation/simulation.ts"
 
 // Each rule is shown to fire on events that break it, and to be silent on the nearest ones that don't.
 
@@ -11,51 +11,51 @@
 const PLACE = { machine: "i-1", type: "small", zone: "a", spot: false }
 
 const harness = () => {
-  const sim = new Sim(1)
+  const simulation = new Simulation(1)
   const teams = [{ name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }]
   const type = { name: "small", cores: 8 } as unknown as WireMachineType
-  const rules = new Rules(sim, teams as never, [type], CANCEL_S)
-  const users = rules.users
+  const invariants = new Invariants(simulation, teams as never, [type], CANCEL_S)
+  const users = invariants.users
   const submit = (id: string, fields: Partial<Record<keyof WireJob, unknown>> = {}) =>
     users.asksToRun({ id, lane: "bulk", owner: "red", pieces: 1, cores: 1, ...fields } as WireJob)
-  const at = (ms: number, run: () => void) => sim.after(ms - sim.now, run)
+  const at = (ms: number, run: () => void) => simulation.after(ms - simulation.now, run)
   /** Rules broken so far, without times. */
-  const broken = () => rules.broken.map((line) => line.replace(/ at .*?:/, ":"))
-  return { sim, rules, users, submit, at, broken }
+  const broken = () => invariants.broken.map((line) => line.replace(/ at .*?:/, ":"))
+  return { simulation, invariants, users, submit, at, broken }
 }
 
 test("went_back: an answer older than any node's earlier one, by the millisecond", () => {
-  const { sim, rules, users, submit, at, broken } = harness()
+  const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
-  at(10, () => rules.finished("run-1", 0))
+  at(10, () => invariants.finished("run-1", 0))
   at(20, () => users.answered("run-1", "poll", 200, "done", 19))
   // Asked before the first word of the end arrived: either answer will do.
   at(21, () => users.answered("run-1", "poll", 200, "running", 19.9))
   at(22, () => assert.deepEqual(broken(), []))
   at(23, () => users.answered("run-1", "poll", 200, "running", 20))
-  sim.runUntil(30)
+  simulation.runUntil(30)
   assert.deepEqual(broken(), ["went_back: run-1: done, now running"])
 })
 
 test("went_back: a later answer doesn't cover an older one that was asked between two", () => {
-  const { sim, users, submit, at, broken } = harness()
+  const { simulation, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
   at(10, () => users.answered("run-1", "poll", 200, "running", 9))
   at(12, () => users.answered("run-1", "poll", 404, null, 5))
-  sim.runUntil(20)
+  simulation.runUntil(20)
   assert.deepEqual(broken(), ["forgotten: run-1: poll answered 404"])
 })
 
 test("went_back: two different final states, whenever they were asked for", () => {
-  const { sim, rules, users, submit, at, broken } = harness()
+  const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   users.asksToCancel("run-1")
-  rules.finished("run-1", 0)
+  invariants.finished("run-1", 0)
   at(5, () => users.answered("run-1", "cancel", 200, "withdrawn", 1))
   at(6, () => users.answered("run-1", "poll", 200, "done", 1))
-  sim.runUntil(10)
+  simulation.runUntil(10)
   assert.deepEqual(broken(), ["went_back: run-1: withdrawn, now done"])
 })
 
@@ -74,28 +74,28 @@
 })
 
 test("forgotten: an accepted job gets 404, or its repeated submission 400 or 422", () => {
-  const { sim, users, submit, at, broken } = harness()
+  const { simulation, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
   at(2, () => users.answered("run-1", "cancel", 404, null, 0.5))
   at(3, () => assert.deepEqual(broken(), []))
   at(4, () => users.answered("run-1", "poll", 404, null, 1))
   at(5, () => users.answered("run-1", "submit", 422, null, 4))
-  sim.runUntil(10)
+  simulation.runUntil(10)
   assert.equal(broken().length, 2)
 })
 
 test("forgotten: 75 s without an answer once the troubles are over, of a cancelled job too", () => {
-  const { sim, rules, users, submit, at, broken } = harness()
+  const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   users.asksToCancel("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
-  at(1_000, () => rules.trouble(20_000))
+  at(1_000, () => invariants.faultLasts(20_000))
   at(2_000, () => users.asked("run-1"))
-  at(95_000, () => rules.look())
+  at(95_000, () => invariants.look())
   at(95_500, () => assert.deepEqual(broken(), []))
-  at(96_001, () => rules.look())
-  sim.runUntil(100_000)
+  at(96_001, () => invariants.look())
+  simulation.runUntil(100_000)
   assert.deepEqual(broken(), ["forgotten: run-1: no answer for 75 s"])
 })
 
@@ -116,24 +116,24 @@
 })
 
 test("started_cancelled: a start after a confirmed cancellation, and ran_cancelled", () => {
-  const { sim, rules, users, submit, at, broken } = harness()
+  const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1", { pieces: 2 })
   users.asksToCancel("run-1")
   at(40_000, () => users.answered("run-1", "cancel", 200, "withdrawn", 39_000))
-  at(42_000, () => rules.began("run-1", 0, PLACE))
+  at(42_000, () => invariants.began("run-1", 0, PLACE))
   at(42_500, () => assert.deepEqual(broken(), []))
-  at(43_500, () => rules.began("run-1", 1, PLACE))
-  at(44_000, () => rules.ended("run-1", 1, PLACE.machine))
-  at(40_001 + CANCEL_S * 1000, () => rules.look())
-  sim.runUntil(200_000)
-  assert.equal(rules.startsAfterCancellation, 2)
+  at(43_500, () => invariants.began("run-1", 1, PLACE))
+  at(44_000, () => invariants.ended("run-1", 1, PLACE.machine))
+  at(40_001 + CANCEL_S * 1000, () => invariants.look())
+  simulation.runUntil(200_000)
+  assert.equal(invariants.startsAfterCancellation, 2)
   assert.deepEqual(broken(), ["started_cancelled: run-1/1", "ran_cancelled: run-1/0"])
 })
 
 test("served: half of each class, of each team and of a class's largest jobs", () => {
-  const { rules, users, submit } = harness()
+  const { invariants, users, submit } = harness()
   const end = (id: string) => {
-    rules.finished(id, 0)
+    invariants.finished(id, 0)
     users.answered(id, "poll", 200, "done", 0)
   }
   for (let i = 0; i < 10; i++) submit(`run-${i}`)
@@ -157,11 +157,11 @@
 })
 
 test("begun in time: nothing of a job began within that time of its submission", () => {
-  const { sim, rules, users, submit, at } = harness()
+  const { simulation, invariants, users, submit, at } = harness()
   submit("run-1")
   submit("run-2")
-  at(200_000, () => rules.began("run-1", 0, PLACE))
-  sim.runUntil(240_001)
-  assert.deepEqual(notBegunWithin(users, rules.begunAt, 240_000, sim.now), ["run-2"])
-  assert.deepEqual(notBegunWithin(users, rules.begunAt, 199_999, sim.now), ["run-1", "run-2"])
+  at(200_000, () => invariants.began("run-1", 0, PLACE))
+  simulation.runUntil(240_001)
+  assert.deepEqual(notBegunWithin(users, invariants.begunAt, 240_000, simulation.now), ["run-2"])
+  assert.deepEqual(notBegunWithin(users, invariants.begunAt, 199_999, simulation.now), ["run-1", "run-2"])
 })
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
-import { Rules } from "../src/invariants/invariants.ts"
-import { WaitingRule } from "../src/invariants/waiting-invariant.ts"
+import { Invariants } from "../src/invariants/invariants.ts"
+import { WaitingInvariant } from "../src/invariants/waiting-invariant.ts"
 import { Cloud } from "../src/services/cloud.ts"
-import { Net } from "../src/simulation/network.ts"
-import { Sim } from "../src/simulation/simulation.ts"
+import { Network } from "../src/simulation/network.ts"
+import { Simulation } from "../src/simulation/simulation.ts"
 
 const type = {
   name: "small",
@@ -40,10 +40,10 @@
 
 /** One machine under a controller that answers every report and never gives a command. */
 const idleService = (more: Record<string, unknown>) => {
-  const sim = new Sim(1)
-  const net = new Net(sim)
-  const rules = new Rules(sim, [TEAM] as never, [type], CANCEL_S)
-  const cloud = new Cloud(sim, net, rules, {
+  const simulation = new Simulation(1)
+  const network = new Network(simulation)
+  const invariants = new Invariants(simulation, [TEAM] as never, [type], CANCEL_S)
+  const cloud = new Cloud(simulation, network, invariants, {
     types: [type],
     capacity: 2,
     lagMs: 3_000,
@@ -52,24 +52,26 @@
     neverBoots: 0,
     bootWithinMs: 500,
   })
-  net.listen("host-0", (_request, _from, answer) => answer({ status: 200, body: { baton: 1, orders: [] } }))
+  network.listen("host-0", (_request, _from, answer) =>
+    answer({ status: 200, body: { baton: 1, orders: [] } }),
+  )
   const machine = cloud.rent(type, "a", false)
   const request = { ...usual, ...more } as unknown as WireJob
-  rules.users.asksToRun(request)
-  rules.users.answered(request.id, "submit", 201, "queued", 0)
-  const waiting = new WaitingRule(sim, rules, cloud)
+  invariants.users.asksToRun(request)
+  invariants.users.answered(request.id, "submit", 201, "queued", 0)
+  const waiting = new WaitingInvariant(simulation, invariants, cloud)
   const look = () => {
     // Its user hears of it all the time.
-    rules.users.answered(request.id, "poll", 200, rules.users.state(request.id), sim.now)
-    rules.look()
+    invariants.users.answered(request.id, "poll", 200, invariants.users.state(request.id), simulation.now)
+    invariants.look()
     waiting.look()
-    sim.after(500, look)
+    simulation.after(500, look)
   }
   look()
-  return { sim, net, rules, machine, request }
+  return { simulation, network, invariants, machine, request }
 }
-const start = (net: Net, machine: string, piece: string) =>
-  net.request(
+const start = (network: Network, machine: string, piece: string) =>
+  network.request(
     "host-0",
     machine,
     {
@@ -81,11 +83,11 @@
   )
 
 test("a job that nobody starts while a machine has room for it is reported after 90 s", () => {
-  const { sim, rules } = idleService({})
-  sim.runUntil(85_000)
-  assert.deepEqual(rules.broken, [])
-  sim.runUntil(95_000)
-  assert.match(rules.broken.join(), /^left_waiting at 9\d\.\d s: run-000001/)
+  const { simulation, invariants } = idleService({})
+  simulation.runUntil(85_000)
+  assert.deepEqual(invariants.broken, [])
+  simulation.runUntil(95_000)
+  assert.match(invariants.broken.join(), /^left_waiting at 9\d\.\d s: run-000001/)
 })
 
 const kept: ReadonlyArray<readonly [string, Record<string, unknown>]> = [
@@ -96,32 +98,32 @@
 ]
 for (const [why, more] of kept) {
   test(`a job may wait when ${why}`, () => {
-    const { sim, rules } = idleService(more)
-    sim.runUntil(200_000)
-    assert.deepEqual(rules.broken, [])
+    const { simulation, invariants } = idleService(more)
+    simulation.runUntil(200_000)
+    assert.deepEqual(invariants.broken, [])
   })
 }
 
 test("troubles put the 90 s off", () => {
-  const { sim, rules } = idleService({})
-  rules.trouble(60_000)
-  sim.runUntil(140_000)
-  assert.deepEqual(rules.broken, [])
-  sim.runUntil(160_000)
-  assert.equal(rules.broken.length, 1)
+  const { simulation, invariants } = idleService({})
+  invariants.faultLasts(60_000)
+  simulation.runUntil(140_000)
+  assert.deepEqual(invariants.broken, [])
+  simulation.runUntil(160_000)
+  assert.equal(invariants.broken.length, 1)
 })
 
 test("a cancelled task that goes on after its machine hung breaks ran_cancelled", () => {
-  const { sim, net, rules, machine } = idleService({ pieces: 1 })
-  sim.after(2_000, () => start(net, machine.id, "run-000001/0"))
-  sim.after(10_000, () => {
-    rules.users.asksToCancel("run-000001")
-    rules.users.answered("run-000001", "cancel", 200, "withdrawn", sim.now)
+  const { simulation, network, invariants, machine } = idleService({ pieces: 1 })
+  simulation.after(2_000, () => start(network, machine.id, "run-000001/0"))
+  simulation.after(10_000, () => {
+    invariants.users.asksToCancel("run-000001")
+    invariants.users.answered("run-000001", "cancel", 200, "withdrawn", simulation.now)
     machine.hang(true)
-    sim.after(20_000, () => machine.hang(false))
+    simulation.after(20_000, () => machine.hang(false))
   })
-  sim.runUntil(10_000 + CANCEL_S * 1000 - 1_000)
-  assert.deepEqual(rules.broken, [])
-  sim.runUntil(10_000 + CANCEL_S * 1000 + 2_000)
-  assert.match(rules.broken.join(), /ran_cancelled at 57\.\d s: run-000001\/0/)
+  simulation.runUntil(10_000 + CANCEL_S * 1000 - 1_000)
+  assert.deepEqual(invariants.broken, [])
+  simulation.runUntil(10_000 + CANCEL_S * 1000 + 2_000)
+  assert.match(invariants.broken.join(), /ran_cancelled at 57\.\d s: run-000001\/0/)
 })
