--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -124,9 +124,12 @@
     const copy = request.body as WireHeartbeat
     occurrences.count("late reports")
     if (machine === undefined) return occurrences.count("late reports of machines that are gone")
-    if (copy.tenure > machine.tenure || (copy.tenure === machine.tenure && copy.tick > machine.lastTick))
+    if (
+      copy.tenure > machine.agentEpoch ||
+      (copy.tenure === machine.agentEpoch && copy.tick > machine.lastSequence)
+    )
       occurrences.count("late reports of a worker's former self")
-    if (copy.tenure < machine.tenure) occurrences.count("late reports of an earlier session")
+    if (copy.tenure < machine.agentEpoch) occurrences.count("late reports of an earlier session")
     const newestAttempt = (taskId: string) => Math.max(...this.running().map((m) => m.attemptOf(taskId)))
     if (copy.pieces.some((task) => task.try < newestAttempt(task.piece)))
       occurrences.count("late reports of an earlier attempt")
@@ -293,9 +296,9 @@
   }
   takeSpot(count: number, noticeMs: number): void {
     for (const machine of this.someMachines(count)) {
-      machine.warningUntil = noticeMs > 0 ? this.deployment.simulation.now + noticeMs : null
-      if (noticeMs > 0) machine.change()
-      this.deployment.simulation.after(noticeMs, () => this.deployment.cloud.take(machine.id))
+      machine.preemptedAt = noticeMs > 0 ? this.deployment.simulation.now + noticeMs : null
+      if (noticeMs > 0) machine.requestHeartbeat()
+      this.deployment.simulation.after(noticeMs, () => this.deployment.cloud.terminate(machine.id))
     }
   }
 }
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -51,7 +51,7 @@
         const zones = zonesOf.get(job) ?? new Map<string, number>()
         zonesOf.set(job, zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1))
       }
-      if (!machine.isHung && machine.warningUntil === null) rooms.push(room)
+      if (!machine.isHung && machine.preemptedAt === null) rooms.push(room)
     }
     for (const [job, request] of this.invariants.submitted) {
       const zones = zonesOf.get(job) ?? new Map<string, number>()
--- a/packages/testkit/src/services/cloud.ts
+++ b/packages/testkit/src/services/cloud.ts
@@ -1,13 +1,20 @@
+/**
+ * A stand-in of the cloud: it rents machines, boots them, lists them with a lag
+ * and takes them back. Bodies have the names of its protocol.
+ */
 import type { WireMachineType } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
-import type { Network, Request } from "../simulation/network.ts"
+import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
-import { Machine, type MachineDump, type WorkerTimes } from "./machine.ts"
+import { Machine, type WorkerTimes } from "./machine.ts"
+import type { MachineDump } from "./machine-codec.ts"
 
+/** What the cloud has to offer, and how its machines behave. */
 export interface CloudSettings {
   readonly types: ReadonlyArray<WireMachineType>
   /** Machines to be had of each type, zone and kind. */
   capacity: number
+  /** A list shows machines as they were at least this long ago, and at most twice as long. */
   readonly lagMs: number
   readonly nodes: ReadonlyArray<string>
   readonly times: WorkerTimes
@@ -26,25 +33,40 @@
   readonly machines: ReadonlyArray<MachineDump>
 }
 
-/** A stand-in of the cloud: rents, boots, lists with a lag, takes back. */
+/** A request for machines, in the words of the cloud's protocol. */
+interface WireRentalRequest {
+  readonly hire: string
+  readonly build: string
+  readonly site: string
+  readonly loaners: boolean
+  readonly how_many: number
+}
+type ListedMachines = ReadonlyArray<Record<string, unknown>>
+
+/** The most machines that one request gets. */
+const MAX_MACHINES_PER_RENTAL = 50
+const DEFAULT_PAGE = 500
+/** How often the list is taken down. */
+const LIST_INTERVAL_MS = 500
+
+/** A stand-in of the cloud. */
 export class Cloud {
   readonly machines = new Map<string, Machine>()
   /** Machines that were made faulty, gone ones included. */
   readonly faulty = new Set<string>()
-  private readonly answers = new Map<string, unknown>()
-  private readonly saved = new Map<string, number>()
-  private count = 0
-  /** Calls asked for, and machines ever rented. */
+  /** Answers to rental requests by their ids: a repeated request gets the same machines. */
+  private readonly rentals = new Map<string, unknown>()
+  private readonly checkpoints = new Map<string, number>()
+  private rentedCount = 0
+  /** Calls asked for. */
   calls = 0
-  get rented(): number {
-    return this.count
-  }
   /** Machines to be had in zones that differ from the others. */
   readonly zoneCapacity = new Map<string, number>()
   private down = false
   /** When its last outage ended. */
   lastBackAt = Number.NEGATIVE_INFINITY
-  private history: Array<{ readonly at: number; readonly hosts: ReadonlyArray<Record<string, unknown>> }> = []
+  /** Lists as they were, oldest first. */
+  private history: Array<{ readonly at: number; readonly hosts: ListedMachines }> = []
 
   constructor(
     private readonly simulation: Simulation,
@@ -55,23 +77,28 @@
     network.listen("cloud", (request, _from, answer) => {
       simulation.after(simulation.random.between(20, 120), () => answer(this.serve(request)))
     })
-    const record = () => {
-      this.history.push({ at: simulation.now, hosts: this.listNow() })
-      while (this.history.length > 1 && this.history[1]!.at < simulation.now - 3 * settings.lagMs)
-        this.history.shift()
-      simulation.after(500, record)
-    }
-    record()
+    this.recordList()
+  }
+  private recordList(): void {
+    const { now } = this.simulation
+    this.history.push({ at: now, hosts: this.listNow() })
+    while (this.history.length > 1 && this.history[1]!.at < now - 3 * this.settings.lagMs)
+      this.history.shift()
+    this.simulation.after(LIST_INTERVAL_MS, () => this.recordList())
+  }
+  /** Machines ever rented. */
+  get rented(): number {
+    return this.rentedCount
   }
 
   /** Its machines with their workers, and the checkpoints, as plain data. */
   dump(): CloudDump {
     const machines = [...this.machines.values()].map((machine) => machine.dump())
-    return { rented: this.count, checkpoints: [...this.saved], machines }
+    return { rented: this.rentedCount, checkpoints: [...this.checkpoints], machines }
   }
   /** Has the machines of a dump, and has listed them for a while. Those that were booting begin to anew. */
   restore(dump: CloudDump): void {
-    for (const [task, progressS] of dump.checkpoints) this.saved.set(task, progressS)
+    for (const [task, progressS] of dump.checkpoints) this.checkpoints.set(task, progressS)
     for (const machine of dump.machines) {
       const type = this.settings.types.find(({ name }) => name === machine.type)!
       const { id, zone, spot, status } = machine
@@ -79,7 +106,7 @@
       else this.place(id, type, zone, spot).status = status
       this.machines.get(id)!.restore(machine)
     }
-    this.count = dump.rented
+    this.rentedCount = dump.rented
     this.history = [{ at: Number.NEGATIVE_INFINITY, hosts: this.listNow() }]
   }
 
@@ -90,89 +117,86 @@
   isDown(): boolean {
     return this.down
   }
-  private listNow() {
-    return [...this.machines.values()].map((m) => ({
-      id: m.id,
-      address: `${m.id}:9000`,
-      build: m.type.name,
-      site: m.zone,
-      loaners: m.spot,
-      status: m.status,
-      held_s: (this.simulation.now - m.rented) / 1000,
+
+  private listNow(): ListedMachines {
+    return [...this.machines.values()].map((machine) => ({
+      id: machine.id,
+      address: `${machine.id}:9000`,
+      build: machine.type.name,
+      site: machine.zone,
+      loaners: machine.spot,
+      status: machine.status,
+      held_s: (this.simulation.now - machine.rentedAt) / 1000,
     }))
   }
 
-  private serve(request: Request): { status: number; body: unknown } {
+  private serve(request: Request): Answer {
     this.calls++
     if (this.down) return { status: 503, body: { error: "trouble" } }
     const url = new URL(request.path, "http://cloud")
     if (url.pathname === "/catalog") return { status: 200, body: { builds: this.settings.types } }
     if (url.pathname === "/machines/delete") {
-      for (const id of (request.body as { hosts: Array<string> }).hosts) this.take(id)
+      for (const id of (request.body as { hosts: Array<string> }).hosts) this.terminate(id)
       return { status: 200, body: {} }
     }
-    if (request.method === "GET") {
-      const asOf = this.simulation.now - this.settings.lagMs * this.simulation.random.between(1, 2)
-      const seen = [...this.history].reverse().find((h) => h.at <= asOf)
-      const after = url.searchParams.get("after") ?? ""
-      const page = Number(url.searchParams.get("page") ?? 500)
-      const rest = (seen?.hosts ?? []).filter((m) => String(m.id) > after)
-      return { status: 200, body: { hosts: rest.slice(0, page), more: rest.length > page } }
-    }
-    return this.hire(
-      request.body as { hire: string; build: string; site: string; loaners: boolean; how_many: number },
-    )
+    if (request.method === "GET") return this.list(url.searchParams)
+    return this.serveRental(request.body as WireRentalRequest)
+  }
+  private list(query: URLSearchParams): Answer {
+    const asOf = this.simulation.now - this.settings.lagMs * this.simulation.random.between(1, 2)
+    const seen = [...this.history].reverse().find(({ at }) => at <= asOf)
+    const after = query.get("after") ?? ""
+    const page = Number(query.get("page") ?? DEFAULT_PAGE)
+    const rest = (seen?.hosts ?? []).filter(({ id }) => String(id) > after)
+    return { status: 200, body: { hosts: rest.slice(0, page), more: rest.length > page } }
   }
 
-  private hire(want: { hire: string; build: string; site: string; loaners: boolean; how_many: number }) {
-    const known = this.answers.get(want.hire)
+  private serveRental(request: WireRentalRequest): Answer {
+    const known = this.rentals.get(request.hire)
     if (known !== undefined) return { status: 200, body: known }
-    const type = this.settings.types.find((t) => t.name === want.build)
+    const type = this.settings.types.find(({ name }) => name === request.build)
     if (type === undefined) return { status: 400, body: {} }
-    const have = [...this.machines.values()].filter(
-      (m) => m.type === type && m.zone === want.site && m.spot === want.loaners,
-    ).length
-    const capacity = this.zoneCapacity.get(want.site) ?? this.settings.capacity
-    const count = Math.min(want.how_many, 50, capacity - have)
+    const { site: zone, loaners: spot } = request
+    const count = Math.min(request.how_many, MAX_MACHINES_PER_RENTAL, this.availableOf(type, zone, spot))
     if (count <= 0) return { status: 503, body: { error: "no capacity" } }
     const hosts: Array<string> = []
-    for (let i = 0; i < count; i++) hosts.push(this.rent(type, want.site, want.loaners).id)
+    for (let i = 0; i < count; i++) hosts.push(this.rent(type, zone, spot).id)
     const body = { hosts }
-    this.answers.set(want.hire, body)
+    this.rentals.set(request.hire, body)
     return { status: 200, body }
   }
+  private availableOf(type: WireMachineType, zone: string, spot: boolean): number {
+    const isSame = (machine: Machine) =>
+      machine.type === type && machine.zone === zone && machine.spot === spot
+    const rented = [...this.machines.values()].filter(isSame).length
+    return (this.zoneCapacity.get(zone) ?? this.settings.capacity) - rented
+  }
 
+  /** A new machine, which boots some time later. */
   rent(type: WireMachineType, zone: string, spot: boolean): Machine {
-    const id = `i-${String(++this.count).padStart(6, "0")}`
+    const id = `i-${String(++this.rentedCount).padStart(6, "0")}`
     const machine = this.place(id, type, zone, spot)
     this.bootLater(machine)
     return machine
   }
   private place(id: string, type: WireMachineType, zone: string, spot: boolean): Machine {
+    const { simulation, network, invariants, checkpoints } = this
     const { nodes, times } = this.settings
-    const machine = new Machine(
-      id,
-      type,
-      zone,
-      spot,
-      this.simulation,
-      this.network,
-      this.invariants,
-      times,
-      nodes,
-      this.saved,
-    )
+    const surroundings = { simulation, network, invariants, checkpoints, nodes, times }
+    const machine = new Machine({ id, type, zone, spot, ...surroundings })
     this.machines.set(id, machine)
     return machine
   }
   private bootLater(machine: Machine): void {
     const { neverBoots, bootWithinMs } = this.settings
-    if (this.simulation.random.chance(neverBoots)) return
-    const usualMs = machine.type.startup_s * 1000 * this.simulation.random.between(0.6, 1.5)
-    const bootMs = bootWithinMs === null ? usualMs : this.simulation.random.between(0, bootWithinMs)
+    const { random } = this.simulation
+    if (random.chance(neverBoots)) return
+    const usualMs = machine.type.startup_s * 1000 * random.between(0.6, 1.5)
+    const bootMs = bootWithinMs === null ? usualMs : random.between(0, bootWithinMs)
     this.simulation.after(bootMs, () => machine.boot())
   }
-  take(id: string): void {
+  /** The machine is given back, or taken away. */
+  terminate(id: string): void {
     this.machines.get(id)?.remove()
     this.machines.delete(id)
   }
