--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -73,19 +73,19 @@
     return this.deployment.simulation.now <= sinceMs + lastsMs
   }
   private records(prefix: string) {
-    return [...this.deployment.state.keys].filter(([path]) => path.startsWith(prefix))
+    return [...this.deployment.state.entries].filter(([path]) => path.startsWith(prefix))
   }
   private leaseIsOverdue(): boolean {
     return this.records("s/live/").some(
-      ([, { permit }]) => this.deployment.state.leaseShareElapsed(permit) > OVERDUE_SHARE,
+      ([, { leaseId }]) => this.deployment.state.leaseShareElapsed(leaseId) > OVERDUE_SHARE,
     )
   }
   private shardIsWithoutOwner(): boolean {
     const standing = new Set(
-      this.records("s/live/").map(([, { v }]) => (v as { incarnation: string }).incarnation),
+      this.records("s/live/").map(([, { value }]) => (value as { incarnation: string }).incarnation),
     )
-    return this.records("s/part/").some(([, { v }]) => {
-      const { incarnation } = v as { incarnation: string | null }
+    return this.records("s/part/").some(([, { value }]) => {
+      const { incarnation } = value as { incarnation: string | null }
       return incarnation === null || !standing.has(incarnation)
     })
   }
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -61,8 +61,10 @@
         if (this.isAffected(by, machine.id))
           simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTasks)
     }
-    const recorded = [...this.deployment.state.keys].filter(([path]) => path.startsWith(MACHINE_BLOCK_PREFIX))
-    const records = recorded.map(([, { v }]) => JSON.stringify(v))
+    const recorded = [...this.deployment.state.entries].filter(([path]) =>
+      path.startsWith(MACHINE_BLOCK_PREFIX),
+    )
+    const records = recorded.map(([, { value }]) => JSON.stringify(value))
     for (const { id, status } of cloud.machines.values()) {
       if (status === "running" && !records.some((record) => record.includes(id)))
         simulation.occurrences.count("machines up without a record at a take-over")
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -45,7 +45,7 @@
   }
 
   private checkLeader(): void {
-    const owner = this.deployment.state.keys.get("s/part/deadline")?.v as
+    const owner = this.deployment.state.entries.get("s/part/deadline")?.value as
       | { readonly owner: string; readonly incarnation: string }
       | undefined
     if (owner === undefined || owner.incarnation === this.incarnation) return
--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -48,7 +48,9 @@
   }
   /** The owner on record still has the live key under which it took the shard over. */
   private leaseIsHeld({ owner, incarnation }: ShardRecord): boolean {
-    const live = this.deployment.state.keys.get(`s/live/${owner}`)?.v as { incarnation: string } | undefined
+    const live = this.deployment.state.entries.get(`s/live/${owner}`)?.value as
+      | { incarnation: string }
+      | undefined
     return live !== undefined && live.incarnation === incarnation
   }
 
@@ -58,7 +60,9 @@
   }
   /** The controller that owns the leader's shard by the record; the first one if none does. */
   leader(): NodeName {
-    const record = this.deployment.state.keys.get(`s/part/${DEADLINE_SHARD}`)?.v as ShardRecord | undefined
+    const record = this.deployment.state.entries.get(`s/part/${DEADLINE_SHARD}`)?.value as
+      | ShardRecord
+      | undefined
     return record?.owner ?? this.deployment.names[0]!
   }
   /** The leader of the moment ends, again and again. */
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -2,6 +2,7 @@
 import type { Invariants } from "../invariants/invariants.ts"
 import type { Refusal } from "../invariants/user-invariants.ts"
 import type { UserEvent, Users } from "../services/users.ts"
+import { type JobFields, uncheckedJob } from "../services/wire-builders.ts"
 import type { Simulation } from "../simulation/simulation.ts"
 
 /** After an event, all nodes are asked this much later each time. */
@@ -149,7 +150,7 @@
   private submitInVain(): void {
     const id = `run-${String(900_000 + ++this.oddJobs).padStart(6, "0")}` as JobId
     const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
-    const request = change({ ...PLAIN, id })
+    const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
     this.invariants.users.asksInVain(id, refusal)
     const attempt = (node?: NodeName) =>
       this.users.ask(
@@ -171,38 +172,21 @@
   }
 }
 
-const PLAIN = {
-  lane: "bulk",
-  owner: "red",
-  shape: "batch",
-  urgency: "standard",
-  pieces: 2,
-  cores: 2,
-  accelerators: 0,
-  mem_gb: 4,
-  bundle: "img-1",
-  image_gb: 1,
-  builds: null,
-  site: null,
-  together: false,
-  scatter: false,
-  loaners: true,
-  expected_s: 5,
-  snapshot_s: 0,
-  flush_s: 0,
-  due_s: null,
-}
-type Odd = Record<string, unknown>
+/** What each of them has in common, before something is wrong with it. */
+const ODD_JOB_FIELDS: JobFields = { pieces: 2, cores: 2, expected_s: 5 }
 const without =
   (field: keyof WireJob) =>
-  (request: Odd): Odd => {
+  (request: JobFields): JobFields => {
     const { [field]: _, ...rest } = request
     return rest
   }
 const having =
-  (fields: Odd) =>
-  (request: Odd): Odd => ({ ...request, ...fields })
-const ODD_JOBS: ReadonlyArray<{ readonly change: (request: Odd) => Odd; readonly refusal: Refusal }> = [
+  (fields: JobFields) =>
+  (request: JobFields): JobFields => ({ ...request, ...fields })
+const ODD_JOBS: ReadonlyArray<{
+  readonly change: (request: JobFields) => JobFields
+  readonly refusal: Refusal
+}> = [
   { change: without("owner"), refusal: "malformed" },
   { change: without("lane"), refusal: "malformed" },
   { change: without("pieces"), refusal: "malformed" },
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -12,12 +12,13 @@
  */
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
-import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
+import type { NodeName, TeamName, WireMachineType } from "@sorreltally/protocol"
 import { NO_LIMIT } from "@sorreltally/settings"
 import { Invariants } from "../invariants/invariants.ts"
 import { Cloud } from "../services/cloud.ts"
 import { StateService } from "../services/state-service.ts"
 import { Users } from "../services/users.ts"
+import { jobRequest, machineTypeOffer } from "../services/wire-builders.ts"
 import { LoopbackNetwork } from "../simulation/loopback-network.ts"
 import { Simulation } from "../simulation/simulation.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
@@ -125,18 +126,15 @@
 mkdirSync(folder, { recursive: true })
 
 const machineType = (name: string, cores: number, hourly: number): WireMachineType =>
-  ({
+  machineTypeOffer({
     name,
     cores,
-    accelerators: 0,
     mem_gb: cores * 4,
     cache_gb: 60,
-    pull_gb_per_s: 1,
     hourly,
     spot_price: hourly / 5,
-    startup_s: 6,
     sites: ZONES,
-  }) as unknown as WireMachineType
+  })
 const types = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
 const teams = ["red", "blue"].map((name) => ({
   name,
@@ -211,29 +209,20 @@
 
 let jobs = 0
 const submit = (kind: LoadKind): void => {
-  const id = `run-${String(++jobs).padStart(6, "0")}` as JobId
-  users.submit({
-    id,
-    lane: kind.lane,
-    owner: kind.owner,
-    shape: "batch",
-    urgency: kind.isUrgent ? "high" : "standard",
-    pieces: kind.pieces,
-    cores: kind.cores,
-    accelerators: 0,
-    mem_gb: kind.cores,
-    bundle: `img-${jobs % 12}`,
-    image_gb: 1,
-    builds: null,
-    site: null,
-    together: false,
-    scatter: false,
-    loaners: true,
-    expected_s: kind.run,
-    snapshot_s: 0,
-    flush_s: 0,
-    due_s: kind.due,
-  } as unknown as WireJob)
+  const id = `run-${String(++jobs).padStart(6, "0")}`
+  users.submit(
+    jobRequest(id, {
+      lane: kind.lane,
+      owner: kind.owner,
+      urgency: kind.isUrgent ? "high" : "standard",
+      pieces: kind.pieces,
+      cores: kind.cores,
+      mem_gb: kind.cores,
+      bundle: `img-${jobs % 12}`,
+      expected_s: kind.run,
+      due_s: kind.due,
+    }),
+  )
 }
 const keepSubmitting = (kind: LoadKind): void => {
   submit(kind)
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -59,4 +59,13 @@
     for (let i = 0; i < number(args, 0, 1); i++)
       deployment.cloud.rent(type, deployment.setup.zones[0]!, false)
   },
+  /** So many machines of each type and kind are to be had in one zone. */
+  "zone-capacity": (deployment, args) => deployment.cloud.zoneCapacity.set(args[0]!, number(args, 1, 0)),
+  /** Every message takes up to so many seconds longer, for so many seconds. */
+  "slow-links": (deployment, args) => {
+    deployment.network.slowMs = number(args, 0, 0.4) * 1000
+    deployment.simulation.after(number(args, 1, 60) * 1000, () => {
+      deployment.network.slowMs = 0
+    })
+  },
 }
--- a/packages/testkit/src/scenarios/golden-recording.ts
+++ b/packages/testkit/src/scenarios/golden-recording.ts
@@ -6,6 +6,7 @@
 import { bucketOf } from "@sorreltally/jobs"
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import { unpack } from "msgpackr"
+import { jobRequest } from "../services/wire-builders.ts"
 import { type DeploymentDump, dumpDeployment } from "../simulation/deployment-dump.ts"
 import type { Request } from "../simulation/network.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
@@ -215,29 +216,9 @@
   }
 }
 
-const longJob = (id: JobId): WireJob =>
-  ({
-    id,
-    lane: "bulk",
-    owner: "guest",
-    shape: "batch",
-    urgency: "standard",
-    pieces: 1,
-    cores: 0.25,
-    accelerators: 0,
-    mem_gb: 0.5,
-    bundle: "img-1",
-    image_gb: 1,
-    builds: null,
-    site: null,
-    together: false,
-    scatter: false,
-    loaners: true,
-    expected_s: 1,
-    snapshot_s: 0,
-    flush_s: 0,
-    due_s: null,
-  }) as unknown as WireJob
+/** A job that is soon over, and whose id is as long as may be. */
+const longIdJob = (id: JobId): WireJob =>
+  jobRequest(id, { owner: "guest", pieces: 1, cores: 0.25, mem_gb: 0.5, expected_s: 1 })
 
 const idsOfOneBucket = (): ReadonlyArray<JobId> => {
   const idAt = (n: bigint) => `run-${n}` as JobId
@@ -250,7 +231,7 @@
 /** Small jobs of one bucket come one after the other, so that its page has to be archived. */
 const fillOneBucket = (deployment: SimulatedDeployment): void => {
   for (const [n, id] of idsOfOneBucket().entries())
-    deployment.simulation.after(10_000 + n * 1_700, () => deployment.users.submit(longJob(id)))
+    deployment.simulation.after(10_000 + n * 1_700, () => deployment.users.submit(longIdJob(id)))
 }
 
 /** Users cancel some of the largest jobs that aren't over. */
--- /dev/null
+++ b/packages/testkit/src/services/key-value-store.ts
@@ -0,0 +1,144 @@
+/**
+ * What the simulated state service holds: entries with the revision of their
+ * last change, leases that take their entries with them, and the latest changes
+ * for watches. It knows neither requests nor faults, and its time is given to it.
+ */
+
+/** A stored value. */
+export interface StoredEntry {
+  readonly value: unknown
+  /** Revision of the store at its last change. */
+  readonly modRevision: number
+  readonly leaseId: number | null
+}
+/** A change that watches are told of; `entry: null`: the key was deleted. */
+export interface WatchEvent {
+  readonly revision: number
+  readonly key: string
+  readonly entry: StoredEntry | null
+}
+/** A change that a transaction makes. */
+export type StoreOperation =
+  | { readonly type: "put"; readonly key: string; readonly value: unknown; readonly leaseId: number | null }
+  | { readonly type: "delete"; readonly key: string }
+/** Times are in milliseconds. */
+interface Lease {
+  readonly ttl: number
+  until: number
+}
+
+/** The whole store as plain data; its names are those of the wire. */
+export interface StoreDump {
+  readonly epoch: number
+  /** Number of the last lease made. */
+  readonly permits: number
+  /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
+  readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
+  readonly entries: ReadonlyArray<{
+    readonly path: string
+    readonly v: unknown
+    readonly stamp: number
+    readonly permit: number | null
+  }>
+}
+
+const MAX_WATCH_EVENTS = 10_000
+
+/** Entries, leases and the latest changes. */
+export class KeyValueStore {
+  readonly entries = new Map<string, StoredEntry>()
+  revision = 0
+  private lastLeaseId = 0
+  private readonly leases = new Map<number, Lease>()
+  private readonly watchEvents: Array<WatchEvent> = []
+
+  /** `onChange`: called after every change, with the entry before and the one after it. */
+  constructor(
+    private readonly onChange: (
+      key: string,
+      before: StoredEntry | undefined,
+      after: StoredEntry | null,
+    ) => void,
+  ) {}
+
+  /** Makes a lease that lasts so long, and returns its id. */
+  grantLease(ttl: number, now: number): number {
+    this.leases.set(++this.lastLeaseId, { ttl, until: now + ttl })
+    return this.lastLeaseId
+  }
+  hasLease(id: number): boolean {
+    return this.leases.has(id)
+  }
+  keepAlive(id: number, now: number): void {
+    const lease = this.leases.get(id)
+    if (lease !== undefined) lease.until = now + lease.ttl
+  }
+  keepAllAlive(now: number): void {
+    for (const lease of this.leases.values()) lease.until = now + lease.ttl
+  }
+  expiredLeases(now: number): ReadonlyArray<number> {
+    return [...this.leases].filter(([, { until }]) => until < now).map(([id]) => id)
+  }
+  /** Its entries are deleted under one new revision; true: there were some. */
+  revokeLease(id: number): boolean {
+    this.leases.delete(id)
+    const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key)
+    if (keys.length === 0) return false
+    this.revision++
+    for (const key of keys) this.change(key, null)
+    return true
+  }
+  /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
+  leaseShareElapsed(id: number | null, now: number): number {
+    const lease = this.leases.get(id ?? -1)
+    return lease === undefined ? 0 : 1 - (lease.until - now) / lease.ttl
+  }
+
+  /** Carries out all operations under one new revision. */
+  apply(operations: ReadonlyArray<StoreOperation>): void {
+    this.revision++
+    for (const operation of operations) {
+      if (operation.type === "delete") this.change(operation.key, null)
+      else {
+        const { key, value, leaseId } = operation
+        this.change(key, { value, modRevision: this.revision, leaseId })
+      }
+    }
+  }
+  private change(key: string, entry: StoredEntry | null): void {
+    const before = this.entries.get(key)
+    if (entry === null) this.entries.delete(key)
+    else this.entries.set(key, entry)
+    this.watchEvents.push({ revision: this.revision, key, entry })
+    if (this.watchEvents.length > MAX_WATCH_EVENTS) this.watchEvents.shift()
+    this.onChange(key, before, entry)
+  }
+
+  /** The kept changes after a revision of keys with a prefix, oldest first. */
+  eventsSince(revision: number, prefix: string): ReadonlyArray<WatchEvent> {
+    return this.watchEvents.filter((event) => event.revision > revision && event.key.startsWith(prefix))
+  }
+  /** Are all changes after this revision kept? */
+  hasEventsSince(revision: number): boolean {
+    return revision + 1 >= (this.watchEvents[0]?.revision ?? 1)
+  }
+
+  dump(): StoreDump {
+    const grants = [...this.leases].map(([permit, { ttl, until }]) => ({ permit, ttl, until }))
+    const entries = [...this.entries].map(([path, { value, modRevision, leaseId }]) => ({
+      path,
+      v: value,
+      stamp: modRevision,
+      permit: leaseId,
+    }))
+    return { epoch: this.revision, permits: this.lastLeaseId, grants, entries }
+  }
+  /** Holds what a dump says, as though it had been there from the beginning. */
+  restore({ epoch, permits, grants, entries }: StoreDump): void {
+    this.revision = epoch
+    this.lastLeaseId = permits
+    for (const { permit, ttl, until } of grants) this.leases.set(permit, { ttl, until })
+    for (const { path, v, stamp, permit } of entries)
+      this.entries.set(path, { value: v, modRevision: stamp, leaseId: permit })
+  }
+}
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -1,50 +1,45 @@
-import type { Network, Request } from "../simulation/network.ts"
+/**
+ * A stand-in of the state service: its published protocol over a store that is
+ * kept in memory, with the platform's limits, outages and the faults of
+ * `StateFaults`. Requests and answers have the names of its protocol here alone.
+ */
+import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
+import { KeyValueStore, type StoreDump, type StoredEntry, type StoreOperation } from "./key-value-store.ts"
 import { Operations } from "./operations.ts"
 import { StateFaults } from "./state-faults.ts"
 
-interface StoredEntry {
-  v: unknown
-  stamp: number
-  permit: number | null
+/** Of the platform's file: what the state service takes of each controller and of one transaction. */
+export interface StateLimits {
+  readonly rps: number
+  readonly write_rps: number
+  readonly txn_ops: number
+  readonly value_kb: number
 }
-interface WatchEvent {
-  readonly epoch: number
-  readonly path: string
-  readonly entry: StoredEntry | null
-}
-interface Condition {
-  readonly path: string
-  readonly stamp: number
+
+/** A transaction on the wire. */
+interface WireTransaction {
+  readonly when?: ReadonlyArray<{ readonly path: string; readonly stamp: number }>
+  readonly apply?: ReadonlyArray<WireChange>
 }
-type Change = {
+interface WireChange {
   readonly set?: string
   readonly v?: unknown
   readonly permit?: number
   readonly delete?: string
 }
 
-/** The state service's whole store. */
-export interface StoreDump {
-  readonly epoch: number
-  /** Number of the last lease made. */
-  readonly permits: number
-  /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
-  readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
-  readonly entries: ReadonlyArray<
-    { readonly path: string } & Readonly<Pick<StoredEntry, "v" | "stamp" | "permit">>
-  >
-}
-
-const MAX_WATCH_EVENTS = 10_000
+const MAX_PAGE = 1_000
+/** Conditions that a transaction may have, by each of its changes that are allowed. */
+const CONDITIONS_PER_OPERATION = 4
+const MAX_TRANSACTION_BYTES = 65_536
+const LEASE_CHECK_INTERVAL_MS = 50
+/** A watch whose time is over during an outage is looked at again after this time. */
+const BLOCKED_WATCH_INTERVAL_MS = 200
 
-/** A stand-in of the state service: its published protocol, kept in memory. */
+/** A stand-in of the state service. */
 export class StateService {
-  readonly keys = new Map<string, StoredEntry>()
-  private epoch = 0
-  private permits = 0
-  private readonly grants = new Map<number, { ttl: number; until: number }>()
-  private readonly watchEvents: Array<WatchEvent> = []
+  private readonly store: KeyValueStore
   private waiting: Array<() => void> = []
   private down = false
   /** When it last came back for everybody or for one node. */
@@ -56,44 +51,35 @@
   /** Requests and changes asked for, and those turned away for being too many. */
   readonly count = { requests: 0, changes: 0, refused: 0 }
   /** Called at every change, with the key's new value or null. */
-  readonly listeners: Array<(path: string, value: unknown) => void> = []
+  readonly listeners: Array<(key: string, value: unknown) => void> = []
   private readonly requests: Bucket
   private readonly changes: Bucket
 
   constructor(
     private readonly simulation: Simulation,
     network: Network,
-    private readonly limits: {
-      readonly rps: number
-      readonly write_rps: number
-      readonly txn_ops: number
-      readonly value_kb: number
-    },
+    private readonly limits: StateLimits,
   ) {
+    this.store = new KeyValueStore((key, before, after) => this.changed(key, before, after))
     this.faults = new StateFaults(simulation)
     this.requests = new Bucket(limits.rps)
     this.changes = new Bucket(limits.write_rps)
-    network.listen("state", (request, from, answer) => {
-      const late = simulation.random.chance(0.02)
-        ? simulation.random.between(50, 300)
-        : simulation.random.between(1, 6)
-      const answerLater: typeof answer = (what) => simulation.after(this.faults.delayMs(), () => answer(what))
-      simulation.after(late + this.faults.delayMs(), () =>
-        this.serve(request, from, this.faults.slowMs > 0 ? answerLater : answer),
-      )
-    })
-    const expire = () => {
-      if (!this.down) for (const [id, grant] of this.grants) if (grant.until < simulation.now) this.end(id)
-      simulation.after(50, expire)
-    }
-    expire()
+    network.listen("state", (request, from, answer) => this.receive(request, from, answer))
+    this.expireLeases()
+  }
+  private expireLeases(): void {
+    if (!this.down) for (const id of this.store.expiredLeases(this.simulation.now)) this.revokeLease(id)
+    this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.expireLeases())
   }
 
+  // --- outages, and what is seen from outside -----------------------------------
+
+  /** Nobody is answered; all leases begin anew as it comes back. */
   outage(on: boolean): void {
     this.down = on
     if (on) return
     this.lastBackAt = this.simulation.now
-    this.renewAll()
+    this.store.keepAllAlive(this.simulation.now)
   }
   /** One node alone gets 503, and its leases run out. */
   refuse(node: string, on: boolean): void {
@@ -104,193 +90,194 @@
   isDown(): boolean {
     return this.down
   }
-  /** How much of a lease's time is over since it was made or touched; 0 if there is no such lease. */
-  leaseShareElapsed(permit: number | null): number {
-    const grant = this.grants.get(permit ?? -1)
-    return grant === undefined ? 0 : 1 - (grant.until - this.simulation.now) / grant.ttl
+  /** Out for everybody, or for this node alone. */
+  isOutFor(node: string): boolean {
+    return this.down || this.refused.has(node)
+  }
+  get entries(): ReadonlyMap<string, StoredEntry> {
+    return this.store.entries
+  }
+  /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
+  leaseShareElapsed(leaseId: number | null): number {
+    return this.store.leaseShareElapsed(leaseId, this.simulation.now)
   }
   /** When a key with the prefix was last written or deleted. */
   lastChangeAt(prefix: string): number {
-    const times = [...this.changedAt].filter(([path]) => path.startsWith(prefix)).map(([, at]) => at)
+    const times = [...this.changedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
     return Math.max(Number.NEGATIVE_INFINITY, ...times)
   }
-  refuses(node: string): boolean {
-    return this.refused.has(node)
-  }
-  /** Out for everybody, or for this node alone. */
-  isOutFor(node: string): boolean {
-    return this.down || this.refuses(node)
-  }
-  private renewAll(): void {
-    for (const grant of this.grants.values()) grant.until = this.simulation.now + grant.ttl
-  }
-
   /** Everything that it holds, as plain data. */
   dump(): StoreDump {
-    const { epoch, permits } = this
-    const grants = [...this.grants].map(([permit, { ttl, until }]) => ({ permit, ttl, until }))
-    const entries = [...this.keys].map(([path, held]) => ({ path, ...held }))
-    return { epoch, permits, grants, entries }
+    return this.store.dump()
   }
   /** Holds what a dump says, as though it had been there from the beginning. */
-  restore({ epoch, permits, grants, entries }: StoreDump): void {
-    this.epoch = epoch
-    this.permits = permits
-    for (const { permit, ttl, until } of grants) this.grants.set(permit, { ttl, until })
-    for (const { path, v, stamp, permit } of entries) this.keys.set(path, { v, stamp, permit })
+  restore(dump: StoreDump): void {
+    this.store.restore(dump)
+  }
+  private changed(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
+    this.operations.note(key, before?.value, after?.value)
+    this.changedAt.set(key, this.simulation.now)
+    for (const listener of this.listeners) listener(key, after?.value ?? null)
   }
 
-  private serve(
-    request: Request,
-    from: string,
-    answer: (a: { status: number; body: unknown }) => void,
-  ): void {
+  // --- requests -----------------------------------------------------------------
+
+  private receive(request: Request, from: string, answer: (answer: Answer) => void): void {
+    const { simulation, faults } = this
+    const { random } = simulation
+    const delayMs = random.chance(0.02) ? random.between(50, 300) : random.between(1, 6)
+    const answerLater: typeof answer = (what) => simulation.after(faults.delayMs(), () => answer(what))
+    simulation.after(delayMs + faults.delayMs(), () =>
+      this.serve(request, from, faults.slowMs > 0 ? answerLater : answer),
+    )
+  }
+  private serve(request: Request, from: string, answer: (answer: Answer) => void): void {
     if (this.isOutFor(from)) {
       if (request.path.startsWith("/watch")) return
       return answer({ status: 503, body: { error: "trouble" } })
     }
     const url = new URL(request.path, "http://state")
-    const body = request.body as Record<string, unknown>
-    const changes = url.pathname === "/multi" ? ((body.apply as Array<Change> | undefined)?.length ?? 0) : 0
-    this.count.requests++
-    this.count.changes += changes
-    if (!this.requests.take(1, this.simulation.now) || !this.changes.take(changes, this.simulation.now)) {
+    if (!this.admits(url, request)) {
       this.count.refused++
       return answer({ status: 429, body: { error: "too many" } })
     }
-    if (url.pathname.startsWith("/kv/")) {
-      const path = url.pathname.slice("/kv/".length)
-      const held = this.keys.get(path)
-      if (held === undefined) return answer({ status: 404, body: { epoch: this.epoch } })
-      this.faults.read(from, [held.stamp])
-      return answer({ status: 200, body: { path, v: held.v, stamp: held.stamp } })
-    }
-    if (url.pathname === "/kv") {
-      const prefix = url.searchParams.get("starts") ?? ""
-      const after = url.searchParams.get("after") ?? ""
-      const page = Math.min(1000, Number(url.searchParams.get("page") ?? 1000))
-      const all = [...this.keys.entries()].filter(([p]) => p.startsWith(prefix) && p > after)
-      all.sort(([a], [b]) => (a < b ? -1 : 1))
-      const items = all.slice(0, page).map(([path, { v, stamp }]) => ({ path, v, stamp }))
-      return answer({ status: 200, body: { items, more: all.length > page, epoch: this.epoch } })
-    }
-    if (url.pathname === "/multi") {
-      if (this.faults.holdsBack(from, () => this.lateMulti(body))) return
-      const done = this.multi(body)
-      const lost = done.status === 200 && this.faults.losesAnswer(from, this.epoch)
-      if (!lost) answer(done)
-      return
-    }
-    if (url.pathname === "/watch") return this.watch(url, from, answer)
-    if (url.pathname === "/grants") {
-      const ttl = body.ttl_ms as number
-      this.grants.set(++this.permits, { ttl, until: this.simulation.now + ttl })
-      return answer({ status: 200, body: { permit: this.permits } })
-    }
-    const grant = /^\/grants\/(\d+)(\/touch)?$/.exec(url.pathname)
-    const id = Number(grant?.[1])
-    const held = this.grants.get(id)
-    if (grant === null || held === undefined) return answer({ status: 404, body: {} })
-    if (grant[2] === undefined) this.end(id)
-    else held.until = this.simulation.now + held.ttl
-    answer({ status: 200, body: {} })
+    if (url.pathname === "/multi") return this.serveTransaction(request.body as WireTransaction, from, answer)
+    if (url.pathname === "/watch") return this.watch(url.searchParams, from, answer)
+    if (url.pathname === "/kv") return answer(this.list(url.searchParams))
+    if (url.pathname.startsWith("/kv/")) return answer(this.read(url.pathname.slice("/kv/".length), from))
+    answer(this.serveLease(url.pathname, request.body))
   }
-
-  private end(id: number): void {
-    this.grants.delete(id)
-    const gone = [...this.keys].filter(([, held]) => held.permit === id).map(([path]) => path)
-    if (gone.length === 0) return
-    this.epoch++
-    for (const path of gone) this.change(path, null)
-    this.wake()
+  /** Counts the request, and takes it from what a second has left. */
+  private admits({ pathname }: URL, { body }: Request): boolean {
+    const changes = pathname === "/multi" ? ((body as WireTransaction).apply?.length ?? 0) : 0
+    this.count.requests++
+    this.count.changes += changes
+    const { now } = this.simulation
+    return this.requests.take(1, now) && this.changes.take(changes, now)
   }
 
-  /** True: it changed something; null: not yet. */
-  private lateMulti(body: Record<string, unknown>): boolean | null {
-    return this.down ? null : this.multi(body).status === 200
+  private read(key: string, from: string): Answer {
+    const entry = this.store.entries.get(key)
+    if (entry === undefined) return { status: 404, body: { epoch: this.store.revision } }
+    this.faults.read(from, [entry.modRevision])
+    return { status: 200, body: { path: key, v: entry.value, stamp: entry.modRevision } }
   }
-  private multi(body: Record<string, unknown>): { status: number; body: unknown } {
-    const when = (body.when ?? []) as Array<Condition>
-    const apply = (body.apply ?? []) as Array<Change>
-    const tooBig = apply.some((c) => JSON.stringify(c.v ?? null).length > this.limits.value_kb * 1024)
-    const size = JSON.stringify(body).length
-    if (
-      apply.length > this.limits.txn_ops ||
-      when.length > 4 * this.limits.txn_ops ||
-      tooBig ||
-      size > 65_536
-    ) {
-      throw new Error(
-        `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${size} bytes`,
-      )
+  private list(query: URLSearchParams): Answer {
+    const prefix = query.get("starts") ?? ""
+    const after = query.get("after") ?? ""
+    const page = Math.min(MAX_PAGE, Number(query.get("page") ?? MAX_PAGE))
+    const all = [...this.store.entries].filter(([key]) => key.startsWith(prefix) && key > after)
+    all.sort(([a], [b]) => (a < b ? -1 : 1))
+    const items = all
+      .slice(0, page)
+      .map(([path, { value, modRevision }]) => ({ path, v: value, stamp: modRevision }))
+    return { status: 200, body: { items, more: all.length > page, epoch: this.store.revision } }
+  }
+
+  private serveLease(path: string, body: unknown): Answer {
+    const { now } = this.simulation
+    if (path === "/grants") {
+      const { ttl_ms } = body as { readonly ttl_ms: number }
+      return { status: 200, body: { permit: this.store.grantLease(ttl_ms, now) } }
     }
-    const failed = when.filter((c) => (this.keys.get(c.path)?.stamp ?? 0) !== c.stamp).map((c) => c.path)
-    if (failed.length > 0) return { status: 409, body: { failed, epoch: this.epoch } }
-    if (apply.some((c) => c.permit !== undefined && !this.grants.has(c.permit))) {
+    const found = /^\/grants\/(\d+)(\/touch)?$/.exec(path)
+    const id = Number(found?.[1])
+    if (found === null || !this.store.hasLease(id)) return { status: 404, body: {} }
+    if (found[2] === undefined) this.revokeLease(id)
+    else this.store.keepAlive(id, now)
+    return { status: 200, body: {} }
+  }
+  private revokeLease(id: number): void {
+    if (this.store.revokeLease(id)) this.wakeWatches()
+  }
+
+  // --- transactions ---------------------------------------------------------------
+
+  private serveTransaction(
+    transaction: WireTransaction,
+    from: string,
+    answer: (answer: Answer) => void,
+  ): void {
+    // Held back, it is carried out at some later time; null: not yet, as the service is out.
+    const carryOutLater = () => (this.down ? null : this.carryOut(transaction).status === 200)
+    if (this.faults.holdsBack(from, carryOutLater)) return
+    const done = this.carryOut(transaction)
+    const isLost = done.status === 200 && this.faults.losesAnswer(from, this.store.revision)
+    if (!isLost) answer(done)
+  }
+  /** All of it or nothing. */
+  private carryOut(transaction: WireTransaction): Answer {
+    const { when = [], apply = [] } = transaction
+    this.checkSize(transaction)
+    const { entries } = this.store
+    const failed = when.filter(({ path, stamp }) => (entries.get(path)?.modRevision ?? 0) !== stamp)
+    if (failed.length > 0)
+      return { status: 409, body: { failed: failed.map(({ path }) => path), epoch: this.store.revision } }
+    if (apply.some(({ permit }) => permit !== undefined && !this.store.hasLease(permit)))
       return { status: 400, body: { error: "no such lease" } }
-    }
     if (apply.length > 0) {
-      this.epoch++
-      for (const c of apply) {
-        if (c.set !== undefined) this.change(c.set, { v: c.v, stamp: this.epoch, permit: c.permit ?? null })
-        else if (c.delete !== undefined) this.change(c.delete, null)
-      }
-      this.wake()
+      this.store.apply(apply.flatMap(operationOf))
+      this.wakeWatches()
     }
-    return { status: 200, body: { epoch: this.epoch } }
+    return { status: 200, body: { epoch: this.store.revision } }
   }
-
-  private change(path: string, entry: StoredEntry | null): void {
-    this.operations.note(path, this.keys.get(path)?.v, entry?.v)
-    if (entry === null) this.keys.delete(path)
-    else this.keys.set(path, entry)
-    this.changedAt.set(path, this.simulation.now)
-    this.watchEvents.push({ epoch: this.epoch, path, entry })
-    if (this.watchEvents.length > MAX_WATCH_EVENTS) this.watchEvents.shift()
-    for (const listener of this.listeners) listener(path, entry?.v ?? null)
+  /** A controller that exceeds the limits is wrong: the run fails. */
+  private checkSize(transaction: WireTransaction): void {
+    const { when = [], apply = [] } = transaction
+    const { txn_ops, value_kb } = this.limits
+    const hasLargeValue = apply.some(({ v }) => JSON.stringify(v ?? null).length > value_kb * 1024)
+    const size = JSON.stringify(transaction).length
+    const hasTooMany = apply.length > txn_ops || when.length > CONDITIONS_PER_OPERATION * txn_ops
+    if (!hasTooMany && !hasLargeValue && size <= MAX_TRANSACTION_BYTES) return
+    throw new Error(
+      `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${size} bytes`,
+    )
   }
 
-  private watch(url: URL, from: string, answer: (a: { status: number; body: unknown }) => void): void {
-    const prefix = url.searchParams.get("starts") ?? ""
-    const after = Number(url.searchParams.get("after"))
-    const oldest = this.watchEvents[0]?.epoch ?? 1
-    if (after + 1 < oldest) return answer({ status: 410, body: {} })
-    const watchEvents = () =>
-      this.watchEvents
-        .filter((n) => n.epoch > after && n.path.startsWith(prefix))
-        .map((n) =>
-          n.entry === null
-            ? { delete: n.path, stamp: n.epoch }
-            : { set: n.path, v: n.entry.v, stamp: n.entry.stamp },
-        )
-    let over = false
-    const look = (final: boolean) => {
-      if (over) return
+  // --- watches ----------------------------------------------------------------------
+
+  private watch(query: URLSearchParams, from: string, answer: (answer: Answer) => void): void {
+    const prefix = query.get("starts") ?? ""
+    const after = Number(query.get("after"))
+    if (!this.store.hasEventsSince(after)) return answer({ status: 410, body: {} })
+    let isOver = false
+    const check = (isTimeOver: boolean) => {
+      if (isOver) return
       // Open watches wait through an outage, and while their node alone is refused.
-      const blocked = this.isOutFor(from)
-      const found = blocked ? [] : watchEvents()
-      if (found.length === 0 && (!final || blocked)) {
-        this.waiting.push(() => look(false))
-        if (final) this.simulation.after(200, () => look(true))
+      const isBlocked = this.isOutFor(from)
+      const events = isBlocked ? [] : this.store.eventsSince(after, prefix)
+      if (events.length === 0 && (!isTimeOver || isBlocked)) {
+        this.waiting.push(() => check(false))
+        if (isTimeOver) this.simulation.after(BLOCKED_WATCH_INTERVAL_MS, () => check(true))
         return
       }
-      over = true
+      isOver = true
+      const news = events.map(({ key, revision, entry }) =>
+        entry === null
+          ? { delete: key, stamp: revision }
+          : { set: key, v: entry.value, stamp: entry.modRevision },
+      )
       this.faults.read(
         from,
-        found.map(({ stamp }) => stamp),
+        news.map(({ stamp }) => stamp),
       )
-      answer({ status: 200, body: { epoch: this.epoch, news: found } })
+      answer({ status: 200, body: { epoch: this.store.revision, news } })
     }
-    look(false)
-    if (!over) this.simulation.after(Number(url.searchParams.get("block_ms") ?? 0), () => look(true))
+    check(false)
+    if (!isOver) this.simulation.after(Number(query.get("block_ms") ?? 0), () => check(true))
   }
-  private wake(): void {
-    const waiting = this.waiting
+  private wakeWatches(): void {
+    const { waiting } = this
     this.waiting = []
-    for (const look of waiting) this.simulation.enqueue(look)
+    for (const check of waiting) this.simulation.enqueue(check)
   }
 }
 
+const operationOf = ({ set, v, permit, delete: deleted }: WireChange): ReadonlyArray<StoreOperation> => {
+  if (set !== undefined) return [{ type: "put", key: set, value: v, leaseId: permit ?? null }]
+  return deleted === undefined ? [] : [{ type: "delete", key: deleted }]
+}
+
 /** So many a second, and a second's worth at once. */
 class Bucket {
   private has: number
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -7,7 +7,6 @@
   type Log,
   type NodeName,
   NoResponseError,
-  type WireMachineType,
   withTimeout,
 } from "@sorreltally/protocol"
 import {
@@ -30,6 +29,7 @@
 import { Cloud } from "../services/cloud.ts"
 import { StateService } from "../services/state-service.ts"
 import { Users } from "../services/users.ts"
+import { machineTypeOffer } from "../services/wire-builders.ts"
 import type { Deployment, DeploymentSetup } from "./deployment.ts"
 import { type Answer, Network, type Request } from "./network.ts"
 import { type Process, Simulation } from "./simulation.ts"
@@ -74,6 +74,8 @@
   readonly names: ReadonlyArray<NodeName>
   private readonly controllers = new Map<NodeName, ControllerProcess>()
   readonly logged: Array<string> = []
+  /** Jobs that the scenario submitted so far: the next one's id follows from it. */
+  scenarioJobs = 0
   /** Pairs of faults that the scenario names, in order. */
   readonly pairs: Array<DrawnPair> = []
   readonly effects = new EffectObserver(this)
@@ -97,8 +99,23 @@
     this.network = new Network(this.simulation)
     this.names = Array.from({ length: setup.nodes }, (_, i) => `host-${i}` as NodeName)
     const types = [
-      machineType("small", 8, 32, 0.6, 0.12, 6, setup.zones),
-      machineType("large", 32, 128, 3, 0.6, 12, setup.zones),
+      machineTypeOffer({
+        name: "small",
+        cores: 8,
+        mem_gb: 32,
+        hourly: 0.6,
+        spot_price: 0.12,
+        sites: setup.zones,
+      }),
+      machineTypeOffer({
+        name: "large",
+        cores: 32,
+        mem_gb: 128,
+        hourly: 3,
+        spot_price: 0.6,
+        startup_s: 12,
+        sites: setup.zones,
+      }),
     ]
     this.invariants = new Invariants(
       this.simulation,
@@ -311,8 +328,8 @@
 
   /** What the state service holds of a job, for a look from outside. */
   stored(id: JobId): string {
-    const of = [...this.state.keys].filter(([path]) => path.includes(id) || path.startsWith("s/quota/"))
-    return JSON.stringify(of.map(([path, { v }]) => [path, v]))
+    const of = [...this.state.entries].filter(([key]) => key.includes(id) || key.startsWith("s/quota/"))
+    return JSON.stringify(of.map(([key, { value }]) => [key, value]))
   }
 }
 
@@ -323,25 +340,3 @@
   const { apply } = body as { apply: ReadonlyArray<{ readonly set?: string }> }
   return apply.some(({ set }) => set?.startsWith("s/part/") === true) ? "take-over" : "transaction"
 }
-
-const machineType = (
-  name: string,
-  cores: number,
-  memGb: number,
-  hourly: number,
-  spotPrice: number,
-  startupS: number,
-  sites: ReadonlyArray<string>,
-): WireMachineType =>
-  ({
-    name,
-    cores,
-    accelerators: 0,
-    mem_gb: memGb,
-    cache_gb: 50,
-    pull_gb_per_s: 1,
-    hourly,
-    spot_price: spotPrice,
-    startup_s: startupS,
-    sites,
-  }) as unknown as WireMachineType
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -1,40 +1,13 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { Invariants } from "../src/invariants/invariants.ts"
 import { WaitingInvariant } from "../src/invariants/waiting-invariant.ts"
 import { Cloud } from "../src/services/cloud.ts"
+import { jobRequest, machineTypeOffer } from "../src/services/wire-builders.ts"
 import { Network } from "../src/simulation/network.ts"
 import { Simulation } from "../src/simulation/simulation.ts"
 
-const type = {
-  name: "small",
-  cores: 8,
-  accelerators: 0,
-  mem_gb: 32,
-  cache_gb: 50,
-  pull_gb_per_s: 1,
-  startup_s: 6,
-  sites: ["a"],
-} as unknown as WireMachineType
-const usual = {
-  id: "run-000001",
-  lane: "bulk",
-  owner: "red",
-  pieces: 2,
-  cores: 4,
-  mem_gb: 4,
-  bundle: "img-1",
-  image_gb: 1,
-  builds: null,
-  site: null,
-  together: false,
-  scatter: false,
-  loaners: true,
-  expected_s: 100,
-  snapshot_s: 0,
-  flush_s: 0,
-}
+const type = machineTypeOffer({ name: "small", cores: 8, mem_gb: 32 })
 const CANCEL_S = 47
 const TEAM = { name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }
 
@@ -56,7 +29,7 @@
     answer({ status: 200, body: { baton: 1, orders: [] } }),
   )
   const machine = cloud.rent(type, "a", false)
-  const request = { ...usual, ...more } as unknown as WireJob
+  const request = jobRequest("run-000001", { pieces: 2, expected_s: 100, ...more })
   invariants.users.asksToRun(request)
   invariants.users.answered(request.id, "submit", 201, "queued", 0)
   const waiting = new WaitingInvariant(simulation, invariants, cloud)
