--- a/packages/testkit/test/guards.test.ts
+++ b/packages/testkit/test/guards.test.ts
@@ -2,47 +2,87 @@
 import { spawnSync } from "node:child_process"
 import { readdirSync, readFileSync } from "node:fs"
 import { resolve } from "node:path"
-import { test } from "node:test"
-import { build } from "esbuild"
+import { describe, it } from "node:test"
+import { build, type Plugin } from "esbuild"
 import { readScenario } from "../src/scenarios/scenario.ts"
+import { type Mutant, typeErrorsOf } from "./mutant-types.ts"
 
 /** Some run for half a minute on a calm machine. */
 const MAX_RUN_MS = 240_000
 
+/** A scenario, and the source without one of its guards. */
+interface GuardedScenario {
+  readonly scenario: string
+  readonly number: number
+  /** How often the guard's text stands in the source. */
+  readonly occurrences: number
+  readonly mutant: Mutant
+}
+
+const guarded = readdirSync("scenarios")
+  .sort()
+  .flatMap((scenario): ReadonlyArray<GuardedScenario> => {
+    const { guards } = readScenario(readFileSync(`scenarios/${scenario}`, "utf8"))
+    return guards.map(({ file, from, to }, number) => {
+      const source = readFileSync(file, "utf8")
+      const mutant = { file, text: source.replace(from, () => to) }
+      return { scenario, number, occurrences: source.split(from).length - 1, mutant }
+    })
+  })
+
+/** Puts the mutant in its source's place. */
+const withMutant = ({ file, text }: Mutant): Plugin => ({
+  name: "without-guard",
+  setup: (bundle) => {
+    const path = resolve(file)
+    bundle.onLoad({ filter: /\.ts$/ }, (args) =>
+      args.path === path ? { contents: text, loader: "ts" } : undefined,
+    )
+  },
+})
+const buildMutant = (mutant: Mutant, outfile: string) =>
+  build({
+    entryPoints: ["packages/testkit/src/scenarios/once.ts"],
+    outfile,
+    bundle: true,
+    platform: "node",
+    target: "node20",
+    format: "esm",
+    logLevel: "silent",
+    banner: {
+      js: 'import { createRequire as __cr } from "node:module"; const require = __cr(import.meta.url);',
+    },
+    plugins: [withMutant(mutant)],
+  })
+
+/** A source file with a line added. */
+const withLine = (file: string, line: string): Mutant => ({
+  file,
+  text: `${readFileSync(file, "utf8")}\n${line}\n`,
+})
+
+describe("the type check of mutants", () => {
+  it("finds one that doesn't compile, also beside others, and lets a name be unused", () => {
+    const broken = withLine("packages/protocol/src/index.ts", 'export const wrong: number = "text"')
+    const unused = withLine("packages/planner/src/index.ts", "const unused = 1")
+    const found = typeErrorsOf([unused, broken])
+    assert.deepEqual([...found.keys()], [broken])
+    assert.match(found.get(broken)!.join("\n"), /protocol\/src\/index\.ts.*error TS2322/)
+  })
+})
+
+const typeErrors = typeErrorsOf(guarded.map(({ mutant }) => mutant))
+
 // A scenario that names a guard must fail without it: otherwise it proves nothing.
-for (const file of readdirSync("scenarios").sort()) {
-  const { guards } = readScenario(readFileSync(`scenarios/${file}`, "utf8"))
-  for (const [n, guard] of guards.entries()) {
-    test(`${file} fails without its guard in ${guard.file}`, async () => {
-      const path = resolve(guard.file)
-      const source = readFileSync(path, "utf8")
-      assert.equal(source.split(guard.from).length, 2, "the guard's text must stand once in the source")
-      const outfile = `target/mutants/${file}-${n}.js`
-      await build({
-        entryPoints: ["packages/testkit/src/scenarios/once.ts"],
-        outfile,
-        bundle: true,
-        platform: "node",
-        target: "node20",
-        format: "esm",
-        logLevel: "silent",
-        banner: {
-          js: 'import { createRequire as __cr } from "node:module"; const require = __cr(import.meta.url);',
-        },
-        plugins: [
-          {
-            name: "without-guard",
-            setup: (b) => {
-              b.onLoad({ filter: /\.ts$/ }, (args) =>
-                args.path === path
-                  ? { contents: source.replace(guard.from, () => guard.to), loader: "ts" }
-                  : undefined,
-              )
-            },
-          },
-        ],
-      })
-      const run = spawnSync(process.execPath, [outfile, `scenarios/${file}`], {
+describe("without its guard", () => {
+  for (const { scenario, number, occurrences, mutant } of guarded) {
+    it(`${scenario} fails when ${mutant.file} is changed, which still compiles`, async () => {
+      assert.equal(occurrences, 1, "the guard's text must stand once in the source")
+      // What doesn't compile might fail the scenario for no reason of the guard's.
+      assert.deepEqual(typeErrors.get(mutant) ?? [], [])
+      const outfile = `target/mutants/${scenario}-${number}.js`
+      await buildMutant(mutant, outfile)
+      const run = spawnSync(process.execPath, [outfile, `scenarios/${scenario}`], {
         encoding: "utf8",
         timeout: MAX_RUN_MS,
       })
@@ -52,4 +92,4 @@
       assert.equal(run.stderr, "")
     })
   }
-}
+})
--- a/scenarios/hears-nothing.sexp
+++ b/scenarios/hears-nothing.sexp
@@ -4,4 +4,4 @@
   (at 28 (machines-receive-nothing 6 200))
   (at 30 (submit pieces 16 cores 4 run 8 due 200 spot no))
   (expect (all-over) (log-has "\"reason\":\"unreachable\""))
-  (guard "packages/shard/src/rentals.ts" "session.unreachableSince !== null &&" "now < 0 &&"))
+  (guard "packages/shard/src/rentals.ts" "session.unreachableSince !== null &&" "session.unreachableSince !== null && now < 0 &&"))
