--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -182,7 +182,7 @@
     this.quietFrom = Math.max(this.quietFrom, this.simulation.now + forMs)
   }
   /** To be called now and then. */
-  look(): void {
+  check(): void {
     this.users.checkAnswered(this.quietFrom)
     for (const task of this.places.keys()) this.checkCancelled(task, task.slice(0, task.indexOf("/")))
   }
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -33,7 +33,7 @@
   ) {}
 
   /** To be called now and then. */
-  look(): void {
+  check(): void {
     const { now } = this.simulation
     if (now <= this.invariants.quietFrom) return this.waiting.clear()
     const rooms: Array<Room> = []
--- a/packages/testkit/src/scenarios/scenario.ts
+++ b/packages/testkit/src/scenarios/scenario.ts
@@ -4,7 +4,7 @@
  */
 import { type Form, parse } from "sexpr-plus"
 import type { DeploymentSetup } from "../simulation/deployment.ts"
-import { defaultSetup } from "../simulation/simulated-deployment.ts"
+import { defaultSetup } from "../simulation/platform-file.ts"
 import { type Args, number } from "./actions.ts"
 import { actions } from "./all-actions.ts"
 import { expectations } from "./expectations.ts"
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -36,8 +36,8 @@
   const look = () => {
     // Its user hears of it all the time.
     invariants.users.answered(request.id, "poll", 200, invariants.users.state(request.id), simulation.now)
-    invariants.look()
-    waiting.look()
+    invariants.check()
+    waiting.check()
     simulation.after(500, look)
   }
   look()
