--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -1,3 +1,7 @@
+/**
+ * Effects of faults as seen from outside, by which random days place a second fault inside
+ * the effect of a first one. Names of effects are those of the scenario format.
+ */
 import type { Deployment } from "../simulation/deployment.ts"
 import type { MembershipFaults } from "./membership-faults.ts"
 import type { UserFaults } from "./user-faults.ts"
@@ -21,6 +25,7 @@
   "fast-boots",
   "after-return",
 ] as const
+/** One of the effects. */
 export type FaultEffect = (typeof faultEffects)[number]
 
 /** A second fault that was meant to meet an effect of a first one, and whether it did. */
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -1,7 +1,11 @@
+/**
+ * Faults of machines and of the network between them and the controllers. It acts on the
+ * stand-ins alone, never on a controller's state.
+ */
 import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/protocol"
 import type { Machine } from "../services/machine.ts"
 import type { Deployment } from "../simulation/deployment.ts"
-import type { CutMode, Departure, Request } from "../simulation/network.ts"
+import type { CutMode, OutgoingRequest, Request } from "../simulation/network.ts"
 
 const SHARD_PREFIX = "s/part/"
 const MACHINE_BLOCK_PREFIX = "s/block/"
@@ -30,7 +34,7 @@
     hung: new Map(),
   }
   private readonly isolated = new Set<NodeName>()
-  private readonly keptHeartbeats: Array<Departure> = []
+  private readonly keptHeartbeats: Array<OutgoingRequest> = []
   private readonly acquiredAt = new Map<string, number>()
 
   constructor(private readonly deployment: Deployment) {
@@ -87,11 +91,11 @@
     const { simulation, network } = this.deployment
     const longestMs = this.deployment.cloud.settings.times.lease_s * 1000 * MAX_HEARTBEAT_DELAY_LEASES
     this.deployment.invariants.faultLasts(forMs + longestMs)
-    const end = network.intercept((departure) => {
-      if (departure.request.path === "/v1/report" && simulation.random.chance(share)) {
+    const end = network.intercept((outgoing) => {
+      if (outgoing.request.path === "/v1/report" && simulation.random.chance(share)) {
         const afterMs = simulation.random.between(2_000, longestMs)
-        departure.deliverCopy(departure.to, afterMs)
-        simulation.after(afterMs, () => this.countLateHeartbeat(departure))
+        outgoing.deliverCopy(outgoing.to, afterMs)
+        simulation.after(afterMs, () => this.countLateHeartbeat(outgoing))
       }
       return "pass"
     })
@@ -100,9 +104,9 @@
   /** Copies of that share are kept until a shard has a new owner, and then reach all controllers at once. */
   keepHeartbeatsForNextLeader(share: number, forMs: number): void {
     const { simulation, network } = this.deployment
-    const end = network.intercept((departure) => {
-      if (departure.request.path === "/v1/report" && simulation.random.chance(share))
-        this.keptHeartbeats.push(departure)
+    const end = network.intercept((outgoing) => {
+      if (outgoing.request.path === "/v1/report" && simulation.random.chance(share))
+        this.keptHeartbeats.push(outgoing)
       return "pass"
     })
     simulation.after(forMs, end)
@@ -110,17 +114,17 @@
   private deliverKeptHeartbeats(): void {
     const { simulation, names } = this.deployment
     if (this.keptHeartbeats.length > 0) this.deployment.invariants.faultLasts(NEW_LEADER_STARTUP_MS)
-    for (const departure of this.keptHeartbeats.splice(0)) {
+    for (const outgoing of this.keptHeartbeats.splice(0)) {
       // Before, while and after the new owner reads what it took over.
       const afterMs = simulation.random.between(0, NEW_LEADER_STARTUP_MS)
-      for (const node of names) departure.deliverCopy(node, afterMs)
+      for (const node of names) outgoing.deliverCopy(node, afterMs)
       simulation.after(afterMs, () => {
         simulation.occurrences.count("old reports at all controllers as a leader begins")
-        this.countLateHeartbeat(departure)
+        this.countLateHeartbeat(outgoing)
       })
     }
   }
-  private countLateHeartbeat({ from, request }: Departure): void {
+  private countLateHeartbeat({ from, request }: OutgoingRequest): void {
     const { occurrences } = this.deployment.simulation
     const machine = this.deployment.cloud.machines.get(from)
     const copy = request.body as WireHeartbeat
@@ -140,11 +144,11 @@
   delayCommands(share: number, forMs: number): void {
     const { simulation, network } = this.deployment
     this.deployment.invariants.faultLasts(forMs + MAX_COMMAND_DELAY_MS)
-    const end = network.intercept((departure) => {
-      if (departure.request.path !== "/orders" || !simulation.random.chance(share)) return "pass"
+    const end = network.intercept((outgoing) => {
+      if (outgoing.request.path !== "/orders" || !simulation.random.chance(share)) return "pass"
       const sent = simulation.now
-      departure.deliverCopy(
-        departure.to,
+      outgoing.deliverCopy(
+        outgoing.to,
         simulation.random.between(2_000, MAX_COMMAND_DELAY_MS),
         ({ status }) => {
           simulation.occurrences.count(status === 200 ? "late commands carried out" : "late commands refused")
@@ -184,14 +188,14 @@
 
   /** One zone apart from everything outside of it. */
   cutZone(zone: string, forMs: number, mode: CutMode): void {
-    const withServices = (host: string) => this.deployment.zoneOf(host) === zone
+    const isInside = (host: string) => this.deployment.zoneOf(host) === zone
     const ids = this.running()
       .filter((m) => m.zone === zone)
       .map((m) => m.id)
     this.markAffected("cut", ids, forMs)
     this.deployment.simulation.after(
       forMs,
-      this.deployment.network.cut((a, b) => withServices(a) && !withServices(b), mode),
+      this.deployment.network.cut((a, b) => isInside(a) && !isInside(b), mode),
     )
   }
   /** Controllers can't connect to each other. */
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -1,3 +1,4 @@
+/** Counts faults that meet while teams are at their limits. It only observes. */
 import type { Deployment } from "../simulation/deployment.ts"
 
 /** A new leader acts within some tens of milliseconds: what was so at the change has to be seen before. */
@@ -31,10 +32,10 @@
       if (deployment.network.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
     })
   }
-  private every(ms: number, look: () => void): void {
+  private every(ms: number, check: () => void): void {
     this.deployment.simulation.after(ms, () => {
-      look()
-      this.every(ms, look)
+      check()
+      this.every(ms, check)
     })
   }
 
--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -1,3 +1,7 @@
+/**
+ * Faults around node leases and the ownership of shards, and the check that a shard has
+ * one owner at a time.
+ */
 import { DEADLINE_SHARD, shardOf } from "@sorreltally/membership"
 import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
 import type { Deployment } from "../simulation/deployment.ts"
@@ -38,11 +42,11 @@
   private cancelAtOwnerChange = { perChange: 0, until: 0 }
   private leaderEndedAt: number | null = null
   private readonly changedAt = new Map<ShardName, number>()
-  private readonly onRecord = new Map<ShardName, ShardRecord>()
+  private readonly records = new Map<ShardName, ShardRecord>()
 
   constructor(private readonly deployment: Deployment) {
-    deployment.state.listeners.push((path, value) => this.changed(path, value))
-    deployment.users.on.push((event, job) => {
+    deployment.state.listeners.push((key, value) => this.changed(key, value))
+    deployment.users.listeners.push((event, job) => {
       if (event === "cancelled") this.cancelled(job)
     })
   }
@@ -84,29 +88,29 @@
     if (this.deployment.invariants.hasCancelledTask(machine)) this.count.answersWithoutState++
   }
 
-  private changed(path: string, value: unknown): void {
-    if (path.startsWith("s/live/") && value !== null) this.count.joins++
-    if (path.startsWith("s/part/") && value !== null)
-      this.shardChanged(path.slice("s/part/".length) as ShardName, value as ShardRecord)
+  private changed(key: string, value: unknown): void {
+    if (key.startsWith("s/live/") && value !== null) this.count.joins++
+    if (key.startsWith("s/part/") && value !== null)
+      this.shardChanged(key.slice("s/part/".length) as ShardName, value as ShardRecord)
   }
-  private shardChanged(part: ShardName, record: ShardRecord): void {
+  private shardChanged(shard: ShardName, record: ShardRecord): void {
     const { simulation } = this.deployment
-    const former = this.onRecord.get(part) ?? { owner: null, incarnation: null }
-    this.onRecord.set(part, record)
-    this.changedAt.set(part, simulation.now)
-    this.checkSingleOwner(part, former, record)
+    const former = this.records.get(shard) ?? { owner: null, incarnation: null }
+    this.records.set(shard, record)
+    this.changedAt.set(shard, simulation.now)
+    this.checkSingleOwner(shard, former, record)
     if (record.owner === null) {
       this.count.handBacks++
     } else {
       this.count.takeOvers++
-      if (part === DEADLINE_SHARD) this.leaderChanged()
+      if (shard === DEADLINE_SHARD) this.leaderChanged()
       if (former.incarnation === record.incarnation) this.count.retaken++
     }
     const { perChange, until } = this.cancelAtOwnerChange
     if (simulation.now >= until) return
     const jobs = this.deployment.invariants
       .jobsWithLongToGo(LONG_TO_GO_S)
-      .filter((job) => this.partOf(job) === part)
+      .filter((job) => this.shardOfJob(job) === shard)
     for (const job of jobs.slice(0, perChange))
       simulation.after(simulation.random.between(0, CANCEL_WITHIN_MS), () =>
         this.deployment.users.cancel(job as JobId),
@@ -119,33 +123,33 @@
     this.leaderEndedAt = null
   }
   /** A shard changes hands when its owner's lease has ended, or the owner has let it go: never before. */
-  private checkSingleOwner(part: ShardName, former: ShardRecord, record: ShardRecord): void {
+  private checkSingleOwner(shard: ShardName, former: ShardRecord, record: ShardRecord): void {
     const { invariants, simulation } = this.deployment
     if (former.owner === null || former.incarnation === record.incarnation) return
     if (!this.leaseIsHeld(former)) return
-    if (record.owner === null && !this.hasAcquired(former.owner, part)) return
+    if (record.owner === null && !this.hasAcquired(former.owner, shard)) return
     const to = record.owner ?? "nobody"
     invariants.broken.push(
-      `two_owners at ${(simulation.now / 1000).toFixed(1)} s: ${part} of ${former.owner} given to ${to}`,
+      `two_owners at ${(simulation.now / 1000).toFixed(1)} s: ${shard} of ${former.owner} given to ${to}`,
     )
   }
   /** The last that a controller logged of the shard is that it has taken it. */
-  private hasAcquired(node: NodeName, part: ShardName): boolean {
+  private hasAcquired(node: NodeName, shard: ShardName): boolean {
     const { logged } = this.deployment
     for (let i = logged.length - 1; i >= 0; i--) {
       const line = logged[i]!
-      if (!line.includes(` ${node} info shard `) || !line.includes(`{"shard":"${part}"`)) continue
+      if (!line.includes(` ${node} info shard `) || !line.includes(`{"shard":"${shard}"`)) continue
       if (line.includes("shard acquired")) return true
       if (line.includes("shard lost")) return false
     }
     return false
   }
-  private partOf(job: string): ShardName {
+  private shardOfJob(job: string): ShardName {
     const hasDeadline = this.deployment.invariants.submitted.get(job)?.due_s != null
     return shardOf(job as JobId, hasDeadline, this.deployment.names.length)
   }
   private cancelled(job: string): void {
-    const at = this.changedAt.get(this.partOf(job))
+    const at = this.changedAt.get(this.shardOfJob(job))
     if (at !== undefined && this.deployment.simulation.now <= at + OWNER_CHANGE_MS)
       this.count.cancelledAtHandOver++
   }
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,3 +1,4 @@
+/** Requests of users that come close to each other, in bursts, or that no node may accept. */
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
 import type { Refusal } from "../invariants/user-invariants.ts"
@@ -48,7 +49,7 @@
     private readonly users: Users,
     private readonly invariants: Invariants,
   ) {
-    users.on.push((event, job) => this.told(event, job))
+    users.listeners.push((event, job) => this.changed(event, job))
     invariants.onComplete.push((job) => this.completed(job as JobId))
   }
 
@@ -60,7 +61,7 @@
     this.cancelledAtOnce = cancelledAtOnce
     this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + forMs)
   }
-  private told(event: UserEvent, job: JobId): void {
+  private changed(event: UserEvent, job: JobId): void {
     if (event === "accepted") this.cancelLater(job)
     if (this.simulation.now >= this.closePollsUntil) return
     if (event === "cancelled") return this.askAll(job, () => this.count.closeAfterCancelled++)
@@ -74,7 +75,7 @@
     }
     for (const ms of CLOSE_POLLS_MS) {
       for (const node of this.users.nodes)
-        this.simulation.after(ms, () => this.users.look(job, node, answered))
+        this.simulation.after(ms, () => this.users.pollAt(job, node, answered))
     }
     for (const ms of [1, 20, 90]) this.simulation.after(ms, () => this.users.resubmit(job))
   }
@@ -144,14 +145,14 @@
     this.count.odd++
     if (kind < 0.25 && unfinished.length > 0) return this.users.resubmit(random.pick(unfinished))
     if (kind < 0.4 && done.length > 0) return this.users.cancelDone(random.pick(done))
-    if (kind < 0.5) return this.users.askAboutNobody()
-    this.submitInVain()
+    if (kind < 0.5) return this.users.pollUnknownJob()
+    this.submitInvalid()
   }
-  private submitInVain(): void {
+  private submitInvalid(): void {
     const id = `run-${String(900_000 + ++this.oddJobs).padStart(6, "0")}` as JobId
     const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
     const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
-    this.invariants.users.asksInVain(id, refusal)
+    this.invariants.users.submitsInvalid(id, refusal)
     const attempt = (node?: NodeName) =>
       this.users.ask(
         "submit",
@@ -167,7 +168,7 @@
     for (const node of this.users.nodes)
       this.simulation.after(this.simulation.random.between(1, 2_000), () => attempt(node))
     this.simulation.after(this.simulation.random.between(1, 20_000), () =>
-      this.users.look(id, this.users.nodes[0]!),
+      this.users.pollAt(id, this.users.nodes[0]!),
     )
   }
 }
--- a/packages/testkit/src/golden/golden-recorder.ts
+++ b/packages/testkit/src/golden/golden-recorder.ts
@@ -4,7 +4,7 @@
  * of the protocol: it breaks rolling upgrades, and has to be meant.
  */
 import { mkdirSync, writeFileSync } from "node:fs"
-import { record } from "./golden-recording.ts"
+import { record } from "./recording.ts"
 
 const DIRECTORY = "packages/testkit/test/golden"
 
--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -1,9 +1,15 @@
+/**
+ * The protocol's invariants about tasks: where and how often they run, within which
+ * limits, and not after a cancellation. It judges what the stand-ins saw, never what
+ * controllers say.
+ */
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { Simulation } from "../simulation/simulation.ts"
 import { UserInvariants } from "./user-invariants.ts"
 
-export interface OnMachine {
+/** The machine on which a task runs. */
+export interface MachineOfTask {
   readonly machine: string
   readonly type: string
   readonly zone: string
@@ -18,14 +24,14 @@
 export class Invariants {
   readonly broken: Array<string> = []
   readonly users: UserInvariants
-  private readonly places = new Map<string, OnMachine & { readonly since: number }>()
+  private readonly places = new Map<string, MachineOfTask & { readonly since: number }>()
   /** CPUs by team. */
   private readonly used = new Map<string, number>()
   starts = 0
-  /** When a machine last lost a running task without having been told to stop it. */
+  /** When a machine last lost a running task without a command to stop it. */
   workLostAt = Number.NEGATIVE_INFINITY
   private readonly startsByJob = new Map<string, number>()
-  /** Starts of jobs whose user had been told before that they are cancelled. */
+  /** Starts of jobs that a user already had confirmed as cancelled. */
   startsAfterCancellation = 0
   /** No fault is under way after this. */
   quietFrom = 0
@@ -43,51 +49,61 @@
     private readonly types: ReadonlyArray<WireMachineType>,
     private readonly cancelS: number,
   ) {
-    this.users = new UserInvariants(simulation, (rule, what) => this.say(rule, what))
+    this.users = new UserInvariants(simulation, (rule, what) => this.report(rule, what))
   }
 
   get submitted(): ReadonlyMap<string, WireJob> {
     return this.users.submitted
   }
 
-  private say(rule: string, what: string): void {
+  /** An invariant is broken. */
+  report(rule: string, what: string): void {
     this.broken.push(`${rule} at ${(this.simulation.now / 1000).toFixed(1)} s: ${what}`)
   }
 
   /** The task has its image and runs from now on. */
-  began(job: string, index: number, at: OnMachine): void {
+  began(job: string, index: number, at: MachineOfTask): void {
     this.starts++
     this.startsByJob.set(job, this.startsOf(job) + 1)
     if (!this.begunAt.has(job)) this.begunAt.set(job, this.simulation.now)
     const request = this.submitted.get(job)!
     const task = `${job}/${index}`
     const other = this.places.get(task)
-    if (other !== undefined) this.say("ran_twice", `${task} on ${at.machine} while on ${other.machine}`)
+    if (other !== undefined) this.report("ran_twice", `${task} on ${at.machine} while on ${other.machine}`)
     this.checkCancelled(task, job)
     this.checkStart(task, job)
-    const type = this.types.find((t) => t.name === at.type)
-    const wrong =
-      (request.builds != null && !request.builds.some((b) => b === at.type)) ||
-      (request.site != null && request.site !== at.zone) ||
-      (at.spot && !request.loaners) ||
-      type === undefined
-    const zones = new Map<string, number>([[at.zone, 1]])
-    for (let i = 0; i < request.pieces && (request.together || request.scatter); i++) {
-      const place = i === index ? undefined : this.places.get(`${job}/${i}`)
+    this.checkPlace(request, index, at)
+    this.places.set(task, { ...at, since: this.simulation.now })
+    this.addUsage(request, other === undefined ? request.cores : 0)
+  }
+  /** A task runs on a machine that its job allows, in one zone or spread over zones as the job asks. */
+  private checkPlace(request: WireJob, index: number, at: MachineOfTask): void {
+    const isAllowed =
+      (request.builds == null || request.builds.some((type) => type === at.type)) &&
+      (request.site == null || request.site === at.zone) &&
+      (!at.spot || request.loaners) &&
+      this.types.some(({ name }) => name === at.type)
+    const zones = this.zonesOf(request, index, at.zone)
+    const isTooClose = request.scatter && zones.get(at.zone)! > Math.ceil(request.pieces / 2)
+    if (isAllowed && !(request.together && zones.size > 1) && !isTooClose) return
+    const place = `${at.type}, ${at.zone}, ${at.spot ? "spot" : "on-demand"}`
+    this.report("wrong_place", `${request.id}/${index} on ${at.machine} (${place})`)
+  }
+  /** Tasks of a job that cares for zones, by zone, with one that begins in this zone. */
+  private zonesOf(request: WireJob, index: number, zone: string): ReadonlyMap<string, number> {
+    const zones = new Map([[zone, 1]])
+    if (!request.together && !request.scatter) return zones
+    for (let i = 0; i < request.pieces; i++) {
+      const place = i === index ? undefined : this.places.get(`${request.id}/${i}`)
       if (place !== undefined) zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1)
     }
-    const scattered = request.scatter && zones.get(at.zone)! > Math.ceil(request.pieces / 2)
-    if (wrong || (request.together && zones.size > 1) || scattered) {
-      this.say(
-        "wrong_place",
-        `${task} on ${at.machine} (${at.type}, ${at.zone}, ${at.spot ? "spot" : "steady"})`,
-      )
-    }
-    this.places.set(task, { ...at, since: this.simulation.now })
-    const used = (this.used.get(request.owner) ?? 0) + (other === undefined ? request.cores : 0)
-    this.used.set(request.owner, used)
-    const team = this.teams.find((t) => t.name === request.owner)!
-    if (used > team.maxCpus + 1e-6) this.say("quota", `${team.name} uses ${used} of ${team.maxCpus}`)
+    return zones
+  }
+  private addUsage({ owner }: WireJob, cores: number): void {
+    const used = this.usedBy(owner) + cores
+    this.used.set(owner, used)
+    const team = this.teams.find(({ name }) => name === owner)!
+    if (used > team.maxCpus + 1e-6) this.report("quota", `${team.name} uses ${used} of ${team.maxCpus}`)
   }
   ended(job: string, index: number, machine: string): void {
     if (this.places.get(`${job}/${index}`)?.machine !== machine) return
@@ -99,7 +115,7 @@
     const before = this.users.isComplete(job)
     this.users.finished(job, index)
     if (before || !this.users.isComplete(job)) return
-    for (const told of this.onComplete) told(job)
+    for (const listener of this.onComplete) listener(job)
   }
   /** Tasks of a job that ever began, repetitions included. */
   startsOf(job: string): number {
@@ -113,10 +129,6 @@
   limitOf(team: string): number {
     return this.teams.find(({ name }) => name === team)?.maxCpus ?? 0
   }
-  /** A rule that is checked elsewhere was broken. */
-  report(rule: string, what: string): void {
-    this.say(rule, what)
-  }
   isFinished(job: string, index: number): boolean {
     return this.users.isFinished(job, index)
   }
@@ -138,7 +150,7 @@
     return new Set(on.map(([, { machine }]) => machine))
   }
 
-  /** A task is on the machine whose user was told that its job is cancelled. */
+  /** A task is on the machine whose job a user has confirmed as cancelled. */
   hasCancelledTask(machine: string): boolean {
     for (const [task, on] of this.places) {
       const job = task.slice(0, task.indexOf("/"))
@@ -165,11 +177,11 @@
     if (at === undefined) return
     this.startsAfterCancellation++
     const quiet = this.simulation.now > this.quietFrom + FAULT_AFTERMATH_MS
-    if (quiet && this.simulation.now > at + LATE_START_MS) this.say("started_cancelled", task)
+    if (quiet && this.simulation.now > at + LATE_START_MS) this.report("started_cancelled", task)
   }
   private checkCancelled(task: string, job: string): void {
     const at = this.users.cancelledAt.get(job)
-    if (at !== undefined && this.simulation.now > at + this.cancelS * 1000) this.say("ran_cancelled", task)
+    if (at !== undefined && this.simulation.now > at + this.cancelS * 1000) this.report("ran_cancelled", task)
   }
   /** A job that somebody cancels isn't confirmed as over yet, or has tasks on machines. */
   cancellationUnderWay(): boolean {
--- a/packages/testkit/src/invariants/service-objectives.ts
+++ b/packages/testkit/src/invariants/service-objectives.ts
@@ -1,3 +1,7 @@
+/**
+ * What users may expect of a whole day: a share of each class and team done, and jobs
+ * begun in time.
+ */
 import type { WireJob } from "@sorreltally/protocol"
 import type { UserInvariants } from "./user-invariants.ts"
 
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -1,3 +1,4 @@
+/** The invariant that work doesn't wait while it could run. */
 import type { WireJob } from "@sorreltally/protocol"
 import type { Cloud } from "../services/cloud.ts"
 import type { Machine } from "../services/machine.ts"
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -21,91 +21,25 @@
 import { jobRequest, machineTypeOffer } from "../services/wire-builders.ts"
 import { LoopbackNetwork } from "../simulation/loopback-network.ts"
 import { Simulation } from "../simulation/simulation.ts"
+import { LOADS, type LoadKind } from "./loads.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
-import type { Usage } from "./probe.ts"
 import {
-  allocationShares,
-  inclusiveByFunction,
-  largest,
-  modulesOfBundle,
-  processorByFunction,
-  processorShares,
-  type Shares,
-} from "./profile-summary.ts"
+  megabytes,
+  type ProfileKind,
+  printProfile,
+  printTraffic,
+  printUsage,
+  say,
+  secondsOf,
+  usages,
+} from "./report.ts"
 
 const NODES = 5
 const ZONES = ["a", "b", "c"]
 const TURN_MS = 2
 const TIMES = { report_s: 5, lease_s: 27, cancel_s: 47 }
-/** Jobs of one kind, and how many come a minute at scale 1. */
-interface LoadKind {
-  readonly lane: string
-  readonly owner: string
-  readonly perMinute: number
-  readonly atStart: number
-  readonly pieces: number
-  readonly cores: number
-  readonly run: number
-  readonly isUrgent: boolean
-  /** Seconds from its submission; null: none. */
-  readonly due: number | null
-}
-/** Loads at scale 1: some thousand machines, most of them busy. */
-const LOADS: Record<string, ReadonlyArray<LoadKind>> = {
-  /** Long tasks without a deadline beside short ones with one. */
-  mixed: [
-    {
-      lane: "urgent",
-      owner: "blue",
-      perMinute: 40,
-      atStart: 30,
-      pieces: 35,
-      cores: 4,
-      run: 20,
-      isUrgent: true,
-      due: 75,
-    },
-    {
-      lane: "bulk",
-      owner: "red",
-      perMinute: 6,
-      atStart: 10,
-      pieces: 60,
-      cores: 8,
-      run: 80,
-      isUrgent: false,
-      due: null,
-    },
-  ],
-  /** Deadlines alone: all is the leader's, some seventy starts a second. */
-  deadlines: [
-    {
-      lane: "urgent",
-      owner: "blue",
-      perMinute: 50,
-      atStart: 40,
-      pieces: 25,
-      cores: 4,
-      run: 40,
-      isUrgent: true,
-      due: 130,
-    },
-    {
-      lane: "bulk",
-      owner: "red",
-      perMinute: 50,
-      atStart: 40,
-      pieces: 60,
-      cores: 4,
-      run: 30,
-      isUrgent: false,
-      due: 110,
-    },
-  ],
-}
 const FILL_S = 45
 const FAILOVER_S = 12
-const ROWS = 70
 
 const { values, positionals } = parseArgs({
   allowPositionals: true,
@@ -229,83 +163,26 @@
   simulation.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
 }
 
-const say = (line = ""): void => console.log(line)
-const seconds1 = (ms: number): string => (ms / 1000).toFixed(2)
-const megabytes = (bytes: number): string => (bytes / 1e6).toFixed(0)
-const usages = (nodes: ReadonlyArray<MeasuredController>): Promise<ReadonlyArray<Usage>> =>
-  Promise.all(nodes.map((node) => node.ask({ kind: "usage" })))
-
-const printUsage = (
-  nodes: ReadonlyArray<MeasuredController>,
-  before: ReadonlyArray<Usage>,
-  after: ReadonlyArray<Usage>,
-  tookMs: number,
-): void => {
-  for (const [i, node] of nodes.entries()) {
-    const [was, is] = [before[i]!, after[i]!]
-    const used = is.processorMs - was.processorMs
-    say(
-      `  ${node.name}: ${seconds1(used)} s of processor time, ${(used / tookMs).toFixed(3)} of a core; ` +
-        `collections ${is.collections - was.collections}, ${seconds1(is.collectionMs - was.collectionMs)} s; ` +
-        `heap ${megabytes(is.heapUsed)} of ${megabytes(is.heapTotal)} MB, resident ${megabytes(is.resident)} MB`,
-    )
-  }
-  const sum = after.reduce((all, is, i) => all + is.processorMs - before[i]!.processorMs, 0)
-  say(`  all: ${(sum / tookMs).toFixed(3)} of a core`)
-}
-const printTraffic = (tookMs: number): void => {
-  for (const [kind, { requests, bytes, answeredBytes }] of network.traffic)
-    say(
-      `  ${kind}: ${((requests * 1000) / tookMs).toFixed(1)} a second, ` +
-        `${Math.round(bytes / requests)} bytes, answered with ${Math.round(answeredBytes / requests)}`,
-    )
-  network.traffic.clear()
-}
-const bundled = modulesOfBundle(readFileSync("target/main.js", "utf8"))
-const printShares = (shares: Shares, unit: string): void => {
-  let all = 0
-  for (const [name, amount] of shares) if (name !== "idle") all += amount
-  for (const [name, amount] of largest(shares, ROWS))
-    if (name !== "idle")
-      say(
-        `    ${amount.toFixed(1).padStart(9)} ${unit} ${((100 * amount) / all).toFixed(1).padStart(5)}%  ${name}`,
-      )
-}
-const beginProfiles = (
-  nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
-): Promise<unknown> => Promise.all(nodes.map((node) => node.ask({ kind: "profile", of })))
+const beginProfiles = (nodes: ReadonlyArray<MeasuredController>, of: ProfileKind): Promise<unknown> =>
+  Promise.all(nodes.map((node) => node.ask({ kind: "profile", of })))
 
-/** Ends the nodes' profiles, and tells those of some of them. */
+/** Ends the nodes' profiles, and prints those of some of them. */
 const finishProfiles = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
-  told: ReadonlyArray<MeasuredController>,
+  of: ProfileKind,
+  printed: ReadonlyArray<MeasuredController>,
 ): Promise<void> => {
   for (const node of nodes) {
     const file = `${folder}/${name}-${node.name}.${of === "processor" ? "cpuprofile" : "heapprofile"}`
     await node.ask({ kind: "finish", file })
-    if (told.includes(node)) printProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
-  }
-}
-const printProfile = (name: string, text: string, of: "processor" | "allocation"): void => {
-  say(`  ${name}:`)
-  const profile = JSON.parse(text)
-  if (of === "allocation") {
-    const bytes = allocationShares(profile, bundled)
-    return printShares(new Map([...bytes].map(([what, size]) => [what, size / 1024])), "KiB")
+    if (printed.includes(node)) printProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
   }
-  printShares(processorShares(profile, bundled), "ms")
-  say("   by function:")
-  printShares(processorByFunction(profile, bundled), "ms")
-  say("   by function with all it calls:")
-  printShares(inclusiveByFunction(profile, bundled), "ms")
 }
 const profiled = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
+  of: ProfileKind,
   ms: number,
 ): Promise<void> => {
   await beginProfiles(nodes, of)
@@ -323,9 +200,9 @@
   network.traffic.clear()
   await work()
   const tookMs = performance.now() - at
-  say(`${name}, ${seconds1(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
+  say(`${name}, ${secondsOf(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
   printUsage(nodes, before, await usages(nodes), tookMs)
-  printTraffic(tookMs)
+  printTraffic(network, tookMs)
 }
 const startAll = async (name: string, nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
   const at = performance.now()
@@ -340,7 +217,7 @@
   say(`${name}: from start to /ready`)
   for (const [i, { processorMs, resident, afterMs }] of spent.entries())
     say(
-      `  ${names[i]}: after ${seconds1(afterMs)} s, ${seconds1(processorMs)} s of processor time, ` +
+      `  ${names[i]}: after ${secondsOf(afterMs)} s, ${secondsOf(processorMs)} s of processor time, ` +
         `${megabytes(resident)} MB resident`,
     )
 }
--- a/packages/testkit/src/measure/profile-summary.ts
+++ b/packages/testkit/src/measure/profile-summary.ts
@@ -5,6 +5,7 @@
   readonly url: string
   readonly lineNumber: number
 }
+/** A `.cpuprofile`; times are in microseconds. */
 export interface ProcessorProfile {
   readonly nodes: ReadonlyArray<{
     readonly id: number
@@ -19,6 +20,7 @@
   readonly selfSize: number
   readonly children: ReadonlyArray<AllocationNode>
 }
+/** A `.heapprofile`; sizes are in bytes. */
 export interface AllocationProfile {
   readonly head: AllocationNode
 }
@@ -49,6 +51,7 @@
   return library === null ? module.replace(/^packages\/([^/]+)\/src\//, "$1/") : `library ${library[1]}`
 }
 
+/** An amount by the name of a concern. */
 export type Shares = Map<string, number>
 const add = (shares: Shares, name: string, amount: number): void => {
   shares.set(name, (shares.get(name) ?? 0) + amount)
@@ -113,5 +116,6 @@
   return shares
 }
 
+/** The largest shares, largest first. */
 export const largest = (shares: Shares, most: number): ReadonlyArray<readonly [string, number]> =>
   [...shares].sort(([, a], [, b]) => b - a).slice(0, most)
--- a/packages/testkit/src/random-days/coverage.ts
+++ b/packages/testkit/src/random-days/coverage.ts
@@ -1,3 +1,4 @@
+/** Counts over many random days which pairs of faults were drawn and really met. */
 import { type DrawnPair, faultEffects } from "../faults/effects.ts"
 import { faultNames } from "./random-day.ts"
 
@@ -40,7 +41,7 @@
   table(): string {
     const cell = ({ met, drawn }: Count = { met: 0, drawn: 0 }) => (drawn === 0 ? "" : `${met}/${drawn}`)
     const row = (cells: ReadonlyArray<string>) => `| ${cells.join(" | ")} |`
-    const rule = (columns: number) => row(Array.from({ length: columns }, () => "---"))
+    const horizontalRule = (columns: number) => row(Array.from({ length: columns }, () => "---"))
     const byEffect = faultNames.map((second) =>
       row([second, ...faultEffects.map((effect) => cell(this.secondsByEffect.get(`${effect} ${second}`)))]),
     )
@@ -54,11 +55,11 @@
       `${this.total.met} of ${this.total.drawn} drawn pairs really met; ${square - never.length} of ${square} pairs of a first and a second trouble met at least once.`,
       "",
       row(["second trouble inside", ...faultEffects]),
-      rule(faultEffects.length + 1),
+      horizontalRule(faultEffects.length + 1),
       ...byEffect,
       "",
       row(["first trouble", "met/drawn", "second troubles met"]),
-      rule(3),
+      horizontalRule(3),
       ...byFirst,
       "",
       never.length > MAX_LISTED
--- a/packages/testkit/src/random-days/day-run.ts
+++ b/packages/testkit/src/random-days/day-run.ts
@@ -1,3 +1,4 @@
+/** Runs one random day as a scenario. */
 import type { DrawnPair } from "../faults/effects.ts"
 import { readScenario } from "../scenarios/scenario.ts"
 import type { TraceDigest } from "../simulation/trace-digest.ts"
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -1,5 +1,10 @@
+/**
+ * Draws a day of random work and faults from its seed, and writes it as a scenario. Every
+ * draw comes in a fixed order: another order is another day.
+ */
 import type { FaultEffect } from "../faults/effects.ts"
-import { type DaySettings, type DrawnFault, type FaultKind, faultKinds } from "../faults/fault-kinds.ts"
+import type { DaySettings, DrawnFault, FaultKind } from "../faults/fault-draws.ts"
+import { faultKinds } from "../faults/fault-kinds.ts"
 import { RandomSource } from "../simulation/simulation.ts"
 import {
   busiestTeamS,
@@ -41,7 +46,7 @@
 /** What can be the first or the second fault of a pair: each has an effect that lasts. */
 export const faultNames: ReadonlyArray<string> = [...faultKinds.map(({ name }) => name), CANCELLATIONS]
 
-const usualDay: DaySettings = {
+const defaultDay: DaySettings = {
   nodes: 3,
   zones: ["a", "b"],
   leaseS: 27,
@@ -54,23 +59,23 @@
   processorShare: null,
 }
 /** A short lease, and `cancel_s` above it by little more than the shortest node lease that a controller can live with. */
-const tight = (usual: DaySettings, random: RandomSource): DaySettings => {
+const tight = (defaults: DaySettings, random: RandomSource): DaySettings => {
   const leaseS = random.pick([8, 12, 18, 27])
-  return { ...usual, leaseS, cancelS: leaseS + random.pick([2, 2.5, 4, 8]) }
+  return { ...defaults, leaseS, cancelS: leaseS + random.pick([2, 2.5, 4, 8]) }
 }
 const drawSettings = (random: RandomSource): DaySettings => {
-  const usual = { ...usualDay, teamLimit: random.pick([24, 48, 200]) }
+  const defaults = { ...defaultDay, teamLimit: random.pick([24, 48, 200]) }
   return random.pick<() => DaySettings>([
-    () => usual,
-    () => usual,
-    () => usual,
-    () => tight(usual, random),
-    () => tight({ ...usual, nodes: random.pick([2, 3, 5]) }, random),
-    () => ({ ...usual, nodes: 2 }),
-    () => ({ ...usual, nodes: 7, zones: ["a", "b", "c"] }),
-    () => ({ ...usual, zones: ["a"] }),
-    () => ({ ...usual, capacity: 1 }),
-    () => ({ ...usual, stateRps: 150, stateWrites: 15 }),
+    () => defaults,
+    () => defaults,
+    () => defaults,
+    () => tight(defaults, random),
+    () => tight({ ...defaults, nodes: random.pick([2, 3, 5]) }, random),
+    () => ({ ...defaults, nodes: 2 }),
+    () => ({ ...defaults, nodes: 7, zones: ["a", "b", "c"] }),
+    () => ({ ...defaults, zones: ["a"] }),
+    () => ({ ...defaults, capacity: 1 }),
+    () => ({ ...defaults, stateRps: 150, stateWrites: 15 }),
   ])()
 }
 
@@ -133,8 +138,8 @@
   return { atS, text: `(at ${seconds(atS)} ${[pair, form].filter((f) => f !== "").join(" ")})` }
 }
 
-const optionsOf = ({ pieces, cores, runS, owner, others }: JobWanted): string =>
-  `pieces ${pieces} cores ${cores} run ${runS} owner ${owner} ${others}`.trimEnd()
+const optionsOf = ({ taskCount, cores, runS, owner, others }: JobWanted): string =>
+  `pieces ${taskCount} cores ${cores} run ${runS} owner ${owner} ${others}`.trimEnd()
 
 /** The day as a scenario, which runs alone and can be kept. */
 export const scenarioOf = ({ seed, settings, users, faults }: RandomDay): string => {
--- a/packages/testkit/src/random-days/random-jobs.ts
+++ b/packages/testkit/src/random-days/random-jobs.ts
@@ -1,4 +1,5 @@
-import type { DaySettings } from "../faults/fault-kinds.ts"
+/** Draws what users submit and cancel in a random day. */
+import type { DaySettings } from "../faults/fault-draws.ts"
 import type { RandomSource } from "../simulation/simulation.ts"
 
 /** What a user does in a random day; `job` numbers the day's jobs in the order of their submission. */
@@ -9,7 +10,7 @@
 
 /** What a job needs, and its other options as a scenario writes them. */
 export interface JobWanted {
-  readonly pieces: number
+  readonly taskCount: number
   readonly cores: number
   readonly runS: number
   readonly owner: string
@@ -24,10 +25,9 @@
 /** Jobs submitted longer ago are mostly over. */
 const RECENT_S = 70
 const MAX_CANCELLED_AT_ONCE = 8
+/** Cancellations of one moment are spread over so many seconds. */
 export const CANCELLATIONS_LAST_S = 0.6
 
-const whole = (random: RandomSource, low: number, high: number) => Math.floor(random.between(low, high + 1))
-
 /** A scattered job is refused where there is only one zone. */
 const placement = (random: RandomSource, { zones }: DaySettings): string =>
   random.pick([
@@ -40,21 +40,25 @@
     " spot no",
     ` zone ${random.pick(zones)} spot no`,
   ])
-const anyJob = (random: RandomSource, settings: DaySettings, pieces: number): JobWanted => {
-  const cores = random.pick(pieces > 12 ? [1, 2] : [1, 2, 4, 8])
-  const due = random.chance(0.5) ? ` due ${whole(random, 30, 150)}` : ""
+const anyJob = (random: RandomSource, settings: DaySettings, taskCount: number): JobWanted => {
+  const cores = random.pick(taskCount > 12 ? [1, 2] : [1, 2, 4, 8])
+  const due = random.chance(0.5) ? ` due ${random.integerBetween(30, 150)}` : ""
   const saves = random.chance(0.4) ? " snapshot 5 flush 2" : ""
   const urgency = random.pick(["standard", "standard", "high", "best_effort"])
-  const others = `urgency ${urgency} image img-${whole(random, 1, 3)}${due}${saves}${placement(random, settings)}`
-  return { pieces, cores, runS: whole(random, 4, 45), owner: random.pick(TEAMS), others }
+  const others = `urgency ${urgency} image img-${random.integerBetween(1, 3)}${due}${saves}${placement(random, settings)}`
+  return { taskCount, cores, runS: random.integerBetween(4, 45), owner: random.pick(TEAMS), others }
 }
 
 /** Jobs that come now and then, some of them cancelled or submitted again. */
 const mixedJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
   for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(2, 14)) {
-    const pieces = random.chance(0.25) ? 1 : random.chance(0.1) ? whole(random, 20, 60) : whole(random, 2, 12)
-    const wanted = anyJob(random, settings, pieces)
+    const taskCount = random.chance(0.25)
+      ? 1
+      : random.chance(0.1)
+        ? random.integerBetween(20, 60)
+        : random.integerBetween(2, 12)
+    const wanted = anyJob(random, settings, taskCount)
     if (random.chance(MISTAKEN_SHARE)) {
       events.push({ atS, job, does: "submit", wanted: { ...wanted, others: `${wanted.others} mistake yes` } })
       events.push({ atS: atS + random.between(20, 120), job, does: "cancel" })
@@ -75,8 +79,14 @@
   const due = random.chance(0.5) ? "due 60" : ""
   for (let job = 0, atS = 1; atS < untilS; job++, atS += secondsApart) {
     const large = random.chance(0.05)
-    const small = { pieces: 1, cores: 1, runS: whole(random, 2, 20), owner: random.pick(TEAMS), others: due }
-    const wanted = large ? anyJob(random, settings, whole(random, 4, 12)) : small
+    const small = {
+      taskCount: 1,
+      cores: 1,
+      runS: random.integerBetween(2, 20),
+      owner: random.pick(TEAMS),
+      others: due,
+    }
+    const wanted = large ? anyJob(random, settings, random.integerBetween(4, 12)) : small
     events.push({ atS, job, does: "submit", wanted })
     if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 20), job, does: "cancel" })
     if (random.chance(0.05)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
@@ -89,11 +99,11 @@
   const events: Array<UserEvent> = []
   for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(4, 16)) {
     const wanted: JobWanted = {
-      pieces: whole(random, 2, 3),
+      taskCount: random.integerBetween(2, 3),
       cores: random.pick([2, 4, 8]),
-      runS: whole(random, 30, 120),
+      runS: random.integerBetween(30, 120),
       owner: random.pick(TEAMS),
-      others: `${random.chance(0.5) ? `due ${whole(random, 120, 300)}` : ""}${placement(random, settings)}`,
+      others: `${random.chance(0.5) ? `due ${random.integerBetween(120, 300)}` : ""}${placement(random, settings)}`,
     }
     events.push({ atS, job, does: "submit", wanted })
     if (random.chance(0.3)) events.push({ atS: atS + random.between(5, 60), job, does: "cancel" })
@@ -114,8 +124,8 @@
   const coreSeconds = new Map(TEAMS.map((team) => [team, 0]))
   for (const event of users) {
     if (event.does !== "submit") continue
-    const { owner, pieces, cores, runS } = event.wanted
-    coreSeconds.set(owner, coreSeconds.get(owner)! + pieces * cores * runS)
+    const { owner, taskCount, cores, runS } = event.wanted
+    coreSeconds.set(owner, coreSeconds.get(owner)! + taskCount * cores * runS)
   }
   return Math.max(...coreSeconds.values()) / Math.min(teamLimit, capacity * LARGE_MACHINE_CORES)
 }
--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -1,25 +1,26 @@
+/** Makes a failing random day smaller, so that what is left explains the failure. */
 import type { DayResult } from "./day-run.ts"
 import type { FaultEvent, RandomDay } from "./random-day.ts"
 import type { UserEvent } from "./random-jobs.ts"
 
-type Piece = { readonly user: UserEvent } | { readonly fault: FaultEvent }
+type DayEvent = { readonly user: UserEvent } | { readonly fault: FaultEvent }
 
 /** What failed, without times and names: a smaller day has to fail in the same way. */
 const failureKind = ({ failures }: DayResult): string =>
   (failures[0] ?? "").replace(/run-\d+(\/\d+)?/g, "").replace(/[\d.]+/g, "")
 
-const piecesOf = ({ users, faults }: RandomDay): ReadonlyArray<Piece> => [
+const eventsOf = ({ users, faults }: RandomDay): ReadonlyArray<DayEvent> => [
   ...faults.map((fault) => ({ fault })),
   ...users.map((user) => ({ user })),
 ]
 /** Cancellations of jobs that nobody submits any more go as well. */
-const withPieces = (day: RandomDay, pieces: ReadonlyArray<Piece>): RandomDay => {
-  const users = pieces.flatMap((piece) => ("user" in piece ? [piece.user] : []))
+const withEvents = (day: RandomDay, events: ReadonlyArray<DayEvent>): RandomDay => {
+  const users = events.flatMap((event) => ("user" in event ? [event.user] : []))
   const submitted = new Set(users.filter(({ does }) => does === "submit").map(({ job }) => job))
   return {
     ...day,
     users: users.filter(({ job }) => submitted.has(job)),
-    faults: pieces.flatMap((piece) => ("fault" in piece ? [piece.fault] : [])),
+    faults: events.flatMap((event) => ("fault" in event ? [event.fault] : [])),
   }
 }
 
@@ -37,12 +38,12 @@
   let smallest = day
   let runs = 0
   const stillFails = (candidate: RandomDay) => runs++ < maxRuns && failureKind(run(candidate)) === kind
-  let size = Math.ceil(piecesOf(day).length / 2)
+  let size = Math.ceil(eventsOf(day).length / 2)
   while (runs < maxRuns) {
     let dropped = false
-    for (let at = 0; at < piecesOf(smallest).length && runs < maxRuns; ) {
-      const pieces = piecesOf(smallest)
-      const candidate = withPieces(smallest, [...pieces.slice(0, at), ...pieces.slice(at + size)])
+    for (let at = 0; at < eventsOf(smallest).length && runs < maxRuns; ) {
+      const events = eventsOf(smallest)
+      const candidate = withEvents(smallest, [...events.slice(0, at), ...events.slice(at + size)])
       if (stillFails(candidate)) {
         smallest = candidate
         dropped = true
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -1,5 +1,6 @@
 import { type ChildProcess, fork } from "node:child_process"
 import { parseArgs } from "node:util"
+import { askWorker } from "../scenarios/worker-process.ts"
 import { TraceDigest } from "../simulation/trace-digest.ts"
 import { Coverage } from "./coverage.ts"
 import { type DayResult, runDay } from "./day-run.ts"
@@ -62,27 +63,12 @@
     }
     worker?.disconnect()
   }
-  private oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
-    return new Promise((resolve) => {
-      const broken = (why: string) =>
-        resolve({ seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null })
-      const limitS = Number(values["day-limit-s"])
-      const timer = setTimeout(() => {
-        worker.kill("SIGKILL")
-        broken(`the day took longer than ${limitS} s`)
-      }, limitS * 1000)
-      const ended = () => {
-        clearTimeout(timer)
-        broken("the worker process ended")
-      }
-      worker.once("exit", ended)
-      worker.once("message", (result) => {
-        clearTimeout(timer)
-        worker.off("exit", ended)
-        resolve(result as SweptDay)
-      })
-      worker.send(seed)
-    })
+  private async oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
+    const limitS = Number(values["day-limit-s"])
+    const reply = await askWorker<SweptDay>(worker, seed, limitS * 1000)
+    if (reply.kind === "answer") return reply.answer
+    const why = reply.kind === "timeout" ? `the day took longer than ${limitS} s` : "the worker process ended"
+    return { seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null }
   }
   private take(result: SweptDay): void {
     this.ran++
--- a/packages/testkit/src/scenarios/actions.ts
+++ b/packages/testkit/src/scenarios/actions.ts
@@ -1,3 +1,4 @@
+/** What all actions of scenarios share: their form, and how their arguments are read. */
 import type { NodeName } from "@sorreltally/protocol"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -66,7 +66,7 @@
   },
   resubmit: (deployment, args) => deployment.users.resubmit(jobAt(deployment, args)),
   cancel: (deployment, args) => deployment.users.cancel(jobAt(deployment, args)),
-  "ask-about-nobody": (deployment) => deployment.users.askAboutNobody(),
+  "ask-about-nobody": (deployment) => deployment.users.pollUnknownJob(),
   crash: (deployment, args) => deployment.crash(node(deployment, args), number(args, 1, 4) * 1000),
   "crash-all": (deployment, args) => {
     for (const name of deployment.names) deployment.crash(name, number(args, 0, 4) * 1000)
--- a/packages/testkit/src/scenarios/digests.ts
+++ b/packages/testkit/src/scenarios/digests.ts
@@ -5,6 +5,7 @@
 import { drawDay } from "../random-days/random-day.ts"
 import { TraceDigest } from "../simulation/trace-digest.ts"
 import { readScenario } from "./scenario.ts"
+import { askWorker } from "./worker-process.ts"
 
 // Trace digests of all scenarios and of the random days 1 to N, on several processes:
 // `npm run digests -- --out FILE` writes them, `npm run digests -- --compare FILE` compares them with written
@@ -52,21 +53,11 @@
 }
 
 /** Has a worker process make one digest. */
-const ask = (worker: ChildProcess, name: string): Promise<Traced> =>
-  new Promise((resolve) => {
-    const timer = setTimeout(() => worker.kill("SIGKILL"), RUN_LIMIT_MS)
-    const ended = () => {
-      clearTimeout(timer)
-      resolve({ digest: null, failures: ["the worker process ended or took too long"] })
-    }
-    worker.once("exit", ended)
-    worker.once("message", (answer) => {
-      clearTimeout(timer)
-      worker.off("exit", ended)
-      resolve(answer as Traced)
-    })
-    worker.send(name)
-  })
+const ask = async (worker: ChildProcess, name: string): Promise<Traced> => {
+  const reply = await askWorker<Traced>(worker, name, RUN_LIMIT_MS)
+  if (reply.kind === "answer") return reply.answer
+  return { digest: null, failures: ["the worker process ended or took too long"] }
+}
 
 /** Takes names off the queue until it is empty. */
 const keepWorking = async (queue: Array<string>, found: Map<string, string>): Promise<void> => {
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -1,3 +1,4 @@
+/** Actions of scenarios: faults of machines and of the network, and scarce room. */
 import type { CutMode } from "../simulation/network.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
 
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -1,3 +1,4 @@
+/** Actions of scenarios: ends of controllers, node leases and shards. */
 import { type Action, node, number } from "./actions.ts"
 
 /** Scenario verbs around leases and shards. Times are in seconds. */
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -1,3 +1,7 @@
+/**
+ * Actions and expectations of scenarios about users and the state service, and the events
+ * that `happened` counts.
+ */
 import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
--- a/packages/testkit/src/services/key-value-store.ts
+++ b/packages/testkit/src/services/key-value-store.ts
@@ -11,7 +11,7 @@
   readonly modRevision: number
   readonly leaseId: number | null
 }
-/** A change that watches are told of; `entry: null`: the key was deleted. */
+/** A change as watches receive it; `entry: null`: the key was deleted. */
 export interface WatchEvent {
   readonly revision: number
   readonly key: string
--- a/packages/testkit/src/services/operations.ts
+++ b/packages/testkit/src/services/operations.ts
@@ -1,3 +1,7 @@
+/**
+ * Counts the state service's changes by what they are for, so that scenarios can bound
+ * what a job costs.
+ */
 import { decodeRecord, type JobPage, type PlacementRecord } from "@sorreltally/store"
 
 /** What a change in the state service is for. */
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -1,3 +1,7 @@
+/**
+ * Faults of the state service's answers: late transactions, lost answers and slowness. It
+ * never changes a request or an answer.
+ */
 import type { Simulation } from "../simulation/simulation.ts"
 
 const MIN_DELAY_MS = 2_000
@@ -61,7 +65,7 @@
     this.unread.set(revision, from)
     return true
   }
-  /** A controller was told of the changes of these revisions. */
+  /** A controller received the changes of these revisions. */
   read(by: string, revisions: Iterable<number>): void {
     if (this.unread.size === 0) return
     for (const revision of revisions) {
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -1,22 +1,26 @@
+/**
+ * A stand-in of the users. They only do what the protocol lets them, and hand every answer
+ * to the invariants.
+ */
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
-import type { Question, UserInvariants } from "../invariants/user-invariants.ts"
+import type { UserInvariants, UserRequestKind } from "../invariants/user-invariants.ts"
 import type { Network } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
 
 /** A user's request was answered; status 0: not in time. */
 type Answered = (status: number, state: string | null) => void
-/** Something that a user was told for the first time, or asked to be. */
+/** A user received a first answer that says so. */
 export type UserEvent = "accepted" | "cancelled"
 
-const ANSWER_MS: Record<Question, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
+const ANSWER_MS: Record<UserRequestKind, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
 const RETRY_MS = 1_000
 const POLL_EVERY_MS = 5_000
 
 /** A stand-in of the users: they submit, poll and cancel jobs as the protocol says, at any node. */
 export class Users {
   readonly jobs: Array<JobId> = []
-  /** Called as soon as a user hears of it. */
-  readonly on: Array<(event: UserEvent, job: JobId) => void> = []
+  /** Called as soon as a user received such an answer. */
+  readonly listeners: Array<(event: UserEvent, job: JobId) => void> = []
 
   constructor(
     private readonly simulation: Simulation,
@@ -26,29 +30,29 @@
   ) {}
 
   /** Asks one node, any by default. */
-  ask(how: Question, job: string, body: unknown, done: Answered, at?: NodeName): void {
+  ask(kind: UserRequestKind, job: string, body: unknown, done: Answered, at?: NodeName): void {
     const asked = this.simulation.now
     let over = false
     const finish = (status: number, state: string | null) => {
       if (over) return
       over = true
-      this.invariants.answered(job, how, status, state, asked)
+      this.invariants.answered(job, kind, status, state, asked)
       done(status, state)
     }
     this.invariants.asked(job)
-    this.simulation.after(ANSWER_MS[how], () => finish(0, null))
-    const request = { method: how === "poll" ? "GET" : "POST", path: pathOf(how, job), body }
+    this.simulation.after(ANSWER_MS[kind], () => finish(0, null))
+    const request = { method: kind === "poll" ? "GET" : "POST", path: pathOf(kind, job), body }
     this.network.request("users", at ?? this.simulation.random.pick(this.nodes), request, (answer) =>
       finish(answer?.status ?? 0, stateOf(answer?.body)),
     )
   }
 
   submit(request: WireJob): void {
-    this.invariants.asksToRun(request)
+    this.invariants.submits(request)
     this.jobs.push(request.id)
     this.attempt(request)
   }
-  /** Goes on with jobs that were submitted to an earlier deployment, and that the rules know. */
+  /** Goes on with jobs that were submitted to an earlier deployment, and that the invariants know. */
   resume(jobs: Iterable<JobId>): void {
     for (const id of jobs) {
       this.jobs.push(id)
@@ -74,7 +78,7 @@
     this.ask("submit", id, this.invariants.submitted.get(id), () => {}, at)
   }
   /** One question at one node. */
-  look(id: JobId, at: NodeName, done: Answered = () => {}): void {
+  pollAt(id: JobId, at: NodeName, done: Answered = () => {}): void {
     this.ask("poll", id, null, done, at)
   }
   private poll(id: JobId): void {
@@ -91,15 +95,15 @@
     }
     this.ask("cancel", id, {}, answered, at)
   }
-  /** A cancellation that comes too late: the user was told that the job is done. */
+  /** A cancellation that comes too late: the user has the answer that the job is done. */
   cancelDone(id: JobId): void {
     this.ask("cancel", id, {}, () => {})
   }
-  askAboutNobody(): void {
+  pollUnknownJob(): void {
     this.ask("poll", "run-999999", null, () => {})
   }
   private notify(event: UserEvent, job: JobId): void {
-    for (const told of this.on) told(event, job)
+    for (const listener of this.listeners) listener(event, job)
   }
 
   counts(): { readonly done: number; readonly withdrawn: number; readonly jobs: number } {
@@ -109,8 +113,8 @@
   }
 }
 
-const pathOf = (how: Question, job: string): string => {
-  if (how === "submit") return "/v1/jobs"
-  return how === "poll" ? `/v1/jobs/${job}` : `/v1/jobs/${job}/cancel`
+const pathOf = (kind: UserRequestKind, job: string): string => {
+  if (kind === "submit") return "/v1/jobs"
+  return kind === "poll" ? `/v1/jobs/${job}` : `/v1/jobs/${job}/cancel`
 }
 const stateOf = (body: unknown): string | null => (body as { status?: string } | null)?.status ?? null
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -1,7 +1,7 @@
 /**
  * The tasks on one simulated worker: images are pulled, tasks run, save a
- * checkpoint when they are stopped in time, and exit. It tells the invariants
- * of every start and end, and never decides when the worker loses its tasks.
+ * checkpoint when they are stopped in time, and exit. It reports every start
+ * and end to the invariants, and never decides when the worker loses its tasks.
  */
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,3 +1,4 @@
+/** What a simulated deployment is made of, and what of it faults and observers use. */
 import type { NodeName } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
 import type { Cloud } from "../services/cloud.ts"
@@ -6,6 +7,7 @@
 import type { Network } from "./network.ts"
 import type { Simulation } from "./simulation.ts"
 
+/** What a deployment is like, before it begins. Names are kept in fixtures. */
 export interface DeploymentSetup {
   readonly seed: number
   readonly nodes: number
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -1,11 +1,17 @@
+/**
+ * The simulated network. It alone decides when a message arrives, whether it does, and how
+ * often.
+ */
 import type { Simulation } from "./simulation.ts"
 import type { TraceDigest } from "./trace-digest.ts"
 
+/** A request over HTTP; `body` is what its JSON says. */
 export interface Request {
   readonly method: string
   readonly path: string
   readonly body: unknown
 }
+/** The answer to a request. */
 export interface Answer {
   readonly status: number
   readonly body: unknown
@@ -13,9 +19,10 @@
 /** Calls `answer` at most once; a server that never does is one that hangs. */
 export type Server = (request: Request, from: string, answer: (answer: Answer) => void) => void
 
+/** What a cut does with messages: keeps them until it heals, loses them, or resets connections. */
 export type CutMode = "hold" | "drop" | "reset"
 /** A request that is about to set out. */
-export interface Departure {
+export interface OutgoingRequest {
   readonly from: string
   readonly to: string
   readonly request: Request
@@ -24,11 +31,12 @@
 }
 /** `withhold`: it never arrives by itself, and its sender hears nothing; `refuse`: no connection. */
 export type Verdict = "pass" | "withhold" | "refuse"
-export type Interceptor = (departure: Departure) => Verdict
+/** Looks at a request and decides on it. */
+export type Interceptor = (outgoing: OutgoingRequest) => Verdict
 
 interface Cut {
   readonly oneWay: boolean
-  readonly apart: (a: string, b: string) => boolean
+  readonly separates: (a: string, b: string) => boolean
   readonly mode: CutMode
   held: Array<() => void>
 }
@@ -76,11 +84,11 @@
   }
 
   /** Returns how to heal it. */
-  cut(apart: Cut["apart"], mode: CutMode): () => void {
-    return this.open({ apart, mode, oneWay: false, held: [] })
+  cut(separates: Cut["separates"], mode: CutMode): () => void {
+    return this.open({ separates, mode, oneWay: false, held: [] })
   }
-  cutOneWay(apart: Cut["apart"], mode: CutMode): () => void {
-    return this.open({ apart, mode, oneWay: true, held: [] })
+  cutOneWay(separates: Cut["separates"], mode: CutMode): () => void {
+    return this.open({ separates, mode, oneWay: true, held: [] })
   }
   private open(cut: Cut): () => void {
     this.cuts.add(cut)
@@ -100,7 +108,7 @@
     }
   }
   private verdict(from: string, to: string, request: Request, text: string): Verdict {
-    const deliverCopy: Departure["deliverCopy"] = (host, afterMs, answered = () => {}) => {
+    const deliverCopy: OutgoingRequest["deliverCopy"] = (host, afterMs, answered = () => {}) => {
       const sentTo = this.servers.get(host)
       this.simulation.after(afterMs, () => {
         if (this.hasEnded(host, sentTo)) return
@@ -130,14 +138,14 @@
 
   /** Does a cut keep messages between the two from arriving? */
   isApart(a: string, b: string): boolean {
-    for (const cut of this.cuts) if (cut.apart(a, b) || cut.apart(b, a)) return true
+    for (const cut of this.cuts) if (cut.separates(a, b) || cut.separates(b, a)) return true
     return false
   }
 
   /** One message one way; `lost` is called when its sender can tell. */
   carry(from: string, to: string, deliver: () => void, lost: () => void = () => {}): void {
     for (const cut of this.cuts) {
-      if (!cut.apart(from, to) && (cut.oneWay || !cut.apart(to, from))) continue
+      if (!cut.separates(from, to) && (cut.oneWay || !cut.separates(to, from))) continue
       if (cut.mode === "hold") cut.held.push(() => this.carry(from, to, deliver, lost))
       else if (cut.mode === "reset") this.simulation.after(1, lost)
       return
--- a/packages/testkit/src/simulation/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -25,6 +25,7 @@
   "tasks on machines at a take-over: receives nothing",
   "tasks on machines at a take-over: sends nothing",
 ] as const
+/** One of the events; the names are those of the scenario format. */
 export type MachineEvent = (typeof MACHINE_EVENTS)[number]
 
 /** How often each kind of event came about in a simulated day; scenarios assert that their faults met. */
--- a/packages/testkit/src/simulation/processor.ts
+++ b/packages/testkit/src/simulation/processor.ts
@@ -2,6 +2,7 @@
 
 /** Milliseconds on a whole core; rounded up from what `npm run measure` shows for young processes. */
 const START_MS = 330
+/** What a timer costs, in milliseconds on a whole core. */
 export const TIMER_MS = 0.03
 /** A collection of garbage comes after so many events, and nothing else happens meanwhile. */
 const EVENTS_A_COLLECTION = 400
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -17,7 +17,8 @@
 import { defaultOperators, type Platform } from "@sorreltally/settings"
 import { Effect, Exit, Random } from "effect"
 import type { Answer, Network, Request } from "./network.ts"
-import type { Process, Simulation } from "./simulation.ts"
+import type { Process } from "./process.ts"
+import type { Simulation } from "./simulation.ts"
 import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
 
 /** What a controller may be about to send when it is made to stand still; the words are those of scenarios. */
--- a/packages/testkit/src/simulation/simulation.ts
+++ b/packages/testkit/src/simulation/simulation.ts
@@ -1,7 +1,10 @@
-import { Clock, Duration, Effect, Scheduler } from "effect"
+/**
+ * Simulated time and randomness: one queue and one clock, so that equal seeds give equal
+ * runs.
+ */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus"
 import { Occurrences } from "./occurrences.ts"
-import { Processor, TIMER_MS } from "./processor.ts"
+import { Process } from "./process.ts"
 
 interface Timer {
   readonly at: number
@@ -22,6 +25,11 @@
   between(low: number, high: number): number {
     return low + (high - low) * this.next()
   }
+  /** A whole number; both ends may come. */
+  integerBetween(low: number, high: number): number {
+    return Math.floor(this.between(low, high + 1))
+  }
+  /** True with that probability. */
   chance(p: number): boolean {
     return this.next() < p
   }
@@ -104,81 +112,10 @@
     this.now = Math.max(this.now, end)
   }
 
-  /**
-   * A process of its own: once killed, nothing it waits for ever comes; while it stands still, nothing yet.
-   * With a share of a core, what it does takes time.
-   */
+  /** A process of its own: see `Process`. */
   process(wallOffsetMs: number, share: number | null = null): Process {
-    let alive = true
-    let deferred: Array<() => void> | null = null
-    const processor = new Processor(share, this.now)
-    const unlessStill = (run: () => void): void => {
-      if (!alive) return
-      if (deferred === null) run()
-      else deferred.push(run)
-    }
-    const whenAwake = (run: () => void, workMs = 0): void => {
-      const at = processor.schedule(this.now, workMs)
-      if (at <= this.now) unlessStill(run)
-      else this.after(at - this.now, () => unlessStill(run))
-    }
-    const wall = () => Math.floor(EPOCH_MS + this.now + wallOffsetMs)
-    const nanos = () => BigInt(Math.round(this.now * 1e6))
-    const clock: Clock.Clock = {
-      currentTimeMillisUnsafe: wall,
-      currentTimeMillis: Effect.sync(wall),
-      currentTimeNanosUnsafe: () => BigInt(wall()) * 1_000_000n,
-      currentTimeNanos: Effect.sync(() => BigInt(wall()) * 1_000_000n),
-      monotonicTimeNanosUnsafe: nanos,
-      monotonicTimeNanos: Effect.sync(nanos),
-      sleep: (duration) =>
-        Effect.callback<void>((resume) => {
-          const cancel = this.after(Duration.toMillis(duration), () =>
-            whenAwake(() => resume(Effect.void), TIMER_MS),
-          )
-          return Effect.sync(cancel)
-        }),
-    }
-    const scheduler = new Scheduler.MixedScheduler("async", (run) => {
-      // What follows from an event belongs to its work.
-      this.enqueue(() => unlessStill(run))
-      return () => {}
-    })
-    return {
-      provide: (effect) =>
-        effect.pipe(
-          Effect.provideService(Clock.Clock, clock),
-          Effect.provideService(Scheduler.Scheduler, scheduler),
-        ),
-      kill: () => {
-        alive = false
-      },
-      alive: () => alive,
-      whenAwake,
-      freeze: (ms) => {
-        if (deferred !== null) return
-        deferred = []
-        this.after(ms, () => {
-          const late = deferred ?? []
-          deferred = null
-          this.lastResumedAt = this.now
-          for (const run of late) this.enqueue(() => unlessStill(run))
-        })
-      },
-    }
+    return new Process(this, wallOffsetMs, share)
   }
 }
-/** Clocks run on whatever the process does. */
-export interface Process {
-  readonly provide: Provide
-  readonly kill: () => void
-  readonly alive: () => boolean
-  /** At once, or when the process goes on, or its processor is free; takes so much of a core. */
-  readonly whenAwake: (run: () => void, workMs?: number) => void
-  readonly freeze: (ms: number) => void
-}
-type Provide = <A, E, R>(effect: Effect.Effect<A, E, R>) => Effect.Effect<A, E, R>
 
-/** Any time of day will do. */
-const EPOCH_MS = 1_700_000_000_000
 const before = (a: Timer, b: Timer) => a.at < b.at || (a.at === b.at && a.n < b.n)
--- a/packages/testkit/src/simulation/trace-digest.ts
+++ b/packages/testkit/src/simulation/trace-digest.ts
@@ -1,3 +1,4 @@
+/** Digests of everything that a simulation's hosts send. */
 import { createHash } from "node:crypto"
 
 /**
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -30,7 +30,7 @@
   const answers: Array<Answered> = []
   for (const job of dump.jobs)
     for (const node of deployment.names)
-      deployment.users.look(job, node, (status, state) => answers.push({ job, status, state }))
+      deployment.users.pollAt(job, node, (status, state) => answers.push({ job, status, state }))
   return answers
 }
 
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -11,10 +11,10 @@
   type FrameSample,
   type Recording,
   type RecordSample,
-  record,
   recordKind,
   type SettingsSamples,
-} from "../src/scenarios/golden-recording.ts"
+} from "../src/golden/recorder.ts"
+import { record } from "../src/golden/recording.ts"
 import type { DeploymentDump } from "../src/simulation/deployment-dump.ts"
 import {
   bodyBytes,
--- a/packages/testkit/test/random-days.test.ts
+++ b/packages/testkit/test/random-days.test.ts
@@ -11,7 +11,7 @@
 let drawn = 0
 let met = 0
 for (let seed = 1; seed <= DAYS; seed++) {
-  test(`random day ${seed}: no rule breaks and all work ends`, () => {
+  test(`random day ${seed}: no invariant breaks and all work ends`, () => {
     const text = scenarioOf(drawDay(seed))
     const { failures, deployment } = readScenario(text).run()
     assert.deepEqual(failures, [], text)
@@ -20,11 +20,11 @@
   })
 }
 
-test("most second troubles really met the effect of the first one", () => {
+test("most second faults really met the effect of the first one", () => {
   assert.ok(met >= MIN_SHARE_MET * drawn, `${met} of ${drawn} pairs met`)
 })
 
-test("the days have every trouble as a first one", () => {
+test("the days have every fault as a first one", () => {
   const days = Array.from({ length: DAYS }, (_, i) => drawDay(i + 1))
   const firsts = new Set(days.flatMap(pairsOf).map(({ first }) => first))
   assert.deepEqual([...firsts].sort(), [...faultNames].sort())
@@ -38,7 +38,7 @@
   assert.deepEqual(new Set(pairs.map(({ effect }) => effect)), new Set(faultEffects))
 })
 
-test("a second trouble begins inside the window of an effect of its first one", () => {
+test("a second fault begins inside the window of an effect of its first one", () => {
   for (let seed = 1; seed <= 200; seed++) {
     const { faults } = drawDay(seed)
     for (const { meets, atS } of faults) {
--- a/packages/testkit/test/user-invariants.test.ts
+++ b/packages/testkit/test/user-invariants.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { Invariants } from "../src/invariants/invariants.ts"
 import { largestOfClasses, notBegunWithin, unserved } from "../src/invariants/service-objectives.ts"
+import { type JobFields, jobRequest, machineTypeOffer } from "../src/services/wire-builders.ts"
 import { Simulation } from "../src/simulation/simulation.ts"
 
 // Each rule is shown to fire on events that break it, and to be silent on the nearest ones that don't.
@@ -13,18 +13,18 @@
 const harness = () => {
   const simulation = new Simulation(1)
   const teams = [{ name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }]
-  const type = { name: "small", cores: 8 } as unknown as WireMachineType
+  const type = machineTypeOffer({ name: "small", cores: 8, mem_gb: 32 })
   const invariants = new Invariants(simulation, teams as never, [type], CANCEL_S)
   const users = invariants.users
-  const submit = (id: string, fields: Partial<Record<keyof WireJob, unknown>> = {}) =>
-    users.asksToRun({ id, lane: "bulk", owner: "red", pieces: 1, cores: 1, ...fields } as WireJob)
+  const submit = (id: string, fields: JobFields = {}) =>
+    users.submits(jobRequest(id, { pieces: 1, cores: 1, ...fields }))
   const at = (ms: number, run: () => void) => simulation.after(ms - simulation.now, run)
   /** Rules broken so far, without times. */
   const broken = () => invariants.broken.map((line) => line.replace(/ at .*?:/, ":"))
   return { simulation, invariants, users, submit, at, broken }
 }
 
-test("went_back: an answer older than any node's earlier one, by the millisecond", () => {
+test("an answer that takes back what any node answered before it was asked breaks went_back", () => {
   const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
@@ -38,7 +38,7 @@
   assert.deepEqual(broken(), ["went_back: run-1: done, now running"])
 })
 
-test("went_back: a later answer doesn't cover an older one that was asked between two", () => {
+test("a 404 to a question asked after the acceptance breaks forgotten, whatever was answered since", () => {
   const { simulation, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
@@ -48,7 +48,7 @@
   assert.deepEqual(broken(), ["forgotten: run-1: poll answered 404"])
 })
 
-test("went_back: two different final states, whenever they were asked for", () => {
+test("two different final states break went_back, whenever they were asked for", () => {
   const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   users.asksToCancel("run-1")
@@ -59,7 +59,7 @@
   assert.deepEqual(broken(), ["went_back: run-1: withdrawn, now done"])
 })
 
-test("went_back, not_done and invented: what never was", () => {
+test("an unasked cancellation, an unfinished end and an unknown job break their invariants", () => {
   const { users, submit, broken } = harness()
   submit("run-1")
   users.answered("run-1", "poll", 200, "withdrawn", 0)
@@ -73,7 +73,7 @@
   ])
 })
 
-test("forgotten: an accepted job gets 404, or its repeated submission 400 or 422", () => {
+test("a 404 for an accepted job, or a refused repetition of its submission, breaks forgotten", () => {
   const { simulation, users, submit, at, broken } = harness()
   submit("run-1")
   at(1, () => users.answered("run-1", "submit", 201, "queued", 0))
@@ -85,7 +85,7 @@
   assert.equal(broken().length, 2)
 })
 
-test("forgotten: 75 s without an answer once the troubles are over, of a cancelled job too", () => {
+test("75 s without an answer once faults are over break forgotten, of a cancelled job too", () => {
   const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1")
   users.asksToCancel("run-1")
@@ -99,10 +99,10 @@
   assert.deepEqual(broken(), ["forgotten: run-1: no answer for 75 s"])
 })
 
-test("accepted_unfit: a job that can't run or lacks a field, and a wrong reason for its refusal", () => {
+test("an accepted malformed or unfit job, and a wrong status of its refusal, are reported", () => {
   const { users, broken } = harness()
-  users.asksInVain("run-1", "malformed")
-  users.asksInVain("run-2", "unfit")
+  users.submitsInvalid("run-1", "malformed")
+  users.submitsInvalid("run-2", "unfit")
   for (const status of [0, 429, 503]) users.answered("run-1", "submit", status, null, 0)
   users.answered("run-1", "submit", 400, null, 0)
   users.answered("run-2", "submit", 422, null, 0)
@@ -115,7 +115,7 @@
   ])
 })
 
-test("started_cancelled: a start after a confirmed cancellation, and ran_cancelled", () => {
+test("a late start after a confirmed cancellation, and a task that runs on too long, are reported", () => {
   const { simulation, invariants, users, submit, at, broken } = harness()
   submit("run-1", { pieces: 2 })
   users.asksToCancel("run-1")
@@ -130,7 +130,7 @@
   assert.deepEqual(broken(), ["started_cancelled: run-1/1", "ran_cancelled: run-1/0"])
 })
 
-test("served: half of each class, of each team and of a class's largest jobs", () => {
+test("classes, teams and largest jobs of which less than half is done are unserved", () => {
   const { invariants, users, submit } = harness()
   const end = (id: string) => {
     invariants.finished(id, 0)
@@ -156,7 +156,7 @@
   assert.deepEqual(unserved(users), [])
 })
 
-test("begun in time: nothing of a job began within that time of its submission", () => {
+test("a job of which nothing began within the time of its submission is listed", () => {
   const { simulation, invariants, users, submit, at } = harness()
   submit("run-1")
   submit("run-2")
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -30,27 +30,27 @@
   )
   const machine = cloud.rent(type, "a", false)
   const request = jobRequest("run-000001", { pieces: 2, expected_s: 100, ...more })
-  invariants.users.asksToRun(request)
+  invariants.users.submits(request)
   invariants.users.answered(request.id, "submit", 201, "queued", 0)
   const waiting = new WaitingInvariant(simulation, invariants, cloud)
-  const look = () => {
-    // Its user hears of it all the time.
+  const check = () => {
+    // Its user is answered all the time.
     invariants.users.answered(request.id, "poll", 200, invariants.users.state(request.id), simulation.now)
     invariants.check()
     waiting.check()
-    simulation.after(500, look)
+    simulation.after(500, check)
   }
-  look()
+  check()
   return { simulation, network, invariants, machine, request }
 }
-const start = (network: Network, machine: string, piece: string) =>
+const start = (network: Network, machine: string, taskId: string) =>
   network.request(
     "host-0",
     machine,
     {
       method: "POST",
       path: "/orders",
-      body: { baton: 1, tenure: 1, orders: [{ verb: "start", piece, try: 1 }] },
+      body: { baton: 1, tenure: 1, orders: [{ verb: "start", piece: taskId, try: 1 }] },
     },
     () => {},
   )
@@ -77,7 +77,7 @@
   })
 }
 
-test("troubles put the 90 s off", () => {
+test("a fault postpones the 90 s until it is over", () => {
   const { simulation, invariants } = idleService({})
   invariants.faultLasts(60_000)
   simulation.runUntil(140_000)
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -29,7 +29,7 @@
       outfile: `target/${program}.js`,
     })
 } else if (process.argv.includes("--golden")) {
-  const entryPoints = ["packages/testkit/src/scenarios/golden-recorder.ts"]
+  const entryPoints = ["packages/testkit/src/golden/golden-recorder.ts"]
   await build({ ...common, entryPoints, outfile: "target/golden-recorder.js" })
 } else if (!process.argv.includes("--tests")) {
   await build(daemon)
