--- a/packages/testkit/src/faults/fault-draws.ts
+++ b/packages/testkit/src/faults/fault-draws.ts
@@ -51,7 +51,7 @@
 export const effectWindow = (effect: FaultEffect, fromS: number, toS: number): ReadonlyArray<EffectWindow> =>
   toS > fromS ? [{ effect, fromS, toS }] : []
 
-/** How long the lease of a controller stands that can't renew it. */
+/** How long the node lease of a controller lasts that can't renew it, in seconds. */
 export const leaseTtlS = ({ leaseS, cancelS }: DaySettings): number => {
   const times = { leaseS, cancellationLimitS: cancelS }
   return cancellationBudget(times, { "grant-ttl-ms": null, "grant-margin-ms": null }).leaseTtlMs / 1000
@@ -71,7 +71,7 @@
 /** Tasks are lost at `fromS`, and the work is taken up again. */
 export const workLostAfter = (fromS: number): ReadonlyArray<EffectWindow> =>
   effectWindow("work-lost", fromS + 0.2, fromS + RECOVERY_S)
-/** Machines that nobody hears, or that hear nobody: up to their lease, then what they ran is lost. */
+/** Machines that reach nobody, or that nobody reaches: up to their lease, then what they ran is lost. */
 export const machineSilence = (lastsS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
   ...effectWindow("machines-silent", SILENCE_NOTICED_S, Math.min(lastsS, leaseS)),
   ...(lastsS > leaseS + 1 ? workLostAfter(leaseS + 1) : []),
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -2,8 +2,9 @@
  * Faults of machines and of the network between them and the controllers. It acts on the
  * stand-ins alone, never on a controller's state.
  */
-import type { NodeName, WireCommandBatch, WireHeartbeat } from "@sorreltally/protocol"
+import type { NodeName } from "@sorreltally/protocol"
 import type { Machine } from "../services/machine.ts"
+import { decodeCommands, decodeHeartbeatCopy } from "../services/machine-codec.ts"
 import type { Deployment } from "../simulation/deployment.ts"
 import type { CutMode, OutgoingRequest, Request } from "../simulation/network.ts"
 
@@ -12,16 +13,16 @@
 /** Late copies of heartbeats come at most this many leases later. */
 const MAX_HEARTBEAT_DELAY_LEASES = 2.2
 const MAX_COMMAND_DELAY_MS = 16_000
-/** Within this time a new owner has read what it took over and heard its first heartbeats. */
+/** Within this time a new owner has read the records of its shard and received its first heartbeats. */
 const NEW_LEADER_STARTUP_MS = 2_000
 
 /** By then a controller can tell that a machine's heartbeats don't come any more. */
 const SILENCE_NOTICED_MS = 10_000
 
 const startsTasks = ({ path, body }: Request): boolean =>
-  path === "/orders" && (body as WireCommandBatch).orders.some(({ verb }) => verb === "start")
+  path === "/orders" && decodeCommands(body).commands.some(({ type }) => type === "start")
 
-/** What can ail a machine without its being gone. */
+/** What a machine can suffer without being gone; the words are those of counted events. */
 type MachineFault = "receives nothing" | "sends nothing" | "cut" | "hung"
 
 /** Faults of machines and of the network between them and the controllers. */
@@ -115,7 +116,7 @@
     const { simulation, names } = this.deployment
     if (this.keptHeartbeats.length > 0) this.deployment.invariants.faultLasts(NEW_LEADER_STARTUP_MS)
     for (const outgoing of this.keptHeartbeats.splice(0)) {
-      // Before, while and after the new owner reads what it took over.
+      // Before, while and after the new owner reads the records of its shard.
       const afterMs = simulation.random.between(0, NEW_LEADER_STARTUP_MS)
       for (const node of names) outgoing.deliverCopy(node, afterMs)
       simulation.after(afterMs, () => {
@@ -127,17 +128,15 @@
   private countLateHeartbeat({ from, request }: OutgoingRequest): void {
     const { occurrences } = this.deployment.simulation
     const machine = this.deployment.cloud.machines.get(from)
-    const copy = request.body as WireHeartbeat
+    const { agentEpoch, sequence, tasks } = decodeHeartbeatCopy(request.body)
     occurrences.count("late reports")
     if (machine === undefined) return occurrences.count("late reports of machines that are gone")
-    if (
-      copy.tenure > machine.agentEpoch ||
-      (copy.tenure === machine.agentEpoch && copy.tick > machine.lastSequence)
-    )
+    const isAhead = agentEpoch === machine.agentEpoch && sequence > machine.lastSequence
+    if (agentEpoch > machine.agentEpoch || isAhead)
       occurrences.count("late reports of a worker's former self")
-    if (copy.tenure < machine.agentEpoch) occurrences.count("late reports of an earlier session")
+    if (agentEpoch < machine.agentEpoch) occurrences.count("late reports of an earlier session")
     const newestAttempt = (taskId: string) => Math.max(...this.running().map((m) => m.attemptOf(taskId)))
-    if (copy.pieces.some((task) => task.try < newestAttempt(task.piece)))
+    if (tasks.some(({ taskId, attempt }) => attempt < newestAttempt(taskId)))
       occurrences.count("late reports of an earlier attempt")
   }
   /** That share of direct commands is held up, unanswered, and carried out once, 2 to 16 s late. */
@@ -274,7 +273,7 @@
       this.deployment.network.cut((a, b) => a === node && lost.has(b), "drop"),
     )
   }
-  /** Machines whose heartbeats arrive, and that hear nothing. */
+  /** Machines whose heartbeats arrive, and that receive nothing. */
   machinesReceiveNothing(count: number, forMs: number): void {
     const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
     this.markAffected("receives nothing", ids, forMs)
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -8,11 +8,20 @@
 /** Once all faults are over, no job waits this long while it could run. */
 const MAX_WAIT_MS = 90_000
 
+/** What a machine has left. */
 interface Room {
   readonly machine: Machine
   cores: number
   mem: number
 }
+/** Rooms of machines that can be given work; tasks of all machines that are up. */
+interface Stock {
+  readonly rooms: ReadonlyArray<Room>
+  /** Tasks by job and zone. */
+  readonly zonesByJob: ReadonlyMap<string, ReadonlyMap<string, number>>
+  /** CPUs by team. */
+  readonly usedByTeam: ReadonlyMap<string, number>
+}
 interface Waiting {
   /** Since when it could have started a task, and didn't. */
   readonly since: number
@@ -35,10 +44,33 @@
 
   /** To be called now and then. */
   check(): void {
+    if (this.simulation.now <= this.invariants.quietFrom) return this.waiting.clear()
+    const stock = this.takeStock()
+    for (const [job, request] of this.invariants.submitted) {
+      const zones = stock.zonesByJob.get(job) ?? new Map<string, number>()
+      const used = stock.usedByTeam.get(request.owner) ?? 0
+      if (this.couldStart(job, request, zones, stock.rooms, used)) this.checkWaiting(job)
+      else this.waiting.delete(job)
+    }
+  }
+  /** The job could start a task now: how long has that been so? */
+  private checkWaiting(job: string): void {
     const { now } = this.simulation
-    if (now <= this.invariants.quietFrom) return this.waiting.clear()
+    const occupants = this.invariants.startsOf(job)
+    const before = this.waiting.get(job)
+    const isNew = before === undefined || before.occupants !== occupants
+    if (!isNew && now <= before.since + MAX_WAIT_MS) return
+    if (!isNew)
+      this.invariants.report(
+        "left_waiting",
+        `${job}: a machine that fits had room for ${MAX_WAIT_MS / 1000} s`,
+      )
+    this.waiting.set(job, { since: now, occupants })
+  }
+  /** What machines have left, and where the tasks are that take the rest. */
+  private takeStock(): Stock {
     const rooms: Array<Room> = []
-    const zonesOf = new Map<string, Map<string, number>>()
+    const zonesByJob = new Map<string, Map<string, number>>()
     const usedByTeam = new Map<string, number>()
     for (const machine of this.cloud.machines.values()) {
       if (machine.gone || machine.status !== "running") continue
@@ -49,29 +81,12 @@
         room.cores -= request.cores
         room.mem -= request.mem_gb
         usedByTeam.set(request.owner, (usedByTeam.get(request.owner) ?? 0) + request.cores)
-        const zones = zonesOf.get(job) ?? new Map<string, number>()
-        zonesOf.set(job, zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1))
+        const zones = zonesByJob.get(job) ?? new Map<string, number>()
+        zonesByJob.set(job, zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1))
       }
       if (!machine.isHung && machine.preemptedAt === null) rooms.push(room)
     }
-    for (const [job, request] of this.invariants.submitted) {
-      const zones = zonesOf.get(job) ?? new Map<string, number>()
-      if (!this.couldStart(job, request, zones, rooms, usedByTeam.get(request.owner) ?? 0)) {
-        this.waiting.delete(job)
-        continue
-      }
-      const occupants = this.invariants.startsOf(job)
-      const before = this.waiting.get(job)
-      if (before === undefined || before.occupants !== occupants) {
-        this.waiting.set(job, { since: now, occupants })
-      } else if (now > before.since + MAX_WAIT_MS) {
-        this.invariants.report(
-          "left_waiting",
-          `${job}: a machine that fits had room for ${MAX_WAIT_MS / 1000} s`,
-        )
-        this.waiting.set(job, { since: now, occupants })
-      }
-    }
+    return { rooms, zonesByJob, usedByTeam }
   }
 
   private couldStart(
--- a/packages/testkit/src/measure/loads.ts
+++ b/packages/testkit/src/measure/loads.ts
@@ -2,11 +2,11 @@
 
 /** Jobs of one kind, and how many come a minute at scale 1. */
 export interface LoadKind {
-  readonly lane: string
-  readonly owner: string
+  readonly jobClass: string
+  readonly team: string
   readonly perMinute: number
   readonly atStart: number
-  readonly pieces: number
+  readonly taskCount: number
   readonly cores: number
   readonly run: number
   readonly isUrgent: boolean
@@ -18,22 +18,22 @@
   /** Long tasks without a deadline beside short ones with one. */
   mixed: [
     {
-      lane: "urgent",
-      owner: "blue",
+      jobClass: "urgent",
+      team: "blue",
       perMinute: 40,
       atStart: 30,
-      pieces: 35,
+      taskCount: 35,
       cores: 4,
       run: 20,
       isUrgent: true,
       due: 75,
     },
     {
-      lane: "bulk",
-      owner: "red",
+      jobClass: "bulk",
+      team: "red",
       perMinute: 6,
       atStart: 10,
-      pieces: 60,
+      taskCount: 60,
       cores: 8,
       run: 80,
       isUrgent: false,
@@ -43,22 +43,22 @@
   /** Deadlines alone: all is the leader's, some seventy starts a second. */
   deadlines: [
     {
-      lane: "urgent",
-      owner: "blue",
+      jobClass: "urgent",
+      team: "blue",
       perMinute: 50,
       atStart: 40,
-      pieces: 25,
+      taskCount: 25,
       cores: 4,
       run: 40,
       isUrgent: true,
       due: 130,
     },
     {
-      lane: "bulk",
-      owner: "red",
+      jobClass: "bulk",
+      team: "red",
       perMinute: 50,
       atStart: 40,
-      pieces: 60,
+      taskCount: 60,
       cores: 4,
       run: 30,
       isUrgent: false,
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -146,10 +146,10 @@
   const id = `run-${String(++jobs).padStart(6, "0")}`
   users.submit(
     jobRequest(id, {
-      lane: kind.lane,
-      owner: kind.owner,
+      lane: kind.jobClass,
+      owner: kind.team,
       urgency: kind.isUrgent ? "high" : "standard",
-      pieces: kind.pieces,
+      pieces: kind.taskCount,
       cores: kind.cores,
       mem_gb: kind.cores,
       bundle: `img-${jobs % 12}`,
--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -26,7 +26,7 @@
 
 /**
  * Leaves out events, halves first and single ones last, as long as the day
- * still fails in the same way; stops after `mostRuns`.
+ * still fails in the same way; stops after `maxRuns` runs.
  */
 export const shrink = (
   day: RandomDay,
--- a/packages/testkit/src/scenarios/expectations.ts
+++ b/packages/testkit/src/scenarios/expectations.ts
@@ -20,12 +20,12 @@
     return done >= number(args, 0, 1) ? null : `${done} jobs are done, expected ${args[0]}`
   },
   "all-over": (deployment) => {
-    const { done, withdrawn, jobs } = deployment.users.counts()
-    return done + withdrawn === jobs ? null : `${done} done and ${withdrawn} withdrawn of ${jobs} jobs`
+    const { done, cancelled, jobs } = deployment.users.counts()
+    return done + cancelled === jobs ? null : `${done} done and ${cancelled} withdrawn of ${jobs} jobs`
   },
   withdrawn: (deployment, args) => {
-    const { withdrawn } = deployment.users.counts()
-    return withdrawn >= number(args, 0, 1) ? null : `${withdrawn} jobs are withdrawn, expected ${args[0]}`
+    const { cancelled } = deployment.users.counts()
+    return cancelled >= number(args, 0, 1) ? null : `${cancelled} jobs are withdrawn, expected ${args[0]}`
   },
   "starts-at-most": (deployment, args) =>
     deployment.invariants.starts <= number(args, 0, 0)
--- a/packages/testkit/src/services/key-value-store.ts
+++ b/packages/testkit/src/services/key-value-store.ts
@@ -27,19 +27,12 @@
   until: number
 }
 
-/** The whole store as plain data; its names are those of the wire. */
-export interface StoreDump {
-  readonly epoch: number
-  /** Number of the last lease made. */
-  readonly permits: number
-  /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
-  readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
-  readonly entries: ReadonlyArray<{
-    readonly path: string
-    readonly v: unknown
-    readonly stamp: number
-    readonly permit: number | null
-  }>
+/** Everything that a store holds but for the changes that watches wait for. */
+export interface StoreState {
+  readonly revision: number
+  readonly lastLeaseId: number
+  readonly leases: ReadonlyMap<number, Readonly<Lease>>
+  readonly entries: ReadonlyMap<string, StoredEntry>
 }
 
 const MAX_WATCH_EVENTS = 10_000
@@ -123,22 +116,15 @@
     return revision + 1 >= (this.watchEvents[0]?.revision ?? 1)
   }
 
-  dump(): StoreDump {
-    const grants = [...this.leases].map(([permit, { ttl, until }]) => ({ permit, ttl, until }))
-    const entries = [...this.entries].map(([path, { value, modRevision, leaseId }]) => ({
-      path,
-      v: value,
-      stamp: modRevision,
-      permit: leaseId,
-    }))
-    return { epoch: this.revision, permits: this.lastLeaseId, grants, entries }
+  get state(): StoreState {
+    const { revision, lastLeaseId, leases, entries } = this
+    return { revision, lastLeaseId, leases, entries }
   }
-  /** Holds what a dump says, as though it had been there from the beginning. */
-  restore({ epoch, permits, grants, entries }: StoreDump): void {
-    this.revision = epoch
-    this.lastLeaseId = permits
-    for (const { permit, ttl, until } of grants) this.leases.set(permit, { ttl, until })
-    for (const { path, v, stamp, permit } of entries)
-      this.entries.set(path, { value: v, modRevision: stamp, leaseId: permit })
+  /** Holds this state, as though it had been there from the beginning. */
+  restore(state: StoreState): void {
+    this.revision = state.revision
+    this.lastLeaseId = state.lastLeaseId
+    for (const [id, lease] of state.leases) this.leases.set(id, { ...lease })
+    for (const [key, entry] of state.entries) this.entries.set(key, entry)
   }
 }
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -3,15 +3,18 @@
  * out commands under a fencing token, and loses its tasks when no heartbeat was
  * answered for the time of its lease. Its tasks themselves are `WorkerTasks`.
  */
-import type { WireCommand, WireHeartbeat, WireMachineType } from "@sorreltally/protocol"
+import type { WireHeartbeat, WireMachineType } from "@sorreltally/protocol"
 import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
 import {
-  dumpTask,
+  type Command,
+  decodeCommands,
+  decodeMachineDump,
+  decodeRedirect,
   encodeHeartbeat,
+  encodeMachineDump,
   type MachineDump,
   type MachineStatus,
-  restoredTask,
 } from "./machine-codec.ts"
 import { type Occupant, type TaskHost, type TaskSurroundings, WorkerTasks } from "./worker-tasks.ts"
 
@@ -157,33 +160,24 @@
   // --- as plain data, and seen from outside ------------------------------------
 
   dump(): MachineDump {
-    const { id, zone, spot, status, lastAnswered } = this
-    return {
-      id,
-      zone,
-      spot,
-      status,
-      rented: this.rentedAt,
-      tenure: this.agentEpoch,
-      tick: this.sequence,
-      baton: this.fencingToken,
-      lastAnswered,
-      type: this.type.name,
-      images: [...this.tasks.cachedImages],
-      tasks: [...this.tasks.all()].map(([, task]) => dumpTask(task)),
-    }
+    const { id, zone, spot, status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered } = this
+    const images = [...this.tasks.cachedImages]
+    const tasks = [...this.tasks.all()].map(([, task]) => task)
+    const state = { status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered, images, tasks }
+    return encodeMachineDump({ id, machineType: this.type.name, zone, spot }, state)
   }
   /** Goes on where the machine of the dump stood; what it was saving, it begins to save anew. */
   restore(dump: MachineDump): void {
-    this.rentedAt = dump.rented
-    if (dump.status !== "running") return
-    this.agentEpoch = dump.tenure
-    this.sequence = dump.tick
-    this.fencingToken = dump.baton
-    this.tasks.restoreImages(dump.images)
+    const state = decodeMachineDump(dump)
+    this.rentedAt = state.rentedAt
+    if (state.status !== "running") return
+    this.agentEpoch = state.agentEpoch
+    this.sequence = state.sequence
+    this.fencingToken = state.fencingToken
+    this.tasks.restoreImages(state.images)
     this.boot()
-    this.lastAnswered = dump.lastAnswered
-    for (const task of dump.tasks) this.tasks.restore(restoredTask(task))
+    this.lastAnswered = state.lastAnswered
+    for (const task of state.tasks) this.tasks.restore(task)
   }
   /** Sequence number of the last heartbeat or response. */
   get lastSequence(): number {
@@ -231,23 +225,19 @@
 
   private serve(request: Request, arrivedAt: number): Answer {
     if (request.path === "/inspect") return { status: 200, body: this.encodeHeartbeat() }
-    const { baton, tenure, orders } = request.body as {
-      baton?: number
-      tenure?: number
-      orders: Array<WireCommand>
-    }
-    if (baton === undefined || tenure === undefined) return { status: 400, body: {} }
+    const { fencingToken, agentEpoch, commands } = decodeCommands(request.body)
+    if (fencingToken === undefined || agentEpoch === undefined) return { status: 400, body: {} }
     const { occurrences, now } = this.simulation
-    if (baton < this.fencingToken || tenure !== this.agentEpoch) {
-      const isDeposed = baton < this.fencingToken
+    const isDeposed = fencingToken < this.fencingToken
+    if (isDeposed || agentEpoch !== this.agentEpoch) {
       occurrences.count(
         isDeposed ? "commands of a deposed leader refused" : "commands of an earlier session refused",
       )
       return { status: 409, body: this.encodeHeartbeat() }
     }
     if (now - arrivedAt > COMMAND_TIMEOUT_MS) occurrences.count("commands carried out on resuming")
-    this.raiseFencingToken(baton)
-    this.execute(orders)
+    this.raiseFencingToken(fencingToken)
+    this.execute(commands)
     return { status: 200, body: this.encodeHeartbeat() }
   }
   private raiseFencingToken(token: number): void {
@@ -255,13 +245,13 @@
     this.fencingToken = token
     this.requestHeartbeat()
   }
-  private execute(commands: ReadonlyArray<WireCommand>): void {
-    for (const command of commands) {
-      const task = this.tasks.get(command.piece)
-      if (command.verb === "start") this.tasks.start(command.piece, command.try)
-      else if (task === undefined || task.attempt !== command.try) continue
-      else if (command.verb === "forget") this.tasks.purge(command.piece)
-      else this.tasks.stop(task, command.leeway_s)
+  private execute(commands: ReadonlyArray<Command>): void {
+    for (const { type, taskId, attempt, gracePeriodS } of commands) {
+      const task = this.tasks.get(taskId)
+      if (type === "start") this.tasks.start(taskId, attempt)
+      else if (task === undefined || task.attempt !== attempt) continue
+      else if (type === "purge") this.tasks.purge(taskId)
+      else this.tasks.stop(task, gracePeriodS)
     }
     if (commands.length > 0) this.requestHeartbeat()
   }
@@ -327,19 +317,19 @@
   private handleAnswer(exchange: HeartbeatExchange, answer: Answer | null): void {
     if (answer?.status === 421) return this.followRedirect(answer)
     if (answer?.status !== 200) return this.tryNextNode()
-    const { baton, orders } = answer.body as { baton?: number; orders: Array<WireCommand> }
-    if (exchange.agentEpoch === this.agentEpoch && baton !== undefined && baton >= this.fencingToken) {
+    const { fencingToken = -1, commands } = decodeCommands(answer.body)
+    // An answer to an earlier session, or under a lower token than was seen, extends no lease.
+    if (exchange.agentEpoch === this.agentEpoch && fencingToken >= this.fencingToken) {
       this.lastAnswered = exchange.sentAt
-      this.raiseFencingToken(baton)
-      this.execute(orders)
+      this.raiseFencingToken(fencingToken)
+      this.execute(commands)
     }
     const regularMs = this.options.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
     this.scheduleHeartbeat(this.hasChanged ? this.untilNextAllowedMs() : regularMs)
   }
   /** The answering node names the one that owns this machine. */
   private followRedirect(answer: Answer): void {
-    const owner = (answer.body as { steward?: string } | null)?.steward
-    const index = this.options.nodes.indexOf(owner ?? "")
+    const index = this.options.nodes.indexOf(decodeRedirect(answer.body) ?? "")
     if (index < 0 || index === this.nodeIndex) return this.tryNextNode()
     this.nodeIndex = index
     this.scheduleHeartbeat(this.simulation.random.between(0, 500))
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -5,9 +5,10 @@
  */
 import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
-import { KeyValueStore, type StoreDump, type StoredEntry, type StoreOperation } from "./key-value-store.ts"
+import { KeyValueStore, type StoredEntry, type StoreOperation } from "./key-value-store.ts"
 import { Operations } from "./operations.ts"
 import { StateFaults } from "./state-faults.ts"
+import { decodeStoreDump, encodeStoreDump, type StoreDump } from "./store-codec.ts"
 
 /** Of the platform's file: what the state service takes of each controller and of one transaction. */
 export interface StateLimits {
@@ -108,11 +109,11 @@
   }
   /** Everything that it holds, as plain data. */
   dump(): StoreDump {
-    return this.store.dump()
+    return encodeStoreDump(this.store.state)
   }
   /** Holds what a dump says, as though it had been there from the beginning. */
   restore(dump: StoreDump): void {
-    this.store.restore(dump)
+    this.store.restore(decodeStoreDump(dump))
   }
   private changed(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
     this.operations.note(key, before?.value, after?.value)
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -106,10 +106,10 @@
     for (const listener of this.listeners) listener(event, job)
   }
 
-  counts(): { readonly done: number; readonly withdrawn: number; readonly jobs: number } {
+  counts(): { readonly done: number; readonly cancelled: number; readonly jobs: number } {
     const states = this.jobs.map((id) => this.invariants.state(id))
     const done = states.filter((s) => s === "done").length
-    return { done, withdrawn: states.filter((s) => s === "withdrawn").length, jobs: this.jobs.length }
+    return { done, cancelled: states.filter((s) => s === "withdrawn").length, jobs: this.jobs.length }
   }
 }
 
--- a/packages/testkit/src/simulation/deployment-dump.ts
+++ b/packages/testkit/src/simulation/deployment-dump.ts
@@ -6,7 +6,7 @@
 import type { JobId } from "@sorreltally/protocol"
 import type { UserInvariantsDump } from "../invariants/user-invariants.ts"
 import type { CloudDump } from "../services/cloud.ts"
-import type { StoreDump } from "../services/key-value-store.ts"
+import type { StoreDump } from "../services/store-codec.ts"
 import type { DeploymentSetup } from "./deployment.ts"
 import { SimulatedDeployment } from "./simulated-deployment.ts"
 
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -24,11 +24,11 @@
   readonly cores: number
   /** The share of a core that its work really has; null: its work takes no time. */
   readonly processorShare: number | null
-  /** How often workers report, after how long unanswered they end, and how soon cancelled tasks are gone. */
+  /** How often workers send heartbeats, after how long unanswered they end, and how soon cancelled tasks are gone. */
   readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
 }
 
-/** What of a simulated deployment its faults act on, and those who look at it from outside see. */
+/** What of a simulated deployment its faults act on, and what observers see. */
 export interface Deployment {
   readonly setup: DeploymentSetup
   readonly simulation: Simulation
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -29,7 +29,7 @@
   /** Delivers a copy at a later time, past all cuts; its answer reaches `answered` alone. */
   readonly deliverCopy: (to: string, afterMs: number, answered?: (answer: Answer) => void) => void
 }
-/** `withhold`: it never arrives by itself, and its sender hears nothing; `refuse`: no connection. */
+/** `withhold`: it never arrives by itself, and its sender gets no answer; `refuse`: no connection. */
 export type Verdict = "pass" | "withhold" | "refuse"
 /** Looks at a request and decides on it. */
 export type Interceptor = (outgoing: OutgoingRequest) => Verdict
@@ -126,7 +126,7 @@
     return verdict
   }
 
-  /** Answers to copies and repetitions as well: that nobody hears them doesn't undo what the server did. */
+  /** Answers to copies and repetitions as well: that nobody receives them doesn't undo what the server did. */
   private traceAnswer(server: string, to: string, { path }: Request, { status, body }: Answer): void {
     this.trace?.answer(this.simulation.now, server, to, path, status, JSON.stringify(body ?? null))
   }
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -52,15 +52,15 @@
 
 // --- bodies of requests and answers ---------------------------------------------
 
-/** A worker's report in the short form in which controllers hand it on. */
-export const reportPacked = (body: unknown): unknown => {
+/** A worker's heartbeat in the short form in which controllers forward it. */
+export const packedHeartbeat = (body: unknown): unknown => {
   const heartbeats = [{ id: 0, heartbeat: orThrow(decodeHeartbeat(body)) }]
   const message = encodeMessage({ kind: "heartbeats", senderLife: 0, sentAt: 0, heartbeats, repeats: [] })
   const { reports } = message.body as { readonly reports: ReadonlyArray<readonly [number, unknown]> }
   return reports[0]![1]
 }
 /** What is wrong with a heartbeat; null for a good one. */
-export const reportFault = (body: unknown): string | null => {
+export const heartbeatError = (body: unknown): string | null => {
   const decoded = decodeHeartbeat(body)
   return Result.isSuccess(decoded) ? null : decoded.failure.message
 }
@@ -255,8 +255,8 @@
   return { channel: Effect.runSync(opening), sent, receive: (frame: Uint8Array) => receive(frame) }
 }
 
-/** The frame by which a node tells another this. */
-const toldAgain = ({ from, to, kind, body }: FrameContent): Uint8Array => {
+/** The frame by which a node sends another this message. */
+const messageAgain = ({ from, to, kind, body }: FrameContent): Uint8Array => {
   const { channel, sent } = openChannel(from, [to])
   channel.send(decodeMessage({ kind: kind!, body })!, to as NodeName)
   return sent[0]!.frame
@@ -277,7 +277,7 @@
 }
 /** The same frame, made by the product. */
 export const frameAgain = (content: FrameContent): Promise<Uint8Array> =>
-  content.t === "ping" ? pingAgain(content) : Promise.resolve(toldAgain(content))
+  content.t === "ping" ? pingAgain(content) : Promise.resolve(messageAgain(content))
 /** What a node's handler is handed of a frame. */
 export const frameReceived = async (frame: Uint8Array): Promise<FrameContent | null> => {
   const { t, from, to } = contentOf(frame)
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -22,14 +22,14 @@
   contentOf,
   frameAgain,
   frameReceived,
+  heartbeatError,
   jobPageCancelled,
   jobPageFolded,
   messageBodies,
   operatorsOf,
+  packedHeartbeat,
   platformAgain,
   records,
-  reportFault,
-  reportPacked,
   submissionAgain,
 } from "./golden-codecs.ts"
 
@@ -57,17 +57,17 @@
   readonly cause?: string | null
   readonly stored?: boolean | null
 }
-type WireReport = Record<string, unknown> & { readonly pieces: ReadonlyArray<WireTask> }
-/** Every report that a worker sent: by itself, and in answers to commands and looks. */
-const reports: ReadonlyArray<WireReport> = [
+type HeartbeatSample = Record<string, unknown> & { readonly pieces: ReadonlyArray<WireTask> }
+/** Every heartbeat that a worker sent: by itself, and in answers to commands and inspections. */
+const heartbeats: ReadonlyArray<HeartbeatSample> = [
   ...ofKind("controller POST /v1/report").map(({ request }) => request),
   ...ofKind("worker POST /orders").map(({ answer }) => answer),
   ...ofKind("worker GET /inspect").map(({ answer }) => answer),
-].map((text) => JSON.parse(text) as WireReport)
+].map((text) => JSON.parse(text) as HeartbeatSample)
 
 /** The short form of a heartbeat, made from its wire names alone. */
-const shortForm = (report: WireReport): unknown => {
-  const { host, address, build, site, loaners, tenure, tick, baton, warning_s, pieces } = report
+const shortForm = (heartbeat: HeartbeatSample): unknown => {
+  const { host, address, build, site, loaners, tenure, tick, baton, warning_s, pieces } = heartbeat
   const tasks = pieces.map((task) => [
     task.piece,
     task.try,
@@ -77,7 +77,7 @@
   ])
   return [host, address, build, site, loaners, tenure, tick, baton, warning_s ?? null, tasks]
 }
-const goodReport: WireReport = {
+const goodHeartbeat: HeartbeatSample = {
   host: "i-000231",
   address: "10.1.0.232:9000",
   build: "g8",
@@ -93,8 +93,8 @@
   ],
 }
 const withTask = (changes: Record<string, unknown>): unknown => ({
-  ...goodReport,
-  pieces: [{ ...goodReport.pieces[1], ...changes }],
+  ...goodHeartbeat,
+  pieces: [{ ...goodHeartbeat.pieces[1], ...changes }],
 })
 /** Values that no field of that name may have; undefined: it is missing. */
 const wrongFields: Record<string, ReadonlyArray<unknown>> = {
@@ -117,16 +117,16 @@
   stored: ["yes", 1],
 }
 
-describe("a worker's report", () => {
+describe("a worker's heartbeat", () => {
   it("is taken as recorded, and handed on in the same short form", () => {
-    for (const report of reports) {
-      assert.equal(reportFault(report), null)
-      assert.equal(JSON.stringify(reportPacked(report)), JSON.stringify(shortForm(report)))
+    for (const heartbeat of heartbeats) {
+      assert.equal(heartbeatError(heartbeat), null)
+      assert.equal(JSON.stringify(packedHeartbeat(heartbeat)), JSON.stringify(shortForm(heartbeat)))
     }
   })
   it("occurs in the samples with all that may be absent", () => {
-    const tasks = reports.flatMap(({ pieces }) => pieces)
-    assert.ok(reports.some(({ warning_s }) => typeof warning_s === "number"))
+    const tasks = heartbeats.flatMap(({ pieces }) => pieces)
+    assert.ok(heartbeats.some(({ warning_s }) => typeof warning_s === "number"))
     assert.deepEqual(
       new Set(tasks.map(({ status }) => status)),
       new Set(["pulling", "running", "flushing", "exited"]),
@@ -138,26 +138,27 @@
     )
   })
   it("may leave out what may be null, and hold fields that nobody knows", () => {
-    const { warning_s: _, ...without } = goodReport
-    assert.equal(reportFault({ ...without, extra: {} }), null)
-    assert.equal(reportFault(withTask({ cause: null, stored: null })), null)
-    assert.deepEqual(reportPacked(without), shortForm(goodReport))
+    const { warning_s: _, ...without } = goodHeartbeat
+    assert.equal(heartbeatError({ ...without, extra: {} }), null)
+    assert.equal(heartbeatError(withTask({ cause: null, stored: null })), null)
+    assert.deepEqual(packedHeartbeat(without), shortForm(goodHeartbeat))
   })
   for (const [field, values] of Object.entries(wrongFields)) {
     it(`with a wrong ${field} is refused with the field's name`, () => {
       for (const value of values)
-        assert.equal(reportFault({ ...goodReport, [field]: value }), `report: ${field}`)
+        assert.equal(heartbeatError({ ...goodHeartbeat, [field]: value }), `report: ${field}`)
     })
   }
   for (const [field, values] of Object.entries(wrongTaskFields)) {
     it(`with a wrong ${field} of a task is refused with the field's name`, () => {
-      for (const value of values) assert.equal(reportFault(withTask({ [field]: value })), `report: ${field}`)
+      for (const value of values)
+        assert.equal(heartbeatError(withTask({ [field]: value })), `report: ${field}`)
     })
   }
   it("that is no object, or has a task that is none, is refused", () => {
-    for (const body of [null, [], "text", 7]) assert.equal(reportFault(body), "report: not an object")
+    for (const body of [null, [], "text", 7]) assert.equal(heartbeatError(body), "report: not an object")
     for (const task of [null, "run-000001/0", 7])
-      assert.equal(reportFault({ ...goodReport, pieces: [task] }), "report: a piece is no object")
+      assert.equal(heartbeatError({ ...goodHeartbeat, pieces: [task] }), "report: a piece is no object")
   })
 })
 
@@ -255,7 +256,7 @@
     const frame = new Uint8Array(Buffer.from(bytes, "base64"))
     return { kind, frame, content: contentOf(frame) }
   })
-  const Kinds = [
+  const FrameKinds = [
     "answers",
     "commands",
     "counts",
@@ -268,7 +269,7 @@
     "reports",
     "wants",
   ]
-  it("are of every kind", () => assert.deepEqual(kindsOf(samples), Kinds))
+  it("are of every kind", () => assert.deepEqual(kindsOf(samples), FrameKinds))
   it("are sent as the same bytes", async () => {
     for (const { kind, frame, content } of samples)
       assert.equal(base64(await frameAgain(content)), base64(frame), `${kind}: ${JSON.stringify(content)}`)
