--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -12,99 +12,34 @@
  */
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
-import type { JobId, NodeName, TeamName, WireJob, WireMachineType } from "@sorreltally/protocol"
+import type { NodeName, TeamName, WireMachineType } from "@sorreltally/protocol"
 import { NO_LIMIT } from "@sorreltally/settings"
-import { Cloud } from "./cloud.ts"
-import { LoopbackNet } from "./loopback-net.ts"
+import { Invariants } from "../invariants/invariants.ts"
+import { Cloud } from "../services/cloud.ts"
+import { StateService } from "../services/state-service.ts"
+import { Users } from "../services/users.ts"
+import { jobRequest, machineTypeOffer } from "../services/wire-builders.ts"
+import { LoopbackNetwork } from "../simulation/loopback-network.ts"
+import { Simulation } from "../simulation/simulation.ts"
+import { LOADS, type LoadKind } from "./loads.ts"
 import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
-import type { Usage } from "./probe.ts"
 import {
-  allocationShares,
-  inclusiveByFunction,
-  largest,
-  modulesOfBundle,
-  processorByFunction,
-  processorShares,
-  type Shares,
-} from "./profile-summary.ts"
-import { Rules } from "./rules.ts"
-import { Sim } from "./sim.ts"
-import { StateService } from "./state.ts"
-import { Users } from "./users.ts"
+  megabytes,
+  type ProfileKind,
+  printProfile,
+  printTraffic,
+  printUsage,
+  say,
+  secondsOf,
+  usages,
+} from "./report.ts"
 
 const NODES = 5
 const ZONES = ["a", "b", "c"]
 const TURN_MS = 2
 const TIMES = { report_s: 5, lease_s: 27, cancel_s: 47 }
-/** Jobs of one kind, and how many come a minute at scale 1. */
-interface LoadKind {
-  readonly lane: string
-  readonly owner: string
-  readonly perMinute: number
-  readonly atStart: number
-  readonly pieces: number
-  readonly cores: number
-  readonly run: number
-  readonly isUrgent: boolean
-  /** Seconds from its submission; null: none. */
-  readonly due: number | null
-}
-/** Loads at scale 1: some thousand machines, most of them busy. */
-const LOADS: Record<string, ReadonlyArray<LoadKind>> = {
-  /** Long tasks without a deadline beside short ones with one. */
-  mixed: [
-    {
-      lane: "urgent",
-      owner: "blue",
-      perMinute: 40,
-      atStart: 30,
-      pieces: 35,
-      cores: 4,
-      run: 20,
-      isUrgent: true,
-      due: 75,
-    },
-    {
-      lane: "bulk",
-      owner: "red",
-      perMinute: 6,
-      atStart: 10,
-      pieces: 60,
-      cores: 8,
-      run: 80,
-      isUrgent: false,
-      due: null,
-    },
-  ],
-  /** Deadlines alone: all is the leader's, some seventy starts a second. */
-  deadlines: [
-    {
-      lane: "urgent",
-      owner: "blue",
-      perMinute: 50,
-      atStart: 40,
-      pieces: 25,
-      cores: 4,
-      run: 40,
-      isUrgent: true,
-      due: 130,
-    },
-    {
-      lane: "bulk",
-      owner: "red",
-      perMinute: 50,
-      atStart: 40,
-      pieces: 60,
-      cores: 4,
-      run: 30,
-      isUrgent: false,
-      due: 110,
-    },
-  ],
-}
 const FILL_S = 45
-const TAKE_OVER_S = 12
-const ROWS = 70
+const FAILOVER_S = 12
 
 const { values, positionals } = parseArgs({
   allowPositionals: true,
@@ -125,18 +60,15 @@
 mkdirSync(folder, { recursive: true })
 
 const machineType = (name: string, cores: number, hourly: number): WireMachineType =>
-  ({
+  machineTypeOffer({
     name,
     cores,
-    accelerators: 0,
     mem_gb: cores * 4,
     cache_gb: 60,
-    pull_gb_per_s: 1,
     hourly,
     spot_price: hourly / 5,
-    startup_s: 6,
     sites: ZONES,
-  }) as unknown as WireMachineType
+  })
 const types = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
 const teams = ["red", "blue"].map((name) => ({
   name,
@@ -145,7 +77,7 @@
   gpus: 0,
   gpus_max: NO_LIMIT,
 }))
-const ruledTeams = teams.map(({ name, cpus, cpus_max, gpus, gpus_max }) => ({
+const invariantTeams = teams.map(({ name, cpus, cpus_max, gpus, gpus_max }) => ({
   name: name as TeamName,
   cpus,
   maxCpus: cpus_max,
@@ -154,12 +86,12 @@
 }))
 const limits = { rps: 150, write_rps: 15, value_kb: 8, txn_ops: 8 }
 
-const sim = new Sim(1)
-const net = new LoopbackNet(sim)
-const rules = new Rules(sim, ruledTeams, types, TIMES.cancel_s)
+const simulation = new Simulation(1)
+const network = new LoopbackNetwork(simulation)
+const invariants = new Invariants(simulation, invariantTeams, types, TIMES.cancel_s)
 const names = Array.from({ length: NODES }, (_, i) => `host-${i}` as NodeName)
-new StateService(sim, net, limits)
-const cloud = new Cloud(sim, net, rules, {
+new StateService(simulation, network, limits)
+const cloud = new Cloud(simulation, network, invariants, {
   types,
   capacity: 300 * scale,
   lagMs: 3_000,
@@ -168,10 +100,10 @@
   neverBoots: 0,
   bootWithinMs: null,
 })
-const users = new Users(sim, net, rules.users, names)
+const users = new Users(simulation, network, invariants.users, names)
 
 const began = performance.now()
-setInterval(() => sim.runUntil(performance.now() - began), TURN_MS)
+setInterval(() => simulation.runUntil(performance.now() - began), TURN_MS)
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms))
 
 const makeControllers = async (): Promise<ReadonlyArray<MeasuredController>> => {
@@ -179,7 +111,7 @@
   const ports: Array<readonly [number, number]> = []
   for (const name of names) {
     ports.push([await freePort(), await freePort()])
-    net.locate(name, ports.at(-1)![0])
+    network.locate(name, ports.at(-1)![0])
   }
   const address = (port: number) => `127.0.0.1:${port}`
   return names.map((name, i) => {
@@ -192,7 +124,7 @@
       peers: names.flatMap((peer, j) =>
         j === i ? [] : [{ node_name: peer, area: ZONES[j % ZONES.length], peer_addr: address(ports[j]![1]) }],
       ),
-      outside: { cloud: address(net.portOf("cloud")), state: address(net.portOf("state")) },
+      outside: { cloud: address(network.portOf("cloud")), state: address(network.portOf("state")) },
       facts: {
         nodes: NODES,
         zones: ZONES,
@@ -211,112 +143,46 @@
 
 let jobs = 0
 const submit = (kind: LoadKind): void => {
-  const id = `run-${String(++jobs).padStart(6, "0")}` as JobId
-  users.submit({
-    id,
-    lane: kind.lane,
-    owner: kind.owner,
-    shape: "batch",
-    urgency: kind.isUrgent ? "high" : "standard",
-    pieces: kind.pieces,
-    cores: kind.cores,
-    accelerators: 0,
-    mem_gb: kind.cores,
-    bundle: `img-${jobs % 12}`,
-    image_gb: 1,
-    builds: null,
-    site: null,
-    together: false,
-    scatter: false,
-    loaners: true,
-    expected_s: kind.run,
-    snapshot_s: 0,
-    flush_s: 0,
-    due_s: kind.due,
-  } as unknown as WireJob)
+  const id = `run-${String(++jobs).padStart(6, "0")}`
+  users.submit(
+    jobRequest(id, {
+      lane: kind.jobClass,
+      owner: kind.team,
+      urgency: kind.isUrgent ? "high" : "standard",
+      pieces: kind.taskCount,
+      cores: kind.cores,
+      mem_gb: kind.cores,
+      bundle: `img-${jobs % 12}`,
+      expected_s: kind.run,
+      due_s: kind.due,
+    }),
+  )
 }
 const keepSubmitting = (kind: LoadKind): void => {
   submit(kind)
-  sim.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
+  simulation.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
 }
 
-const say = (line = ""): void => console.log(line)
-const seconds1 = (ms: number): string => (ms / 1000).toFixed(2)
-const megabytes = (bytes: number): string => (bytes / 1e6).toFixed(0)
-const usages = (nodes: ReadonlyArray<MeasuredController>): Promise<ReadonlyArray<Usage>> =>
-  Promise.all(nodes.map((node) => node.ask({ kind: "usage" })))
-
-const tell = (
-  nodes: ReadonlyArray<MeasuredController>,
-  before: ReadonlyArray<Usage>,
-  after: ReadonlyArray<Usage>,
-  tookMs: number,
-): void => {
-  for (const [i, node] of nodes.entries()) {
-    const [was, is] = [before[i]!, after[i]!]
-    const used = is.processorMs - was.processorMs
-    say(
-      `  ${node.name}: ${seconds1(used)} s of processor time, ${(used / tookMs).toFixed(3)} of a core; ` +
-        `collections ${is.collections - was.collections}, ${seconds1(is.collectionMs - was.collectionMs)} s; ` +
-        `heap ${megabytes(is.heapUsed)} of ${megabytes(is.heapTotal)} MB, resident ${megabytes(is.resident)} MB`,
-    )
-  }
-  const sum = after.reduce((all, is, i) => all + is.processorMs - before[i]!.processorMs, 0)
-  say(`  all: ${(sum / tookMs).toFixed(3)} of a core`)
-}
-const tellTraffic = (tookMs: number): void => {
-  for (const [kind, { requests, bytes, answeredBytes }] of net.traffic)
-    say(
-      `  ${kind}: ${((requests * 1000) / tookMs).toFixed(1)} a second, ` +
-        `${Math.round(bytes / requests)} bytes, answered with ${Math.round(answeredBytes / requests)}`,
-    )
-  net.traffic.clear()
-}
-const bundled = modulesOfBundle(readFileSync("target/main.js", "utf8"))
-const tellShares = (shares: Shares, unit: string): void => {
-  let all = 0
-  for (const [name, amount] of shares) if (name !== "idle") all += amount
-  for (const [name, amount] of largest(shares, ROWS))
-    if (name !== "idle")
-      say(
-        `    ${amount.toFixed(1).padStart(9)} ${unit} ${((100 * amount) / all).toFixed(1).padStart(5)}%  ${name}`,
-      )
-}
-const beginProfiles = (
-  nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
-): Promise<unknown> => Promise.all(nodes.map((node) => node.ask({ kind: "profile", of })))
+const beginProfiles = (nodes: ReadonlyArray<MeasuredController>, of: ProfileKind): Promise<unknown> =>
+  Promise.all(nodes.map((node) => node.ask({ kind: "profile", of })))
 
-/** Ends the nodes' profiles, and tells those of some of them. */
+/** Ends the nodes' profiles, and prints those of some of them. */
 const finishProfiles = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
-  told: ReadonlyArray<MeasuredController>,
+  of: ProfileKind,
+  printed: ReadonlyArray<MeasuredController>,
 ): Promise<void> => {
   for (const node of nodes) {
     const file = `${folder}/${name}-${node.name}.${of === "processor" ? "cpuprofile" : "heapprofile"}`
     await node.ask({ kind: "finish", file })
-    if (told.includes(node)) tellProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
-  }
-}
-const tellProfile = (name: string, text: string, of: "processor" | "allocation"): void => {
-  say(`  ${name}:`)
-  const profile = JSON.parse(text)
-  if (of === "allocation") {
-    const bytes = allocationShares(profile, bundled)
-    return tellShares(new Map([...bytes].map(([what, size]) => [what, size / 1024])), "KiB")
+    if (printed.includes(node)) printProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
   }
-  tellShares(processorShares(profile, bundled), "ms")
-  say("   by function:")
-  tellShares(processorByFunction(profile, bundled), "ms")
-  say("   by function with all it calls:")
-  tellShares(inclusiveByFunction(profile, bundled), "ms")
 }
 const profiled = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: "processor" | "allocation",
+  of: ProfileKind,
   ms: number,
 ): Promise<void> => {
   await beginProfiles(nodes, of)
@@ -331,12 +197,12 @@
 ): Promise<void> => {
   const before = await usages(nodes)
   const at = performance.now()
-  net.traffic.clear()
+  network.traffic.clear()
   await work()
   const tookMs = performance.now() - at
-  say(`${name}, ${seconds1(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
-  tell(nodes, before, await usages(nodes), tookMs)
-  tellTraffic(tookMs)
+  say(`${name}, ${secondsOf(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
+  printUsage(nodes, before, await usages(nodes), tookMs)
+  printTraffic(network, tookMs)
 }
 const startAll = async (name: string, nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
   const at = performance.now()
@@ -351,7 +217,7 @@
   say(`${name}: from start to /ready`)
   for (const [i, { processorMs, resident, afterMs }] of spent.entries())
     say(
-      `  ${names[i]}: after ${seconds1(afterMs)} s, ${seconds1(processorMs)} s of processor time, ` +
+      `  ${names[i]}: after ${secondsOf(afterMs)} s, ${secondsOf(processorMs)} s of processor time, ` +
         `${megabytes(resident)} MB resident`,
     )
 }
@@ -383,14 +249,14 @@
   if (!values.quick) {
     await nodes[leader]!.end()
     const left = nodes.filter((_, i) => i !== leader)
-    await phase("leader lost", left, () => pause(1000 * TAKE_OVER_S))
+    await phase("leader lost", left, () => pause(1000 * FAILOVER_S))
     for (const node of left) await node.end()
     await pause(4_000)
     await startAll("all lost", nodes)
-    await phase("after the loss of all", nodes, () => pause(1000 * TAKE_OVER_S))
+    await phase("after the loss of all", nodes, () => pause(1000 * FAILOVER_S))
   }
   for (const node of nodes) await node.end()
-  net.closeAll()
+  network.closeAll()
   process.exit(0)
 }
 await main()
--- a/packages/testkit/src/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -1,13 +1,14 @@
 import { type ChildProcess, fork } from "node:child_process"
 import { parseArgs } from "node:util"
+import { askWorker } from "../scenarios/worker-process.ts"
+import { TraceDigest } from "../simulation/trace-digest.ts"
 import { Coverage } from "./coverage.ts"
 import { type DayResult, runDay } from "./day-run.ts"
 import { drawDay, scenarioOf } from "./random-day.ts"
 import { shrink } from "./shrink.ts"
-import { TraceDigest } from "./trace-digest.ts"
 
 // Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
-// day that fails with its scenario, then how often the pairs of troubles met, and with --digest the digest of
+// day that fails with its scenario, then how often the pairs of faults met, and with --digest the digest of
 // each day's messages as it ends. Exits with 1 if a day failed.
 
 const { values } = parseArgs({
@@ -20,7 +21,7 @@
     "day-limit-s": { type: "string", default: "180" },
   },
 })
-const MOST_SHRINKING_RUNS = 200
+const MAX_SHRINKING_RUNS = 200
 
 /** `digest`: of the day's messages; null if it wasn't asked for, or the process ended before the day. */
 type SweptDay = DayResult & { readonly digest: string | null }
@@ -62,27 +63,12 @@
     }
     worker?.disconnect()
   }
-  private oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
-    return new Promise((resolve) => {
-      const broken = (why: string) =>
-        resolve({ seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null })
-      const limitS = Number(values["day-limit-s"])
-      const timer = setTimeout(() => {
-        worker.kill("SIGKILL")
-        broken(`the day took longer than ${limitS} s`)
-      }, limitS * 1000)
-      const ended = () => {
-        clearTimeout(timer)
-        broken("the worker process ended")
-      }
-      worker.once("exit", ended)
-      worker.once("message", (result) => {
-        clearTimeout(timer)
-        worker.off("exit", ended)
-        resolve(result as SweptDay)
-      })
-      worker.send(seed)
-    })
+  private async oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
+    const limitS = Number(values["day-limit-s"])
+    const reply = await askWorker<SweptDay>(worker, seed, limitS * 1000)
+    if (reply.kind === "answer") return reply.answer
+    const why = reply.kind === "timeout" ? `the day took longer than ${limitS} s` : "the worker process ended"
+    return { seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null }
   }
   private take(result: SweptDay): void {
     this.ran++
@@ -96,7 +82,7 @@
   }
 
   report(): number {
-    for (const result of this.failed) this.tellFailure(result)
+    for (const result of this.failed) this.printFailure(result)
     const seeds = this.failed.map(({ seed }) => seed).join(" ")
     process.stdout.write(
       `${this.ran} days, ${this.starts} task starts, ${this.failed.length} days failed${seeds === "" ? "" : `: ${seeds}`}\n` +
@@ -104,9 +90,9 @@
     )
     return this.failed.length === 0 ? 0 : 1
   }
-  private tellFailure(result: DayResult): void {
+  private printFailure(result: DayResult): void {
     const day = drawDay(result.seed)
-    const shown = values.shrink ? shrink(day, result, runDay, MOST_SHRINKING_RUNS) : day
+    const shown = values.shrink ? shrink(day, result, runDay, MAX_SHRINKING_RUNS) : day
     process.stdout.write(`\n; seed ${result.seed}: ${result.failures.join("; ")}\n${scenarioOf(shown)}\n\n`)
   }
 }
--- /dev/null
+++ b/packages/testkit/src/services/machine.ts
@@ -0,0 +1,337 @@
+/**
+ * A stand-in of one machine and its worker: it boots, sends heartbeats, carries
+ * out commands under a fencing token, and loses its tasks when no heartbeat was
+ * answered for the time of its lease. Its tasks themselves are `WorkerTasks`.
+ */
+import type { WireHeartbeat, WireMachineType } from "@sorreltally/protocol"
+import type { Answer, Network, Request } from "../simulation/network.ts"
+import type { Simulation } from "../simulation/simulation.ts"
+import {
+  type Command,
+  decodeCommands,
+  decodeMachineDump,
+  decodeRedirect,
+  encodeHeartbeat,
+  encodeMachineDump,
+  type MachineDump,
+  type MachineStatus,
+} from "./machine-codec.ts"
+import { type Occupant, type TaskHost, type TaskSurroundings, WorkerTasks } from "./worker-tasks.ts"
+
+/** Of the platform's file: how often workers send heartbeats, and after how long unanswered they end. Seconds. */
+export interface WorkerTimes {
+  readonly report_s: number
+  readonly lease_s: number
+}
+/** What a machine is made of. */
+export interface MachineOptions extends TaskSurroundings {
+  readonly id: string
+  readonly type: WireMachineType
+  readonly zone: string
+  readonly spot: boolean
+  readonly network: Network
+  readonly times: WorkerTimes
+  /** Controllers, any of which takes its heartbeats. */
+  readonly nodes: ReadonlyArray<string>
+}
+
+/** The cloud lists a machine that died as running for so long. */
+const LISTED_AS_RUNNING_MS = 30_000
+/** Whoever sent a request to a worker has given up by then. */
+const COMMAND_TIMEOUT_MS = 3_000
+const HEARTBEAT_TIMEOUT_MS = 4_000
+/** After a heartbeat without a useful answer, the next node is asked this much later. */
+const RETRY_MS = 1_000
+/** Heartbeats about changes are at least this far apart. */
+const MIN_HEARTBEAT_INTERVAL_MS = 500
+const LEASE_CHECK_INTERVAL_MS = 250
+
+/** A heartbeat under way. */
+interface HeartbeatExchange {
+  readonly sentAt: number
+  readonly agentEpoch: number
+  readonly boot: number
+  isOver: boolean
+}
+
+/** A stand-in of one machine and its worker. */
+export class Machine implements TaskHost {
+  readonly id: string
+  readonly type: WireMachineType
+  readonly zone: string
+  readonly spot: boolean
+  status: MachineStatus = "booting"
+  agentEpoch = 1
+  /** When a spot machine is taken, in milliseconds; null: no notice was given. */
+  preemptedAt: number | null = null
+  gone = false
+  faulty = false
+  rentedAt: number
+  private sequence = 0
+  private fencingToken = 0
+  private lastAnswered: number
+  private nodeIndex: number
+  private isHeartbeatPending = false
+  /** Something changed since the last heartbeat. */
+  private hasChanged = false
+  private lastSentAt = Number.NEGATIVE_INFINITY
+  private cancelHeartbeat: () => void = () => {}
+  private hung = false
+  /** Numbers its boots: what an earlier one waited for means nothing to this one. */
+  private boots = 0
+  private deferred: Array<() => void> = []
+  private readonly tasks: WorkerTasks
+  private readonly simulation: Simulation
+
+  constructor(private readonly options: MachineOptions) {
+    const { id, type, zone, spot, simulation, nodes } = options
+    this.id = id
+    this.type = type
+    this.zone = zone
+    this.spot = spot
+    this.simulation = simulation
+    this.tasks = new WorkerTasks(this, options)
+    this.rentedAt = simulation.now
+    this.lastAnswered = simulation.now
+    this.nodeIndex = Math.floor(simulation.random.next() * nodes.length)
+  }
+
+  // --- power ------------------------------------------------------------------
+
+  boot(): void {
+    if (this.gone) return
+    this.status = "running"
+    this.lastAnswered = this.simulation.now
+    this.options.network.listen(
+      this.id,
+      (request, _from, answer) => {
+        const arrivedAt = this.simulation.now
+        this.whenAwake(() => answer(this.serve(request, arrivedAt)))
+      },
+      true,
+    )
+    this.scheduleHeartbeat(0)
+    this.checkLease(this.boots)
+  }
+  /** Off and on again: it knows nothing of its former self, whatever it cached or ran. */
+  reboot(afterMs: number): void {
+    if (this.gone || this.status !== "running") return
+    this.options.network.close(this.id)
+    this.cancelHeartbeat()
+    this.tasks.reset()
+    this.agentEpoch = 1
+    this.sequence = 0
+    this.fencingToken = 0
+    this.boots++
+    this.isHeartbeatPending = false
+    this.deferred = []
+    this.hung = false
+    this.simulation.after(afterMs, () => this.boot())
+  }
+  /** It stops on its own; the cloud lists it as running for a while, then as failed. */
+  die(): void {
+    const { gone } = this
+    this.remove()
+    if (!gone) this.simulation.after(LISTED_AS_RUNNING_MS, () => (this.status = "failed"))
+  }
+  /** Power off: nothing runs, nothing answers. */
+  remove(): void {
+    if (this.gone) return
+    this.gone = true
+    this.options.network.close(this.id)
+    this.cancelHeartbeat()
+    this.tasks.dropAll()
+  }
+
+  hang(on: boolean): void {
+    this.hung = on
+    if (on) return
+    this.simulation.lastResumedAt = this.simulation.now
+    const { deferred } = this
+    this.deferred = []
+    for (const run of deferred) run()
+  }
+  whenAwake(run: () => void): void {
+    if (this.gone) return
+    if (this.hung) this.deferred.push(() => this.whenAwake(run))
+    else run()
+  }
+
+  // --- as plain data, and seen from outside ------------------------------------
+
+  dump(): MachineDump {
+    const { id, zone, spot, status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered } = this
+    const images = [...this.tasks.cachedImages]
+    const tasks = [...this.tasks.all()].map(([, task]) => task)
+    const state = { status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered, images, tasks }
+    return encodeMachineDump({ id, machineType: this.type.name, zone, spot }, state)
+  }
+  /** Goes on where the machine of the dump stood; what it was saving, it begins to save anew. */
+  restore(dump: MachineDump): void {
+    const state = decodeMachineDump(dump)
+    this.rentedAt = state.rentedAt
+    if (state.status !== "running") return
+    this.agentEpoch = state.agentEpoch
+    this.sequence = state.sequence
+    this.fencingToken = state.fencingToken
+    this.tasks.restoreImages(state.images)
+    this.boot()
+    this.lastAnswered = state.lastAnswered
+    for (const task of state.tasks) this.tasks.restore(task)
+  }
+  /** Sequence number of the last heartbeat or response. */
+  get lastSequence(): number {
+    return this.sequence
+  }
+  /** How long ago the last answered heartbeat was sent, if the machine has tasks to lose. */
+  unansweredForMs(): number {
+    const running = this.status === "running" && this.tasks.size > 0
+    return running ? this.simulation.now - this.lastAnswered : 0
+  }
+  get isHung(): boolean {
+    return this.hung
+  }
+  /** Tasks that run or save. */
+  get runningTasks(): number {
+    return this.tasks.runningCount
+  }
+  /** Tasks that take room here, those whose image is being pulled included. */
+  occupants(): Iterable<Occupant> {
+    return this.tasks.occupants()
+  }
+  /** The highest attempt of a task that this machine knows. */
+  attemptOf(taskId: string): number {
+    return this.tasks.get(taskId)?.attempt ?? 0
+  }
+
+  // --- lease ------------------------------------------------------------------
+
+  private checkLease(boot: number): void {
+    if (this.gone || boot !== this.boots) return
+    // Also while it hangs: it can resume within its lease only, and runs nothing until then.
+    this.expire()
+    this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.checkLease(boot))
+  }
+  private expire(): void {
+    if (this.simulation.now - this.lastAnswered <= this.options.times.lease_s * 1000) return
+    this.simulation.occurrences.count("tasks lost by their lease", this.runningTasks)
+    this.tasks.dropAll()
+    this.agentEpoch++
+    this.lastAnswered = this.simulation.now
+    this.requestHeartbeat()
+  }
+
+  // --- commands ---------------------------------------------------------------
+
+  private serve(request: Request, arrivedAt: number): Answer {
+    if (request.path === "/inspect") return { status: 200, body: this.encodeHeartbeat() }
+    const { fencingToken, agentEpoch, commands } = decodeCommands(request.body)
+    if (fencingToken === undefined || agentEpoch === undefined) return { status: 400, body: {} }
+    const { occurrences, now } = this.simulation
+    const isDeposed = fencingToken < this.fencingToken
+    if (isDeposed || agentEpoch !== this.agentEpoch) {
+      occurrences.count(
+        isDeposed ? "commands of a deposed leader refused" : "commands of an earlier session refused",
+      )
+      return { status: 409, body: this.encodeHeartbeat() }
+    }
+    if (now - arrivedAt > COMMAND_TIMEOUT_MS) occurrences.count("commands carried out on resuming")
+    this.raiseFencingToken(fencingToken)
+    this.execute(commands)
+    return { status: 200, body: this.encodeHeartbeat() }
+  }
+  private raiseFencingToken(token: number): void {
+    if (token <= this.fencingToken) return
+    this.fencingToken = token
+    this.requestHeartbeat()
+  }
+  private execute(commands: ReadonlyArray<Command>): void {
+    for (const { type, taskId, attempt, gracePeriodS } of commands) {
+      const task = this.tasks.get(taskId)
+      if (type === "start") this.tasks.start(taskId, attempt)
+      else if (task === undefined || task.attempt !== attempt) continue
+      else if (type === "purge") this.tasks.purge(taskId)
+      else this.tasks.stop(task, gracePeriodS)
+    }
+    if (commands.length > 0) this.requestHeartbeat()
+  }
+
+  // --- heartbeats -------------------------------------------------------------
+
+  requestHeartbeat(): void {
+    this.hasChanged = true
+    this.scheduleHeartbeat(this.untilNextAllowedMs())
+  }
+  private untilNextAllowedMs(): number {
+    return Math.max(0, this.lastSentAt + MIN_HEARTBEAT_INTERVAL_MS - this.simulation.now)
+  }
+  private scheduleHeartbeat(ms: number): void {
+    this.cancelHeartbeat()
+    this.cancelHeartbeat = this.simulation.after(ms, () => this.whenAwake(() => this.sendHeartbeat()))
+  }
+  private encodeHeartbeat(): WireHeartbeat {
+    const { id, type, zone, spot, agentEpoch, fencingToken, preemptedAt, simulation } = this
+    return encodeHeartbeat({
+      machineId: id,
+      machineType: type.name,
+      zone,
+      spot,
+      agentEpoch,
+      sequence: ++this.sequence,
+      fencingToken,
+      preemptionNoticeS: preemptedAt === null ? null : Math.max(0, (preemptedAt - simulation.now) / 1000),
+      tasks: this.tasks.all(),
+    })
+  }
+
+  private sendHeartbeat(): void {
+    if (this.isHeartbeatPending) return
+    this.isHeartbeatPending = true
+    this.hasChanged = false
+    const { agentEpoch, boots: boot, simulation } = this
+    const exchange: HeartbeatExchange = { sentAt: simulation.now, agentEpoch, boot, isOver: false }
+    this.lastSentAt = exchange.sentAt
+    const node = this.options.nodes[this.nodeIndex]!
+    simulation.after(HEARTBEAT_TIMEOUT_MS, () =>
+      this.whenAwake(() => this.finish(exchange, () => this.tryNextNode())),
+    )
+    const request = { method: "POST", path: "/v1/report", body: this.encodeHeartbeat() }
+    this.options.network.request(this.id, node, request, (answer) =>
+      this.whenAwake(() => {
+        if (simulation.now - exchange.sentAt >= HEARTBEAT_TIMEOUT_MS) return
+        this.finish(exchange, () => this.handleAnswer(exchange, answer))
+      }),
+    )
+  }
+  /** Ends an exchange once, unless the machine ended or booted again meanwhile. */
+  private finish(exchange: HeartbeatExchange, next: () => void): void {
+    if (exchange.isOver || this.gone || exchange.boot !== this.boots) return
+    exchange.isOver = true
+    this.isHeartbeatPending = false
+    next()
+  }
+  private tryNextNode(): void {
+    this.nodeIndex = (this.nodeIndex + 1) % this.options.nodes.length
+    this.scheduleHeartbeat(RETRY_MS)
+  }
+  private handleAnswer(exchange: HeartbeatExchange, answer: Answer | null): void {
+    if (answer?.status === 421) return this.followRedirect(answer)
+    if (answer?.status !== 200) return this.tryNextNode()
+    const { fencingToken = -1, commands } = decodeCommands(answer.body)
+    // An answer to an earlier session, or under a lower token than was seen, extends no lease.
+    if (exchange.agentEpoch === this.agentEpoch && fencingToken >= this.fencingToken) {
+      this.lastAnswered = exchange.sentAt
+      this.raiseFencingToken(fencingToken)
+      this.execute(commands)
+    }
+    const regularMs = this.options.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
+    this.scheduleHeartbeat(this.hasChanged ? this.untilNextAllowedMs() : regularMs)
+  }
+  /** The answering node names the one that owns this machine. */
+  private followRedirect(answer: Answer): void {
+    const index = this.options.nodes.indexOf(decodeRedirect(answer.body) ?? "")
+    if (index < 0 || index === this.nodeIndex) return this.tryNextNode()
+    this.nodeIndex = index
+    this.scheduleHeartbeat(this.simulation.random.between(0, 500))
+  }
+}
--- a/packages/testkit/src/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,12 +1,14 @@
+/** What a simulated deployment is made of, and what of it faults and observers use. */
 import type { NodeName } from "@sorreltally/protocol"
-import type { Cloud } from "./cloud.ts"
-import type { Net } from "./net.ts"
-import type { Rules } from "./rules.ts"
-import type { Sim } from "./sim.ts"
-import type { StateService } from "./state.ts"
-import type { Users } from "./users.ts"
+import type { Invariants } from "../invariants/invariants.ts"
+import type { Cloud } from "../services/cloud.ts"
+import type { StateService } from "../services/state-service.ts"
+import type { Users } from "../services/users.ts"
+import type { Network } from "./network.ts"
+import type { Simulation } from "./simulation.ts"
 
-export interface Setup {
+/** What a deployment is like, before it begins. Names are kept in fixtures. */
+export interface DeploymentSetup {
   readonly seed: number
   readonly nodes: number
   readonly zones: ReadonlyArray<string>
@@ -22,16 +24,16 @@
   readonly cores: number
   /** The share of a core that its work really has; null: its work takes no time. */
   readonly processorShare: number | null
-  /** How often workers report, after how long unanswered they end, and how soon cancelled tasks are gone. */
+  /** How often workers send heartbeats, after how long unanswered they end, and how soon cancelled tasks are gone. */
   readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
 }
 
-/** What of a simulated deployment its troubles act on, and those who look at it from outside see. */
+/** What of a simulated deployment its faults act on, and what observers see. */
 export interface Deployment {
-  readonly setup: Setup
-  readonly sim: Sim
-  readonly net: Net
-  readonly rules: Rules
+  readonly setup: DeploymentSetup
+  readonly simulation: Simulation
+  readonly network: Network
+  readonly invariants: Invariants
   readonly state: StateService
   readonly cloud: Cloud
   readonly users: Users
--- a/packages/testkit/src/net.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -1,11 +1,17 @@
-import type { Sim } from "./sim.ts"
+/**
+ * The simulated network. It alone decides when a message arrives, whether it does, and how
+ * often.
+ */
+import type { Simulation } from "./simulation.ts"
 import type { TraceDigest } from "./trace-digest.ts"
 
+/** A request over HTTP; `body` is what its JSON says. */
 export interface Request {
   readonly method: string
   readonly path: string
   readonly body: unknown
 }
+/** The answer to a request. */
 export interface Answer {
   readonly status: number
   readonly body: unknown
@@ -13,22 +19,24 @@
 /** Calls `answer` at most once; a server that never does is one that hangs. */
 export type Server = (request: Request, from: string, answer: (answer: Answer) => void) => void
 
+/** What a cut does with messages: keeps them until it heals, loses them, or resets connections. */
 export type CutMode = "hold" | "drop" | "reset"
 /** A request that is about to set out. */
-export interface Departure {
+export interface OutgoingRequest {
   readonly from: string
   readonly to: string
   readonly request: Request
   /** Delivers a copy at a later time, past all cuts; its answer reaches `answered` alone. */
   readonly deliverCopy: (to: string, afterMs: number, answered?: (answer: Answer) => void) => void
 }
-/** `withhold`: it never arrives by itself, and its sender hears nothing; `refuse`: no connection. */
+/** `withhold`: it never arrives by itself, and its sender gets no answer; `refuse`: no connection. */
 export type Verdict = "pass" | "withhold" | "refuse"
-export type Interceptor = (departure: Departure) => Verdict
+/** Looks at a request and decides on it. */
+export type Interceptor = (outgoing: OutgoingRequest) => Verdict
 
 interface Cut {
   readonly oneWay: boolean
-  readonly apart: (a: string, b: string) => boolean
+  readonly separates: (a: string, b: string) => boolean
   readonly mode: CutMode
   held: Array<() => void>
 }
@@ -38,7 +46,7 @@
  * a cut can hold them back and deliver them once it heals, long after their
  * sender has given up.
  */
-export class Net {
+export class Network {
   private readonly servers = new Map<string, Server>()
   private readonly connectionsEnd = new Set<string>()
   private readonly cuts = new Set<Cut>()
@@ -54,7 +62,7 @@
   /** Takes in every message; null: nothing is traced. */
   trace: TraceDigest | null = null
 
-  constructor(private readonly sim: Sim) {}
+  constructor(private readonly simulation: Simulation) {}
 
   /**
    * `connectionsEnd`: what was sent to a former server of this host never
@@ -76,18 +84,18 @@
   }
 
   /** Returns how to heal it. */
-  cut(apart: Cut["apart"], mode: CutMode): () => void {
-    return this.open({ apart, mode, oneWay: false, held: [] })
+  cut(separates: Cut["separates"], mode: CutMode): () => void {
+    return this.open({ separates, mode, oneWay: false, held: [] })
   }
-  cutOneWay(apart: Cut["apart"], mode: CutMode): () => void {
-    return this.open({ apart, mode, oneWay: true, held: [] })
+  cutOneWay(separates: Cut["separates"], mode: CutMode): () => void {
+    return this.open({ separates, mode, oneWay: true, held: [] })
   }
   private open(cut: Cut): () => void {
     this.cuts.add(cut)
     return () => {
       this.cuts.delete(cut)
-      this.lastHealedAt = this.sim.now
-      for (const deliver of cut.held) this.sim.after(this.sim.luck.between(0, 50), deliver)
+      this.lastHealedAt = this.simulation.now
+      for (const deliver of cut.held) this.simulation.after(this.simulation.random.between(0, 50), deliver)
     }
   }
 
@@ -96,13 +104,13 @@
     this.interceptors.add(interceptor)
     return () => {
       this.interceptors.delete(interceptor)
-      this.lastHealedAt = this.sim.now
+      this.lastHealedAt = this.simulation.now
     }
   }
   private verdict(from: string, to: string, request: Request, text: string): Verdict {
-    const deliverCopy: Departure["deliverCopy"] = (host, afterMs, answered = () => {}) => {
+    const deliverCopy: OutgoingRequest["deliverCopy"] = (host, afterMs, answered = () => {}) => {
       const sentTo = this.servers.get(host)
-      this.sim.after(afterMs, () => {
+      this.simulation.after(afterMs, () => {
         if (this.hasEnded(host, sentTo)) return
         this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(host, from, request, answer)
@@ -118,9 +126,9 @@
     return verdict
   }
 
-  /** Answers to copies and repetitions as well: that nobody hears them doesn't undo what the server did. */
+  /** Answers to copies and repetitions as well: that nobody receives them doesn't undo what the server did. */
   private traceAnswer(server: string, to: string, { path }: Request, { status, body }: Answer): void {
-    this.trace?.answer(this.sim.now, server, to, path, status, JSON.stringify(body ?? null))
+    this.trace?.answer(this.simulation.now, server, to, path, status, JSON.stringify(body ?? null))
   }
 
   /** The connection over which this went has ended, together with the server that it led to. */
@@ -130,31 +138,31 @@
 
   /** Does a cut keep messages between the two from arriving? */
   isApart(a: string, b: string): boolean {
-    for (const cut of this.cuts) if (cut.apart(a, b) || cut.apart(b, a)) return true
+    for (const cut of this.cuts) if (cut.separates(a, b) || cut.separates(b, a)) return true
     return false
   }
 
   /** One message one way; `lost` is called when its sender can tell. */
   carry(from: string, to: string, deliver: () => void, lost: () => void = () => {}): void {
     for (const cut of this.cuts) {
-      if (!cut.apart(from, to) && (cut.oneWay || !cut.apart(to, from))) continue
+      if (!cut.separates(from, to) && (cut.oneWay || !cut.separates(to, from))) continue
       if (cut.mode === "hold") cut.held.push(() => this.carry(from, to, deliver, lost))
-      else if (cut.mode === "reset") this.sim.after(1, lost)
+      else if (cut.mode === "reset") this.simulation.after(1, lost)
       return
     }
-    if (this.sim.luck.chance(this.loss)) return
-    const slow = this.slowMs === 0 ? 0 : this.sim.luck.between(0, this.slowMs)
-    this.sim.after(slow + this.sim.luck.between(0.3, 3), deliver)
-    if (this.sim.luck.chance(this.repeat))
-      this.sim.after(this.sim.luck.between(5, this.repeatWithinMs), deliver)
+    if (this.simulation.random.chance(this.loss)) return
+    const slow = this.slowMs === 0 ? 0 : this.simulation.random.between(0, this.slowMs)
+    this.simulation.after(slow + this.simulation.random.between(0.3, 3), deliver)
+    if (this.simulation.random.chance(this.repeat))
+      this.simulation.after(this.simulation.random.between(5, this.repeatWithinMs), deliver)
   }
 
   /** `done(null)`: refused or reset. No call of `done` at all: silence. */
   request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
     const text = JSON.stringify(request.body ?? null)
-    this.trace?.request(this.sim.now, from, to, request.method, request.path, text)
+    this.trace?.request(this.simulation.now, from, to, request.method, request.path, text)
     const verdict = this.verdict(from, to, request, text)
-    if (verdict === "refuse") this.sim.after(1, () => done(null))
+    if (verdict === "refuse") this.simulation.after(1, () => done(null))
     if (verdict !== "pass") return
     let first = true
     const sentTo = this.servers.get(to)
--- a/packages/testkit/src/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -25,9 +25,10 @@
   "tasks on machines at a take-over: receives nothing",
   "tasks on machines at a take-over: sends nothing",
 ] as const
+/** One of the events; the names are those of the scenario format. */
 export type MachineEvent = (typeof MACHINE_EVENTS)[number]
 
-/** How often each kind of event came about in a simulated day; scenarios assert that their troubles met. */
+/** How often each kind of event came about in a simulated day; scenarios assert that their faults met. */
 export class Occurrences {
   private readonly counts = new Map<MachineEvent, number>()
 
--- a/packages/testkit/test/epoch-rule.test.ts
+++ b/packages/testkit/test/epoch-invariant.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
-import { acquisitionsIn, epochsOwnedTwice } from "../src/epoch-rule.ts"
-import { readScenario } from "../src/scenario.ts"
+import { acquisitionsIn, epochsOwnedTwice } from "../src/invariants/epoch-invariant.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 // Guards against a log line that is renamed and leaves the rule without anything to judge.
 test("every shard's first owner is told from what controllers log", () => {
-  const { world } = readScenario('(scenario "quiet" (until 20))').run()
-  const shards = acquisitionsIn(world.logged).map(({ shard }) => shard)
-  assert.deepEqual([...new Set(shards)].sort(), ["deadline", ...world.names.map((_, i) => `part-${i}`)])
-  assert.deepEqual(epochsOwnedTwice(world.logged), [])
+  const { deployment } = readScenario('(scenario "quiet" (until 20))').run()
+  const shards = acquisitionsIn(deployment.logged).map(({ shard }) => shard)
+  assert.deepEqual([...new Set(shards)].sort(), ["deadline", ...deployment.names.map((_, i) => `part-${i}`)])
+  assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
 })
 
 test("a shard that is acquired twice under one epoch is reported", () => {
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -52,15 +52,15 @@
 
 // --- bodies of requests and answers ---------------------------------------------
 
-/** A worker's report in the short form in which controllers hand it on. */
-export const reportPacked = (body: unknown): unknown => {
+/** A worker's heartbeat in the short form in which controllers forward it. */
+export const packedHeartbeat = (body: unknown): unknown => {
   const heartbeats = [{ id: 0, heartbeat: orThrow(decodeHeartbeat(body)) }]
   const message = encodeMessage({ kind: "heartbeats", senderLife: 0, sentAt: 0, heartbeats, repeats: [] })
   const { reports } = message.body as { readonly reports: ReadonlyArray<readonly [number, unknown]> }
   return reports[0]![1]
 }
-/** What is wrong with a report; null for a good one. */
-export const reportFault = (body: unknown): string | null => {
+/** What is wrong with a heartbeat; null for a good one. */
+export const heartbeatError = (body: unknown): string | null => {
   const decoded = decodeHeartbeat(body)
   return Result.isSuccess(decoded) ? null : decoded.failure.message
 }
@@ -123,8 +123,8 @@
   return JSON.stringify(encodeRecord(ARCHIVE_PAGE, archived))
 }
 
-const LARGEST_SLOT_KB = 64
-const MOST_JOBS = 1_000
+const MAX_SLOT_KB = 64
+const MAX_JOBS = 1_000
 /** Any job will do for a slot's facts; it has as many tasks as they speak of. */
 const jobOf = (id: JobId): JobState => {
   const spec = { id, taskCount: 1_000 } as JobRecord["spec"]
@@ -139,7 +139,7 @@
     jobs.set(id, job)
     return job
   }
-  new PlacementLedger({ valueKb: LARGEST_SLOT_KB }).restore({
+  new PlacementLedger({ valueKb: MAX_SLOT_KB }).restore({
     slot: 0,
     modRevision: 1 as ModRevision,
     record,
@@ -154,8 +154,8 @@
     for (let index = 0; index < job.taskCount; index++)
       if (job.isFinished(index)) job.unsavedFinishes.add(index)
   const { epoch, number } = record.write
-  const ledger = new PlacementLedger({ valueKb: LARGEST_SLOT_KB })
-  const request = { starts: placements, finished, maxJobs: MOST_JOBS, epoch }
+  const ledger = new PlacementLedger({ valueKb: MAX_SLOT_KB })
+  const request = { starts: placements, finished, maxJobs: MAX_JOBS, epoch }
   // Each write has the next number.
   for (let n = 1; n < number; n++) ledger.prepareWrite(request)
   const write = ledger.prepareWrite(request)
@@ -263,8 +263,8 @@
   return { channel: Effect.runSync(opening), sent, receive: (frame: Uint8Array) => receive(frame) }
 }
 
-/** The frame by which a node tells another this. */
-const toldAgain = ({ from, to, kind, body }: FrameContent): Uint8Array => {
+/** The frame by which a node sends another this message. */
+const messageAgain = ({ from, to, kind, body }: FrameContent): Uint8Array => {
   const { channel, sent } = openChannel(from, [to])
   channel.send(decodeMessage({ kind: kind!, body })!, to as NodeName)
   return sent[0]!.frame
@@ -285,7 +285,7 @@
 }
 /** The same frame, made by the product. */
 export const frameAgain = (content: FrameContent): Promise<Uint8Array> =>
-  content.t === "ping" ? pingAgain(content) : Promise.resolve(toldAgain(content))
+  content.t === "ping" ? pingAgain(content) : Promise.resolve(messageAgain(content))
 /** What a node's handler is handed of a frame. */
 export const frameReceived = async (frame: Uint8Array): Promise<FrameContent | null> => {
   const { t, from, to } = contentOf(frame)
--- a/packages/testkit/test/scenarios.test.ts
+++ b/packages/testkit/test/scenarios.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict"
 import { readdirSync, readFileSync } from "node:fs"
 import { test } from "node:test"
-import { readScenario } from "../src/scenario.ts"
+import { readScenario } from "../src/scenarios/scenario.ts"
 
 /** Scenarios that fail for a real fault which isn't mended yet, with the cause: run and printed, passed over by the verdict. */
 const knownRed = new Map(
@@ -16,7 +16,7 @@
   const scenario = readScenario(readFileSync(`scenarios/${file}`, "utf8"))
   const todo = knownRed.get(file) ?? false
   test(`${file}: ${scenario.name}`, { todo }, () => {
-    const { failures, world } = scenario.run()
-    assert.deepEqual(failures, [], `\n${world.logged.slice(-40).join("\n")}`)
+    const { failures, deployment } = scenario.run()
+    assert.deepEqual(failures, [], `\n${deployment.logged.slice(-40).join("\n")}`)
   })
 }
