--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -20,7 +20,15 @@
   type ShardName,
 } from "@sorreltally/protocol"
 import { interpolateByLoad } from "@sorreltally/rate-limit"
-import { type Condition, keys, type Operation, put, type StoreClient } from "@sorreltally/store"
+import {
+  type CompareAndSwapResult,
+  type Condition,
+  keys,
+  type Operation,
+  put,
+  type StoreClient,
+  type StoreError,
+} from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobState, Placement } from "./job-state.ts"
 import { CONDITIONS_PER_OPERATION, pageConditions } from "./page-conditions.ts"
@@ -47,6 +55,12 @@
 /** On the shard and on the slot. */
 const OWN_CONDITIONS = 2
 
+/** What a slot was read to hold. */
+interface StoredSlotState {
+  readonly modRevision: ModRevision
+  readonly isThisWrite: boolean
+}
+
 /** What becomes of placements. */
 export interface PlacementWriterEvents {
   /** These placements may be started now. */
@@ -174,33 +188,61 @@
    */
   private write(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
-      const { store, membership, shard } = this.options
-      const key = keys.slot(shard, write.slot)
+      const { store, shard } = this.options
       const conditions = this.conditionsOf(write)
-      const operations: ReadonlyArray<Operation> = [put(key, write.record)]
-      for (let attempt = 0; ; attempt++) {
-        const priority = attempt === 0 ? "reserved" : 2
-        const written = yield* Effect.result(store.compareAndSwap(conditions, operations, priority))
-        if (Result.isSuccess(written) && written.success.ok)
-          return this.committed(write, written.success.revision)
-        if (Result.isFailure(written) && written.failure.outcome === "refused" && attempt === 0) {
-          yield* Effect.sleep(PAUSE_MS)
-          return this.aborted(write, write.baseRevision)
-        }
-        // Without an answer it may have been written, or may yet be: as long
-        // as that isn't known, only the very same write is tried again.
-        const read = yield* Effect.result(store.get(key))
-        if (Result.isFailure(read)) {
-          yield* Effect.sleep(PAUSE_MS)
-          continue
-        }
-        const modRevision = read.success?.modRevision ?? ABSENT
-        if (isSameWrite(read.success?.value.write, write)) return this.committed(write, modRevision)
-        const conditionFailed = Result.isSuccess(written)
-        if (!conditionFailed) continue
-        // A condition failed, and will fail for every late copy of it as well.
-        yield* Effect.result(membership.readBarrier.wait)
-        return this.aborted(write, modRevision)
+      const operations: ReadonlyArray<Operation> = [put(keys.slot(shard, write.slot), write.record)]
+      const first = yield* Effect.result(store.compareAndSwap(conditions, operations, "reserved"))
+      if (Result.isFailure(first) && first.failure.outcome === "refused") {
+        yield* Effect.sleep(PAUSE_MS)
+        return this.aborted(write, write.baseRevision)
+      }
+      let settled = yield* this.settle(write, first)
+      // As long as it isn't known what became of it, only the very same write is tried again.
+      while (!settled) {
+        const again = yield* Effect.result(store.compareAndSwap(conditions, operations, 2))
+        settled = yield* this.settle(write, again)
+      }
+    })
+  }
+
+  /** Whether it is now known what became of the write, by the result of an attempt and by what its slot holds. */
+  private settle(
+    write: SlotWrite,
+    attempt: Result.Result<CompareAndSwapResult, StoreError>,
+  ): Effect.Effect<boolean> {
+    return Effect.gen({ self: this }, function* () {
+      if (Result.isSuccess(attempt) && attempt.success.ok) {
+        this.committed(write, attempt.success.revision)
+        return true
+      }
+      // Without an answer it may have been written, or may yet be.
+      const stored = yield* this.readBack(write)
+      if (stored === null) return false
+      if (stored.isThisWrite) {
+        this.committed(write, stored.modRevision)
+        return true
+      }
+      if (Result.isFailure(attempt)) return false
+      // A condition failed, and will fail for every late copy of it as well.
+      yield* Effect.result(this.options.membership.readBarrier.wait)
+      this.aborted(write, stored.modRevision)
+      return true
+    })
+  }
+
+  /** What the write's slot holds; null, after a pause, when it can't be read. */
+  private readBack(write: SlotWrite): Effect.Effect<StoredSlotState | null> {
+    return Effect.gen({ self: this }, function* () {
+      const { store, shard } = this.options
+      const read = yield* Effect.result(store.get(keys.slot(shard, write.slot)))
+      if (Result.isFailure(read)) {
+        yield* Effect.sleep(PAUSE_MS)
+        return null
+      }
+      const entry = read.success
+      return {
+        modRevision: entry?.modRevision ?? ABSENT,
+        isThisWrite: isSameWrite(entry?.value.write, write),
       }
     })
   }
--- a/packages/planner/src/loans.ts
+++ b/packages/planner/src/loans.ts
@@ -100,13 +100,14 @@
     return true
   }
   const urgencyOn = urgencyByMachineKind(jobs)
+  const mayLend = (demand: MachineDemand, machine: MachineView): boolean =>
+    allowed(demand.shape, machine) && outranks(demand, urgencyOn(machine)) && sparedFor(demand, machine)
   for (const demand of [...demands].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
     let left = Math.ceil(demand.tasks * share) - (lentLately.get(demand.shard) ?? 0)
     const cached = (machine: MachineView) => Number(machine.images.has(demand.shape.image))
     for (const machine of [...empty].sort((a, b) => cached(b) - cached(a))) {
       if (left <= 0) break
-      if (!allowed(demand.shape, machine) || !outranks(demand, urgencyOn(machine))) continue
-      if (!sparedFor(demand, machine)) continue
+      if (!mayLend(demand, machine)) continue
       empty.delete(machine)
       loans.push({ machine: machine.id, to: demand.shard })
       left -= slotsIn(demand.shape, machine.type)
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -97,8 +97,7 @@
  */
 const deferLargest = (entries: ReadonlyArray<Entry>, { cores }: ClusterLoad): void => {
   if (cores <= 0) return
-  const ofClass = new Map<JobClassName, number>()
-  for (const { job } of entries) ofClass.set(job.spec.jobClass, (ofClass.get(job.spec.jobClass) ?? 0) + 1)
+  const ofClass = jobsByClass(entries)
   /** Core-seconds of queued work up to the job at hand. */
   let backlog = 0
   let rank: number | null = null
@@ -112,15 +111,34 @@
     backlog += work
     if (job.timeLeftS === null || job.withinGuarantee) continue
     kept.push({ entry, work, cost: work * (ofClass.get(job.spec.jobClass) ?? 1) })
-    while (kept.length > 0 && backlog / cores + job.executionS > job.timeLeftS) {
-      const [costliest] = kept.splice(indexOfCostliest(kept), 1)
-      costliest!.entry.deferred = true
-      backlog -= costliest!.work
-      if (costliest!.entry === entry) break
-    }
+    backlog = deferUntilInTime(entry, job.timeLeftS, kept, backlog, cores)
   }
 }
 
+/** Defers jobs until this one's last task is in time, or is itself deferred. Returns the backlog without them. */
+const deferUntilInTime = (
+  entry: Entry,
+  timeLeftS: number,
+  kept: Array<KeptJob>,
+  backlog: number,
+  cores: number,
+): number => {
+  let left = backlog
+  while (kept.length > 0 && left / cores + entry.job.executionS > timeLeftS) {
+    const [costliest] = kept.splice(indexOfCostliest(kept), 1)
+    costliest!.entry.deferred = true
+    left -= costliest!.work
+    if (costliest!.entry === entry) break
+  }
+  return left
+}
+
+const jobsByClass = (entries: ReadonlyArray<Entry>): ReadonlyMap<JobClassName, number> => {
+  const counts = new Map<JobClassName, number>()
+  for (const { job } of entries) counts.set(job.spec.jobClass, (counts.get(job.spec.jobClass) ?? 0) + 1)
+  return counts
+}
+
 /** Of equally costly ones, the first. */
 const indexOfCostliest = (kept: ReadonlyArray<KeptJob>): number => {
   let costliest = 0
--- a/packages/planner/src/placement-pass.ts
+++ b/packages/planner/src/placement-pass.ts
@@ -45,12 +45,11 @@
     tasks.queued -= placed
     tasks.running += placed
   }
-  for (const job of jobs) if (isOverdue(job)) place(job, tasksToBegin(job))
-  for (const tier of tiers) {
-    for (const run of runsOf(tier, canWait)) {
-      if (run.length > 1) for (const job of run) place(job, job.queued, true)
-      for (const job of run) place(job, job.queued)
-    }
+  const placeRun = (run: ReadonlyArray<JobView>) => {
+    if (run.length > 1) for (const job of run) place(job, job.queued, true)
+    for (const job of run) place(job, job.queued)
   }
+  for (const job of jobs) if (isOverdue(job)) place(job, tasksToBegin(job))
+  for (const tier of tiers) for (const run of runsOf(tier, canWait)) placeRun(run)
   return { placements, progress }
 }
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -93,6 +93,20 @@
   return -fetchS - 2 * leftover + 0.5 * assigned + (machine.spot ? 2 : 0)
 }
 
+/** How many more tasks of the job, up to `maxTasks`, may be placed on a bin. */
+const tasksOn = (
+  { job, zones }: PlacementRequest,
+  bin: Bin,
+  maxTasks: number,
+  ready: ReadyCapacity,
+  snapshot: Snapshot,
+): number => {
+  const { spec } = job
+  const fitting = Math.min(maxTasks, tasksFitting(spec, bin), zoneAllowance(spec, zones, bin.machine.zone))
+  if (!bin.reserved || !isBelowReserve(job, snapshot.reserve)) return fitting
+  return Math.min(fitting, Math.floor((ready.spareCores + EPSILON) / spec.cores))
+}
+
 /** Places queued tasks of a job, within its team's headroom in `snapshot.teams`; returns how many. */
 export const placeJob = (
   request: PlacementRequest,
@@ -105,15 +119,12 @@
   const team = snapshot.teams.get(spec.team)
   const limit = Math.min(maxTasks, tasksWithinQuota(job, snapshot.teams))
   if (team === undefined || limit <= 0) return 0
-  const belowReserve = isBelowReserve(job, snapshot.reserve)
   const groups = ready.groups.filter((group) => group.bins.length > 0 && allowed(spec, group))
   let left = limit
   for (const { bin } of rankedBins(request, groups, ready, snapshot)) {
     if (left <= 0) break
     const { machine } = bin
-    let take = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, zones, machine.zone))
-    if (belowReserve && bin.reserved)
-      take = Math.min(take, Math.floor((ready.spareCores + EPSILON) / spec.cores))
+    const take = tasksOn(request, bin, left, ready, snapshot)
     if (take <= 0) continue
     fill(bin, spec, take)
     if (bin.reserved) ready.spareCores -= spec.cores * take
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -19,7 +19,15 @@
   type TeamName,
 } from "@sorreltally/protocol"
 import { isLimited, NO_LIMIT, type Team } from "@sorreltally/settings"
-import { type Condition, keys, put, type QuotaRecord, type StoreClient } from "@sorreltally/store"
+import {
+  type Condition,
+  keys,
+  put,
+  type QuotaRecord,
+  type StoreClient,
+  type StoreError,
+  type StoreKey,
+} from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { type AllocationDemand, AllocationPolicy, SLACK_FRACTION } from "./allocation-policy.ts"
 import {
@@ -34,6 +42,10 @@
 
 const RETRY_PAUSE_MS = 300
 
+/** Whether a write got no answer, and may have been carried out, or may yet be. */
+const isUnknown = (written: Result.Result<unknown, StoreError>): boolean =>
+  Result.isFailure(written) && written.failure.outcome === "unknown"
+
 /** What a shard's quota allocation works with. */
 export interface QuotaAllocationOptions {
   readonly shard: ShardName
@@ -175,26 +187,33 @@
       { key, modRevision: baseRevision },
       { key: shardKey, modRevision: epoch },
     ]
-    return Effect.gen(function* () {
+    return Effect.gen({ self: this }, function* () {
       let unanswered = false
       for (;;) {
         // With the users' priority: without quota nothing can be rented or started, and these writes are few.
         const written = yield* Effect.result(store.compareAndSwap(conditions, [put(key, record)], 1))
-        if (Result.isSuccess(written)) {
-          if (written.success.ok)
-            return replica.applyWrite({ key, value: record, modRevision: written.success.revision })
-          // Another node owns the shard: its epoch fences all that was sent.
-          if (written.success.failedKeys.includes(shardKey)) return
-        }
+        const result = Result.isSuccess(written) ? written.success : null
+        if (result?.ok === true)
+          return replica.applyWrite({ key, value: record, modRevision: result.revision })
+        // Another node owns the shard: its epoch fences all that was sent.
+        if (result?.failedKeys.includes(shardKey)) return
         // Guards against a change that got no answer and is carried out after a later attempt was refused.
-        unanswered ||= Result.isFailure(written) && written.failure.outcome === "unknown"
-        const read = yield* Effect.result(store.get(key))
-        if (Result.isSuccess(read) && read.success !== null) replica.applyWrite(read.success)
+        unanswered ||= isUnknown(written)
         // While the record is as it was, the unanswered change may still be carried out.
-        const hasMoved = Result.isSuccess(read) && (read.success?.modRevision ?? ABSENT) !== baseRevision
+        const hasMoved = yield* this.hasMoved(key, baseRevision)
         yield* Effect.sleep(RETRY_PAUSE_MS)
         if (!unanswered || hasMoved) return
       }
     })
   }
+
+  /** Reads the record, into the replica as well; whether it is known to be at another revision. */
+  private hasMoved(key: StoreKey<QuotaRecord>, baseRevision: ModRevision): Effect.Effect<boolean> {
+    const { store, replica } = this.options
+    return Effect.map(Effect.result(store.get(key)), (read) => {
+      if (Result.isFailure(read)) return false
+      if (read.success !== null) replica.applyWrite(read.success)
+      return (read.success?.modRevision ?? ABSENT) !== baseRevision
+    })
+  }
 }
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -76,27 +76,28 @@
    */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
-      const { isStopped, mayAct, shard } = this.options
+      const { isStopped, mayAct } = this.options
       for (;;) {
         if (this.releasing.size === 0) yield* this.signal.wait(MAX_WAIT_MS)
         if (isStopped()) return
-        if (this.releasing.size === 0 || !mayAct()) {
-          yield* Effect.sleep(IDLE_PAUSE_MS)
-          continue
-        }
-        const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
-        const deleted = yield* Effect.result(shard.node.cloud.remove(batch.map((session) => session.id)))
-        if (isStopped()) return
-        if (Result.isFailure(deleted)) {
-          yield* Effect.sleep(RELEASE_RETRY_MS)
-          continue
-        }
-        for (const session of batch) this.removeDeleted(session)
-        this.options.changed()
+        if (this.releasing.size > 0 && mayAct()) yield* this.deleteBatch()
+        else yield* Effect.sleep(IDLE_PAUSE_MS)
       }
     }),
   )
 
+  private deleteBatch() {
+    return Effect.gen({ self: this }, function* () {
+      const { isStopped, shard, changed } = this.options
+      const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
+      const deleted = yield* Effect.result(shard.node.cloud.remove(batch.map((session) => session.id)))
+      if (isStopped()) return
+      if (Result.isFailure(deleted)) return yield* Effect.sleep(RELEASE_RETRY_MS)
+      for (const session of batch) this.removeDeleted(session)
+      changed()
+    })
+  }
+
   private removeDeleted(session: WorkerSession): void {
     const { deleted, machineRecords, shard } = this.options
     this.releasing.delete(session.id)
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,5 +1,5 @@
 /** What the planner is shown of a shard: its jobs, machines, load and quota use at one moment. It changes none of them. */
-import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
+import { type JobState, type Placement, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   type ClusterLoad,
   EPSILON,
@@ -58,16 +58,20 @@
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
     const executionS = shard.node.estimates.executionS(job.request)
-    for (const { runningSince } of job.placements.values()) {
-      const ranS = runningSince === null ? 0 : (now - runningSince) / 1000
-      // One that overran its estimate may end at any time, or much later.
-      const remainingS = ranS < executionS ? executionS - ranS : executionS / 3
-      if (remainingS < HORIZON_S) ending[Math.floor(remainingS)]! += job.request.cores
+    for (const placement of job.placements.values()) {
+      const leftS = remainingS(placement, executionS, now)
+      if (leftS < HORIZON_S) ending[Math.floor(leftS)]! += job.request.cores
     }
   }
   return { cores, ending }
 }
 
+const remainingS = ({ runningSince }: Placement, executionS: number, now: MonotonicTime): number => {
+  const ranS = runningSince === null ? 0 : (now - runningSince) / 1000
+  // One that overran its estimate may end at any time, or much later.
+  return ranS < executionS ? executionS - ranS : executionS / 3
+}
+
 /** The jobs that aren't over, oldest first. */
 export const jobViews = (shard: ShardView, now: MonotonicTime): ReadonlyArray<JobView> => {
   const wall = shard.node.clocks.wallNow()
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -70,19 +70,13 @@
     attainableByTeam.set(team.name, attainableQuota(team, used.get(team.name) ?? NO_QUOTA))
   const demands = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
-    const { id, spec, queued } = job
-    const { team } = spec
+    const { team } = job.spec
     const headroom = startable.get(team)
     const attainable = attainableByTeam.get(team)
     if (headroom === undefined || attainable === undefined) continue
-    // Guards against other shards that wait for ours to start tasks which no quota of theirs could make room for.
-    const wanted = Math.min(queued, slotsInCores(spec, unusedCores), tasksWithinHeadroom(spec, attainable))
-    if (wanted === 0) continue
-    const withinShare = tasksWithinHeadroom(spec, headroom)
-    if (withinShare >= wanted) continue
-    const starved = isStarved(job) && withinShare < Math.min(wanted, tasksToBegin(job))
-    const rank = starved ? STARVED_RANK : job.rank
-    const since = shard.jobs.get(id)?.submitted ?? 0
+    const rank = demandRank(job, headroom, attainable, unusedCores)
+    if (rank === null) continue
+    const since = shard.jobs.get(job.id)?.submitted ?? 0
     const demand: QuotaDemand = { shard: shard.name, team, rank, since }
     const before = demands.get(team)
     if (before === undefined || goesFirst(demand, before)) demands.set(team, demand)
@@ -90,6 +84,23 @@
   return [...demands.values()]
 }
 
+/** The rank at which a job asks for more quota; null when it needs none, or could use none. */
+const demandRank = (
+  job: JobView,
+  headroom: QuotaHeadroom,
+  attainable: QuotaHeadroom,
+  unusedCores: number,
+): number | null => {
+  const { spec, queued } = job
+  // Guards against other shards that wait for ours to start tasks which no quota of theirs could make room for.
+  const wanted = Math.min(queued, slotsInCores(spec, unusedCores), tasksWithinHeadroom(spec, attainable))
+  if (wanted === 0) return null
+  const withinAllocation = tasksWithinHeadroom(spec, headroom)
+  if (withinAllocation >= wanted) return null
+  const starved = isStarved(job) && withinAllocation < Math.min(wanted, tasksToBegin(job))
+  return starved ? STARVED_RANK : job.rank
+}
+
 /** What this shard counts on of the teams' limits, after a plan. */
 export const teamClaims = (
   shard: ShardView,
@@ -148,8 +159,7 @@
   for (const job of shard.jobs.values()) {
     const { request: spec } = job
     const queued = shard.failures.startable(job, now)
-    if (spec.team !== team.name || job.cancelled || queued === 0) continue
-    if (tasksWithinHeadroom(spec, attainable) === 0) continue
+    if (spec.team !== team.name || job.cancelled || tasksWithinHeadroom(spec, attainable) === 0) continue
     const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
     if (tasks === 0) continue
     coresLeft -= tasks * spec.cores
--- a/packages/shard/src/rental-requests.ts
+++ b/packages/shard/src/rental-requests.ts
@@ -60,30 +60,38 @@
   }
 
   private rent(requestId: RentalRequestId, rental: PlannedRental, answered: () => void) {
+    return Effect.gen({ self: this }, function* () {
+      // The request id is the idempotency key: repeated until there is a response, it rents nothing twice.
+      // (A loop in place of a Schedule: it ends by the shard's state, and each attempt takes its own time.)
+      for (let attempt = 0; attempt < MAX_RENTAL_ATTEMPTS && !this.options.isStopped(); attempt++) {
+        const settled = yield* this.attempt(requestId, rental, answered)
+        if (settled) return
+      }
+    })
+  }
+
+  /** Whether the rental needs no further attempt. */
+  private attempt(requestId: RentalRequestId, rental: PlannedRental, answered: () => void) {
     return Effect.gen({ self: this }, function* () {
       const { isStopped, shard } = this.options
       const { cloud, clocks, inventory } = shard.node
       const { type, zone, spot } = rental.offer
       const request = { requestId, machineType: type.name, zone, spot, count: rental.count }
       const isStillWanted = () => !isStopped() && !inventory.isRefused(type.name, zone, spot)
-      // The request id is the idempotency key: repeated until there is a response, it rents nothing twice.
-      // (A loop in place of a Schedule: it ends by the shard's state, and each attempt takes its own time.)
-      for (let attempt = 0; attempt < MAX_RENTAL_ATTEMPTS && !isStopped(); attempt++) {
-        const rentedAt = clocks.wallNow()
-        const response = yield* Effect.result(cloud.rent(request, isStillWanted))
-        if (Result.isFailure(response)) {
-          if (response.failure.status === BAD_REQUEST) return
-          yield* Effect.sleep(RENTAL_RETRY_MS)
-          continue
-        }
-        const outcome = response.success
-        if (outcome.kind === "dropped") return
-        const ids = outcome.kind === "rented" ? outcome.machines : []
-        this.noteOutcome(requestId, rental, ids)
-        answered()
-        if (ids.length > 0) yield* this.record(requestId, rental, ids, rentedAt)
-        return
+      const rentedAt = clocks.wallNow()
+      const response = yield* Effect.result(cloud.rent(request, isStillWanted))
+      if (Result.isFailure(response)) {
+        if (response.failure.status === BAD_REQUEST) return true
+        yield* Effect.sleep(RENTAL_RETRY_MS)
+        return false
       }
+      const outcome = response.success
+      if (outcome.kind === "dropped") return true
+      const ids = outcome.kind === "rented" ? outcome.machines : []
+      this.noteOutcome(requestId, rental, ids)
+      answered()
+      if (ids.length > 0) yield* this.record(requestId, rental, ids, rentedAt)
+      return true
     })
   }
 
--- a/packages/store/src/requests.ts
+++ b/packages/store/src/requests.ts
@@ -10,7 +10,7 @@
   NoResponseError,
   Revision,
 } from "@sorreltally/protocol"
-import type { SharedRateLimit } from "@sorreltally/rate-limit"
+import type { RequestPriority, SharedRateLimit } from "@sorreltally/rate-limit"
 import { Effect } from "effect"
 import type { StoreClient } from "./client.ts"
 import {
@@ -26,10 +26,11 @@
   paths,
 } from "./codec.ts"
 import { StoreError, type StoreOperation } from "./errors.ts"
-import type { Entry, WatchResult } from "./model.ts"
+import type { CompareAndSwapResult, Entry, WatchResult } from "./model.ts"
 import type { StoreKey } from "./records/keys.ts"
 
 const REQUEST_TIMEOUT_MS = 1_500
+const TOO_MANY_REQUESTS = 429
 const LIST_TIMEOUT_MS = 5_000
 const LIST_PAGE_ITEMS = 1_000
 const WATCH_RESPONSE_MS = 2_000
@@ -97,35 +98,58 @@
       }
     })
 
+const transactionResult = (response: HttpResponse): Effect.Effect<CompareAndSwapResult, StoreError> => {
+  switch (response.status) {
+    case 200:
+      return Effect.succeed({ ok: true, revision: decodeCommit(response.body) })
+    case 409:
+      return Effect.succeed({ ok: false, failedKeys: decodeConflict(response.body) })
+    default:
+      return refused("compareAndSwap", response)
+  }
+}
+
 /** Sends a transaction, again after a pause when it exceeded the store's rate. */
 export const compareAndSwap =
   (send: Send, rateLimit: SharedRateLimit): StoreClient["compareAndSwap"] =>
   (conditions, operations, priority, timeoutMs) =>
-    Effect.gen(function* () {
-      const operation = "compareAndSwap"
+    Effect.suspend(() => {
       const body = encodeTransaction(conditions, operations)
-      // A loop rather than a `Schedule`, as capacity is awaited before each sending but a reserved first.
-      for (let retries = 0; ; retries++) {
-        if (operations.length > 0 && (priority !== "reserved" || retries > 0))
-          yield* rateLimit.acquire(operations.length, priority === "reserved" ? 2 : priority)
-        const response = yield* send({ operation, method: "POST", path: paths.transaction, body, timeoutMs })
-        switch (response.status) {
-          case 200:
-            return { ok: true, revision: decodeCommit(response.body) } as const
-          case 409:
-            return { ok: false, failedKeys: decodeConflict(response.body) } as const
-          case 429:
-            // Over the rate at this moment, and surely not applied: it waits for capacity again.
-            rateLimit.rejected()
-            if (retries >= MAX_RETRIES) return yield* refused(operation, response)
-            yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
-            break
-          default:
-            return yield* refused(operation, response)
-        }
+      const request: StoreRequest = {
+        operation: "compareAndSwap",
+        method: "POST",
+        path: paths.transaction,
+        body,
+        timeoutMs,
       }
+      return sendWithinRate(send, rateLimit, request, operations.length, priority)
     })
 
+/** Waits for the store's write rate; a transaction that writes nothing doesn't count against it. */
+const acquireWrites = (rateLimit: SharedRateLimit, writes: number, priority: RequestPriority) =>
+  writes === 0 ? Effect.void : rateLimit.acquire(writes, priority)
+
+const sendWithinRate = (
+  send: Send,
+  rateLimit: SharedRateLimit,
+  request: StoreRequest,
+  writes: number,
+  priority: RequestPriority | "reserved",
+): Effect.Effect<CompareAndSwapResult, StoreError> =>
+  Effect.gen(function* () {
+    // A loop rather than a `Schedule`, as capacity is awaited before each sending but a reserved first.
+    for (let retries = 0; ; retries++) {
+      if (priority !== "reserved") yield* acquireWrites(rateLimit, writes, priority)
+      else if (retries > 0) yield* acquireWrites(rateLimit, writes, 2)
+      const response = yield* send(request)
+      if (response.status !== TOO_MANY_REQUESTS) return yield* transactionResult(response)
+      rateLimit.rejected()
+      if (retries >= MAX_RETRIES) return yield* transactionResult(response)
+      // Over the rate at this moment, and surely not applied: it waits for capacity again.
+      yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
+    }
+  })
+
 /** Asks for a lease. */
 export const createLease =
   (send: Send): StoreClient["createLease"] =>
