--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -27,11 +27,6 @@
   readonly modRevision: ModRevision
 }
 
-/** One page of a bucket, as this node's replica has it. */
-export interface PageEntry extends Entry<JobPage> {
-  readonly key: StoreKey<JobPage>
-}
-
 /** Is called at each change of a job; null: the job is over. */
 export type JobListener = (id: JobId, job: LiveJob | null) => void
 
@@ -45,8 +40,8 @@
   private readonly listeners = new Set<JobListener>()
 
   constructor(private readonly replica: Replica) {
-    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key as StoreKey<JobPage>, entry))
-    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key as StoreKey<FinalStates>, entry))
+    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key, entry))
+    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key, entry))
   }
 
   /** Returns how to stop listening. */
@@ -81,18 +76,18 @@
   }
 
   /** The pages of a bucket: there is no gap between them, as none is ever deleted. */
-  pages(bucket: number): ReadonlyArray<PageEntry> {
-    const pages: Array<PageEntry> = []
+  pages(bucket: number): ReadonlyArray<Entry<JobPage>> {
+    const pages: Array<Entry<JobPage>> = []
     for (;;) {
       const key = keys.jobPage(bucket, pages.length)
       const entry = this.replica.get(key)
       if (entry === null) return pages
-      pages.push(entry as PageEntry)
+      pages.push(entry)
     }
   }
 
   /** Its final status by the ends pages or the given pages of its bucket; null when neither has one. */
-  finalOf(id: JobId, pages: ReadonlyArray<PageEntry>): FinalStatus | null {
+  finalOf(id: JobId, pages: ReadonlyArray<Entry<JobPage>>): FinalStatus | null {
     const end = this.endOf(id)
     if (end !== null) return end
     for (const { value } of pages) {
@@ -102,8 +97,8 @@
     return null
   }
 
-  private pageChanged(key: StoreKey<JobPage>, entry: Entry | null): void {
-    const page = entry === null ? EMPTY_PAGE : (entry.value as JobPage)
+  private pageChanged(key: StoreKey<JobPage>, entry: Entry<JobPage> | null): void {
+    const page = entry?.value ?? EMPTY_PAGE
     const before = this.idsByJobPage.get(key) ?? []
     const now = page.jobs.map((job) => job.spec.id)
     this.idsByJobPage.set(key, now)
@@ -121,8 +116,8 @@
     }
   }
 
-  private endsChanged(key: StoreKey<FinalStates>, entry: Entry | null): void {
-    const page: FinalStates = entry === null ? EMPTY_PAGE : (entry.value as FinalStates)
+  private endsChanged(key: StoreKey<FinalStates>, entry: Entry<FinalStates> | null): void {
+    const page: FinalStates = entry?.value ?? EMPTY_PAGE
     const before = this.idsByEndsPage.get(key) ?? []
     const now: Array<JobId> = []
     for (const digits of page.done) now.push(this.recordEnd(idOf(digits), "done"))
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -14,7 +14,6 @@
 import {
   type Condition,
   type Entry,
-  type FinalStates,
   type FinalStatus,
   type JobPage,
   type JobRecord,
@@ -27,7 +26,7 @@
 } from "@sorreltally/store"
 import { Effect } from "effect"
 import { endsPages } from "./ends-pages.ts"
-import type { JobIndex, PageEntry } from "./job-index.ts"
+import type { JobIndex } from "./job-index.ts"
 import {
   addJob,
   archiveFinals,
@@ -178,7 +177,7 @@
     })
   }
 
-  private pageAt(key: StoreKey<JobPage>): PageEntry | null {
+  private pageAt(key: StoreKey<JobPage>): Entry<JobPage> | null {
     const bucket = Number(key.slice(key.lastIndexOf("/") + 1, key.lastIndexOf(".")))
     return this.jobIndex.pages(bucket).find((page) => page.key === key) ?? null
   }
@@ -201,21 +200,21 @@
   private lookUpInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.map(this.store.list(keys.archive(bucket)), ({ items }) => {
       for (const { value } of items) {
-        const status = finalIn(value as FinalStates, id)
+        const status = finalIn(value, id)
         if (status !== null) return { kind: "final", status }
       }
       return { kind: "none" }
     })
   }
 
-  private folded({ value }: PageEntry): JobPage {
+  private folded({ value }: Entry<JobPage>): JobPage {
     return foldEnds(value, (id) => this.jobIndex.endOf(id))
   }
 
   /** The first page of a bucket with room for the job; null when not even an empty one has. */
   private pageFor(
     record: JobRecord,
-    pages: ReadonlyArray<PageEntry>,
+    pages: ReadonlyArray<Entry<JobPage>>,
   ): { readonly key: StoreKey<JobPage>; readonly page: JobPage } | null {
     const { valueKb } = this.store.limits
     for (const entry of pages) {
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -19,6 +19,7 @@
   type Operation,
   put,
   type StoreClient,
+  type StoreKey,
   type StoreLimits,
 } from "@sorreltally/store"
 import { Effect } from "effect"
@@ -83,7 +84,10 @@
 
 /** A store in memory, which transactions can reach late. */
 export class MemoryStore {
-  readonly entries = new Map<string, { readonly value: unknown; readonly modRevision: ModRevision }>()
+  readonly entries = new Map<
+    StoreKey<unknown>,
+    { readonly value: unknown; readonly modRevision: ModRevision }
+  >()
   /** Every put that was made, in order. */
   readonly puts: Array<Operation & { readonly kind: "put" }> = []
   revision = 0 as Revision
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -4,10 +4,10 @@
  * of a key, in whatever order snapshots, watch events and writes of our own arrive.
  */
 import { ABSENT, type ModRevision, type Revision } from "@sorreltally/protocol"
-import { type Entry, familyOf, type StoreKey, type WatchEvent } from "@sorreltally/store"
+import { type Entry, familyOf, type KeyFamily, type StoreKey, type WatchEvent } from "@sorreltally/store"
 
 /** Called with each key of a family that changed, and its entry, or null when the key was deleted. */
-export type ReplicaListener = (key: string, entry: Entry | null) => void
+export type ReplicaListener<A> = (key: StoreKey<A>, entry: Entry<A> | null) => void
 
 /**
  * A copy of the replicated keys. It holds at least every change up to
@@ -16,7 +16,7 @@
  */
 export class Replica {
   private readonly families = new Map<string, Map<string, Entry>>()
-  private readonly listeners = new Map<string, Set<ReplicaListener>>()
+  private readonly listeners = new Map<string, Set<ReplicaListener<unknown>>>()
   /**
    * Keys that a transaction of ours deleted, with its revision, until the watch
    * has reached it: a watch that lags must not bring back the key's last put.
@@ -40,16 +40,14 @@
   modRevision(key: string): ModRevision {
     return this.find(key)?.modRevision ?? ABSENT
   }
-  /** The entries of one family of keys. */
-  entriesOf(family: string): Iterable<Entry> {
-    return this.families.get(family)?.values() ?? []
-  }
   /** Calls the listener at every change of the family's keys; returns how to stop that. */
-  listen(family: string, listener: ReplicaListener): () => void {
+  listen<A>(family: KeyFamily<A>, listener: ReplicaListener<A>): () => void {
     const listeners = this.listeners.get(family) ?? new Set()
     this.listeners.set(family, listeners)
-    listeners.add(listener)
-    return () => listeners.delete(listener)
+    // The family's type says what its codec decodes.
+    const untyped = listener as ReplicaListener<unknown>
+    listeners.add(untyped)
+    return () => listeners.delete(untyped)
   }
 
   /**
@@ -88,7 +86,7 @@
       this.put(entry)
   }
   /** Takes in that a transaction of our own deleted the key, before the watch reports it. */
-  applyDelete(key: string, modRevision: ModRevision): void {
+  applyDelete(key: StoreKey<unknown>, modRevision: ModRevision): void {
     if (modRevision <= (this.revision as number)) return
     this.tombstones.set(key, modRevision)
     if (this.modRevision(key) < modRevision) this.delete(key)
@@ -113,7 +111,7 @@
     family.set(key, entry)
     for (const listener of this.listeners.get(name) ?? []) listener(key, entry)
   }
-  private delete(key: string): void {
+  private delete(key: StoreKey<unknown>): void {
     const name = familyOf(key)
     if (this.families.get(name)?.delete(key) !== true) return
     for (const listener of this.listeners.get(name) ?? []) listener(key, null)
--- a/packages/membership/src/shard-acquisition.ts
+++ b/packages/membership/src/shard-acquisition.ts
@@ -3,7 +3,14 @@
  * Never acquires on the replica's word alone: the transaction's conditions decide.
  */
 import type { MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
-import { type Condition, keys, put, type ShardRecord, type StoreClient } from "@sorreltally/store"
+import {
+  type Condition,
+  keys,
+  put,
+  type ShardRecord,
+  type StoreClient,
+  type StoreKey,
+} from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { ClusterView } from "./cluster-view.ts"
 import type { MembershipLease, NodeLeaseKeeper } from "./node-lease.ts"
@@ -91,7 +98,7 @@
     from: NodeName | null,
   ): ReadonlyArray<Condition> {
     const { self, replica } = this.options
-    const unchanged = (key: string): Condition => ({ key, modRevision: replica.modRevision(key) })
+    const unchanged = (key: StoreKey<unknown>): Condition => ({ key, modRevision: replica.modRevision(key) })
     const own = { key: keys.node(self), modRevision: nodeRevision }
     const conditions = [unchanged(keys.shard(shard)), own]
     return from === null || from === self ? conditions : [...conditions, unchanged(keys.node(from))]
--- a/packages/peers/src/codec.ts
+++ b/packages/peers/src/codec.ts
@@ -13,7 +13,7 @@
   ShardName,
   ZoneName,
 } from "@sorreltally/protocol"
-import { decodeRecord, type Entry, encodeRecord } from "@sorreltally/store"
+import { decodeRecord, type Entry, encodeRecord, type StoreKey } from "@sorreltally/store"
 import type { MachineHandoff } from "@sorreltally/workers"
 import { decodeDemand, encodeDemand, type WireDemand } from "./codec-demand.ts"
 import {
@@ -48,7 +48,7 @@
   readonly sharesReports: boolean
 }
 interface WireEntry {
-  readonly path: string
+  readonly path: StoreKey<unknown>
   readonly v: unknown
   readonly stamp: ModRevision
 }
--- a/packages/provisioning/src/machine-index.ts
+++ b/packages/provisioning/src/machine-index.ts
@@ -81,14 +81,14 @@
     const { series, number } = positionOf(key)
     return number >= (this.latestNumbers.get(series) ?? 0)
   }
-  private changed(key: string, entry: Entry | null): void {
+  private changed(key: StoreKey<MachineBlock>, entry: Entry<MachineBlock> | null): void {
     const { series, number } = positionOf(key)
     this.latestNumbers.set(series, Math.max(number, this.latestNumbers.get(series) ?? 0))
     const before = this.machinesOfBlock.get(key) ?? []
     const present: Array<MachineId> = []
     if (entry === null) this.machinesOfBlock.delete(key)
     else {
-      this.putBlock(key as StoreKey<MachineBlock>, entry.value as MachineBlock, present)
+      this.putBlock(key, entry.value, present)
       this.machinesOfBlock.set(key, present)
     }
     if (before.length > 0) this.removeAbsent(key, before, present)
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -95,14 +95,12 @@
   )
 
   /** Restores what a former owner left: the jobs in the job index, and the placements that its slots record. */
-  restore(slots: ReadonlyArray<Entry>): void {
+  restore(slots: ReadonlyArray<Entry<PlacementRecord>>): void {
     for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
-    for (const { key, value, modRevision } of slots) {
-      // The store's codec decoded it by its key, which is a slot's: the list's type can't say so.
+    for (const { key, value: record, modRevision } of slots) {
       const slot = Number(key.slice(key.lastIndexOf("/") + 1))
-      const record = value as PlacementRecord
       this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })
     }
   }
--- a/packages/shard/src/shard-failover.ts
+++ b/packages/shard/src/shard-failover.ts
@@ -5,7 +5,7 @@
  */
 import type { JobState } from "@sorreltally/jobs"
 import type { MonotonicTime } from "@sorreltally/protocol"
-import { type Entry, keys } from "@sorreltally/store"
+import { type Entry, keys, type PlacementRecord } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { JobRegistry } from "./job-registry.ts"
 import type { ShardView } from "./shard-context.ts"
@@ -19,7 +19,10 @@
  * Never fails: without them the shard can't be served, so it retries until its fiber is interrupted. (Loops in
  * place of Schedules: the first look must not wait, and the pauses stand between looks.)
  */
-export const readSlots = (shard: ShardView, epoch: number): Effect.Effect<ReadonlyArray<Entry>> =>
+export const readSlots = (
+  shard: ShardView,
+  epoch: number,
+): Effect.Effect<ReadonlyArray<Entry<PlacementRecord>>> =>
   Effect.gen(function* () {
     const { inventory, membership, store } = shard.node
     // Every job and machine of this shard that a former owner acted on is in the replica once it has
@@ -37,7 +40,7 @@
 export const restoreJobs = (
   shard: ShardView,
   registry: JobRegistry,
-  slots: ReadonlyArray<Entry>,
+  slots: ReadonlyArray<Entry<PlacementRecord>>,
   now: MonotonicTime,
 ): void => {
   registry.restore(slots)
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -7,7 +7,7 @@
 import type { Effect } from "effect"
 import type { StoreError } from "./errors.ts"
 import type { CompareAndSwapResult, Condition, Entry, Operation, WatchResult } from "./model.ts"
-import type { StoreKey } from "./records/keys.ts"
+import type { KeyFamily, StoreKey } from "./records/keys.ts"
 
 /** Limits of the store for all controllers together. */
 export interface StoreLimits {
@@ -23,9 +23,9 @@
   /** The entry under a key; null when there is none. */
   readonly get: <A>(key: StoreKey<A>, timeoutMs?: number) => Effect.Effect<Entry<A> | null, StoreError>
   /** Every key under a prefix; the revision is the one that the first page was read at, and no page is older. */
-  readonly list: (
-    prefix: string,
-  ) => Effect.Effect<{ readonly items: ReadonlyArray<Entry>; readonly revision: Revision }, StoreError>
+  readonly list: <A>(
+    family: KeyFamily<A>,
+  ) => Effect.Effect<{ readonly items: ReadonlyArray<Entry<A>>; readonly revision: Revision }, StoreError>
   /**
    * Applies all operations, or none. Priority 0: leases and shards; 1: users and rentals;
    * 2: placements and ends; 3: cleaning up; "reserved": its capacity was awaited before.
--- a/packages/store/src/codec.ts
+++ b/packages/store/src/codec.ts
@@ -6,9 +6,10 @@
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
 import type { Condition, Entry, Operation, WatchEvent, WatchResult } from "./model.ts"
 import { decodeRecord, encodeRecord } from "./records/codecs.ts"
+import type { StoreKey } from "./records/keys.ts"
 
 interface WireEntry {
-  readonly path: string
+  readonly path: StoreKey<unknown>
   readonly v: unknown
   readonly stamp: ModRevision
 }
@@ -18,8 +19,8 @@
   readonly epoch: Revision
 }
 interface WireChange {
-  readonly set?: string
-  readonly delete?: string
+  readonly set?: StoreKey<unknown>
+  readonly delete?: StoreKey<unknown>
   readonly v?: unknown
   readonly stamp: ModRevision
 }
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -4,7 +4,7 @@
 
 /** A record, its key, and the revision that wrote it. */
 export interface Entry<A = unknown> {
-  readonly key: string
+  readonly key: StoreKey<A>
   readonly value: A
   readonly modRevision: ModRevision
 }
@@ -15,13 +15,18 @@
 
 /** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
 export interface Condition {
-  readonly key: string
+  readonly key: StoreKey<unknown>
   readonly modRevision: ModRevision
 }
 /** A change of one key. A record put without a lease stays until it is deleted. */
 export type Operation =
-  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly leaseId?: LeaseId }
-  | { readonly kind: "delete"; readonly key: string }
+  | {
+      readonly kind: "put"
+      readonly key: StoreKey<unknown>
+      readonly value: unknown
+      readonly leaseId?: LeaseId
+    }
+  | { readonly kind: "delete"; readonly key: StoreKey<unknown> }
 
 /** Writes a record under its key. */
 export const put = <A>(
@@ -31,7 +36,7 @@
 ): Operation & { readonly kind: "put" } =>
   leaseId === undefined ? { kind: "put", key, value } : { kind: "put", key, value, leaseId }
 /** Deletes a key. */
-export const remove = (key: string): Operation => ({ kind: "delete", key })
+export const remove = (key: StoreKey<unknown>): Operation => ({ kind: "delete", key })
 
 /** Not `ok`: some conditions did not hold, and nothing was changed. */
 export type CompareAndSwapResult =
--- a/packages/store/src/records/codecs.ts
+++ b/packages/store/src/records/codecs.ts
@@ -4,7 +4,7 @@
  */
 import { catalogCodec } from "./catalog.ts"
 import { finalsCodec, jobPageCodec } from "./job-page.ts"
-import { ENDS_PAGES, familyOf, JOB_PAGES, keys, MACHINE_BLOCKS } from "./keys.ts"
+import { ENDS_PAGES, familyOf, JOB_PAGES, keys, MACHINE_BLOCKS, type StoreKey } from "./keys.ts"
 import { blockCodec } from "./machine-block.ts"
 import { nodeCodec } from "./node.ts"
 import { placementsCodec } from "./placements.ts"
@@ -24,9 +24,10 @@
 )
 
 /** The record that a stored value under this key stands for. */
-export const decodeRecord = (key: string, stored: unknown): unknown => {
+export const decodeRecord = <A>(key: StoreKey<A>, stored: unknown): A => {
   const codec = codecs.get(familyOf(key))
-  return codec === undefined ? stored : codec.decode(stored)
+  // The key's type says what its family's codec decodes.
+  return (codec === undefined ? stored : codec.decode(stored)) as A
 }
 /** The stored value of a record under this key. */
 export const encodeRecord = (key: string, record: unknown): unknown => {
--- a/packages/store/src/records/keys.ts
+++ b/packages/store/src/records/keys.ts
@@ -15,19 +15,24 @@
 /** A key of the store, with the type of the record under it. */
 export type StoreKey<A> = string & { readonly [recordType]: A }
 
+declare const familyRecordType: unique symbol
+/** The common prefix of a family of keys, with the type of the records under them. */
+export type KeyFamily<A> = string & { readonly [familyRecordType]: A }
+
 const key = <A>(text: string): StoreKey<A> => text as StoreKey<A>
+const family = <A>(prefix: string): KeyFamily<A> => prefix as KeyFamily<A>
 const digits = (n: number, length: number): string => String(n).padStart(length, "0")
 
 /** Prefix of all keys that every controller replicates. */
-export const REPLICATED = "s/"
+export const REPLICATED = family<unknown>("s/")
 /** Prefix of the keys of shards. */
-export const SHARDS = "s/part/"
+export const SHARDS = family<ShardRecord>("s/part/")
 /** Prefix of the keys of machine blocks. */
-export const MACHINE_BLOCKS = "s/block/"
+export const MACHINE_BLOCKS = family<MachineBlock>("s/block/")
 /** Prefix of the keys of job pages. */
-export const JOB_PAGES = "s/job/"
+export const JOB_PAGES = family<JobPage>("s/job/")
 /** Prefix of the keys of ends pages. */
-export const ENDS_PAGES = "s/ends/"
+export const ENDS_PAGES = family<FinalStates>("s/ends/")
 
 /** The keys of all records. */
 export const keys = {
@@ -47,12 +52,12 @@
   /** The cloud's machine types. */
   catalog: key<CatalogRecord>("s/catalog"),
   /** Prefix of a bucket's archive pages. */
-  archive: (bucket: number) => `final/${bucket}/`,
+  archive: (bucket: number) => family<FinalStates>(`final/${bucket}/`),
   /** The `n`th archive page of a job page. */
   archivePage: (bucket: number, page: number, n: number) =>
     key<FinalStates>(`final/${bucket}/${page}.${digits(n, 6)}`),
   /** Prefix of a shard's placement slots. */
-  slots: (shard: ShardName) => `place/${shard}/`,
+  slots: (shard: ShardName) => family<PlacementRecord>(`place/${shard}/`),
   /** One placement slot of a shard. */
   slot: (shard: ShardName, slot: number) => key<PlacementRecord>(`place/${shard}/${digits(slot, 6)}`),
 }
--- a/packages/store/src/requests.ts
+++ b/packages/store/src/requests.ts
@@ -27,7 +27,7 @@
 } from "./codec.ts"
 import { StoreError, type StoreOperation } from "./errors.ts"
 import type { CompareAndSwapResult, Entry, WatchResult } from "./model.ts"
-import type { StoreKey } from "./records/keys.ts"
+import type { KeyFamily, StoreKey } from "./records/keys.ts"
 
 const REQUEST_TIMEOUT_MS = 1_500
 const TOO_MANY_REQUESTS = 429
@@ -84,14 +84,15 @@
 /** Reads all keys under a prefix, page by page. */
 export const list =
   (send: Send): StoreClient["list"] =>
-  (prefix) =>
+  <A>(family: KeyFamily<A>) =>
     Effect.gen(function* () {
-      const items: Array<Entry> = []
+      const items: Array<Entry<A>> = []
       let revision: Revision | null = null
       let after = ""
       for (;;) {
-        const page = yield* readPage(send, prefix, after)
-        for (const entry of page.entries) items.push(entry)
+        const page = yield* readPage(send, family, after)
+        // The family's type says what its codec decodes.
+        for (const entry of page.entries) items.push(entry as Entry<A>)
         revision ??= page.revision
         if (page.next === null) return { items, revision }
         after = page.next
--- a/packages/testkit/src/services/operations.ts
+++ b/packages/testkit/src/services/operations.ts
@@ -2,7 +2,7 @@
  * Counts the state service's changes by what they are for, so that scenarios can bound
  * what a job costs.
  */
-import { decodeRecord, type JobPage, type PlacementRecord } from "@sorreltally/store"
+import { decodeRecord, type JobPage, type PlacementRecord, type StoreKey } from "@sorreltally/store"
 
 /** What a change in the state service is for. */
 export type Operation = "create" | "cancel" | "fold" | "end" | "start" | "finish" | "archive" | "other"
@@ -22,7 +22,9 @@
 
   /** `before` and `after`: the key's values; undefined: it doesn't exist. */
   note(path: string, before: unknown, after: unknown): void {
-    const record = (value: unknown) => (value === undefined ? undefined : decodeRecord(path, value))
+    // The state service knows paths; what a path holds is the controllers' agreement.
+    const key = path as StoreKey<unknown>
+    const record = (value: unknown) => (value === undefined ? undefined : decodeRecord(key, value))
     this.count[kindOf(path, record(before), record(after))]++
   }
   /** All that jobs cost from their submission to their end. */
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -33,11 +33,10 @@
 import {
   decodeRecord,
   encodeRecord,
-  type FinalStates,
   type JobPage,
   type JobRecord,
   keys,
-  type PlacementRecord,
+  type StoreKey,
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { pack, unpack } from "msgpackr"
@@ -102,10 +101,10 @@
 const SLOT = keys.slot("part-0" as ShardName, 0)
 
 const recordAgain =
-  (key: string): Again =>
+  (key: StoreKey<unknown>): Again =>
   (text) =>
     JSON.stringify(encodeRecord(key, decodeRecord(key, JSON.parse(text))))
-const pageOf = (text: string): JobPage => decodeRecord(JOB_PAGE, JSON.parse(text)) as JobPage
+const pageOf = (text: string): JobPage => decodeRecord(JOB_PAGE, JSON.parse(text))
 const textOf = (page: JobPage): string => JSON.stringify(encodeRecord(JOB_PAGE, page))
 const jobPageAgain: Again = (text) => textOf(foldEnds(pageOf(text), () => null))
 /** A job page as it is written when all its jobs have ended like this. */
@@ -118,7 +117,7 @@
 }
 /** Ends move from a job page that holds too many of them to a page of their own. */
 const archiveAgain: Again = (text) => {
-  const finals = decodeRecord(ARCHIVE_PAGE, JSON.parse(text)) as FinalStates
+  const finals = decodeRecord(ARCHIVE_PAGE, JSON.parse(text))
   const { archived } = archiveFinals({ ...EMPTY_PAGE, ...finals }, 0)
   return JSON.stringify(encodeRecord(ARCHIVE_PAGE, archived))
 }
@@ -132,7 +131,7 @@
 }
 /** Takes a slot over as a new owner does, and writes its facts once more. */
 const slotAgain: Again = (text) => {
-  const record = decodeRecord(SLOT, JSON.parse(text)) as PlacementRecord
+  const record = decodeRecord(SLOT, JSON.parse(text))
   const jobs = new Map<JobId, JobState>()
   const known = (id: JobId): JobState => {
     const job = jobs.get(id) ?? jobOf(id)
