--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -166,10 +166,10 @@
       membership: this.membership,
       jobIndex: this.jobIndex,
       events: {
-        changed: (entry, request) => this.jobChanged(entry, request),
+        changed: (entry, spec) => this.jobChanged(entry, spec),
         cachedFinal: (id) => this.progress.finalStatus(id),
         cacheFinal: (id, status) => this.progress.remember(id, status),
-        shardOf: (request) => this.shardOfJob(request),
+        shardOf: (spec) => this.shardOfJob(spec),
       },
     })
   }
@@ -307,11 +307,11 @@
     return this.progress.counts(id)
   }
   /** A job was accepted or cancelled: its owner should know before the watch brings it. */
-  private jobChanged(entry: Entry, request: JobSpec): Effect.Effect<void> {
+  private jobChanged(entry: Entry, spec: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
       const { platform, peers } = this.options
       this.membership.replica.applyWrite(entry)
-      const owner = this.membership.owner(this.shardOfJob(request))
+      const owner = this.membership.owner(this.shardOfJob(spec))
       if (owner !== null && owner !== platform.nodeName)
         peers.send({ kind: "jobChanged", page: entry }, owner)
     })
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -48,7 +48,7 @@
 
 /** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
 export class JobState {
-  readonly request: JobSpec
+  readonly spec: JobSpec
   readonly submitted: WallTime
   /** By task index; 1: finished. */
   private readonly finished: Uint8Array
@@ -81,14 +81,14 @@
     readonly page: StoreKey<JobPage>,
     public modRevision: ModRevision,
   ) {
-    this.request = record.spec
+    this.spec = record.spec
     this.submitted = record.submittedAt as WallTime
     this.cancelled = record.cancelled
     this.finished = new Uint8Array(record.spec.taskCount)
   }
 
   get taskCount(): number {
-    return this.request.taskCount
+    return this.spec.taskCount
   }
 
   /** How many tasks are finished. */
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -23,7 +23,7 @@
   /** These placements may be started now. */
   readonly durable: (placements: ReadonlyArray<Placement>) => void
   /** A job was accepted, or restored in a failover. */
-  readonly arrived: (request: JobSpec) => void
+  readonly arrived: (spec: JobSpec) => void
   /** There may be something to plan. */
   readonly changed: () => void
   /** The task is off its machine, or never got there. */
--- a/packages/shard/src/machine-checks.ts
+++ b/packages/shard/src/machine-checks.ts
@@ -52,7 +52,7 @@
       if (session.preemptionAt === null) continue
       const leftS = (session.preemptionAt - now) / 1000
       for (const placement of session.placements.values()) {
-        const { checkpointIntervalS, checkpointSaveS } = placement.job.request
+        const { checkpointIntervalS, checkpointSaveS } = placement.job.spec
         if (placement.stop !== null || checkpointIntervalS === 0) continue
         // Heartbeats, and the stop itself, take time too.
         if (leftS >= checkpointSaveS + STOP_DELAY_S) continue
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -77,6 +77,6 @@
     job.place(placement)
     session.hold(placement)
     registry.place(placement)
-    quotas.taskStarted(job.request.team)
+    quotas.taskStarted(job.spec.team)
   }
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -41,10 +41,10 @@
   const used = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams) used.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of shard.jobs.values()) {
-    const use = used.get(job.request.team)
+    const use = used.get(job.spec.team)
     if (use === undefined) continue
-    use.cores += job.request.cores * job.placements.size
-    use.accelerators += job.request.accelerators * job.placements.size
+    use.cores += job.spec.cores * job.placements.size
+    use.accelerators += job.spec.accelerators * job.placements.size
   }
   return used
 }
@@ -57,10 +57,10 @@
   const ending = new Array<number>(HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
-    const executionS = shard.node.estimates.executionS(job.request)
+    const executionS = shard.node.estimates.executionS(job.spec)
     for (const placement of job.placements.values()) {
       const leftS = remainingS(placement, executionS, now)
-      if (leftS < HORIZON_S) ending[Math.floor(leftS)]! += job.request.cores
+      if (leftS < HORIZON_S) ending[Math.floor(leftS)]! += job.spec.cores
     }
   }
   return { cores, ending }
@@ -81,7 +81,7 @@
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
   for (const job of bySubmission) {
     if (job.cancelled || job.allFinished) continue
-    const { team, cores } = job.request
+    const { team, cores } = job.spec
     const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
     if (!shard.failures.isSuspect(job.id)) demandedCores.set(team, demanded)
@@ -98,7 +98,7 @@
   wall: WallTime,
   now: MonotonicTime,
 ): JobView => {
-  const { id, request: spec, submitted } = job
+  const { id, spec, submitted } = job
   const team = shard.node.platform.deployment.teams.find(({ name }) => name === spec.team)
   const suspect = shard.failures.isSuspect(id)
   const ageS = Math.max(0, (wall - submitted) / 1000)
@@ -123,7 +123,10 @@
 }
 
 /** Uncleared tasks by zone; counted only for jobs that zones matter to. */
-const tasksByZone = (shard: ShardView, { request, placements }: JobState): ReadonlyMap<ZoneName, number> => {
+const tasksByZone = (
+  shard: ShardView,
+  { spec: request, placements }: JobState,
+): ReadonlyMap<ZoneName, number> => {
   const zones = new Map<ZoneName, number>()
   if (!request.singleZone && !request.spreadZones) return zones
   for (const placement of placements.values()) {
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -107,7 +107,7 @@
     let { free, busyTasks } = view
     const victims: Array<Victim<Placement>> = []
     for (const placement of this.shard.machines.get(view.id)?.placements.values() ?? []) {
-      const { request } = placement.job
+      const { spec: request } = placement.job
       if (placement.stop !== null) {
         busyTasks--
         free = minus(free, request, -1)
@@ -185,7 +185,7 @@
 
 /** What stopping a placement costs; a task that saves loses at most what its checkpoint takes. */
 const victimOf = (placement: Placement, now: MonotonicTime): Victim<Placement> => {
-  const { request } = placement.job
+  const { spec: request } = placement.job
   const saves = request.checkpointIntervalS > 0
   const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
   return {
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -130,7 +130,7 @@
   rank = -1
   since = Number.POSITIVE_INFINITY
 
-  add({ request, submitted }: JobState, tasks: number, rank: number): void {
+  add({ spec: request, submitted }: JobState, tasks: number, rank: number): void {
     this.cpus += tasks * request.cores
     this.gpus += tasks * request.accelerators
     if (rank > this.rank) this.since = submitted
@@ -157,7 +157,7 @@
   let coresLeft = unusedCores
   let smallestTask: JobSpec | null = null
   for (const job of shard.jobs.values()) {
-    const { request: spec } = job
+    const { spec } = job
     const queued = shard.failures.startable(job, now)
     if (spec.team !== team.name || job.cancelled || tasksWithinHeadroom(spec, attainable) === 0) continue
     const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -113,7 +113,7 @@
     const requests: Array<JobSpec> = []
     for (const job of shard.jobs.values())
       if (shard.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
-        requests.push(job.request)
+        requests.push(job.spec)
     return requests
   }
 }
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -60,7 +60,7 @@
     job.markRunning(placement, now)
     log.debug("task running", {
       task: placement.task,
-      jobClass: job.request.jobClass,
+      jobClass: job.spec.jobClass,
       machine: session.id,
       waitedS: (clocks.wallNow() - job.submitted) / 1000,
       fetchedS: (now - placement.placedAt) / 1000,
@@ -75,7 +75,7 @@
     job.retryAfter = null
     failures.succeeded(job.id, session.id)
     if (placement.runningSince !== null && placement.stop === null)
-      node.estimates.learn(job.request, (now - placement.runningSince) / 1000)
+      node.estimates.learn(job.spec, (now - placement.runningSince) / 1000)
   }
 
   private taskCleared(session: WorkerSession, placement: Placement, cause: string, now: MonotonicTime): void {
--- a/packages/workers/src/placed-tasks.ts
+++ b/packages/workers/src/placed-tasks.ts
@@ -23,8 +23,8 @@
     this.takeRoom(placement, -1)
   }
   private takeRoom({ job }: Placement, times: 1 | -1): void {
-    this.free.cores -= times * job.request.cores
-    this.free.accelerators -= times * job.request.accelerators
-    this.free.memGb -= times * job.request.memGb
+    this.free.cores -= times * job.spec.cores
+    this.free.accelerators -= times * job.spec.accelerators
+    this.free.memGb -= times * job.spec.memGb
   }
 }
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -207,7 +207,7 @@
           reachability.markUnreachable(now)
           break
         case "running":
-          this.cache.use(placement.job.request.image, placement.job.request.imageGb)
+          this.cache.use(placement.job.spec.image, placement.job.spec.imageGb)
           outcomes.push(verdict)
           break
         case "done":
