--- a/packages/shard/src/fencing.ts
+++ b/packages/shard/src/fencing.ts
@@ -1,3 +1,4 @@
+/** When a machine's fencing token has to rise, and its preemption notice to be acted on. Writes nothing itself. */
 import type { WorkerSession } from "@sorreltally/workers"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -224,7 +224,7 @@
       mayAct: () => this.mayAct,
       events: {
         durable: (placements) => this.startPlaced(placements),
-        arrived: (request) => this.planning.arrived(request),
+        arrived: (spec) => this.planning.arrived(spec),
         changed: () => this.planSignal.notify(),
         release: (placement) => this.machines.get(placement.machine)?.release(placement),
         commandsDue: (machine) => this.workers.commandsDue(machine),
--- a/packages/shard/src/worker-communication-context.ts
+++ b/packages/shard/src/worker-communication-context.ts
@@ -1,3 +1,4 @@
+/** What the modules that communicate with workers share: their shard's state, and its right to act. */
 import type { FailureTracker } from "@sorreltally/jobs"
 import type { MachineId } from "@sorreltally/protocol"
 import type { MachineRecordWriter } from "@sorreltally/provisioning"
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -1,3 +1,8 @@
+/**
+ * Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
+ * day that fails with its scenario, then how often the pairs of faults met, and with --digest the digest of
+ * each day's messages as it ends. Exits with 1 if a day failed.
+ */
 import { type ChildProcess, fork } from "node:child_process"
 import { parseArgs } from "node:util"
 import { askWorker } from "../scenarios/worker-process.ts"
@@ -7,10 +12,6 @@
 import { drawDay, scenarioOf } from "./random-day.ts"
 import { shrink } from "./shrink.ts"
 
-// Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
-// day that fails with its scenario, then how often the pairs of faults met, and with --digest the digest of
-// each day's messages as it ends. Exits with 1 if a day failed.
-
 const { values } = parseArgs({
   options: {
     first: { type: "string", default: "1001" },
--- a/packages/testkit/src/scenarios/digests.ts
+++ b/packages/testkit/src/scenarios/digests.ts
@@ -1,3 +1,9 @@
+/**
+ * Trace digests of all scenarios and of the random days 1 to N, on several processes:
+ * `npm run digests -- --out FILE` writes them, `npm run digests -- --compare FILE` compares them with written
+ * ones; [--jobs N] [--days N] [--scenarios-only]. Exits with 1 if one differs, is missing or can't be made.
+ * Failures of a run are printed and don't matter: a run that fails has its digest as well.
+ */
 import { type ChildProcess, fork } from "node:child_process"
 import { readdirSync, readFileSync, writeFileSync } from "node:fs"
 import { parseArgs } from "node:util"
@@ -7,11 +13,6 @@
 import { readScenario } from "./scenario.ts"
 import { askWorker } from "./worker-process.ts"
 
-// Trace digests of all scenarios and of the random days 1 to N, on several processes:
-// `npm run digests -- --out FILE` writes them, `npm run digests -- --compare FILE` compares them with written
-// ones; [--jobs N] [--days N] [--scenarios-only]. Exits with 1 if one differs, is missing or can't be made.
-// Failures of a run are printed and don't matter: a run that fails has its digest as well.
-
 const { values } = parseArgs({
   options: {
     out: { type: "string" },
--- a/packages/testkit/src/scenarios/once.ts
+++ b/packages/testkit/src/scenarios/once.ts
@@ -1,9 +1,11 @@
+/**
+ * Runs one scenario file: `node once.js FILE [SEED-SHIFT] [--digest]`, prints what failed, with VERBOSE the log,
+ * and with --digest the digest of all its messages.
+ */
 import { readFileSync } from "node:fs"
 import { TraceDigest } from "../simulation/trace-digest.ts"
 import { readScenario } from "./scenario.ts"
 
-// Runs one scenario file: `node once.js FILE [SEED-SHIFT] [--digest]`, prints what failed, with VERBOSE the log,
-// and with --digest the digest of all its messages.
 const [file, seedShift] = process.argv.slice(2).filter((argument) => argument !== "--digest")
 const trace = process.argv.includes("--digest") ? new TraceDigest() : undefined
 const { failures, deployment } = readScenario(readFileSync(file!, "utf8"), Number(seedShift ?? 0)).run({
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -2,7 +2,7 @@
 // days; with --measure the daemon and the programs that measure it; with --golden the recorder of samples.
 // One file a program: a controller starts on a tenth of a core, where reading hundreds of small modules is
 // the larger part of start-up.
-import { existsSync, readdirSync } from "node:fs"
+import { existsSync, readdirSync, rmSync } from "node:fs"
 import { build } from "esbuild"
 
 const root = new URL("..", import.meta.url).pathname
@@ -43,6 +43,8 @@
       .map((file) => ({ in: `${folder}/${file}`, out: `${name}-${file.replace(/\.ts$/, "")}` }))
   }
   const tests = readdirSync(`${root}packages`).flatMap(testsOf)
+  // Else a test that was renamed or deleted would still be run from its old bundle.
+  rmSync(`${root}target/tests`, { recursive: true, force: true })
   // esbuild itself, which one test uses, stays outside of the bundle.
   await build({ ...common, entryPoints: tests, outdir: "target/tests", external: ["esbuild"] })
   for (const [program, out] of [
