--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -22,7 +22,7 @@
 export interface LiveJob {
   readonly id: JobId
   readonly record: JobRecord
-  readonly page: StoreKey<JobPage>
+  readonly pageKey: StoreKey<JobPage>
   /** The page's revision. */
   readonly modRevision: ModRevision
 }
@@ -67,7 +67,7 @@
 
   /** The page that holds its record; null when none does. */
   pageOf(id: JobId): StoreKey<JobPage> | null {
-    return this.onRecord.get(id)?.page ?? null
+    return this.onRecord.get(id)?.pageKey ?? null
   }
 
   /** The final status that an ends page gives it; null when none names it. */
@@ -98,13 +98,13 @@
   }
 
   private pageChanged(key: StoreKey<JobPage>, entry: Entry<JobPage> | null): void {
-    const page = entry?.value ?? EMPTY_PAGE
+    const pageKey = entry?.value ?? EMPTY_PAGE
     const before = this.idsByJobPage.get(key) ?? []
-    const now = page.jobs.map((job) => job.spec.id)
+    const now = pageKey.jobs.map((job) => job.spec.id)
     this.idsByJobPage.set(key, now)
-    for (const record of page.jobs) {
+    for (const record of pageKey.jobs) {
       const { id } = record.spec
-      const job: LiveJob = { id, record, page: key, modRevision: entry!.modRevision }
+      const job: LiveJob = { id, record, pageKey: key, modRevision: entry!.modRevision }
       this.onRecord.set(id, job)
       if (!this.ends.has(id)) this.notify(id, job)
     }
@@ -117,11 +117,11 @@
   }
 
   private endsChanged(key: StoreKey<FinalStates>, entry: Entry<FinalStates> | null): void {
-    const page: FinalStates = entry?.value ?? EMPTY_PAGE
+    const pageKey: FinalStates = entry?.value ?? EMPTY_PAGE
     const before = this.idsByEndsPage.get(key) ?? []
     const now: Array<JobId> = []
-    for (const digits of page.done) now.push(this.recordEnd(idOf(digits), "done"))
-    for (const digits of page.cancelled) now.push(this.recordEnd(idOf(digits), "cancelled"))
+    for (const digits of pageKey.done) now.push(this.recordEnd(idOf(digits), "done"))
+    for (const digits of pageKey.cancelled) now.push(this.recordEnd(idOf(digits), "cancelled"))
     this.idsByEndsPage.set(key, now)
     // An ends page names a job until no job page holds its record.
     const remaining = new Set(now)
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -78,7 +78,7 @@
     readonly id: JobId,
     record: JobRecord,
     /** The job page that holds its record, and that page's latest known revision. */
-    readonly page: StoreKey<JobPage>,
+    readonly pageKey: StoreKey<JobPage>,
     public modRevision: ModRevision,
   ) {
     this.spec = record.spec
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -149,7 +149,7 @@
         const found = yield* this.find(id)
         if (found.kind !== "live" || found.record.cancelled) return found
         const job = this.jobIndex.get(id)
-        const page = this.jobIndex.pages(bucketOf(id)).find(({ key }) => key === job?.page)
+        const page = this.jobIndex.pages(bucketOf(id)).find(({ key }) => key === job?.pageKey)
         if (page === undefined) continue
         const { spec } = found.record
         const conditions: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -39,7 +39,7 @@
     active: () => true,
     events: { ended: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
   })
-  for (const { id, record, page, modRevision } of [...jobIndex.live()]) {
+  for (const { id, record, pageKey: page, modRevision } of [...jobIndex.live()]) {
     const job = new JobState(id, record, page, modRevision)
     jobIndex.listen((changed, entry) => {
       if (changed === id && entry !== null) job.modRevision = entry.modRevision
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -110,9 +110,9 @@
   /** Of one machine for an hour. */
   readonly price: number
   /** A request for this kind is under way: its answer is awaited before asking for more, or for dearer ones. */
-  readonly asked: boolean
+  readonly requested: boolean
   /** Machines of ours in this zone; they are spread, so that one zone going dark leaves the others. */
-  readonly ours: number
+  readonly ownMachines: number
 }
 
 /**
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -58,7 +58,7 @@
     ranked.push({ offer, cost: cost + (offer.spot ? 0 : ON_DEMAND_PENALTY) })
   }
   return ranked.sort((a, b) =>
-    Math.abs(a.cost - b.cost) < EPSILON ? a.offer.ours - b.offer.ours : a.cost - b.cost,
+    Math.abs(a.cost - b.cost) < EPSILON ? a.offer.ownMachines - b.offer.ownMachines : a.cost - b.cost,
   )
 }
 
@@ -79,7 +79,7 @@
   let left = shortfall
   for (const { offer, cost } of offers) {
     if (left <= 0 || cost > maxCost + EPSILON) break
-    if (offer.asked) continue
+    if (offer.requested) continue
     const planned = rentals.get(offer)
     const tasksEach = Math.min(slotsIn(job.spec, offer.type), MAX_TASKS_ON_MACHINE)
     const count = Math.min(Math.ceil(left / tasksEach), snapshot.rentalSize - (planned?.count ?? 0))
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -21,7 +21,7 @@
     executionS: 20,
     ...more,
   })
-const spot: Offer = { type, zone: zone("a"), spot: true, price: 1, asked: false, ours: 0 }
+const spot: Offer = { type, zone: zone("a"), spot: true, price: 1, requested: false, ownMachines: 0 }
 /** What each team may still use of its limit; of that, its quota allocation lets it start nothing yet. */
 const snapshot = (
   jobs: ReadonlyArray<JobView>,
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -118,7 +118,7 @@
       if (known !== undefined) this.remove(known)
       return
     }
-    const { record, page, modRevision } = entry
+    const { record, pageKey: page, modRevision } = entry
     if (shardOf(id, record.spec.deadlineS != null, this.node.nodeCount) !== this.shard) return
     if (known === undefined) {
       const job = new JobState(id, record, page, modRevision)
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -28,7 +28,7 @@
   /** Did the last plan find no use for this empty machine? */
   readonly isIdle: (id: MachineId) => boolean
   /** Jobs that the last plan found held back by their teams' limits. */
-  readonly heldBack: () => ReadonlySet<JobId>
+  readonly quotaLimitedJobs: () => ReadonlySet<JobId>
 }
 
 /** What one round of checks knows, read once before its first machine. */
@@ -61,7 +61,7 @@
 
   /** Takes up a machine that is up; releases it at once if it is closing and has become empty. */
   consider(round: ScaleInRound, session: WorkerSession, assignment: MachineAssignment): void {
-    const { release, onDemandNeeded, heldBack, isIdle } = this.options
+    const { release, onDemandNeeded, quotaLimitedJobs, isIdle } = this.options
     const ageMs = round.now - assignment.rentedAt
     const isWithinWindow =
       ageMs < MIN_BILLED_MS - RELEASE_LEAD_MS || ageMs % round.windowMs <= round.windowMs - RELEASE_LEAD_MS
@@ -74,7 +74,7 @@
     if (session.placements.size > 0 || assignment.assignedJob !== null) return
     if (round.startable.some((request) => slotsIn(request, session.type) > 0)) return
     // Guards against holding machines for queued work of which a team's limit lets nothing start.
-    if (heldBack().size > 0 && !isIdle(session.id)) return
+    if (quotaLimitedJobs().size > 0 && !isIdle(session.id)) return
     round.due.push(session)
   }
 
@@ -109,10 +109,10 @@
 
   private startableRequests(now: MonotonicTime): ReadonlyArray<JobSpec> {
     const { shard } = this.options
-    const heldBack = this.options.heldBack()
+    const quotaLimitedJobs = this.options.quotaLimitedJobs()
     const requests: Array<JobSpec> = []
     for (const job of shard.jobs.values())
-      if (shard.failures.startable(job, now) > 0 && !job.cancelled && !heldBack.has(job.id))
+      if (shard.failures.startable(job, now) > 0 && !job.cancelled && !quotaLimitedJobs.has(job.id))
         requests.push(job.spec)
     return requests
   }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -243,9 +243,9 @@
       epoch: this.epoch,
       isRecording: (id) => this.rentals.isRecording(id),
       takeAssignedJob: (id) => this.rentals.takeAssignedJob(id),
-      removed: (session, reason) => {
+      removed: (session, cause) => {
         this.workers.removeMachine(session)
-        this.workers.apply(session, session.clearAll(reason))
+        this.workers.apply(session, session.clearAll(cause))
       },
       changed: () => this.planSignal.notify(),
     })
@@ -261,7 +261,7 @@
       mayAct: () => this.mayAct,
       holdsLease: () => this.holdsLease,
       isStopped: () => this.isStopped,
-      hasUnplacedTasks: () => this.planning.workWaits,
+      hasUnplacedTasks: () => this.planning.hasUnplacedTasks,
       changed: () => this.planSignal.notify(),
     })
   }
@@ -290,7 +290,7 @@
       onDemandNeeded: () => this.planning.onDemandNeeded(),
       reserve: () => this.planning.reserve(),
       isIdle: (id) => this.planning.idle.has(id),
-      heldBack: () => this.planning.heldBack,
+      quotaLimitedJobs: () => this.planning.quotaLimitedJobs,
     })
   }
 }
--- a/packages/shard/src/shard-machines.ts
+++ b/packages/shard/src/shard-machines.ts
@@ -4,7 +4,7 @@
  */
 
 import { addMs, type JobId, type MachineId, type ModRevision } from "@sorreltally/protocol"
-import { type MachineEntry, WorkerSession } from "@sorreltally/workers"
+import { type ClearedCause, type MachineEntry, WorkerSession } from "@sorreltally/workers"
 import type { MachineAssignment, ShardView } from "./shard-context.ts"
 
 /** What the machines use of their shard. */
@@ -17,7 +17,7 @@
   /** The job that the machine was rented for by this owner; null: none. */
   readonly takeAssignedJob: (id: MachineId) => JobId | null
   /** The machine was deleted or moved to another shard: no task of this shard is on it. */
-  readonly removed: (session: WorkerSession, reason: string) => void
+  readonly removed: (session: WorkerSession, cause: ClearedCause) => void
   /** There may be something to plan. */
   readonly changed: () => void
 }
@@ -33,7 +33,7 @@
   machineChanged(id: MachineId, entry: MachineEntry | null): void {
     const session = this.sessions.get(id)
     if (entry === null || entry.shard !== this.options.shard.name) {
-      if (session !== undefined) this.remove(session, entry === null ? "deleted" : "moved")
+      if (session !== undefined) this.remove(session, entry === null ? "machine deleted" : "machine moved")
       return
     }
     if (session !== undefined) return session.update(entry)
@@ -64,11 +64,11 @@
     this.options.changed()
   }
 
-  private remove(session: WorkerSession, reason: string): void {
+  private remove(session: WorkerSession, cause: ClearedCause): void {
     this.sessions.delete(session.id)
     this.assignments.delete(session.id)
     this.options.shard.failures.forgetMachine(session.id)
-    this.options.removed(session, reason)
+    this.options.removed(session, cause)
   }
 
   /** The job is over: machines assigned to it go back to the pool. */
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -100,11 +100,11 @@
   private lastLoad: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
   private statusAt: MonotonicTime = NEVER
   /** The last plan left work without capacity. */
-  workWaits = false
+  hasUnplacedTasks = false
   /** Empty machines that the last plan found no use for. */
   idle: ReadonlySet<MachineId> = new Set()
   /** Jobs that it found held back by their teams' limits. */
-  heldBack: ReadonlySet<JobId> = new Set()
+  quotaLimitedJobs: ReadonlySet<JobId> = new Set()
   /** Free cores on ready machines for which it found no use. */
   private unusedCores = 0
 
@@ -286,9 +286,9 @@
 
   /** What the next plans and those who ask in between need of this one. */
   private remember(decided: Plan, now: MonotonicTime): void {
-    this.workWaits = decided.unplaced.length > 0
+    this.hasUnplacedTasks = decided.unplaced.length > 0
     this.idle = decided.idle
-    this.heldBack = decided.quotaLimited
+    this.quotaLimitedJobs = decided.quotaLimited
     this.unusedCores = decided.unusedCores
     if (decided.onDemandNeeded) this.onDemandNeededAt = now
   }
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -4,7 +4,7 @@
  */
 import type { JobState, Placement } from "@sorreltally/jobs"
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
-import type { Outcome, WorkerSession } from "@sorreltally/workers"
+import type { ClearedCause, Outcome, WorkerSession } from "@sorreltally/workers"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
 /** A job pauses this long after its first refused start, twice as long after each further one, up to the maximum. */
@@ -78,7 +78,12 @@
       node.estimates.learn(job.spec, (now - placement.runningSince) / 1000)
   }
 
-  private taskCleared(session: WorkerSession, placement: Placement, cause: string, now: MonotonicTime): void {
+  private taskCleared(
+    session: WorkerSession,
+    placement: Placement,
+    cause: ClearedCause,
+    now: MonotonicTime,
+  ): void {
     const { job } = placement
     job.clear(placement)
     const pauseMs = this.pauseAfter(cause, job, session, now)
@@ -87,7 +92,7 @@
   }
 
   /** How long in ms a job pauses after a task of it left its machine unfinished. */
-  private pauseAfter(cause: string, job: JobState, session: WorkerSession, now: MonotonicTime): number {
+  private pauseAfter(cause: ClearedCause, job: JobState, session: WorkerSession, now: MonotonicTime): number {
     if (cause === "error") return this.recordFailure(job, session, now)
     if (cause !== "insufficientResources" && cause !== "unknown") return 0
     // Repeatedly refused starts are retried ever less often.
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -3,6 +3,7 @@
 import type {
   Address,
   AgentEpoch,
+  ExitReason,
   FencingToken,
   ImageName,
   MachineId,
@@ -46,7 +47,7 @@
 }
 
 /** Room on a machine that no task that may be there takes. */
-export interface FreeRoom {
+export interface FreeCapacity {
   cores: number
   accelerators: number
   memGb: number
@@ -73,11 +74,21 @@
   readonly repeatedSequence: SequenceNumber
 }
 
+/** Why a task is surely off its machine without a result: the worker's exit reason, or how its owner knows. */
+export type ClearedCause =
+  | ExitReason
+  | "exited"
+  | "lease expired"
+  | "worker restarted"
+  | "never started"
+  | "machine deleted"
+  | "machine moved"
+
 /** What happened to a placement, as a message of its worker or the end of a lease shows it. */
 export type Outcome =
   /** Completed; its result is kept. */
   | { readonly kind: "done"; readonly placement: Placement }
-  /** Surely off the machine without a result; `cause` is the worker's exit reason, or says how we know. */
-  | { readonly kind: "cleared"; readonly placement: Placement; readonly cause: string }
+  /** Surely off the machine without a result. */
+  | { readonly kind: "cleared"; readonly placement: Placement; readonly cause: ClearedCause }
   /** Seen running for the first time. */
   | { readonly kind: "running"; readonly placement: Placement }
--- a/packages/workers/src/placed-tasks.ts
+++ b/packages/workers/src/placed-tasks.ts
@@ -1,12 +1,12 @@
 /** The placements on one machine and the room that they leave; a placement takes room until it is cleared. */
 import type { Placement } from "@sorreltally/jobs"
 import type { MachineType, TaskId } from "@sorreltally/protocol"
-import type { FreeRoom } from "./model.ts"
+import type { FreeCapacity } from "./model.ts"
 
 /** The tasks that may be on one machine. */
 export class PlacedTasks {
   readonly byTask = new Map<TaskId, Placement>()
-  readonly free: FreeRoom
+  readonly free: FreeCapacity
 
   constructor({ cores, accelerators, memGb }: MachineType) {
     this.free = { cores, accelerators, memGb }
--- a/packages/workers/src/placement-verdict.ts
+++ b/packages/workers/src/placement-verdict.ts
@@ -5,7 +5,7 @@
  */
 import type { Placement } from "@sorreltally/jobs"
 import type { Heartbeat, ReportedTask, TaskId } from "@sorreltally/protocol"
-import type { MessageSource, Outcome } from "./model.ts"
+import type { ClearedCause, MessageSource, Outcome } from "./model.ts"
 import type { Reachability } from "./reachability.ts"
 import type { StartEvidence, StartTracker } from "./start-tracker.ts"
 
@@ -30,7 +30,7 @@
 
 const UNCHANGED: PlacementVerdict = { kind: "unchanged" }
 const START_IGNORED: PlacementVerdict = { kind: "startIgnored" }
-const cleared = (placement: Placement, cause: string): PlacementVerdict => ({
+const cleared = (placement: Placement, cause: ClearedCause): PlacementVerdict => ({
   kind: "cleared",
   placement,
   cause,
@@ -52,15 +52,15 @@
   const { heartbeat, startEvidence, reachability } = evidence
   // The agent epoch rose: the worker killed and forgot all it had, and starts under the former
   // epoch are refused. A late copy may show an epoch from before the worker restarted.
-  if (placement.agentEpoch < heartbeat.agentEpoch && evidence.proven) return cleared(placement, "lease ended")
+  if (placement.agentEpoch < heartbeat.agentEpoch && evidence.proven)
+    return cleared(placement, "lease expired")
   // Placed before the worker restarted, and nothing sent then can take effect any more.
   if (
     placement.agentEpoch > heartbeat.agentEpoch &&
     startEvidence.tokenConfirmed &&
     reachability.unreachableSince === null
   )
-    // The text stands in the log, and operators may search for it.
-    return cleared(placement, "worker began anew")
+    return cleared(placement, "worker restarted")
   return UNCHANGED
 }
 
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -23,7 +23,8 @@
 import { ImageCache } from "./image-cache.ts"
 import { LatestMessage } from "./latest-message.ts"
 import type {
-  FreeRoom,
+  ClearedCause,
+  FreeCapacity,
   LeaseTimes,
   MachineEntry,
   MachineHandoff,
@@ -124,7 +125,7 @@
     return this.placed.byTask
   }
   /** The room that those leave. */
-  get free(): Readonly<FreeRoom> {
+  get free(): Readonly<FreeCapacity> {
     return this.placed.free
   }
   /** When the latest message arrived; `NEVER` before the first one. */
@@ -267,12 +268,12 @@
     )
   }
 
-  private clear(placement: Placement, cause: string): Outcome {
+  private clear(placement: Placement, cause: ClearedCause): Outcome {
     this.release(placement)
     return { kind: "cleared", placement, cause }
   }
   /** All tasks are gone: the machine's deletion was answered, or its lease has surely expired. */
-  clearAll(cause: string): ReadonlyArray<Outcome> {
+  clearAll(cause: ClearedCause): ReadonlyArray<Outcome> {
     return [...this.placements.values()].map((placement) => this.clear(placement, cause))
   }
   /** The worker has surely lost its lease, and with it all its tasks. */
@@ -292,7 +293,7 @@
     this.cache.clear()
     return [...this.placements.values()]
       .filter(({ task, attempt }) => !this.starts.isUnanswered(task, attempt))
-      .map((placement) => this.clear(placement, "lease ended"))
+      .map((placement) => this.clear(placement, "lease expired"))
   }
 
   /** No task is, or may come to be, on this machine that needs its present owner. */
@@ -326,9 +327,8 @@
     return this.workerCommands.due(this.agentEpoch, this.reported.byId, evidence, finishIsDurable)
   }
   /**
-   * Since when a start of a cancelled task may still reach the worker: one that was sent
-   * directly, without a response, under a token that the worker still accepts. Null: no such
-   * start is in transit.
+   * Since when a start of a cancelled task may still reach the worker: one that was sent directly, without
+   * a response, under a token that the worker still accepts; null: none is in transit.
    */
   pendingCancelledStartSince(): MonotonicTime | null {
     return this.workerCommands.pendingCancelledStartSince(this.agentEpoch, this.token, this.reported.byId)
