--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -9,8 +9,8 @@
 import type { JobView, QuotaHeadroom, Snapshot } from "./input.ts"
 
 /** How many tasks of a job a team's headroom holds; memory isn't limited by team. */
-export const tasksWithinHeadroom = (spec: JobSpec, headroom: QuotaHeadroom): number =>
-  slotsIn(spec, { ...headroom, memGb: Number.POSITIVE_INFINITY })
+export const tasksWithinHeadroom = (spec: JobSpec, { cores, accelerators }: QuotaHeadroom): number =>
+  slotsIn(spec, { cores, accelerators, memGb: Number.POSITIVE_INFINITY })
 
 /** How many more tasks the job's team may start; 0 for a team without a limit's record. */
 export const tasksWithinQuota = ({ spec }: JobView, teams: Snapshot["teams"]): number => {
--- a/packages/quota/src/allocation-policy.ts
+++ b/packages/quota/src/allocation-policy.ts
@@ -123,7 +123,8 @@
     const { smallestTask, competingDemand } = demand
     const used = limitedResources(team, demand.used)
     return {
-      ...status,
+      allocated: status.allocated,
+      unallocated: status.unallocated,
       competingDemand,
       used,
       demanded: this.isYielding(team.name) ? used : limitedResources(team, demand.demanded),
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -191,7 +191,8 @@
       assignedJob: assignment.assignedJob,
     })
   }
-  return [...views, ...pendingRentalViews(shard)]
+  for (const view of pendingRentalViews(shard)) views.push(view)
+  return views
 }
 
 /** A machine that was never heard of is booting until that is overdue, or until a new owner has waited for its first heartbeat. */
