--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -123,12 +123,9 @@
 }
 
 /** Uncleared tasks by zone; counted only for jobs that zones matter to. */
-const tasksByZone = (
-  shard: ShardView,
-  { spec: request, placements }: JobState,
-): ReadonlyMap<ZoneName, number> => {
+const tasksByZone = (shard: ShardView, { spec, placements }: JobState): ReadonlyMap<ZoneName, number> => {
   const zones = new Map<ZoneName, number>()
-  if (!request.singleZone && !request.spreadZones) return zones
+  if (!spec.singleZone && !spec.spreadZones) return zones
   for (const placement of placements.values()) {
     const zone = shard.machines.get(placement.machine)?.entry.zone
     if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1)
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -107,13 +107,13 @@
     let { free, busyTasks } = view
     const victims: Array<Victim<Placement>> = []
     for (const placement of this.shard.machines.get(view.id)?.placements.values() ?? []) {
-      const { spec: request } = placement.job
+      const { spec } = placement.job
       if (placement.stop !== null) {
         busyTasks--
-        free = minus(free, request, -1)
+        free = minus(free, spec, -1)
         continue
       }
-      if (priorityRank[request.priority] >= maxRank) continue
+      if (priorityRank[spec.priority] >= maxRank) continue
       if (isFirstOfStarved(placement, this.shard.node.clocks.wallNow(), now)) continue
       victims.push(victimOf(placement, now))
     }
@@ -185,15 +185,15 @@
 
 /** What stopping a placement costs; a task that saves loses at most what its checkpoint takes. */
 const victimOf = (placement: Placement, now: MonotonicTime): Victim<Placement> => {
-  const { spec: request } = placement.job
-  const saves = request.checkpointIntervalS > 0
+  const { spec } = placement.job
+  const saves = spec.checkpointIntervalS > 0
   const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
   return {
     placement,
     machine: placement.machine,
-    shape: shapeOf(request),
-    rank: priorityRank[request.priority],
-    lossCoreS: (saves ? Math.min(ranS, request.checkpointSaveS) : ranS) * request.cores,
-    savesS: saves ? request.checkpointSaveS : 0,
+    shape: shapeOf(spec),
+    rank: priorityRank[spec.priority],
+    lossCoreS: (saves ? Math.min(ranS, spec.checkpointSaveS) : ranS) * spec.cores,
+    savesS: saves ? spec.checkpointSaveS : 0,
   }
 }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -130,9 +130,9 @@
   rank = -1
   since = Number.POSITIVE_INFINITY
 
-  add({ spec: request, submitted }: JobState, tasks: number, rank: number): void {
-    this.cpus += tasks * request.cores
-    this.gpus += tasks * request.accelerators
+  add({ spec, submitted }: JobState, tasks: number, rank: number): void {
+    this.cpus += tasks * spec.cores
+    this.gpus += tasks * spec.accelerators
     if (rank > this.rank) this.since = submitted
     else if (rank === this.rank) this.since = Math.min(this.since, submitted)
     this.rank = Math.max(this.rank, rank)
@@ -158,10 +158,10 @@
   let smallestTask: JobSpec | null = null
   for (const job of shard.jobs.values()) {
     const { spec } = job
+    if (spec.team !== team.name || job.cancelled) continue
     const queued = shard.failures.startable(job, now)
-    if (spec.team !== team.name || job.cancelled || tasksWithinHeadroom(spec, attainable) === 0) continue
     const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
-    if (tasks === 0) continue
+    if (tasks === 0 || tasksWithinHeadroom(spec, attainable) === 0) continue
     coresLeft -= tasks * spec.cores
     const suspect = shard.failures.isSuspect(job.id)
     all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
--- a/packages/workers/test/builders.ts
+++ b/packages/workers/test/builders.ts
@@ -86,7 +86,7 @@
 
 /** Places the only task of a job on the session's machine. */
 export const place = (session: WorkerSession, fields: Partial<Placement> = {}): Placement => {
-  const request = {
+  const spec = {
     id: "run-000001",
     taskCount: 1,
     cores: 1,
@@ -97,7 +97,7 @@
   }
   const job = new JobState(
     "run-000001" as JobId,
-    { spec: request, submittedAt: 0, cancelled: false } as unknown as JobRecord,
+    { spec, submittedAt: 0, cancelled: false } as unknown as JobRecord,
     keys.jobPage(1, 0),
     1 as ModRevision,
   )
