--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -8,10 +8,10 @@
 import type { ForwardedHeartbeats, PeerChannel } from "@sorreltally/peers"
 import {
   encodeRedirect,
+  HEARTBEAT_UNAVAILABLE,
   type Heartbeat,
   type MachineId,
   type NodeName,
-  type OutgoingResponse,
   type Respond,
   type ShardName,
 } from "@sorreltally/protocol"
@@ -20,8 +20,6 @@
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import type { RunningShards } from "./running-shards.ts"
 
-const UNAVAILABLE: OutgoingResponse = { status: 503, body: {} }
-
 /** What the routing of heartbeats needs of its node. */
 export interface HeartbeatRouterOptions {
   readonly self: NodeName
@@ -46,7 +44,7 @@
     const own = shards.get(name)
     const owner = own === undefined ? membership.owner(name) : self
     if (owner === null || (owner === self && (own === undefined || !membership.holdsLease())))
-      return respond(UNAVAILABLE)
+      return respond(HEARTBEAT_UNAVAILABLE)
     const target = this.redirectTarget(heartbeat.machineId, owner)
     if (target !== null) return respond({ status: 421, body: encodeRedirect(target) })
     if (own !== undefined) return own.receiveHeartbeat(heartbeat, null, respond)
@@ -59,7 +57,7 @@
   receiveForwarded(from: NodeName, message: ForwardedHeartbeats): void {
     const take = (heartbeat: Heartbeat, respond: Respond) => {
       const shard = this.shardControllerOf(heartbeat.machineId)
-      if (shard === undefined) respond(UNAVAILABLE)
+      if (shard === undefined) respond(HEARTBEAT_UNAVAILABLE)
       else shard.receiveHeartbeat(heartbeat, from, respond)
     }
     const whole = (repeat: RepeatedHeartbeat) =>
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -13,12 +13,12 @@
   addMs,
   type Clocks,
   encodeRedirect,
+  HEARTBEAT_UNAVAILABLE,
   type Heartbeat,
   type MachineId,
   type MonotonicTime,
   NEVER,
   type NodeName,
-  type OutgoingResponse,
   type Respond,
 } from "@sorreltally/protocol"
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
@@ -71,7 +71,6 @@
   /** Its owner lacks the one that it may repeat. */
   readonly whole: boolean
 }
-const UNAVAILABLE: OutgoingResponse = { status: 503, body: {} }
 
 /** What the forwarding of heartbeats needs of its node. */
 export interface HeartbeatForwarderOptions {
@@ -146,7 +145,7 @@
         for (const [id, { until, respond }] of this.waiting) {
           if (now < until) break
           this.waiting.delete(id)
-          respond(UNAVAILABLE)
+          respond(HEARTBEAT_UNAVAILABLE)
         }
       }
       this.checkingTimeouts = false
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -3,6 +3,7 @@
  * worker's own address (protocol, "Workers -> controller nodes" and "Controller nodes -> workers").
  * The wire's names stand in the wire types only. heartbeat-decoder.ts decodes heartbeats.
  */
+import type { OutgoingResponse } from "./http.ts"
 import type {
   Address,
   AgentEpoch,
@@ -189,5 +190,8 @@
   orders: commands.map(encodeCommand),
 })
 
+/** The reply to a heartbeat that this node can't accept now: the worker tries again, here or at another node. */
+export const HEARTBEAT_UNAVAILABLE: OutgoingResponse = { status: 503, body: {} }
+
 /** The body of a 421: the worker should report to that node instead. */
 export const encodeRedirect = (owner: NodeName): { readonly steward: NodeName } => ({ steward: owner })
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -24,7 +24,8 @@
 /** Claims are published in steps of this share of a limit, so that not every task that ends is news. */
 const CLAIM_STEP = 1 / 32
 
-const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
+/** What a team without any task here uses. */
+export const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
 /** Tasks of a job that so many cores hold, whatever else they need. */
 const slotsInCores = (spec: JobSpec, cores: number): number =>
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -40,7 +40,7 @@
 import { PlanExecution } from "./plan-execution.ts"
 import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
-import { quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
+import { NO_QUOTA, quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
 import { MAX_MACHINES_PER_RENTAL, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 import { logShardStatus } from "./shard-status.ts"
@@ -51,7 +51,6 @@
 const ON_DEMAND_LINGER_MS = 10_000
 /** Between two status lines. */
 const STATUS_EVERY_MS = 15_000
-const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
 /** What the plans need of their shard beyond its state. */
 export interface ShardPlanningOptions {
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -6,6 +6,7 @@
 import {
   addMs,
   encodeHeartbeatReply,
+  HEARTBEAT_UNAVAILABLE,
   type Heartbeat,
   type MachineId,
   type MonotonicTime,
@@ -22,7 +23,6 @@
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 import { WorkerInspection } from "./worker-inspection.ts"
 
-const NOT_OWNER: OutgoingResponse = { status: 503, body: {} }
 /** Heartbeat intervals of silence after which a heartbeat that looks like a late copy has the worker inspected. */
 const INSPECT_AFTER_INTERVALS = 1.5
 
@@ -58,10 +58,10 @@
   receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
     const changesBefore = this.outcomes.capacityChanges
     const session = this.acceptHeartbeat(heartbeat)
-    if (session === null) return respond(NOT_OWNER)
+    if (session === null) return respond(HEARTBEAT_UNAVAILABLE)
     session.via = via
     // The worker has given up the request that is still deferred.
-    this.deferred.replyWith(session, NOT_OWNER)
+    this.deferred.replyWith(session, HEARTBEAT_UNAVAILABLE)
     if (this.outcomes.capacityChanges === changesBefore || !this.context.hasUnplacedTasks())
       return respond(this.makeReply(session))
     this.deferred.defer(session, respond)
@@ -89,7 +89,7 @@
   }
   /** The node lost the shard: refuses the deferred heartbeats. */
   stop(): void {
-    this.deferred.replyToAll(NOT_OWNER)
+    this.deferred.replyToAll(HEARTBEAT_UNAVAILABLE)
   }
 
   /** Applies a heartbeat; null when this node may not act for its machine, or it is a late copy. */
@@ -112,11 +112,12 @@
 
   private makeReply(session: WorkerSession): OutgoingResponse {
     // While the reply was deferred, the machine may have left the shard, or the node lost its lease.
-    if (!this.context.mayAct() || this.context.machines.get(session.id) !== session) return NOT_OWNER
+    if (!this.context.mayAct() || this.context.machines.get(session.id) !== session)
+      return HEARTBEAT_UNAVAILABLE
     const now = this.context.node.clocks.monotonicNow()
     if (this.mustLetLeaseExpire(session, now)) {
       fenceWhereNeeded(this.context, session)
-      return NOT_OWNER
+      return HEARTBEAT_UNAVAILABLE
     }
     const commands = session.commands(now, (task) => this.context.registry.finishIsDurable(task))
     session.recordReply(commands, now)
