--- a/scripts/check-imports.mjs
+++ b/scripts/check-imports.mjs
@@ -55,26 +55,7 @@
     "shard",
   ],
   daemon: ["protocol", "settings", "store", "cloud", "peers", "api", "controller"],
-  testkit: [
-    "protocol",
-    "concurrency",
-    "rate-limit",
-    "planner",
-    "settings",
-    "store",
-    "cloud",
-    "membership",
-    "jobs",
-    "workers",
-    "peers",
-    "quota",
-    "provisioning",
-    "forwarding",
-    "shard",
-    "api",
-    "controller",
-    "daemon",
-  ],
+  testkit: ["protocol", "settings", "store", "membership", "jobs", "peers", "daemon"],
 }
 
 /** Holds the version that the command line prints, and belongs to no package. */
