--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -4,19 +4,18 @@
  */
 import { Result, Schema } from "effect"
 import { Address, MachineId, MachineTypeName, type RentalRequestId, ZoneName } from "./ids.ts"
-
-const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
+import { NonNegative } from "./numbers.ts"
 
 const WireMachineType = Schema.Struct({
   name: MachineTypeName,
-  cores: amount,
-  accelerators: amount,
-  mem_gb: amount,
-  cache_gb: amount,
-  pull_gb_per_s: amount,
-  hourly: amount,
-  spot_price: amount,
-  startup_s: amount,
+  cores: NonNegative,
+  accelerators: NonNegative,
+  mem_gb: NonNegative,
+  cache_gb: NonNegative,
+  pull_gb_per_s: NonNegative,
+  hourly: NonNegative,
+  spot_price: NonNegative,
+  startup_s: NonNegative,
   sites: Schema.Array(ZoneName),
 })
 /** A machine type as the catalog lists it, and as the catalog record stores it. */
@@ -49,7 +48,7 @@
   site: ZoneName,
   loaners: Schema.Boolean,
   status: Schema.String,
-  held_s: amount,
+  held_s: NonNegative,
 })
 
 /**
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/users.ts
@@ -5,9 +5,8 @@
  */
 import { Result, Schema } from "effect"
 import { ImageName, JobClassName, JobId, MachineTypeName, TeamName, ZoneName } from "./ids.ts"
+import { NonNegative, Positive } from "./numbers.ts"
 
-const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
-const positive = Schema.Finite.check(Schema.isGreaterThan(0))
 const maybe = <S extends Schema.Top>(schema: S) => Schema.optionalKey(Schema.NullOr(schema))
 
 const Priority = Schema.Literals(["production", "high", "standard", "best_effort"])
@@ -24,20 +23,20 @@
   shape: Schema.Literals(["batch"]),
   urgency: Priority,
   pieces: Schema.Int.check(Schema.isBetween({ minimum: 1, maximum: 100_000 })),
-  cores: positive,
-  accelerators: amount,
-  mem_gb: amount,
+  cores: Positive,
+  accelerators: NonNegative,
+  mem_gb: NonNegative,
   bundle: ImageName,
-  image_gb: amount,
+  image_gb: NonNegative,
   builds: maybe(Schema.Array(MachineTypeName)),
   site: maybe(ZoneName),
   together: Schema.Boolean,
   scatter: Schema.Boolean,
   loaners: Schema.Boolean,
-  expected_s: positive,
-  snapshot_s: amount,
-  flush_s: amount,
-  due_s: maybe(positive),
+  expected_s: Positive,
+  snapshot_s: NonNegative,
+  flush_s: NonNegative,
+  due_s: maybe(Positive),
 })
 /** A job in the wire's names. */
 export type WireJob = typeof WireJob.Type
--- a/packages/settings/src/codec.ts
+++ b/packages/settings/src/codec.ts
@@ -2,14 +2,12 @@
  * Codec of the settings file that the platform hands over (DEPLOY). The only place that knows its field names;
  * errors name fields as the file does.
  */
-import { Address, NodeName, TeamName, ZoneName } from "@sorreltally/protocol"
+import { Address, NodeName, NonNegative, Positive, TeamName, ZoneName } from "@sorreltally/protocol"
 import { Schema } from "effect"
 import type { Objective, Platform } from "./platform.ts"
 import { NO_LIMIT, type Team } from "./teams.ts"
 
-const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
-const positive = Schema.Finite.check(Schema.isGreaterThan(0))
-const optionalAmount = Schema.optionalKey(Schema.NullOr(amount))
+const optionalAmount = Schema.optionalKey(Schema.NullOr(NonNegative))
 
 /** An amount of 0, or none at all, means no guarantee or no limit. */
 const WireTeam = Schema.Struct({
@@ -42,11 +40,11 @@
     zones: Schema.Array(ZoneName),
     teams: Schema.Array(WireTeam),
     objectives: Schema.Array(WireObjective),
-    workers: Schema.Struct({ report_s: positive, lease_s: positive, cancel_s: positive }),
-    state: Schema.Struct({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: positive }),
-    cloud: Schema.Struct({ rps: positive, list_lag_s: amount }),
-    machine_limits: Schema.Struct({ cores: positive, mem_mb: positive, fd_limit: positive }),
-    time_bound_ms: amount,
+    workers: Schema.Struct({ report_s: Positive, lease_s: Positive, cancel_s: Positive }),
+    state: Schema.Struct({ rps: Positive, write_rps: Positive, value_kb: Positive, txn_ops: Positive }),
+    cloud: Schema.Struct({ rps: Positive, list_lag_s: NonNegative }),
+    machine_limits: Schema.Struct({ cores: Positive, mem_mb: Positive, fd_limit: Positive }),
+    time_bound_ms: NonNegative,
   }),
 })
 /** The file, decoded. */
