--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -3,9 +3,12 @@
  * state service, the cloud, the workers and the users run in this process, in real time, on loopback.
  *
  *     node target/measure.js FOLDER [--seconds N] [--load NAME] [--scale N] [--filling] [--allocation] [--quick]
+ *     node target/measure.js FOLDER --old FILE [--load NAME] [--scale N]
  *
  * `--filling` profiles the filling of an empty deployment too, `--allocation` adds a profile of allocated
  * bytes, and `--quick` leaves out the loss of the leader and of all controllers.
+ * `--old` measures nothing: it replaces controllers of another build, the bundle FILE, by this one and lets both
+ * serve together (version-replacement.ts). Exit code 1 if a check fails.
  *
  * Prints processor time and memory by node in each phase, what was asked of the nodes meanwhile, and for a
  * profiled phase the share of each concern. The profiles stay in FOLDER, to be opened in a browser's tools.
@@ -22,7 +25,7 @@
 import { LoopbackNetwork } from "../simulation/loopback-network.ts"
 import { Simulation } from "../simulation/simulation.ts"
 import { LOADS, type LoadKind } from "./loads.ts"
-import { freePort, MeasuredController, runFlags } from "./measured-controllers.ts"
+import { freePort, MeasuredController, PRESENT_BUILD, runFlags } from "./measured-controllers.ts"
 import {
   megabytes,
   type ProfileKind,
@@ -33,6 +36,7 @@
   secondsOf,
   usages,
 } from "./report.ts"
+import { replaceVersions } from "./version-replacement.ts"
 
 const NODES = 5
 const ZONES = ["a", "b", "c"]
@@ -50,6 +54,7 @@
     filling: { type: "boolean", default: false },
     quick: { type: "boolean", default: false },
     load: { type: "string", default: "mixed" },
+    old: { type: "string" },
   },
 })
 const folder = positionals[0] ?? "target/measure"
@@ -158,7 +163,9 @@
     }),
   )
 }
+let isSubmitting = true
 const keepSubmitting = (kind: LoadKind): void => {
+  if (!isSubmitting) return
   submit(kind)
   simulation.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
 }
@@ -204,9 +211,13 @@
   printUsage(nodes, before, await usages(nodes), tookMs)
   printTraffic(network, tookMs)
 }
-const startAll = async (name: string, nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
+const startAll = async (
+  name: string,
+  nodes: ReadonlyArray<MeasuredController>,
+  program = PRESENT_BUILD,
+): Promise<void> => {
   const at = performance.now()
-  for (const node of nodes) node.start()
+  for (const node of nodes) node.start(program)
   const spent = await Promise.all(
     nodes.map(async (node) => {
       await node.untilReady()
@@ -217,7 +228,7 @@
   say(`${name}: from start to /ready`)
   for (const [i, { processorMs, resident, afterMs }] of spent.entries())
     say(
-      `  ${names[i]}: after ${secondsOf(afterMs)} s, ${secondsOf(processorMs)} s of processor time, ` +
+      `  ${nodes[i]!.name}: after ${secondsOf(afterMs)} s, ${secondsOf(processorMs)} s of processor time, ` +
         `${megabytes(resident)} MB resident`,
     )
 }
@@ -227,15 +238,29 @@
   return used.reduce((most, is, i) => (is.processorMs > used[most]!.processorMs ? i : most), 0)
 }
 
+const submitLoad = (): void => {
+  for (const kind of load) {
+    for (let i = 0; i < kind.atStart * scale; i++) submit(kind)
+    keepSubmitting(kind)
+  }
+}
+
 const main = async (): Promise<void> => {
   await pause(100)
   const nodes = await makeControllers()
   process.on("SIGINT", () => void Promise.all(nodes.map((node) => node.end())).then(() => process.exit(130)))
-  await startAll("cold start", nodes)
-  for (const kind of load) {
-    for (let i = 0; i < kind.atStart * scale; i++) submit(kind)
-    keepSubmitting(kind)
+  if (values.old !== undefined) {
+    const stopSubmitting = () => {
+      isSubmitting = false
+    }
+    const options = { folder, nodes, oldBuild: values.old, users, invariants, startAll }
+    const held = await replaceVersions({ ...options, submitJobs: submitLoad, stopSubmitting })
+    for (const node of nodes) await node.end()
+    network.closeAll()
+    process.exit(held ? 0 : 1)
   }
+  await startAll("cold start", nodes)
+  submitLoad()
   if (values.filling) await beginProfiles(nodes, "processor")
   await phase("filling", nodes, () => pause(1000 * FILL_S))
   const leader = await leaderOf(nodes)
--- a/packages/testkit/src/measure/measured-controllers.ts
+++ b/packages/testkit/src/measure/measured-controllers.ts
@@ -4,11 +4,15 @@
 import { openSync, readFileSync, writeFileSync } from "node:fs"
 import { request } from "node:http"
 import { createServer } from "node:net"
+import type { NodeName } from "@sorreltally/protocol"
 import type { ProbeRequest, Usage } from "./probe.ts"
 
 const LOOPBACK = "127.0.0.1"
 const LOOK_EVERY_MS = 20
 
+/** The bundle of the sources at hand. */
+export const PRESENT_BUILD = "target/main.js"
+
 /** A loopback port that nobody listens on at the moment. */
 export const freePort = async (): Promise<number> => {
   const server = createServer().listen(0, LOOPBACK)
@@ -32,7 +36,7 @@
   readonly settingsFile: string
 
   constructor(
-    readonly name: string,
+    readonly name: NodeName,
     readonly port: number,
     settings: unknown,
     private readonly folder: string,
@@ -42,9 +46,10 @@
     writeFileSync(this.settingsFile, JSON.stringify(settings))
   }
 
-  start(): void {
+  /** Starts the program, one controller's bundle. */
+  start(bundle: string): void {
     const log = openSync(`${this.folder}/${this.name}.log`, "a")
-    const program = ["target/main.js", "--operators", "deploy/operators.sexp", "--config", this.settingsFile]
+    const program = [bundle, "--operators", "deploy/operators.sexp", "--config", this.settingsFile]
     this.process = spawn(process.execPath, [...this.flags, "--import", "./target/probe.js", ...program], {
       stdio: ["ignore", log, log, "ipc"],
     })
