--- a/packages/api/src/admissibility.ts
+++ b/packages/api/src/admissibility.ts
@@ -1,5 +1,5 @@
 /** Whether a submitted job can ever run here: a judgement on the settings and the machine types alone. */
-import { allowed } from "@sorreltally/planner"
+import { isEligible } from "@sorreltally/planner"
 import type { JobSpec, MachineType, MachineTypeName, ZoneName } from "@sorreltally/protocol"
 import type { DeploymentSettings, Team } from "@sorreltally/settings"
 
@@ -24,7 +24,7 @@
   const fitting = new Set<ZoneName>()
   for (const type of machineTypes) {
     for (const zone of type.zones) {
-      if (deploymentZones.includes(zone) && allowed(job, { type, zone, spot: false })) fitting.add(zone)
+      if (deploymentZones.includes(zone) && isEligible(job, { type, zone, spot: false })) fitting.add(zone)
     }
   }
   return fitting
--- a/packages/peers/src/codec-demand.ts
+++ b/packages/peers/src/codec-demand.ts
@@ -70,13 +70,16 @@
   shape: encodeShape(shape),
   rank: demand.rank,
   tasks: demand.tasks,
-  pressing: demand.pressing,
+  pressing: demand.urgentTasks,
   since: demand.since,
 })
 const decodeMachineDemand = ({ part, shape, ...demand }: WireMachineDemand): MachineDemand => ({
   shard: part,
   shape: decodeShape(shape),
-  ...demand,
+  rank: demand.rank,
+  tasks: demand.tasks,
+  urgentTasks: demand.pressing,
+  since: demand.since,
 })
 const encodeQuotaDemand = ({ shard, team, rank, since }: QuotaDemand): WireQuotaDemand => ({
   part: shard,
--- a/packages/planner/src/bins.ts
+++ b/packages/planner/src/bins.ts
@@ -1,6 +1,6 @@
 /** Machines as bins that one plan fills: what each still holds once earlier decisions of the plan are counted. */
 import { type JobSpec, MAX_TASKS_ON_MACHINE } from "@sorreltally/protocol"
-import { EPSILON, minus, slotsIn } from "./capacity.ts"
+import { EPSILON, slotsIn, subtractTasks } from "./capacity.ts"
 import { type MachineKindKey, machineKindKey } from "./eligibility.ts"
 import type { Capacity, MachineKind, MachineView } from "./input.ts"
 
@@ -32,8 +32,8 @@
   Math.min(slotsIn(spec, free), Math.max(0, tasksLeft))
 
 /** Takes capacity for that many tasks of a job. */
-export const fill = (bin: Bin, spec: JobSpec, tasks: number): void => {
-  bin.free = minus(bin.free, spec, tasks)
+export const takeCapacity = (bin: Bin, spec: JobSpec, tasks: number): void => {
+  bin.free = subtractTasks(bin.free, spec, tasks)
   bin.tasksLeft -= tasks
 }
 
--- a/packages/planner/src/capacity.ts
+++ b/packages/planner/src/capacity.ts
@@ -14,7 +14,7 @@
   size.memGb <= capacity.memGb + EPSILON
 
 /** What a number of tasks leaves; a negative number gives their capacity back. */
-export const minus = (capacity: Capacity, size: TaskSize, tasks = 1): Capacity => ({
+export const subtractTasks = (capacity: Capacity, size: TaskSize, tasks = 1): Capacity => ({
   cores: capacity.cores - size.cores * tasks,
   accelerators: capacity.accelerators - size.accelerators * tasks,
   memGb: capacity.memGb - size.memGb * tasks,
@@ -22,12 +22,12 @@
 
 /** The paper's resources: how many tasks of that size a capacity holds, never below 0. */
 export const slotsIn = (size: TaskSize, capacity: Capacity): number => {
-  const per = (demand: number, available: number) =>
+  const slotsFor = (demand: number, available: number) =>
     demand <= 0 ? Number.POSITIVE_INFINITY : (available + EPSILON) / demand
   const slots = Math.min(
-    per(size.cores, capacity.cores),
-    per(size.accelerators, capacity.accelerators),
-    per(size.memGb, capacity.memGb),
+    slotsFor(size.cores, capacity.cores),
+    slotsFor(size.accelerators, capacity.accelerators),
+    slotsFor(size.memGb, capacity.memGb),
   )
   return Math.max(0, Math.floor(slots))
 }
--- a/packages/planner/src/demand.ts
+++ b/packages/planner/src/demand.ts
@@ -9,7 +9,7 @@
   readonly rank: number
   readonly tasks: number
   /** Those of them for which capacity is to be made by preempting work of lower rank. */
-  readonly pressing: number
+  readonly urgentTasks: number
   /** When the oldest of its jobs was submitted, by the time of day in ms; between starved jobs it decides. */
   readonly since: number
 }
--- a/packages/planner/src/eligibility.ts
+++ b/packages/planner/src/eligibility.ts
@@ -18,7 +18,7 @@
 })
 
 /** May the job ever run on this kind of machine? */
-export const allowed = (spec: TaskShape, kind: MachineKind): boolean =>
+export const isEligible = (spec: TaskShape, kind: MachineKind): boolean =>
   (!kind.spot || spec.spotAllowed) &&
   (spec.machineTypes == null || spec.machineTypes.includes(kind.type.name)) &&
   (spec.zone == null || spec.zone === kind.zone) &&
@@ -27,13 +27,13 @@
 /** How many more tasks of a job may be put into a zone, given where its others may be. */
 export const zoneAllowance = (
   spec: JobSpec,
-  zones: ReadonlyMap<ZoneName, number>,
+  tasksByZone: ReadonlyMap<ZoneName, number>,
   zone: ZoneName,
 ): number => {
   if (spec.singleZone) {
-    for (const [other, count] of zones) if (count > 0 && other !== zone) return 0
+    for (const [other, count] of tasksByZone) if (count > 0 && other !== zone) return 0
   }
-  if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (zones.get(zone) ?? 0)
+  if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (tasksByZone.get(zone) ?? 0)
   return Number.POSITIVE_INFINITY
 }
 
--- a/packages/planner/src/image-affinity.ts
+++ b/packages/planner/src/image-affinity.ts
@@ -7,27 +7,27 @@
  * once, instead of both jobs fetching on each other's machines. What is judged by a job's last task,
  * deadlines and the time when it is done, keeps its order.
  */
-const MIN_TIME_LEFT = 0.5
+const MIN_TIME_LEFT_SHARE = 0.5
 
 /** Does the job have time to let others go first? */
 export const canWait = ({ timeLeftS, startWithinS, ageS }: JobView): boolean =>
-  timeLeftS === null && startWithinS !== null && ageS < startWithinS * (1 - MIN_TIME_LEFT)
+  timeLeftS === null && startWithinS !== null && ageS < startWithinS * (1 - MIN_TIME_LEFT_SHARE)
 
 /** Neighbours that pass, together; all others alone. */
-export const runsOf = <A>(
-  all: ReadonlyArray<A>,
-  passes: (item: A) => boolean,
+export const groupConsecutive = <A>(
+  items: ReadonlyArray<A>,
+  predicate: (item: A) => boolean,
 ): ReadonlyArray<ReadonlyArray<A>> => {
-  const runs: Array<Array<A>> = []
-  let open: Array<A> | null = null
-  for (const item of all) {
-    const joins = passes(item)
-    if (joins && open !== null) open.push(item)
+  const groups: Array<Array<A>> = []
+  let currentGroup: Array<A> | null = null
+  for (const item of items) {
+    const matches = predicate(item)
+    if (matches && currentGroup !== null) currentGroup.push(item)
     else {
-      const run = [item]
-      runs.push(run)
-      open = joins ? run : null
+      const group = [item]
+      groups.push(group)
+      currentGroup = matches ? group : null
     }
   }
-  return runs
+  return groups
 }
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -75,7 +75,7 @@
   /** Tasks that are placed and aren't being stopped. */
   readonly running: number
   /** Uncleared tasks by zone. */
-  readonly zones: ReadonlyMap<ZoneName, number>
+  readonly tasksByZone: ReadonlyMap<ZoneName, number>
   /** Seconds until the next time by which it should be done and still can be; null: no deadline. */
   readonly timeLeftS: number | null
   /** Seconds since its submission. */
@@ -96,7 +96,7 @@
   /** False until the time before which it mustn't start. */
   readonly mayStart: boolean
   /** Machines on which one of its tasks failed lately. */
-  readonly avoids: ReadonlySet<MachineId>
+  readonly avoidedMachines: ReadonlySet<MachineId>
 }
 
 /** What a team may still use of its limit, in this shard; memory isn't limited by team. */
@@ -110,9 +110,9 @@
   /** Of one machine for an hour. */
   readonly price: number
   /** A request for this kind is under way: its answer is awaited before asking for more, or for dearer ones. */
-  readonly requested: boolean
+  readonly hasPendingRequest: boolean
   /** Machines of ours in this zone; they are spread, so that one zone going dark leaves the others. */
-  readonly ownMachines: number
+  readonly machinesInZone: number
 }
 
 /**
@@ -126,11 +126,11 @@
 }
 
 /** What there is to do the work with. */
-export interface ClusterLoad {
+export interface ShardLoad {
   /** Of all machines. */
   readonly cores: number
   /** Cores of running tasks by the second from now in which they probably end. */
-  readonly ending: ReadonlyArray<number>
+  readonly endingCoresBySecond: ReadonlyArray<number>
 }
 
 /**
@@ -141,21 +141,21 @@
   readonly reserve: Reserve
   /** Other shards lack machines, and can borrow empty ones. */
   readonly otherShardsWait: boolean
-  readonly types: ReadonlyArray<MachineType>
-  readonly load: () => ClusterLoad
+  readonly machineTypes: ReadonlyArray<MachineType>
+  readonly load: () => ShardLoad
   readonly jobs: ReadonlyArray<JobView>
   readonly machines: ReadonlyArray<MachineView>
   /** What the teams may start tasks for at once: within this shard's quota allocations. */
-  readonly teams: ReadonlyMap<TeamName, QuotaHeadroom>
+  readonly allocationHeadroom: ReadonlyMap<TeamName, QuotaHeadroom>
   /**
    * What the teams' limits leave this shard, whether its allocations cover it yet or not:
    * machines are rented by that.
    */
-  readonly limits: ReadonlyMap<TeamName, QuotaHeadroom>
+  readonly limitHeadroom: ReadonlyMap<TeamName, QuotaHeadroom>
   /** Kinds of machine that can be asked for now, those refused lately left out. */
-  readonly market: ReadonlyArray<Offer>
+  readonly offers: ReadonlyArray<Offer>
   /** Machines that one rental can ask for. */
-  readonly rentalSize: number
+  readonly maxMachinesPerRental: number
   /** The paper's deployment time: seconds from asking for a machine until it takes tasks. */
   readonly deploymentS: number
   /** An on-demand machine that makes the same work dearer than this many times the cheapest kind isn't asked for. */
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -13,27 +13,30 @@
   slotsIn(spec, { cores, accelerators, memGb: Number.POSITIVE_INFINITY })
 
 /** How many more tasks the job's team may start; 0 for a team without a limit's record. */
-export const tasksWithinQuota = ({ spec }: JobView, teams: Snapshot["teams"]): number => {
-  const headroom = teams.get(spec.team)
+export const tasksWithinQuota = (
+  { spec }: JobView,
+  headroomByTeam: Snapshot["allocationHeadroom"],
+): number => {
+  const headroom = headroomByTeam.get(spec.team)
   return headroom === undefined ? 0 : tasksWithinHeadroom(spec, headroom)
 }
 
 /** Headroom of every team, used up task by task; the map that it is made from stays as it is. */
 export class QuotaBudget {
-  private readonly teams = new Map<TeamName, QuotaHeadroom>()
+  private readonly remainingHeadroom = new Map<TeamName, QuotaHeadroom>()
 
-  constructor(private readonly limits: ReadonlyMap<TeamName, QuotaHeadroom>) {
-    for (const [team, headroom] of limits) this.teams.set(team, { ...headroom })
+  constructor(private readonly initialHeadroom: ReadonlyMap<TeamName, QuotaHeadroom>) {
+    for (const [team, headroom] of initialHeadroom) this.remainingHeadroom.set(team, { ...headroom })
   }
 
   /** How many more tasks the job's team may use. */
   tasksLeft(job: JobView): number {
-    return tasksWithinQuota(job, this.teams)
+    return tasksWithinQuota(job, this.remainingHeadroom)
   }
 
   /** Takes what that many tasks of the job use. */
   take({ spec }: JobView, tasks: number): void {
-    const headroom = this.teams.get(spec.team)
+    const headroom = this.remainingHeadroom.get(spec.team)
     if (headroom === undefined) return
     headroom.cores -= spec.cores * tasks
     headroom.accelerators -= spec.accelerators * tasks
@@ -42,8 +45,8 @@
   /** What was taken of each team's headroom. */
   taken(): ReadonlyMap<TeamName, QuotaHeadroom> {
     const taken = new Map<TeamName, QuotaHeadroom>()
-    for (const [team, { cores, accelerators }] of this.limits) {
-      const left = this.teams.get(team)!
+    for (const [team, { cores, accelerators }] of this.initialHeadroom) {
+      const left = this.remainingHeadroom.get(team)!
       taken.set(team, { cores: cores - left.cores, accelerators: accelerators - left.accelerators })
     }
     return taken
--- a/packages/planner/src/loans.ts
+++ b/packages/planner/src/loans.ts
@@ -5,7 +5,7 @@
 import type { MachineId, ShardName } from "@sorreltally/protocol"
 import { slotsIn } from "./capacity.ts"
 import type { MachineDemand } from "./demand.ts"
-import { allowed, type MachineKindKey, machineKindKey } from "./eligibility.ts"
+import { isEligible, type MachineKindKey, machineKindKey } from "./eligibility.ts"
 import type { JobView, MachineKind, MachineView, Reserve } from "./input.ts"
 import { spareCores } from "./reserve.ts"
 import { isStarved, STARVED_RANK } from "./starvation.ts"
@@ -30,14 +30,14 @@
 
 /** The most urgent of our own queued work that this kind of machine could serve. */
 const mostUrgentOwnWork = (jobs: ReadonlyArray<JobView>, machine: MachineKind): WorkUrgency => {
-  let most: WorkUrgency = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
+  let mostUrgent: WorkUrgency = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
   for (const job of jobs) {
-    if (job.queued === 0 || !job.mayStart || !allowed(job.spec, machine)) continue
+    if (job.queued === 0 || !job.mayStart || !isEligible(job.spec, machine)) continue
     const rank = isStarved(job) ? STARVED_RANK : job.rank
     const urgency = { rank, since: job.submitted }
-    if (rank > most.rank || outranks(urgency, most)) most = urgency
+    if (rank > mostUrgent.rank || outranks(urgency, mostUrgent)) mostUrgent = urgency
   }
-  return most
+  return mostUrgent
 }
 
 /** The same for many machines: of a few kinds, each of which is looked at once. */
@@ -45,8 +45,8 @@
   const byKind = new Map<MachineKindKey, WorkUrgency>()
   return (machine) => {
     const kind = machineKindKey(machine)
-    const known = byKind.get(kind)
-    if (known !== undefined) return known
+    const cached = byKind.get(kind)
+    if (cached !== undefined) return cached
     const urgency = mostUrgentOwnWork(jobs, machine)
     byKind.set(kind, urgency)
     return urgency
@@ -63,9 +63,9 @@
   const kinds = new Map<MachineKindKey, MachineKind>()
   for (const machine of machines) kinds.set(machineKindKey(machine), machine)
   const urgencyOn = urgencyByMachineKind(jobs)
-  const serves = (demand: MachineDemand, kind: MachineKind) =>
-    allowed(demand.shape, kind) && outranks(demand, urgencyOn(kind))
-  return demands.filter((demand) => [...kinds.values()].some((kind) => serves(demand, kind)))
+  const isServable = (demand: MachineDemand, kind: MachineKind) =>
+    isEligible(demand.shape, kind) && outranks(demand, urgencyOn(kind))
+  return demands.filter((demand) => [...kinds.values()].some((kind) => isServable(demand, kind)))
 }
 
 /** What the loans of one plan are decided from. */
@@ -78,7 +78,7 @@
   /** Our fair share of each demand, 0 to 1, so that not every shard sends its machines to the same one. */
   readonly share: number
   /** Slots lent to a shard so lately that its demand can't show them yet. */
-  readonly lentLately: ReadonlyMap<ShardName, number>
+  readonly recentlyLentSlots: ReadonlyMap<ShardName, number>
   readonly reserve: Reserve
 }
 
@@ -87,30 +87,32 @@
  * of higher rank than what we have queued, or that we have no work for at all.
  */
 export const lend = (input: LendingInput): ReadonlyArray<MachineLoan> => {
-  const { machines, jobs, demands, share, lentLately, reserve } = input
-  const empty = new Set(machines.filter((m) => m.state === "ready" && m.busyTasks === 0))
+  const { machines, jobs, demands, share, recentlyLentSlots: lentLately, reserve } = input
+  const emptyMachines = new Set(machines.filter((m) => m.state === "ready" && m.busyTasks === 0))
   const loans: Array<MachineLoan> = []
-  if (demands.length === 0 || empty.size === 0) return loans
-  let spare = spareCores(machines, reserve)
+  if (demands.length === 0 || emptyMachines.size === 0) return loans
+  let remainingSpareCores = spareCores(machines, reserve)
   /** Work below the reserve's rank gets only what the reserve can spare. */
-  const sparedFor = (demand: MachineDemand, machine: MachineView): boolean => {
+  const takeSpareCores = (demand: MachineDemand, machine: MachineView): boolean => {
     if (demand.rank >= reserve.rank || !machine.reserved) return true
-    if (spare < machine.free.cores) return false
-    spare -= machine.free.cores
+    if (remainingSpareCores < machine.free.cores) return false
+    remainingSpareCores -= machine.free.cores
     return true
   }
   const urgencyOn = urgencyByMachineKind(jobs)
   const mayLend = (demand: MachineDemand, machine: MachineView): boolean =>
-    allowed(demand.shape, machine) && outranks(demand, urgencyOn(machine)) && sparedFor(demand, machine)
+    isEligible(demand.shape, machine) &&
+    outranks(demand, urgencyOn(machine)) &&
+    takeSpareCores(demand, machine)
   for (const demand of [...demands].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
-    let left = Math.ceil(demand.tasks * share) - (lentLately.get(demand.shard) ?? 0)
-    const cached = (machine: MachineView) => Number(machine.images.has(demand.shape.image))
-    for (const machine of [...empty].sort((a, b) => cached(b) - cached(a))) {
-      if (left <= 0) break
+    let slotsLeft = Math.ceil(demand.tasks * share) - (lentLately.get(demand.shard) ?? 0)
+    const imageScore = (machine: MachineView) => Number(machine.images.has(demand.shape.image))
+    for (const machine of [...emptyMachines].sort((a, b) => imageScore(b) - imageScore(a))) {
+      if (slotsLeft <= 0) break
       if (!mayLend(demand, machine)) continue
-      empty.delete(machine)
+      emptyMachines.delete(machine)
       loans.push({ machine: machine.id, to: demand.shard })
-      left -= slotsIn(demand.shape, machine.type)
+      slotsLeft -= slotsIn(demand.shape, machine.type)
     }
   }
   return loans
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -1,12 +1,12 @@
 /** The order in which a plan serves jobs. It decides no placement: only who chooses first. */
 import type { JobClassName } from "@sorreltally/protocol"
-import type { ClusterLoad, JobView } from "./input.ts"
+import type { JobView, ShardLoad } from "./input.ts"
 
 /**
  * Share of a run that has to fit into the time left for a job to count as feasible:
  * owners' estimates are often half off.
  */
-export const REACH = 0.5
+export const MIN_FEASIBLE_RUN_SHARE = 0.5
 
 /** Without any aim, a job counts as due this long after its submission. */
 const DEFAULT_DUE_S = 600
@@ -19,7 +19,7 @@
 
 /** It can't meet its deadline any more, even if its run times are overestimated. */
 const isInfeasible = (job: JobView): boolean =>
-  job.timeLeftS !== null && job.timeLeftS < job.executionS * REACH
+  job.timeLeftS !== null && job.timeLeftS < job.executionS * MIN_FEASIBLE_RUN_SHARE
 
 /** A job with what decides its place in the order. */
 interface Entry {
@@ -38,7 +38,7 @@
  */
 export const schedulingTiers = (
   jobs: ReadonlyArray<JobView>,
-  load: ClusterLoad,
+  load: ShardLoad,
 ): ReadonlyArray<ReadonlyArray<JobView>> => {
   const entries = jobs.map(
     (job): Entry => ({
@@ -64,10 +64,10 @@
       Number(a.infeasible) - Number(b.infeasible) ||
       Number(a.deferred) - Number(b.deferred),
   )
-  return inTiers(entries)
+  return groupByTier(entries)
 }
 
-const inTiers = (entries: ReadonlyArray<Entry>): ReadonlyArray<ReadonlyArray<JobView>> => {
+const groupByTier = (entries: ReadonlyArray<Entry>): ReadonlyArray<ReadonlyArray<JobView>> => {
   const tiers = new Map<string, Array<JobView>>()
   for (const { job, infeasible, deferred } of entries) {
     const key = `${job.rank}|${infeasible}|${deferred}`
@@ -79,7 +79,7 @@
 }
 
 /** A job that is to meet its deadline so far. */
-interface KeptJob {
+interface OnTimeJob {
   readonly entry: Entry
   /** Core-seconds. */
   readonly work: number
@@ -95,23 +95,23 @@
  * the more the fewer there are of its class. Neither work of higher priority
  * nor what a team is guaranteed is deferred for others.
  */
-const deferLargest = (entries: ReadonlyArray<Entry>, { cores }: ClusterLoad): void => {
+const deferLargest = (entries: ReadonlyArray<Entry>, { cores }: ShardLoad): void => {
   if (cores <= 0) return
-  const ofClass = jobsByClass(entries)
+  const jobsPerClass = countJobsByClass(entries)
   /** Core-seconds of queued work up to the job at hand. */
   let backlog = 0
   let rank: number | null = null
-  let kept: Array<KeptJob> = []
+  let onTimeJobs: Array<OnTimeJob> = []
   for (const entry of entries) {
     const { job, infeasible } = entry
-    if (job.rank !== rank) kept = []
+    if (job.rank !== rank) onTimeJobs = []
     rank = job.rank
     if (infeasible || job.queued === 0) continue
     const work = job.queued * job.spec.cores * job.executionS
     backlog += work
     if (job.timeLeftS === null || job.withinGuarantee) continue
-    kept.push({ entry, work, cost: work * (ofClass.get(job.spec.jobClass) ?? 1) })
-    backlog = deferUntilInTime(entry, job.timeLeftS, kept, backlog, cores)
+    onTimeJobs.push({ entry, work, cost: work * (jobsPerClass.get(job.spec.jobClass) ?? 1) })
+    backlog = deferUntilInTime(entry, job.timeLeftS, onTimeJobs, backlog, cores)
   }
 }
 
@@ -119,29 +119,29 @@
 const deferUntilInTime = (
   entry: Entry,
   timeLeftS: number,
-  kept: Array<KeptJob>,
+  onTimeJobs: Array<OnTimeJob>,
   backlog: number,
   cores: number,
 ): number => {
-  let left = backlog
-  while (kept.length > 0 && left / cores + entry.job.executionS > timeLeftS) {
-    const [costliest] = kept.splice(indexOfCostliest(kept), 1)
+  let remainingBacklog = backlog
+  while (onTimeJobs.length > 0 && remainingBacklog / cores + entry.job.executionS > timeLeftS) {
+    const [costliest] = onTimeJobs.splice(indexOfCostliest(onTimeJobs), 1)
     costliest!.entry.deferred = true
-    left -= costliest!.work
+    remainingBacklog -= costliest!.work
     if (costliest!.entry === entry) break
   }
-  return left
+  return remainingBacklog
 }
 
-const jobsByClass = (entries: ReadonlyArray<Entry>): ReadonlyMap<JobClassName, number> => {
+const countJobsByClass = (entries: ReadonlyArray<Entry>): ReadonlyMap<JobClassName, number> => {
   const counts = new Map<JobClassName, number>()
   for (const { job } of entries) counts.set(job.spec.jobClass, (counts.get(job.spec.jobClass) ?? 0) + 1)
   return counts
 }
 
 /** Of equally costly ones, the first. */
-const indexOfCostliest = (kept: ReadonlyArray<KeptJob>): number => {
+const indexOfCostliest = (jobs: ReadonlyArray<OnTimeJob>): number => {
   let costliest = 0
-  for (const [i, { cost }] of kept.entries()) if (cost > kept[costliest]!.cost) costliest = i
+  for (const [i, { cost }] of jobs.entries()) if (cost > jobs[costliest]!.cost) costliest = i
   return costliest
 }
--- a/packages/planner/src/output.ts
+++ b/packages/planner/src/output.ts
@@ -17,14 +17,14 @@
 }
 
 /** Queued tasks of a job for which no ready machine has capacity. */
-export interface Unplaced {
+export interface UnplacedTasks {
   readonly job: JobView
   /** Those that the team's limit leaves room for beside the jobs before. */
   readonly tasks: number
   /** Those of them that could start at once if there were capacity. */
-  readonly startable: number
+  readonly startableTasks: number
   /** Those of them that start too late for an objective or the deadline unless capacity is made. */
-  readonly urgent: number
+  readonly urgentTasks: number
 }
 
 /** All decisions of one plan. */
@@ -36,13 +36,13 @@
   /** Some work needs machines that spot can't provide: on-demand ones that we have are kept in use. */
   readonly onDemandNeeded: boolean
   /** Queued tasks without capacity, most urgent job first. */
-  readonly unplaced: ReadonlyArray<Unplaced>
+  readonly unplaced: ReadonlyArray<UnplacedTasks>
   /** What the plan counts on of each team's limit beyond what is used: placed, expected on machines, or rented for. */
   readonly claims: ReadonlyMap<TeamName, QuotaHeadroom>
   /** Cores on ready machines for which our queued tasks have no use because of their teams' limits. */
   readonly unusedCores: number
   /** Jobs of which the teams' limits let some queued tasks neither start nor rent. */
-  readonly quotaLimited: ReadonlySet<JobId>
+  readonly quotaLimitedJobs: ReadonlySet<JobId>
   /** Machines that are ready, empty and of use to no queued task: none fits, or the teams' limits let none start. */
-  readonly idle: ReadonlySet<MachineId>
+  readonly idleMachines: ReadonlySet<MachineId>
 }
--- a/packages/planner/src/placement-pass.ts
+++ b/packages/planner/src/placement-pass.ts
@@ -1,18 +1,18 @@
 /** The first half of a plan: queued tasks of all jobs go to ready machines, in scheduling order. */
 import type { JobId, ZoneName } from "@sorreltally/protocol"
 import type { ReadyCapacity } from "./fleet.ts"
-import { canWait, runsOf } from "./image-affinity.ts"
+import { canWait, groupConsecutive } from "./image-affinity.ts"
 import type { JobView, Snapshot } from "./input.ts"
 import type { PlannedPlacement } from "./output.ts"
 import { placeJob } from "./placement.ts"
-import { isOverdue, tasksToBegin } from "./starvation.ts"
+import { countBoostedTasks, isOverdue } from "./starvation.ts"
 
 /** A job's tasks once the pass placed some of them. */
 export interface JobProgress {
   queued: number
   running: number
   /** Uncleared tasks by zone. A job may be looked at twice: those placed a moment ago count. */
-  zones: ReadonlyMap<ZoneName, number>
+  tasksByZone: ReadonlyMap<ZoneName, number>
 }
 
 /** What the pass decided, and what it left. */
@@ -33,23 +33,23 @@
   const jobs = tiers.flat()
   const placements: Array<PlannedPlacement> = []
   const progress = new Map<JobId, JobProgress>(
-    jobs.map(({ id, queued, running, zones }) => [id, { queued, running, zones }]),
+    jobs.map(({ id, queued, running, tasksByZone }) => [id, { queued, running, tasksByZone }]),
   )
   const place = (job: JobView, limit: number, cachedOnly = false) => {
-    const tasks = progress.get(job.id)!
-    if (!job.mayStart || tasks.queued === 0) return
-    const zones = new Map(tasks.zones)
-    tasks.zones = zones
-    const maxTasks = Math.min(tasks.queued, limit)
-    const placed = placeJob({ job, maxTasks, cachedOnly, zones }, ready, snapshot, placements)
-    tasks.queued -= placed
-    tasks.running += placed
+    const jobProgress = progress.get(job.id)!
+    if (!job.mayStart || jobProgress.queued === 0) return
+    const tasksByZone = new Map(jobProgress.tasksByZone)
+    jobProgress.tasksByZone = tasksByZone
+    const maxTasks = Math.min(jobProgress.queued, limit)
+    const placed = placeJob({ job, maxTasks, cachedOnly, tasksByZone }, ready, snapshot, placements)
+    jobProgress.queued -= placed
+    jobProgress.running += placed
   }
-  const placeRun = (run: ReadonlyArray<JobView>) => {
-    if (run.length > 1) for (const job of run) place(job, job.queued, true)
-    for (const job of run) place(job, job.queued)
+  const placeGroup = (group: ReadonlyArray<JobView>) => {
+    if (group.length > 1) for (const job of group) place(job, job.queued, true)
+    for (const job of group) place(job, job.queued)
   }
-  for (const job of jobs) if (isOverdue(job)) place(job, tasksToBegin(job))
-  for (const tier of tiers) for (const run of runsOf(tier, canWait)) placeRun(run)
+  for (const job of jobs) if (isOverdue(job)) place(job, countBoostedTasks(job))
+  for (const tier of tiers) for (const run of groupConsecutive(tier, canWait)) placeGroup(run)
   return { placements, progress }
 }
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,8 +1,8 @@
 /** Which queued tasks of one job go to which ready machines. */
 import type { ZoneName } from "@sorreltally/protocol"
-import { type Bin, fill, hasCapacity, type MachineGroup, tasksFitting } from "./bins.ts"
+import { type Bin, hasCapacity, type MachineGroup, takeCapacity, tasksFitting } from "./bins.ts"
 import { EPSILON, fits, slotsIn } from "./capacity.ts"
-import { allowed, zoneAllowance } from "./eligibility.ts"
+import { isEligible, zoneAllowance } from "./eligibility.ts"
 import type { ReadyCapacity } from "./fleet.ts"
 import type { JobView, Reserve, Snapshot } from "./input.ts"
 import { tasksWithinQuota } from "./limits.ts"
@@ -12,7 +12,7 @@
 const RESERVED_PENALTY_S = 4
 
 /** Share of a run that it is worth to leave a machine empty that another shard waits for. */
-const LENDABLE_PENALTY = 0.5
+const LENDABLE_PENALTY_RUN_SHARE = 0.5
 
 /** What to place, and where it may go. */
 export interface PlacementRequest {
@@ -21,16 +21,16 @@
   /** Only where its image is cached. */
   readonly cachedOnly: boolean
   /** Its uncleared tasks by zone; those placed are added. */
-  readonly zones: Map<ZoneName, number>
+  readonly tasksByZone: Map<ZoneName, number>
 }
 
 /** For a job whose tasks stay in one zone and of which none is placed: the zone with the most capacity. */
-const roomiestZone = (
+const zoneWithMostSlots = (
   job: JobView,
-  zones: ReadonlyMap<ZoneName, number>,
+  tasksByZone: ReadonlyMap<ZoneName, number>,
   groups: ReadonlyArray<MachineGroup>,
 ): ZoneName | null => {
-  if (!job.spec.singleZone || zones.size > 0) return null
+  if (!job.spec.singleZone || tasksByZone.size > 0) return null
   const slotsByZone = new Map<ZoneName, number>()
   for (const group of groups) {
     let slots = slotsByZone.get(group.zone) ?? 0
@@ -54,12 +54,13 @@
   snapshot: Snapshot,
 ): number | null => {
   const { machine } = bin
-  if (!fits(job.spec, bin.free) || job.avoids.has(machine.id)) return null
+  if (!fits(job.spec, bin.free) || job.avoidedMachines.has(machine.id)) return null
   if (cachedOnly && !machine.images.has(job.spec.image)) return null
   const reserved = isBelowReserve(job, snapshot.reserve) && bin.reserved
   if (reserved && ready.spareCores < job.spec.cores) return null
   const lendable = snapshot.otherShardsWait && machine.busyTasks === 0
-  const penalty = (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY : 0)
+  const penalty =
+    (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY_RUN_SHARE : 0)
   return suitability(job, bin) - penalty
 }
 
@@ -70,10 +71,10 @@
   ready: ReadyCapacity,
   snapshot: Snapshot,
 ): ReadonlyArray<{ readonly bin: Bin; readonly score: number }> => {
-  const onlyZone = roomiestZone(request.job, request.zones, groups)
+  const requiredZone = zoneWithMostSlots(request.job, request.tasksByZone, groups)
   const ranked: Array<{ readonly bin: Bin; readonly score: number }> = []
   for (const group of groups) {
-    if (onlyZone !== null && group.zone !== onlyZone) continue
+    if (requiredZone !== null && group.zone !== requiredZone) continue
     for (const bin of group.bins) {
       const score = scoreOf(request, bin, ready, snapshot)
       if (score !== null) ranked.push({ bin, score })
@@ -94,15 +95,19 @@
 }
 
 /** How many more tasks of the job, up to `maxTasks`, may be placed on a bin. */
-const tasksOn = (
-  { job, zones }: PlacementRequest,
+const placeableTasks = (
+  { job, tasksByZone }: PlacementRequest,
   bin: Bin,
   maxTasks: number,
   ready: ReadyCapacity,
   snapshot: Snapshot,
 ): number => {
   const { spec } = job
-  const fitting = Math.min(maxTasks, tasksFitting(spec, bin), zoneAllowance(spec, zones, bin.machine.zone))
+  const fitting = Math.min(
+    maxTasks,
+    tasksFitting(spec, bin),
+    zoneAllowance(spec, tasksByZone, bin.machine.zone),
+  )
   if (!bin.reserved || !isBelowReserve(job, snapshot.reserve)) return fitting
   return Math.min(fitting, Math.floor((ready.spareCores + EPSILON) / spec.cores))
 }
@@ -114,25 +119,25 @@
   snapshot: Snapshot,
   placements: Array<PlannedPlacement>,
 ): number => {
-  const { job, maxTasks, zones } = request
+  const { job, maxTasks, tasksByZone } = request
   const { spec } = job
-  const team = snapshot.teams.get(spec.team)
-  const limit = Math.min(maxTasks, tasksWithinQuota(job, snapshot.teams))
+  const team = snapshot.allocationHeadroom.get(spec.team)
+  const limit = Math.min(maxTasks, tasksWithinQuota(job, snapshot.allocationHeadroom))
   if (team === undefined || limit <= 0) return 0
-  const groups = ready.groups.filter((group) => group.bins.length > 0 && allowed(spec, group))
+  const groups = ready.groups.filter((group) => group.bins.length > 0 && isEligible(spec, group))
   let left = limit
   for (const { bin } of rankedBins(request, groups, ready, snapshot)) {
     if (left <= 0) break
     const { machine } = bin
-    const take = tasksOn(request, bin, left, ready, snapshot)
-    if (take <= 0) continue
-    fill(bin, spec, take)
-    if (bin.reserved) ready.spareCores -= spec.cores * take
-    team.cores -= spec.cores * take
-    team.accelerators -= spec.accelerators * take
-    zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + take)
-    for (let i = 0; i < take; i++) placements.push({ job: job.id, machine: machine.id })
-    left -= take
+    const count = placeableTasks(request, bin, left, ready, snapshot)
+    if (count <= 0) continue
+    takeCapacity(bin, spec, count)
+    if (bin.reserved) ready.spareCores -= spec.cores * count
+    team.cores -= spec.cores * count
+    team.accelerators -= spec.accelerators * count
+    tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + count)
+    for (let i = 0; i < count; i++) placements.push({ job: job.id, machine: machine.id })
+    left -= count
   }
   if (left < limit) for (const group of groups) group.bins = group.bins.filter(hasCapacity)
   return limit - left
@@ -150,18 +155,18 @@
   reserve: Reserve,
 ): number => {
   const { spec } = job
-  const zones = new Map(placedByZone)
+  const tasksByZone = new Map(placedByZone)
   let left = maxTasks
   for (const group of ready.groups) {
     if (left <= 0) break
-    if (!allowed(spec, group)) continue
+    if (!isEligible(spec, group)) continue
     for (const bin of group.bins) {
       if (bin.reserved && isBelowReserve(job, reserve)) continue
-      const take = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, zones, group.zone))
-      if (take <= 0) continue
-      fill(bin, spec, take)
-      zones.set(group.zone, (zones.get(group.zone) ?? 0) + take)
-      left -= take
+      const count = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, tasksByZone, group.zone))
+      if (count <= 0) continue
+      takeCapacity(bin, spec, count)
+      tasksByZone.set(group.zone, (tasksByZone.get(group.zone) ?? 0) + count)
+      left -= count
     }
   }
   return maxTasks - left
--- a/packages/planner/src/plan.ts
+++ b/packages/planner/src/plan.ts
@@ -20,7 +20,7 @@
     ...decisions,
     placements,
     // Where no limit binds it is fragments, or waits for a heartbeat: no reason to empty a machine.
-    unusedCores: decisions.quotaLimited.size > 0 ? unusedCores(ready) : 0,
-    idle: new Set(ready.filter(isIdle).map(({ machine }) => machine.id)),
+    unusedCores: decisions.quotaLimitedJobs.size > 0 ? unusedCores(ready) : 0,
+    idleMachines: new Set(ready.filter(isIdle).map(({ machine }) => machine.id)),
   }
 }
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -1,8 +1,8 @@
 /** How many machines a job needs beyond those that it has: the deadline formula, or the base fleet. */
 import type { MachineGroup } from "./bins.ts"
-import { EPSILON, minus, slotsIn } from "./capacity.ts"
+import { EPSILON, slotsIn, subtractTasks } from "./capacity.ts"
 import { extraResources, newMachinesComeInTime } from "./deadline.ts"
-import { allowed } from "./eligibility.ts"
+import { isEligible } from "./eligibility.ts"
 import type { JobView, Snapshot } from "./input.ts"
 
 /** Without a stated aim, the base fleet starts a job's queue within this time. */
@@ -11,7 +11,7 @@
 /** What a job counts on beyond the machines that are ready, in slots. */
 export interface Provision {
   /** On machines that boot. */
-  readonly requested: number
+  readonly requestedSlots: number
   /** On machines to ask for. */
   readonly shortfall: number
 }
@@ -32,39 +32,39 @@
   deploymentS: number,
 ): Provision => {
   const { job, maxSlots } = demand
-  const shortfall = (requested: number): number =>
-    Math.min(slotsNeeded(demand, requested, deploymentS), maxSlots - requested)
-  let requested = 0
-  const groups = booting.filter((group) => group.bins.length > 0 && allowed(job.spec, group))
+  const computeShortfall = (requestedSlots: number): number =>
+    Math.min(slotsNeeded(demand, requestedSlots, deploymentS), maxSlots - requestedSlots)
+  let requestedSlots = 0
+  const groups = booting.filter((group) => group.bins.length > 0 && isEligible(job.spec, group))
   // Machines asked for on this job's behalf come first, then capacity that others left on theirs.
-  for (const own of [true, false]) {
+  for (const isOwn of [true, false]) {
     for (const group of groups) {
       for (const bin of group.bins) {
-        if ((bin.machine.assignedJob === job.id) !== own) continue
-        const missing = shortfall(requested)
-        if (missing === 0) return { requested, shortfall: missing }
-        const take = Math.min(missing, slotsIn(job.spec, bin.free))
-        bin.free = minus(bin.free, job.spec, take)
-        requested += take
+        if ((bin.machine.assignedJob === job.id) !== isOwn) continue
+        const missing = computeShortfall(requestedSlots)
+        if (missing === 0) return { requestedSlots: requestedSlots, shortfall: missing }
+        const slots = Math.min(missing, slotsIn(job.spec, bin.free))
+        bin.free = subtractTasks(bin.free, job.spec, slots)
+        requestedSlots += slots
       }
       group.bins = group.bins.filter((bin) => bin.free.cores > EPSILON)
     }
   }
-  return { requested, shortfall: shortfall(requested) }
+  return { requestedSlots: requestedSlots, shortfall: computeShortfall(requestedSlots) }
 }
 
 /** Slots needed beyond those that run and those already requested. */
 const slotsNeeded = (
   { job, queued, running }: ProvisionDemand,
-  requested: number,
+  requestedSlots: number,
   deploymentS: number,
 ): number =>
   job.timeLeftS === null
-    ? baseFleet(job, queued, running, requested)
+    ? baseFleetSlots(job, queued, running, requestedSlots)
     : extraResources({
         pendingTasks: queued,
         resources: running,
-        requestedResources: requested,
+        requestedResources: requestedSlots,
         executionTime: job.executionS,
         timeLeft: job.timeLeftS,
         deploymentTime: deploymentS,
@@ -75,15 +75,15 @@
  * which the objectives want it started. What runs now makes room in time only if
  * that leaves more than one round.
  */
-const baseFleet = (job: JobView, queued: number, running: number, requested: number): number => {
+const baseFleetSlots = (job: JobView, queued: number, running: number, requestedSlots: number): number => {
   const horizonS = Math.max(0, (job.startWithinS ?? DEFAULT_START_WITHIN_S) / 2 - job.ageS)
   const rounds = Math.max(1, Math.floor(horizonS / job.executionS) + 1)
-  return Math.max(0, Math.ceil(queued / rounds) - (rounds > 1 ? running : 0) - requested)
+  return Math.max(0, Math.ceil(queued / rounds) - (rounds > 1 ? running : 0) - requestedSlots)
 }
 
 /** Can spot machines that the job may use be asked for? */
-export const spotAvailable = (job: JobView, { market }: Pick<Snapshot, "market">): boolean =>
-  market.some((offer) => offer.spot && allowed(job.spec, offer))
+export const spotAvailable = (job: JobView, { offers }: Pick<Snapshot, "offers">): boolean =>
+  offers.some((offer) => offer.spot && isEligible(job.spec, offer))
 
 /**
  * On-demand machines cost several times as much. They are the fall-back where
--- a/packages/planner/src/release.ts
+++ b/packages/planner/src/release.ts
@@ -37,7 +37,7 @@
 }
 
 /** A job held back by its team's limit releases a machine on which the limit lets nothing run. */
-export const releaseIdle = (
+export const releaseIdleMachine = (
   assigned: ReadonlyArray<Bin>,
   assignedJobs: Map<MachineId, JobId | null>,
 ): void => {
--- a/packages/planner/src/starvation.ts
+++ b/packages/planner/src/starvation.ts
@@ -7,29 +7,30 @@
 import type { JobView } from "./input.ts"
 
 /** Age at which a job that never began goes first on its own shard's machines. */
-const OVERDUE_S = 90
+const OVERDUE_AGE_S = 90
 /**
  * Age at which it goes first across all shards. Machines that change shards cost image fetches and
  * writes; users expect even the largest jobs to begin within four minutes.
  */
-const STARVED_S = 150
+const STARVED_AGE_S = 150
 /** Share of a job's queued tasks that then go first. */
-const TO_BEGIN = 0.05
+const BOOSTED_SHARE = 0.05
 /** Above the rank of any priority. */
 export const STARVED_RANK = 100
 
-type Waiting = Pick<JobView, "notStarted" | "queued" | "ageS">
+type WaitingJob = Pick<JobView, "notStarted" | "queued" | "ageS">
 
 /** Some of its tasks go first on its own shard's machines. */
-export const isOverdue = ({ notStarted, queued, ageS }: Waiting): boolean =>
-  notStarted && queued > 0 && ageS > OVERDUE_S
+export const isOverdue = ({ notStarted, queued, ageS }: WaitingJob): boolean =>
+  notStarted && queued > 0 && ageS > OVERDUE_AGE_S
 
 /** Some of its tasks go first across all shards. */
-export const isStarved = ({ notStarted, queued, ageS }: Waiting): boolean =>
+export const isStarved = ({ notStarted, queued, ageS }: WaitingJob): boolean =>
   notStarted && queued > 0 && hasWaitedTooLong(ageS)
 
 /** Is a job of this age starved if nothing of it began? */
-export const hasWaitedTooLong = (ageS: number): boolean => ageS > STARVED_S
+export const hasWaitedTooLong = (ageS: number): boolean => ageS > STARVED_AGE_S
 
 /** How many of its queued tasks go first; at least one. */
-export const tasksToBegin = ({ queued }: Pick<Waiting, "queued">): number => Math.ceil(queued * TO_BEGIN)
+export const countBoostedTasks = ({ queued }: Pick<WaitingJob, "queued">): number =>
+  Math.ceil(queued * BOOSTED_SHARE)
--- a/packages/planner/src/victims.ts
+++ b/packages/planner/src/victims.ts
@@ -1,11 +1,11 @@
 /** Which running tasks are preempted for work of higher rank. It chooses; stopping them is the caller's. */
 import type { MachineId } from "@sorreltally/protocol"
-import { fits, minus, slotsIn } from "./capacity.ts"
-import { allowed } from "./eligibility.ts"
+import { fits, slotsIn, subtractTasks } from "./capacity.ts"
+import { isEligible } from "./eligibility.ts"
 import type { Capacity, MachineView, TaskShape } from "./input.ts"
 
 /** About what an image fetch takes, in seconds. */
-const FETCH_LOSS_S = 8
+const IMAGE_FETCH_S = 8
 
 /** A running task that could be preempted; `T` is the caller's record of it. */
 export interface Victim<T> {
@@ -16,7 +16,7 @@
   /** Core-seconds lost by stopping it: what it ran since its last checkpoint. */
   readonly lossCoreS: number
   /** Seconds that its checkpoint takes before its capacity is free; 0: it can't save, and frees it at once. */
-  readonly savesS: number
+  readonly checkpointSaveS: number
 }
 
 /** What victims are chosen for, and among which. */
@@ -34,7 +34,7 @@
 }
 
 /** Victims on one machine that are chosen together, or not at all. */
-interface Option<T> {
+interface PreemptionOption<T> {
   readonly victims: ReadonlyArray<Victim<T>>
   /** Slots for the shape that they free. */
   readonly slots: number
@@ -50,13 +50,13 @@
   shape: TaskShape,
   free: Capacity,
   victims: ReadonlyArray<Victim<T>>,
-): ReadonlyArray<Option<T>> => {
-  const options: Array<Option<T>> = []
+): ReadonlyArray<PreemptionOption<T>> => {
+  const options: Array<PreemptionOption<T>> = []
   let capacity = free
   let pending: Array<Victim<T>> = []
   for (const victim of victims) {
     const before = slotsIn(shape, capacity)
-    capacity = minus(capacity, victim.shape, -1)
+    capacity = subtractTasks(capacity, victim.shape, -1)
     pending.push(victim)
     const slots = slotsIn(shape, capacity) - before
     if (slots > 0 && fits(shape, capacity)) {
@@ -67,9 +67,12 @@
   return options
 }
 
-const optionsOn = <T>(machine: MachineView, request: PreemptionRequest<T>): ReadonlyArray<Option<T>> => {
+const optionsOn = <T>(
+  machine: MachineView,
+  request: PreemptionRequest<T>,
+): ReadonlyArray<PreemptionOption<T>> => {
   const { shape, rank, victimsOn, wholeMachines } = request
-  if (machine.state !== "ready" || !allowed(shape, machine)) return []
+  if (machine.state !== "ready" || !isEligible(shape, machine)) return []
   const victims = victimsOn(machine.id).filter((victim) => victim.rank < rank)
   if (victims.length === 0 || (wholeMachines && victims.length < machine.busyTasks)) return []
   const options = wholeMachines
@@ -79,7 +82,7 @@
   // Where the image is missing, its fetch keeps the capacity from use as long as lost work would.
   return options.map((option) => ({
     ...option,
-    loss: option.loss + FETCH_LOSS_S * shape.cores * option.slots,
+    loss: option.loss + IMAGE_FETCH_S * shape.cores * option.slots,
   }))
 }
 
--- a/packages/planner/test/limits.test.ts
+++ b/packages/planner/test/limits.test.ts
@@ -21,7 +21,14 @@
     executionS: 20,
     ...more,
   })
-const spot: Offer = { type, zone: zone("a"), spot: true, price: 1, requested: false, ownMachines: 0 }
+const spot: Offer = {
+  type,
+  zone: zone("a"),
+  spot: true,
+  price: 1,
+  hasPendingRequest: false,
+  machinesInZone: 0,
+}
 /** What each team may still use of its limit; of that, its quota allocation lets it start nothing yet. */
 const snapshot = (
   jobs: ReadonlyArray<JobView>,
@@ -30,9 +37,11 @@
   allocations: Readonly<Record<string, number>> = {},
 ): Snapshot =>
   snapshotOf(jobs, machines, {
-    teams: headroom(Object.fromEntries(Object.keys(limits).map((team) => [team, allocations[team] ?? 0]))),
-    limits: headroom(limits),
-    market: [spot],
+    allocationHeadroom: headroom(
+      Object.fromEntries(Object.keys(limits).map((team) => [team, allocations[team] ?? 0])),
+    ),
+    limitHeadroom: headroom(limits),
+    offers: [spot],
   })
 const rented = (of: Snapshot): number => plan(of).rentals.reduce((sum, { count }) => sum + count, 0)
 
@@ -70,7 +79,7 @@
   const { unplaced } = plan(snapshot([job(1, "red"), job(2, "red")], [], { red: 200 }, { red: 48 }))
   // 50 tasks in all, though each job lacks 40. Capacity is made for each as far as the allocation lets it start.
   assert.deepEqual(
-    unplaced.map(({ tasks, startable }) => [tasks, startable]),
+    unplaced.map(({ tasks, startableTasks: startable }) => [tasks, startable]),
     [
       [40, 12],
       [10, 12],
@@ -82,12 +91,12 @@
   const jobs = [job(1, "red"), job(2, "red")]
   const machines = ["i-1", "i-2", "i-3"].map((id) => machine(id, { assignedJob: jobs[1]!.id }))
   const decided = plan(snapshot(jobs, machines, { red: 32 }))
-  assert.deepEqual([...decided.idle], ["i-3"])
+  assert.deepEqual([...decided.idleMachines], ["i-3"])
   assert.deepEqual([...decided.assignedJobs], [["i-3", null]])
-  assert.deepEqual([...plan(snapshot(jobs, machines, { red: 64 })).idle], [])
+  assert.deepEqual([...plan(snapshot(jobs, machines, { red: 64 })).idleMachines], [])
   // Nor is a machine of use to a job that mayn't run there.
   const elsewhere = job(1, "red", { spec: { ...jobs[0]!.spec, zone: zone("b") } })
-  assert.deepEqual([...plan(snapshot([elsewhere], [machine("i-1")], { red: 64 })).idle], ["i-1"])
+  assert.deepEqual([...plan(snapshot([elsewhere], [machine("i-1")], { red: 64 })).idleMachines], ["i-1"])
 })
 
 test("what the market can't give one job stays for the others of its team", () => {
--- a/packages/planner/test/loans.test.ts
+++ b/packages/planner/test/loans.test.ts
@@ -28,7 +28,7 @@
   shape,
   rank,
   tasks: 1,
-  pressing: 0,
+  urgentTasks: 0,
   since,
 })
 const loans = (jobs: ReadonlyArray<JobView>, of: MachineDemand): number =>
@@ -37,7 +37,7 @@
     jobs,
     demands: [of],
     share: 1,
-    lentLately: new Map(),
+    recentlyLentSlots: new Map(),
     reserve: noReserve,
   }).length
 
--- a/packages/planner/test/order.test.ts
+++ b/packages/planner/test/order.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict"
 import { test } from "node:test"
 import type { JobId, JobSpec } from "@sorreltally/protocol"
-import type { ClusterLoad, JobView } from "../src/input.ts"
+import type { JobView, ShardLoad } from "../src/input.ts"
 import { nextTarget, schedulingTiers } from "../src/order.ts"
 import { job as jobOf } from "./builders.ts"
 
 const job = (id: string, queued: number, timeLeftS: number | null, more: Partial<JobView> = {}): JobView =>
   jobOf(id as JobId, { spec: { cores: 4 } as JobSpec, queued, timeLeftS, ...more })
-const idle = (cores: number) => ({ cores, ending: [] })
-const order = (jobs: ReadonlyArray<JobView>, load: ClusterLoad) =>
+const idle = (cores: number) => ({ cores, endingCoresBySecond: [] })
+const order = (jobs: ReadonlyArray<JobView>, load: ShardLoad) =>
   schedulingTiers(jobs, load)
     .flat()
     .map(({ id }) => id as string)
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -17,7 +17,7 @@
 const job = (more: Partial<JobView>): JobView =>
   jobOf(jobId(1), { spec, queued: 12, withinGuarantee: true, ...more })
 const snapshot = (jobs: ReadonlyArray<JobView>, machines: ReadonlyArray<MachineView>) =>
-  snapshotOf(jobs, machines, { load: () => ({ cores: 32, ending: [] }) })
+  snapshotOf(jobs, machines, { load: () => ({ cores: 32, endingCoresBySecond: [] }) })
 const byMachine = (jobs: ReadonlyArray<JobView>, machines: ReadonlyArray<MachineView>) => {
   const count = new Map<string, number>()
   for (const { machine } of plan(snapshot(jobs, machines)).placements)
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -158,8 +158,8 @@
       zone,
       spot,
       price: spot ? type.spotPrice : type.onDemandPrice,
-      requested: (this.requested.get(poolKey(type.name, zone, spot)) ?? 0) > 0,
-      ownMachines: this.countByZone.get(zone) ?? 0,
+      hasPendingRequest: (this.requested.get(poolKey(type.name, zone, spot)) ?? 0) > 0,
+      machinesInZone: this.countByZone.get(zone) ?? 0,
     }
   }
 
--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -5,7 +5,7 @@
  * drains for whom, and changes neither machines nor placements itself.
  */
 import {
-  allowed,
+  isEligible,
   type MachineDemand,
   type MachineLoan,
   type MachineView,
@@ -72,7 +72,7 @@
     const taken = new Set(this.machines.values())
     let best: MachineView | null = null
     for (const view of machines) {
-      if (view.state !== "ready" || taken.has(view.id) || !allowed(shape, view)) continue
+      if (view.state !== "ready" || taken.has(view.id) || !isEligible(shape, view)) continue
       if (view.type.cores > unusedCores || (view.reserved && Number.isFinite(unusedCores))) continue
       if (best === null || view.busyTasks < best.busyTasks) best = view
     }
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -1,12 +1,12 @@
 /** What a shard asks of the others: machines for queued tasks that its own have no capacity for. */
 import {
+  countBoostedTasks,
   isStarved,
   type JobView,
   type MachineDemand,
   STARVED_RANK,
   shapeOf,
-  tasksToBegin,
-  type Unplaced,
+  type UnplacedTasks,
 } from "@sorreltally/planner"
 import type { ShardName } from "@sorreltally/protocol"
 
@@ -17,19 +17,19 @@
 /** The shard's demands after a plan: those of starved jobs, then the others in scheduling order. */
 export const machineDemands = (
   shard: ShardName,
-  unplaced: ReadonlyArray<Unplaced>,
+  unplaced: ReadonlyArray<UnplacedTasks>,
 ): ReadonlyArray<MachineDemand> => [
   ...starvedDemands(shard, unplaced),
   ...unplaced
     .filter(({ tasks }) => tasks > 0)
     .slice(0, MAX_PUBLISHED_DEMANDS)
     .map(
-      ({ job, tasks, urgent }): MachineDemand => ({
+      ({ job, tasks, urgentTasks }): MachineDemand => ({
         shard,
         shape: shapeOf(job.spec),
         rank: job.rank,
         tasks,
-        pressing: job.withinGuarantee ? Math.min(urgent, tasks) : 0,
+        urgentTasks: job.withinGuarantee ? Math.min(urgentTasks, tasks) : 0,
         since: job.submitted,
       }),
     ),
@@ -49,14 +49,14 @@
  */
 const starvedDemands = (
   shard: ShardName,
-  unplaced: ReadonlyArray<Unplaced>,
+  unplaced: ReadonlyArray<UnplacedTasks>,
 ): ReadonlyArray<MachineDemand> => {
   const groups = new Map<string, StarvedGroup>()
   for (const { job, tasks } of unplaced) {
     if (tasks === 0 || !isStarved(job)) continue
     const key = eligibleMachinesKey(job)
     const group = groups.get(key) ?? { first: job, tasks: 0, since: job.submitted }
-    group.tasks += Math.min(tasks, tasksToBegin(job))
+    group.tasks += Math.min(tasks, countBoostedTasks(job))
     group.since = Math.min(group.since, job.submitted)
     groups.set(key, group)
   }
@@ -68,7 +68,7 @@
       shape: shapeOf(first.spec),
       rank: STARVED_RANK,
       tasks,
-      pressing: 0,
+      urgentTasks: 0,
       since,
     }))
 }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,15 +1,15 @@
 /** What the planner is shown of a shard: its jobs, machines, load and quota use at one moment. It changes none of them. */
 import { type JobState, type Placement, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
-  type ClusterLoad,
   EPSILON,
   isReserved,
   type JobView,
   type MachineView,
+  MIN_FEASIBLE_RUN_SHARE,
   nextTarget,
   type QuotaHeadroom,
-  REACH,
   type Reserve,
+  type ShardLoad,
 } from "@sorreltally/planner"
 import {
   addMs,
@@ -50,20 +50,20 @@
 }
 
 /** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
-export const loadOf = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
+export const loadOf = (shard: ShardView, now: MonotonicTime): ShardLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
     if (!shard.assignments.get(id)!.releasing) cores += type.cores
-  const ending = new Array<number>(HORIZON_S).fill(0)
+  const endingCoresBySecond = new Array<number>(HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
     const executionS = shard.node.estimates.executionS(job.spec)
     for (const placement of job.placements.values()) {
       const leftS = remainingS(placement, executionS, now)
-      if (leftS < HORIZON_S) ending[Math.floor(leftS)]! += job.spec.cores
+      if (leftS < HORIZON_S) endingCoresBySecond[Math.floor(leftS)]! += job.spec.cores
     }
   }
-  return { cores, ending }
+  return { cores, endingCoresBySecond }
 }
 
 const remainingS = ({ runningSince }: Placement, executionS: number, now: MonotonicTime): number => {
@@ -109,7 +109,7 @@
     rank: suspect ? SUSPECT_RANK : priorityRank[spec.priority],
     queued: shard.failures.startable(job, now),
     running: job.placements.size - job.stopping,
-    zones: tasksByZone(shard, job),
+    tasksByZone: tasksByZone(shard, job),
     timeLeftS: timeLeftS(shard, spec, ageS, executionS),
     ageS,
     submitted,
@@ -118,7 +118,7 @@
     notStarted: job.notStarted && !suspect,
     withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
     mayStart: job.retryAfter === null || now >= job.retryAfter,
-    avoids: shard.failures.avoidedBy(id, now),
+    avoidedMachines: shard.failures.avoidedBy(id, now),
   }
 }
 
@@ -160,7 +160,7 @@
     if (deadlineMultiple != null && deadlineMultiple > 1) targets.push(deadlineS * deadlineMultiple)
   }
   targets.sort((a, b) => a - b)
-  return (nextTarget(targets, ageS, executionS * REACH) ?? deadlineS) - ageS
+  return (nextTarget(targets, ageS, executionS * MIN_FEASIBLE_RUN_SHARE) ?? deadlineS) - ageS
 }
 
 /** The shard's machines, and those of rentals that haven't been answered yet. */
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -5,16 +5,16 @@
  */
 import type { Placement } from "@sorreltally/jobs"
 import {
-  allowed,
   choosePreemptions,
   hasWaitedTooLong,
+  isEligible,
   type MachineDemand,
   type MachineView,
-  minus,
   type PreemptionRequest,
   shapeOf,
   slotsIn,
-  type Unplaced,
+  subtractTasks,
+  type UnplacedTasks,
   type Victim,
 } from "@sorreltally/planner"
 import {
@@ -50,7 +50,7 @@
 /** What work is preempted for, and among which machines. */
 export interface PreemptionInput {
   /** Our own queued tasks without capacity, most urgent job first. */
-  readonly unplaced: ReadonlyArray<Unplaced>
+  readonly unplaced: ReadonlyArray<UnplacedTasks>
   /** Demands of other shards that some machine of ours could serve. */
   readonly demands: ReadonlyArray<MachineDemand>
   /** Our fair share of each of these, 0 to 1. */
@@ -71,7 +71,7 @@
 
 /** Preempts for our own unplaced tasks first, then for other shards' urgent ones. */
 export const preempt = (shard: ShardView, input: PreemptionInput): void => {
-  const foreign = input.demands.filter((demand) => demand.pressing > 0 && !isZoneBound(demand.shape))
+  const foreign = input.demands.filter((demand) => demand.urgentTasks > 0 && !isZoneBound(demand.shape))
   const own = input.unplaced.filter(({ job }) => !isZoneBound(job.spec)).slice(0, MAX_JOBS)
   if (foreign.length === 0 && own.length === 0) return
   const maxRank = Math.max(...foreign.map(({ rank }) => rank), ...own.map(({ job }) => job.rank))
@@ -110,7 +110,7 @@
       const { spec } = placement.job
       if (placement.stop !== null) {
         busyTasks--
-        free = minus(free, spec, -1)
+        free = subtractTasks(free, spec, -1)
         continue
       }
       if (priorityRank[spec.priority] >= maxRank) continue
@@ -125,21 +125,21 @@
    * Work that can save gives way to any of higher rank; other work is given
    * up only where it has to be, and only for what a team is guaranteed.
    */
-  makeCapacityFor({ job, startable, urgent }: Unplaced): void {
-    const missing = startable - this.takeFree(job.spec, startable)
+  makeCapacityFor({ job, startableTasks, urgentTasks }: UnplacedTasks): void {
+    const missing = startableTasks - this.takeFree(job.spec, startableTasks)
     if (missing <= 0) return
-    const forced = job.withinGuarantee ? urgent : 0
+    const forced = job.withinGuarantee ? urgentTasks : 0
     const request = { shape: shapeOf(job.spec), rank: job.rank, wholeMachines: false }
-    const saving = this.choose({ ...request, tasks: missing }, ({ savesS }) => savesS > 0)
+    const saving = this.choose({ ...request, tasks: missing }, ({ checkpointSaveS }) => checkpointSaveS > 0)
     if (saving.length > 0) this.stop(saving)
     else if (forced > 0) this.stop(this.choose({ ...request, tasks: Math.min(missing, forced) }, () => true))
   }
 
   /** Other shards can use a machine only once it is empty. */
-  emptyMachinesFor({ shard, shape, rank, pressing }: MachineDemand): void {
-    let missing = Math.ceil(pressing * this.input.share) - (this.input.lentLately.get(shard) ?? 0)
+  emptyMachinesFor({ shard, shape, rank, urgentTasks }: MachineDemand): void {
+    let missing = Math.ceil(urgentTasks * this.input.share) - (this.input.lentLately.get(shard) ?? 0)
     for (const machine of this.machines) {
-      if (machine.state === "ready" && machine.busyTasks === 0 && allowed(shape, machine))
+      if (machine.state === "ready" && machine.busyTasks === 0 && isEligible(shape, machine))
         missing -= slotsIn(shape, machine.type)
     }
     if (missing <= 0) return
@@ -147,13 +147,13 @@
   }
 
   /** Takes free capacity for up to that many tasks; returns for how many. */
-  private takeFree(spec: Unplaced["job"]["spec"], tasks: number): number {
+  private takeFree(spec: UnplacedTasks["job"]["spec"], tasks: number): number {
     let left = tasks
     for (const machine of this.machines) {
       if (left <= 0) break
-      if (machine.state !== "ready" || !allowed(spec, machine)) continue
+      if (machine.state !== "ready" || !isEligible(spec, machine)) continue
       const take = Math.min(left, slotsIn(spec, machine.free))
-      machine.free = minus(machine.free, spec, take)
+      machine.free = subtractTasks(machine.free, spec, take)
       left -= take
     }
     return tasks - left
@@ -170,11 +170,11 @@
 
   private stop(chosen: ReadonlyArray<Victim<Placement>>): void {
     const { now, commandsDue } = this.input
-    for (const { placement, savesS } of chosen) {
+    for (const { placement, checkpointSaveS } of chosen) {
       this.stopped.add(placement)
       placement.job.stop(placement, {
         reason: "preempted",
-        gracePeriodS: savesS + GRACE_MARGIN_S,
+        gracePeriodS: checkpointSaveS + GRACE_MARGIN_S,
         since: now,
       })
       commandsDue(placement.machine)
@@ -194,6 +194,6 @@
     shape: shapeOf(spec),
     rank: priorityRank[spec.priority],
     lossCoreS: (saves ? Math.min(ranS, spec.checkpointSaveS) : ranS) * spec.cores,
-    savesS: saves ? spec.checkpointSaveS : 0,
+    checkpointSaveS: saves ? spec.checkpointSaveS : 0,
   }
 }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -5,6 +5,7 @@
  */
 import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
+  countBoostedTasks,
   goesFirst,
   isStarved,
   type JobView,
@@ -13,7 +14,6 @@
   STARVED_RANK,
   slotsIn,
   type TeamClaim,
-  tasksToBegin,
   tasksWithinHeadroom,
 } from "@sorreltally/planner"
 import { type JobSpec, priorityRank, type TeamName } from "@sorreltally/protocol"
@@ -98,7 +98,7 @@
   if (wanted === 0) return null
   const withinAllocation = tasksWithinHeadroom(spec, headroom)
   if (withinAllocation >= wanted) return null
-  const starved = isStarved(job) && withinAllocation < Math.min(wanted, tasksToBegin(job))
+  const starved = isStarved(job) && withinAllocation < Math.min(wanted, countBoostedTasks(job))
   return starved ? STARVED_RANK : job.rank
 }
 
@@ -167,7 +167,7 @@
     const suspect = shard.failures.isSuspect(job.id)
     all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
     const waiting = { notStarted: job.notStarted && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
-    if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
+    if (isStarved(waiting)) starved.add(job, Math.min(tasks, countBoostedTasks(waiting)), STARVED_RANK)
     if (smallestTask === null || spec.cores < smallestTask.cores) smallestTask = spec
   }
   return { all, starved, smallestTask }
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -2,7 +2,7 @@
  * Scale in: which healthy machines are released, or lent to another shard, at the end of their billing window.
  * Within the window a machine is paid for, so it is kept; at its end it is kept only when it is of use.
  */
-import { allowed, type MachineDemand, type Reserve, slotsIn, spareCores } from "@sorreltally/planner"
+import { isEligible, type MachineDemand, type Reserve, slotsIn, spareCores } from "@sorreltally/planner"
 import type { JobId, JobSpec, MachineId, MonotonicTime, ShardName } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 import type { ReleaseReason } from "./machine-release.ts"
@@ -102,7 +102,7 @@
     const { zone, spot } = session.entry
     const offer = { type: session.type, zone, spot }
     const isClosing = shard.assignments.get(session.id)!.closing
-    const borrower = isClosing ? undefined : demands.find((demand) => allowed(demand.shape, offer))
+    const borrower = isClosing ? undefined : demands.find((demand) => isEligible(demand.shape, offer))
     if (borrower === undefined) release(session, "window end")
     else lend(session, borrower.shard, demands)
   }
@@ -121,5 +121,5 @@
 /** Does another shard need such a machine so soon that it would otherwise rent an on-demand one of its own? */
 const isPressing = (demands: ReadonlyArray<MachineDemand>, { type, entry }: WorkerSession): boolean => {
   const offer = { type, zone: entry.zone, spot: entry.spot }
-  return demands.some((demand) => demand.pressing > 0 && allowed(demand.shape, offer))
+  return demands.some((demand) => demand.urgentTasks > 0 && isEligible(demand.shape, offer))
 }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -4,7 +4,6 @@
  */
 import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
-  type ClusterLoad,
   type JobView,
   lend,
   type MachineDemand,
@@ -17,6 +16,7 @@
   type QuotaHeadroom,
   type Reserve,
   type ShardDemand,
+  type ShardLoad,
   STARVED_RANK,
   servableDemands,
 } from "@sorreltally/planner"
@@ -96,7 +96,7 @@
   private readonly arrivals = new Arrivals()
   private reserveRank = Number.NEGATIVE_INFINITY
   private onDemandNeededAt: MonotonicTime = NEVER
-  private lastLoad: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
+  private lastLoad: { readonly at: MonotonicTime; readonly load: ShardLoad } | null = null
   private statusAt: MonotonicTime = NEVER
   /** The last plan left work without capacity. */
   hasUnplacedTasks = false
@@ -226,8 +226,8 @@
     const { shard, lending } = this.options
     const demands = others.machines
     const machines = machineViews(shard, now, reserve, false)
-    const lentLately = lending.recentlyLent(now)
-    const loans = lend({ machines, jobs, demands, share, lentLately, reserve })
+    const recentlyLentSlots = lending.recentlyLent(now)
+    const loans = lend({ machines, jobs, demands, share, recentlyLentSlots, reserve })
     if (loans.length === 0) return machines
     this.lendAll(loans, demands)
     return machineViews(shard, now, reserve, false)
@@ -263,21 +263,21 @@
     return plan({
       jobs,
       machines,
-      teams: headroom.startable,
-      limits: headroom.rentable,
-      types: [...(node.inventory.catalog()?.values() ?? [])],
+      allocationHeadroom: headroom.startable,
+      limitHeadroom: headroom.rentable,
+      machineTypes: [...(node.inventory.catalog()?.values() ?? [])],
       maxOnDemandCostRatio: node.operators.provisioning.maxOnDemandCostRatio,
       reserve,
       otherShardsWait: others.machines.length > 0,
       load: () => this.load(now),
-      market: node.inventory.market(),
-      rentalSize: MAX_MACHINES_PER_RENTAL,
+      offers: node.inventory.market(),
+      maxMachinesPerRental: MAX_MACHINES_PER_RENTAL,
       deploymentS: node.operators.provisioning.deploymentS,
     })
   }
 
   /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
-  private load(now: MonotonicTime): ClusterLoad {
+  private load(now: MonotonicTime): ShardLoad {
     if (this.lastLoad === null || now > addMs(this.lastLoad.at, LOAD_EVERY_MS))
       this.lastLoad = { at: now, load: loadOf(this.options.shard, now) }
     return this.lastLoad.load
@@ -286,8 +286,8 @@
   /** What the next plans and those who ask in between need of this one. */
   private remember(decided: Plan, now: MonotonicTime): void {
     this.hasUnplacedTasks = decided.unplaced.length > 0
-    this.idle = decided.idle
-    this.quotaLimitedJobs = decided.quotaLimited
+    this.idle = decided.idleMachines
+    this.quotaLimitedJobs = decided.quotaLimitedJobs
     this.unusedCores = decided.unusedCores
     if (decided.onDemandNeeded) this.onDemandNeededAt = now
   }
@@ -297,7 +297,7 @@
     demands: ReadonlyArray<MachineDemand>,
     { share, now }: PlanContext,
   ): void {
-    if (unplaced.length === 0 && !demands.some(({ pressing }) => pressing > 0)) return
+    if (unplaced.length === 0 && !demands.some(({ urgentTasks }) => urgentTasks > 0)) return
     const { shard, lending, commandsDue } = this.options
     const machines = machineViews(shard, now, this.reserve(), true)
     const lentLately = lending.recentlyLent(now)
--- a/packages/shard/test/builders.ts
+++ b/packages/shard/test/builders.ts
@@ -39,7 +39,7 @@
     shard,
     rank,
     tasks: 4,
-    pressing: 0,
+    urgentTasks: 0,
     since: 0,
     shape: { cores: 2, accelerators: 0, memGb: 1, spotAllowed: true },
   }) as unknown as MachineDemand
--- a/scenarios/wrong-place.sexp
+++ b/scenarios/wrong-place.sexp
@@ -8,5 +8,5 @@
   (at 80 (take-spot 2 0))
   (expect (all-over))
   (guard "packages/planner/src/eligibility.ts"
-    "if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (zones.get(zone) ?? 0)"
+    "if (spec.spreadZones) return Math.ceil(spec.taskCount / 2) - (tasksByZone.get(zone) ?? 0)"
     ""))
