--- a/packages/planner/src/deadline.ts
+++ b/packages/planner/src/deadline.ts
@@ -1,33 +1,33 @@
 /**
  * The deadline formula of the paper's Spot Instance-Aware Provisioning Algorithm (section 4.6,
- * Algorithm 1), with the readings that docs/design.md lists. Names are the paper's: `resources` are
- * task slots, not machines; all times are in seconds. Pure arithmetic: it knows no job, machine or clock.
+ * Algorithm 1), with the interpretations that docs/design.md lists. Names are the paper's: `resources`
+ * are task slots, not machines; all times are in seconds. Pure arithmetic, without jobs, machines or a clock.
  */
 
-/** The formula's inputs, lines 2 to 5 and 10 of Algorithm 1. */
+/** Inputs of the formula, lines 2 to 5 and 10 of Algorithm 1. */
 export interface DeadlineInput {
-  /** Tasks in the queue. */
+  /** Number of queued tasks. */
   readonly pendingTasks: number
   /** Slots available to the job. */
   readonly resources: number
-  /** Slots on machines that were asked for and are still booting. */
+  /** Slots on requested machines that are still booting. */
   readonly requestedResources: number
   /** The updated estimate of a task's run time. */
   readonly executionTime: number
-  /** Until the job's deadline; below 0 once it is missed. */
+  /** Time until the job's deadline; negative once it is missed. */
   readonly timeLeft: number
-  /** From asking for a machine until it takes tasks. */
+  /** Time from requesting a machine until it accepts tasks. */
   readonly deploymentTime: number
 }
 
 /**
- * Line 6: (⌈pendingTasks / resources⌉ + 1) × executionTime. Running tasks have to end before queued
- * ones start, hence the extra round; endless without any slot.
+ * Line 6: (⌈pendingTasks / resources⌉ + 1) × executionTime. The extra round is for the running tasks,
+ * which have to end before queued ones start. Infinite without slots.
  */
 export const requiredTime = (pendingTasks: number, resources: number, executionTime: number): number =>
   resources <= 0 ? Number.POSITIVE_INFINITY : (Math.ceil(pendingTasks / resources) + 1) * executionTime
 
-/** Lines 8 and 9: rounds of a task's run time, α until the deadline and β until new machines take tasks. */
+/** Lines 8 and 9: rounds of execution time until the deadline (α) and until new machines accept them (β). */
 const roundsLeft = ({
   executionTime,
   timeLeft,
@@ -37,7 +37,7 @@
   readonly beta: number
 } => ({ alpha: Math.floor(timeLeft / executionTime), beta: Math.floor(deploymentTime / executionTime) })
 
-/** Line 11, α − β > 0: machines asked for now take tasks before the deadline. */
+/** Line 11, α − β > 0: whether machines requested now accept tasks before the deadline. */
 export const newMachinesComeInTime = (
   executionTime: number,
   timeLeft: number,
@@ -47,7 +47,7 @@
   return alpha - beta > 0
 }
 
-/** Lines 7 to 16: slots to ask for so that the deadline is met, from 0 to `pendingTasks`. */
+/** Lines 7 to 16: number of slots to request so that the deadline is met, from 0 to `pendingTasks`. */
 export const extraResources = (input: DeadlineInput): number => {
   const { pendingTasks, resources, requestedResources, executionTime, timeLeft } = input
   if (pendingTasks === 0 || requiredTime(pendingTasks, resources, executionTime) <= timeLeft) return 0
@@ -60,7 +60,7 @@
   return Math.max(0, Math.min(extra, pendingTasks))
 }
 
-/** Lines 22 to 25: may the job release a machine with this many slots and still meet its deadline? */
+/** Lines 22 to 25: whether the job may release a machine with this many slots and still meet its deadline. */
 export const canRelease = (
   input: Pick<DeadlineInput, "pendingTasks" | "resources" | "executionTime" | "timeLeft">,
   slotsOfMachine: number,
--- a/packages/planner/src/demand-pass.ts
+++ b/packages/planner/src/demand-pass.ts
@@ -1,7 +1,8 @@
 /**
- * The second half of a plan: what the jobs still need once queued tasks are placed. Job after job,
- * in scheduling order, it decides what is published as unplaced, what is rented, and which machine
- * a job releases; each takes what it counts on from its team's headroom, so that those after it don't.
+ * The second half of a plan: demand that is left once queued tasks are placed. For each job, in scheduling
+ * order, it decides which tasks are published as unplaced, which machines are rented, and which machine the
+ * job releases. Each job takes the quota it relies on from its team's headroom, so that later jobs of the
+ * team don't rely on the same quota.
  */
 import type { JobId, MachineId } from "@sorreltally/protocol"
 import type { Bin } from "./bins.ts"
@@ -16,28 +17,28 @@
 import { releaseIdleMachine, releaseMachine } from "./release.ts"
 import { planRentals, type RentalsByOffer } from "./renting.ts"
 
-/** What the pass starts from. */
+/** Input of the demand pass. */
 export interface DemandPassInput {
   readonly snapshot: Snapshot
   readonly fleet: Fleet
-  /** The jobs' tasks after the placement pass; every job of the plan has an entry. */
+  /** Task counts of the jobs after the placement pass, with an entry for every job of the plan. */
   readonly progress: ReadonlyMap<JobId, JobProgress>
 }
 
-/** One pass: `run` once, then read the decisions. */
+/** One demand pass: call `run` once, then read `decisions`. */
 export class DemandPass {
   private readonly snapshot: Snapshot
   private readonly fleet: Fleet
   private readonly progress: ReadonlyMap<JobId, JobProgress>
-  /** What may still be rented for, by team. */
+  /** Quota for which machines may still be rented, by team. */
   private readonly rentableQuota: QuotaBudget
-  /** What machines of other shards may still be borrowed for, by team. */
+  /** Quota for which machines of other shards may still be borrowed, by team. */
   private readonly borrowableQuota: QuotaBudget
   private readonly assignedJobs = new Map<MachineId, JobId | null>()
   private readonly rentals: RentalsByOffer = new Map()
   private readonly unplaced: Array<UnplacedTasks> = []
   private readonly quotaLimitedJobs: Array<JobView> = []
-  /** Cores of queued tasks of the jobs so far. */
+  /** Cores of the queued tasks of the jobs planned so far. */
   private backlogCores = 0
   private onDemandNeeded = false
 
@@ -49,7 +50,7 @@
     this.borrowableQuota = new QuotaBudget(snapshot.limitHeadroom)
   }
 
-  /** Decides for all jobs, in their order; called once. */
+  /** Decides for all jobs, in the given order. Must be called only once. */
   run(jobs: ReadonlyArray<JobView>): void {
     for (const job of jobs) {
       const placed = job.queued - this.progressOf(job).queued
@@ -60,10 +61,10 @@
       if (this.progressOf(job).queued === 0) this.releaseOneMachine(job)
       else this.planQueuedJob(job)
     }
-    for (const job of this.quotaLimitedJobs) releaseIdleMachine(this.assignedTo(job), this.assignedJobs)
+    for (const job of this.quotaLimitedJobs) releaseIdleMachine(this.assignedBins(job), this.assignedJobs)
   }
 
-  /** What it decided, in the plan's terms. */
+  /** The pass's part of the plan. */
   decisions(): Pick<
     Plan,
     "rentals" | "assignedJobs" | "onDemandNeeded" | "unplaced" | "claims" | "quotaLimitedJobs"
@@ -83,14 +84,14 @@
   private progressOf(job: JobView): JobProgress {
     return this.progress.get(job.id)!
   }
-  private assignedTo(job: JobView): ReadonlyArray<Bin> {
-    return this.fleet.assigned.get(job.id) ?? []
+  private assignedBins(job: JobView): ReadonlyArray<Bin> {
+    return this.fleet.binsByAssignedJob.get(job.id) ?? []
   }
   private releaseOneMachine(job: JobView): void {
-    releaseMachine(job, this.assignedTo(job), this.progressOf(job), this.assignedJobs)
+    releaseMachine(job, this.assignedBins(job), this.progressOf(job), this.assignedJobs)
   }
 
-  /** For a job with queued tasks left. */
+  /** Plans for a job that has queued tasks left. */
   private planQueuedJob(job: JobView): void {
     const { queued } = this.progressOf(job)
     const lateTasks = tasksStartingTooLate(job, queued, this.backlogCores, this.snapshot.load)
@@ -102,25 +103,27 @@
 
   private recordUnplaced(job: JobView, queued: number, lateTasks: number): void {
     const { limitHeadroom, allocationHeadroom } = this.snapshot
-    // What is preempted for urgent work frees quota as well: here each job counts on its team's headroom for itself.
-    const tasksWithinLimit = tasksWithinQuota(job, limitHeadroom)
-    if (!job.mayStart || !(tasksWithinLimit > 0)) return
+    // Preempting tasks for urgent work frees quota as well, so each job is checked against the whole headroom
+    // of its team's limit, without what earlier jobs of the team took of it.
+    const tasksWithinTeamLimit = tasksWithinQuota(job, limitHeadroom)
+    if (!job.mayStart || !(tasksWithinTeamLimit > 0)) return
     const tasks = Math.min(queued, this.borrowableQuota.tasksLeft(job))
     const startableTasks = Math.min(queued, tasksWithinQuota(job, allocationHeadroom))
-    this.unplaced.push({ job, tasks, startableTasks, urgentTasks: Math.min(lateTasks, tasksWithinLimit) })
+    this.unplaced.push({ job, tasks, startableTasks, urgentTasks: Math.min(lateTasks, tasksWithinTeamLimit) })
     this.borrowableQuota.take(job, tasks)
   }
 
-  /** Machines for a job's queued tasks: those that are ready or boot first, then rentals. */
+  /** Finds machines for a job's queued tasks: ready and booting ones first, then rentals. */
   private planMachines(job: JobView, lateTasks: number): void {
     const { snapshot, fleet } = this
     const { queued, running, tasksByZone } = this.progressOf(job)
-    const headroom = this.rentableQuota.tasksLeft(job)
-    const withinLimit = Math.min(queued, headroom)
-    // The limit's headroom that tasks on ready or booting machines will take is no reason to rent more.
-    const tasksOnReady = reserveOnReady(job, withinLimit, tasksByZone, fleet.ready, snapshot.reserve)
-    // Guards against machine after machine for a task that waits for quota beside an empty one.
-    const maxSlots = tasksOnReady >= withinLimit ? 0 : headroom - tasksOnReady
+    const rentableTasks = this.rentableQuota.tasksLeft(job)
+    const tasksWithinLimit = Math.min(queued, rentableTasks)
+    // Headroom that tasks on ready or booting machines will use is not available for rentals.
+    const tasksOnReady = reserveOnReady(job, tasksWithinLimit, tasksByZone, fleet.ready, snapshot.reserve)
+    // Guards against renting one machine after another for a task that waits for quota although an empty
+    // machine has capacity for it.
+    const maxSlots = tasksOnReady >= tasksWithinLimit ? 0 : rentableTasks - tasksOnReady
     const { requestedSlots, shortfall } = planProvision(
       { job, queued, running, maxSlots },
       fleet.booting,
@@ -128,16 +131,19 @@
     )
     if (shortfall === 0) this.releaseOneMachine(job)
     const onDemandAllowed = onDemandJustified(job, lateTasks, snapshot.deploymentS)
-    // What is ready needs no boot: it stays for all that spot has no room for and that starts too late.
+    // On-demand machines that are already up need no boot, so they are kept for any late task that spot has
+    // no capacity for.
     this.onDemandNeeded ||=
-      headroom > 0 && (lateTasks > 0 || (shortfall > 0 && onDemandAllowed)) && !spotAvailable(job, snapshot)
+      rentableTasks > 0 &&
+      (lateTasks > 0 || (shortfall > 0 && onDemandAllowed)) &&
+      !spotAvailable(job, snapshot)
     const rentedTasks = planRentals(
-      { job, shortfall, onDemandAllowed: onDemandAllowed },
+      { job, shortfall, onDemandAllowed },
       snapshot,
       this.rentals,
       fleet.booting,
     )
-    // What the market can't give a job stays for the others of its team.
+    // Headroom for which no machine can be rented stays available to the team's other jobs.
     this.rentableQuota.take(job, tasksOnReady + requestedSlots + rentedTasks)
   }
 }
--- a/packages/planner/src/eligibility.ts
+++ b/packages/planner/src/eligibility.ts
@@ -1,10 +1,10 @@
-/** Which machines and zones a job's tasks may use, whatever is free there. */
+/** Which machines and zones the tasks of a job may use, regardless of free capacity. */
 import type { JobSpec, ZoneName } from "@sorreltally/protocol"
 import type { Brand } from "effect"
 import { fits } from "./capacity.ts"
 import type { MachineKind, TaskShape } from "./input.ts"
 
-/** A job specification's shape, for messages and comparisons that need no more of it. */
+/** Extracts the part of a job specification that messages and comparisons of eligibility need. */
 export const shapeOf = (spec: JobSpec): TaskShape => ({
   cores: spec.cores,
   accelerators: spec.accelerators,
@@ -17,14 +17,14 @@
   image: spec.image,
 })
 
-/** May the job ever run on this kind of machine? */
+/** Whether tasks of this shape may run on this kind of machine. */
 export const isEligible = (spec: TaskShape, kind: MachineKind): boolean =>
   (!kind.spot || spec.spotAllowed) &&
   (spec.machineTypes == null || spec.machineTypes.includes(kind.type.name)) &&
   (spec.zone == null || spec.zone === kind.zone) &&
   fits(spec, kind.type)
 
-/** How many more tasks of a job may be put into a zone, given where its others may be. */
+/** Number of further tasks of a job that may be placed in a zone, given the zones of its uncleared tasks. */
 export const zoneAllowance = (
   spec: JobSpec,
   tasksByZone: ReadonlyMap<ZoneName, number>,
@@ -37,9 +37,9 @@
   return Number.POSITIVE_INFINITY
 }
 
-/** Names a kind of machine within one plan. */
+/** Key of a kind of machine within one plan. */
 export type MachineKindKey = string & Brand.Brand<"MachineKindKey">
 
-/** Equal for machines alike in all that decides whether a job may run there. */
+/** Returns equal keys for machines of the same type, zone and market (spot or on-demand). */
 export const machineKindKey = ({ type, zone, spot }: MachineKind): MachineKindKey =>
   `${type.name}|${zone}|${spot}` as MachineKindKey
--- a/packages/planner/src/image-affinity.ts
+++ b/packages/planner/src/image-affinity.ts
@@ -1,25 +1,25 @@
-/** Jobs that can wait let others go before them on machines that have the others' images. */
+/** Image affinity: jobs that can wait yield machines to jobs whose images are cached there. */
 import type { JobView } from "./input.ts"
 
 /**
- * A job without a deadline that has more than this share of its time to start left lets others go
- * before it on machines that have their image: where one task ends, its image's next one begins at
- * once, instead of both jobs fetching on each other's machines. What is judged by a job's last task,
- * deadlines and the time when it is done, keeps its order.
+ * A job without a deadline yields machines to jobs whose image is cached there while more than this share
+ * of its time to start is left. When a task ends, the next task with the same image then starts at once,
+ * instead of both jobs fetching images on each other's machines. Jobs that are measured by their last task
+ * (by a deadline or a completion time) keep their order.
  */
 const MIN_TIME_LEFT_SHARE = 0.5
 
-/** Does the job have time to let others go first? */
+/** Whether the job has enough time left to yield to others. */
 export const canWait = ({ timeLeftS, startWithinS, ageS }: JobView): boolean =>
   timeLeftS === null && startWithinS !== null && ageS < startWithinS * (1 - MIN_TIME_LEFT_SHARE)
 
-/** Neighbours that pass, together; all others alone. */
-export const groupConsecutive = <A>(
-  items: ReadonlyArray<A>,
-  predicate: (item: A) => boolean,
-): ReadonlyArray<ReadonlyArray<A>> => {
-  const groups: Array<Array<A>> = []
-  let currentGroup: Array<A> | null = null
+/** Groups consecutive items that satisfy the predicate; every other item is a group of its own. */
+export const groupConsecutive = <T>(
+  items: ReadonlyArray<T>,
+  predicate: (item: T) => boolean,
+): ReadonlyArray<ReadonlyArray<T>> => {
+  const groups: Array<Array<T>> = []
+  let currentGroup: Array<T> | null = null
   for (const item of items) {
     const matches = predicate(item)
     if (matches && currentGroup !== null) currentGroup.push(item)
--- a/packages/planner/src/index.ts
+++ b/packages/planner/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Pure decisions of one shard's scheduling: what runs where, what is rented, lent, preempted and
- * released. Without I/O, clock or randomness; the caller makes the input and carries the plan out.
+ * Scheduling decisions of one shard as pure functions: which tasks run on which machines, and which machines
+ * are rented, lent, preempted or released. They use no I/O, clock or randomness; the caller provides
+ * the input and executes the plan.
  */
 export * from "./capacity.ts"
 export * from "./deadline.ts"
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -1,6 +1,6 @@
 /**
- * What a plan is made from: the jobs, machines, quota and market of one shard as they stand at one
- * moment. Plain data: the planner does no I/O and reads no clock, so equal snapshots give equal plans.
+ * Input of a plan: the jobs, machines, quota and rental offers of one shard at one moment. Plain data:
+ * the planner does no I/O and reads no clock, so equal snapshots give equal plans.
  */
 import type {
   ImageName,
@@ -12,19 +12,19 @@
   ZoneName,
 } from "@sorreltally/protocol"
 
-/** The images cached on a machine: a set, or anything else that can be asked. */
+/** Images cached on a machine: a set or any other object with a membership test. */
 export interface Images {
   readonly has: (image: ImageName) => boolean
 }
 
-/** Resources of a machine, or what is free of them; all three of one task have to fit at once. */
+/** Total or free resources of a machine. A task fits only if all three of its resources do. */
 export interface Capacity {
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
 }
 
-/** What of a job specification decides where its tasks fit. */
+/** Part of a job specification that decides on which machines its tasks may run. */
 export type TaskShape = Pick<
   JobSpec,
   | "cores"
@@ -38,86 +38,92 @@
   | "image"
 >
 
-/** What of a machine decides whether a job may run there at all. */
+/** Properties of a machine that decide whether a job may run on it at all. */
 export interface MachineKind {
   readonly type: MachineType
   readonly zone: ZoneName
   readonly spot: boolean
 }
 
-/** A machine as the planner sees it. */
+/** State of a machine, as input of a plan. */
 export interface MachineView extends MachineKind {
   readonly id: MachineId
-  /** Counts every task as present that isn't surely off the machine. */
+  /** Free capacity. Every task that isn't confirmed to be off the machine counts as present. */
   readonly free: Capacity
-  /** Tasks placed there and not yet cleared. */
+  /** Number of tasks placed there and not yet cleared. */
   readonly busyTasks: number
   readonly images: Images
-  /** It has free capacity beside cached images of the reserve. */
+  /** Whether it has free capacity and a cached image of the reserve. */
   readonly reserved: boolean
   /**
-   * `ready`: can take tasks now; `booting`: rented, and its boot isn't overdue yet; `draining`:
-   * runs what it has and takes nothing new; `unavailable`: none of these.
+   * `ready`: accepts tasks now; `booting`: rented, and its boot isn't overdue yet; `draining`:
+   * finishes its tasks and accepts no new ones; `unavailable`: none of these.
    */
   readonly state: "ready" | "booting" | "draining" | "unavailable"
-  /** The job that it was rented for or assigned to; null: in the pool. */
+  /** Job for which it was rented or to which it is assigned; null: in the shared pool. */
   readonly assignedJob: JobId | null
 }
 
-/** A job that isn't over, as the planner sees it. */
+/** State of an unfinished job, as input of a plan. */
 export interface JobView {
   readonly id: JobId
   readonly spec: JobSpec
   /** Higher ranks go first. */
   readonly rank: number
-  /** Tasks that may be placed now. */
+  /** Number of tasks that may be placed now. */
   readonly queued: number
-  /** Tasks that are placed and aren't being stopped. */
+  /** Number of tasks that are placed and not being stopped. */
   readonly running: number
-  /** Uncleared tasks by zone. */
+  /** Number of uncleared tasks by zone. */
   readonly tasksByZone: ReadonlyMap<ZoneName, number>
-  /** Seconds until the next time by which it should be done and still can be; null: no deadline. */
+  /** Seconds until the next completion target that can still be met; null: no deadline. */
   readonly timeLeftS: number | null
   /** Seconds since its submission. */
   readonly ageS: number
-  /** Time of day of its submission, by the accepting node's clock, in ms: the same on every node. */
+  /** Wall-clock time of its submission in ms, as recorded by the accepting node: the same on every node. */
   readonly submitted: number
   /** Current estimate of a task's run time, in seconds. */
   readonly executionS: number
   /**
-   * Seconds after submission within which a queued task should start, by the next of the
-   * objectives that can still be met; null: none stated.
+   * Seconds after submission within which a queued task should start, from the earliest objective that
+   * can still be met; null: no objective.
    */
   readonly startWithinS: number | null
-  /** No task of it ever began. */
+  /** Whether none of its tasks has ever started. */
   readonly notStarted: boolean
-  /** What its team has queued up to it lies within the team's guaranteed cores. */
+  /** Whether its team's demand, up to and including this job, lies within the team's guaranteed cores. */
   readonly withinGuarantee: boolean
-  /** False until the time before which it mustn't start. */
+  /** False while a retry delay keeps its tasks from starting. */
   readonly mayStart: boolean
-  /** Machines on which one of its tasks failed lately. */
+  /** Machines on which one of its tasks failed recently. */
   readonly avoidedMachines: ReadonlySet<MachineId>
 }
 
-/** What a team may still use of its limit, in this shard; memory isn't limited by team. */
+/** Remaining quota of a team in this shard. Memory isn't limited by team. */
 export interface QuotaHeadroom {
   cores: number
   accelerators: number
 }
 
-/** A kind of machine on the market. */
+/** A kind of machine that the cloud offers for rent. */
 export interface Offer extends MachineKind {
-  /** Of one machine for an hour. */
+  /** Price of one machine per hour. */
   readonly price: number
-  /** A request for this kind is under way: its answer is awaited before asking for more, or for dearer ones. */
+  /**
+   * Whether a rental request for this kind is pending. Its response is awaited before more machines of this
+   * kind or of a more expensive one are requested.
+   */
   readonly hasPendingRequest: boolean
-  /** Machines of ours in this zone; they are spread, so that one zone going dark leaves the others. */
+  /**
+   * Number of rented machines in this zone. Rentals are spread over zones, so that the outage of one zone
+   * leaves the machines of the others.
+   */
   readonly machinesInZone: number
 }
 
 /**
- * Capacity kept free of work below a rank, for jobs that have to start sooner than
- * a machine boots. It is worth something only where their images are cached.
+ * Capacity kept free of tasks below a rank, for jobs that have to start sooner than
+ * a machine boots. It is useful only where their images are cached.
  */
 export interface Reserve {
   readonly rank: number
@@ -125,39 +131,42 @@
   readonly images: ReadonlySet<ImageName>
 }
 
-/** What there is to do the work with. */
+/** Cores of a shard's machines, and when running tasks release them. */
 export interface ShardLoad {
-  /** Of all machines. */
+  /** Cores of all machines. */
   readonly cores: number
-  /** Cores of running tasks by the second from now in which they probably end. */
+  /** Cores of running tasks, indexed by the second from now in which they are expected to end. */
   readonly endingCoresBySecond: ReadonlyArray<number>
 }
 
 /**
- * All that a plan is made from. A plan takes what it places from `teams`; all
- * else stays as it is.
+ * Complete input of a plan. Planning subtracts placed tasks from `allocationHeadroom`; everything else
+ * is left unchanged.
  */
 export interface Snapshot {
   readonly reserve: Reserve
-  /** Other shards lack machines, and can borrow empty ones. */
+  /** Whether other shards lack machines and could borrow empty ones. */
   readonly otherShardsWait: boolean
   readonly machineTypes: ReadonlyArray<MachineType>
   readonly load: () => ShardLoad
   readonly jobs: ReadonlyArray<JobView>
   readonly machines: ReadonlyArray<MachineView>
-  /** What the teams may start tasks for at once: within this shard's quota allocations. */
+  /** Quota for which tasks may start now: the unused part of this shard's quota allocations, by team. */
   readonly allocationHeadroom: ReadonlyMap<TeamName, QuotaHeadroom>
   /**
-   * What the teams' limits leave this shard, whether its allocations cover it yet or not:
-   * machines are rented by that.
+   * Quota for which machines may be rented: the part of the teams' limits that is left to this shard,
+   * whether or not its quota allocations cover it yet.
    */
   readonly limitHeadroom: ReadonlyMap<TeamName, QuotaHeadroom>
-  /** Kinds of machine that can be asked for now, those refused lately left out. */
+  /** Kinds of machine that can be requested now, without those refused recently. */
   readonly offers: ReadonlyArray<Offer>
-  /** Machines that one rental can ask for. */
+  /** Maximum number of machines in one rental request. */
   readonly maxMachinesPerRental: number
-  /** The paper's deployment time: seconds from asking for a machine until it takes tasks. */
+  /** Seconds from requesting a machine until it accepts tasks (the paper's deployment time). */
   readonly deploymentS: number
-  /** An on-demand machine that makes the same work dearer than this many times the cheapest kind isn't asked for. */
+  /**
+   * On-demand machines whose cost for the same work exceeds the cheapest kind's by more than this factor
+   * aren't rented.
+   */
   readonly maxOnDemandCostRatio: number
 }
--- a/packages/planner/src/lateness.ts
+++ b/packages/planner/src/lateness.ts
@@ -1,14 +1,17 @@
-/** How much of a job's queue starts too late, given what runs now. */
+/** Estimates how many queued tasks of a job start too late, given the running tasks. */
 import type { JobView, ShardLoad } from "./input.ts"
 
-/** Seconds left in which a queued task should start; null: too late for any objective, or none. */
+/** Seconds left within which a queued task should start; null: no target, or none that can still be met. */
 const startTimeLeftS = (job: JobView): number | null => {
   if (job.startWithinS !== null && job.ageS < job.startWithinS) return job.startWithinS - job.ageS
   if (job.timeLeftS !== null && job.timeLeftS > job.executionS) return job.timeLeftS - job.executionS
   return null
 }
 
-/** Cores that come free within that time as running tasks end, counting those again that come free again. */
+/**
+ * Cores released within that time as running tasks end. Cores that are reused and released again
+ * count each time.
+ */
 const coresFreedWithin = (
   { endingCoresBySecond }: ShardLoad,
   withinS: number,
@@ -24,8 +27,9 @@
 }
 
 /**
- * Queued tasks of a job that running ones won't make capacity for in time; `backlogCores`: what the
- * queued tasks of the jobs before it take. `load` is called only where the job has an aim left.
+ * Number of queued tasks of a job for which running tasks won't release capacity in time.
+ * @param backlogCores Cores of the queued tasks of the jobs before it.
+ * @param load Called only if the job has a start target that can still be met.
  */
 export const tasksStartingTooLate = (
   job: JobView,
--- a/packages/planner/src/limits.ts
+++ b/packages/planner/src/limits.ts
@@ -1,18 +1,17 @@
 /**
- * What the teams' limits still allow, over all jobs of a plan. Each task that
- * a plan places, expects on a machine or rents a machine for takes its share
- * of the team's headroom, so that the jobs of one team never count on the same
- * headroom twice.
+ * Remaining quota of the teams over all jobs of a plan. Every task that a plan places, expects on a machine
+ * or rents a machine for is subtracted from its team's headroom, so that jobs of one team never rely on the
+ * same headroom twice.
  */
 import type { JobSpec, TeamName } from "@sorreltally/protocol"
 import { slotsIn } from "./capacity.ts"
 import type { JobView, QuotaHeadroom, Snapshot } from "./input.ts"
 
-/** How many tasks of a job a team's headroom holds; memory isn't limited by team. */
+/** Number of tasks of a job that a team's headroom allows. Memory isn't limited by team. */
 export const tasksWithinHeadroom = (spec: JobSpec, { cores, accelerators }: QuotaHeadroom): number =>
   slotsIn(spec, { cores, accelerators, memGb: Number.POSITIVE_INFINITY })
 
-/** How many more tasks the job's team may start; 0 for a team without a limit's record. */
+/** Number of further tasks of the job that its team's headroom allows; 0 for a team without an entry. */
 export const tasksWithinQuota = (
   { spec }: JobView,
   headroomByTeam: Snapshot["allocationHeadroom"],
@@ -21,7 +20,7 @@
   return headroom === undefined ? 0 : tasksWithinHeadroom(spec, headroom)
 }
 
-/** Headroom of every team, used up task by task; the map that it is made from stays as it is. */
+/** Headroom of every team, reduced as tasks are taken from it. The map that it starts from isn't changed. */
 export class QuotaBudget {
   private readonly remainingHeadroom = new Map<TeamName, QuotaHeadroom>()
 
@@ -29,12 +28,12 @@
     for (const [team, headroom] of initialHeadroom) this.remainingHeadroom.set(team, { ...headroom })
   }
 
-  /** How many more tasks the job's team may use. */
+  /** Number of further tasks of the job that its team's remaining headroom allows. */
   tasksLeft(job: JobView): number {
     return tasksWithinQuota(job, this.remainingHeadroom)
   }
 
-  /** Takes what that many tasks of the job use. */
+  /** Subtracts the quota of `tasks` tasks of the job. */
   take({ spec }: JobView, tasks: number): void {
     const headroom = this.remainingHeadroom.get(spec.team)
     if (headroom === undefined) return
@@ -42,7 +41,7 @@
     headroom.accelerators -= spec.accelerators * tasks
   }
 
-  /** What was taken of each team's headroom. */
+  /** Headroom taken so far, by team. */
   taken(): ReadonlyMap<TeamName, QuotaHeadroom> {
     const taken = new Map<TeamName, QuotaHeadroom>()
     for (const [team, { cores, accelerators }] of this.initialHeadroom) {
--- a/packages/planner/src/loans.ts
+++ b/packages/planner/src/loans.ts
@@ -1,6 +1,6 @@
 /**
- * Which empty machines go to other shards. A machine changes its shard only while it is empty; who
- * may use it meanwhile is settled by its record and the shard epoch, not here.
+ * Chooses the empty machines to lend to other shards. A machine changes shards only while it is empty.
+ * Which shard may use it during the hand-off is decided by its record and the shard epoch, not here.
  */
 import type { MachineId, ShardName } from "@sorreltally/protocol"
 import { slotsIn } from "./capacity.ts"
@@ -10,25 +10,25 @@
 import { spareCores } from "./reserve.ts"
 import { isStarved, STARVED_RANK } from "./starvation.ts"
 
-/** An empty machine that goes to another shard. */
+/** An empty machine to be lent to another shard. */
 export interface MachineLoan {
   readonly machine: MachineId
   readonly to: ShardName
 }
 
-/** How urgent work is, compared across shards. */
+/** Urgency of work, comparable across shards. */
 type WorkUrgency = Pick<MachineDemand, "rank" | "since">
 
 /**
- * Does the demand go before our own work? Guards against machines that go from
- * shard to shard without ever being used, each of which has starved jobs: of
- * those the oldest goes first, whichever shard it belongs to.
+ * Whether the demand goes before the shard's own work. Between starved jobs the oldest goes first, whichever
+ * shard it belongs to. This guards against machines that move between shards without ever being used when
+ * each shard has starved jobs.
  */
 const outranks = (demand: WorkUrgency, own: WorkUrgency): boolean =>
   demand.rank > own.rank ||
   (demand.rank === STARVED_RANK && own.rank === STARVED_RANK && demand.since < own.since)
 
-/** The most urgent of our own queued work that this kind of machine could serve. */
+/** Urgency of the shard's most urgent queued work that may run on this kind of machine. */
 const mostUrgentOwnWork = (jobs: ReadonlyArray<JobView>, machine: MachineKind): WorkUrgency => {
   let mostUrgent: WorkUrgency = { rank: Number.NEGATIVE_INFINITY, since: Number.POSITIVE_INFINITY }
   for (const job of jobs) {
@@ -40,7 +40,7 @@
   return mostUrgent
 }
 
-/** The same for many machines: of a few kinds, each of which is looked at once. */
+/** `mostUrgentOwnWork` with a cache by kind, since many machines are of few kinds. */
 const urgencyByMachineKind = (jobs: ReadonlyArray<JobView>): ((machine: MachineKind) => WorkUrgency) => {
   const byKind = new Map<MachineKindKey, WorkUrgency>()
   return (machine) => {
@@ -53,7 +53,7 @@
   }
 }
 
-/** Those demands to which some machine of ours would be lent once it is empty. */
+/** Demands to which one of the given machines would be lent once it is empty. */
 export const servableDemands = (
   demands: ReadonlyArray<MachineDemand>,
   jobs: ReadonlyArray<JobView>,
@@ -68,32 +68,33 @@
   return demands.filter((demand) => [...kinds.values()].some((kind) => isServable(demand, kind)))
 }
 
-/** What the loans of one plan are decided from. */
+/** Input of the lending decision. */
 export interface LendingInput {
   readonly machines: ReadonlyArray<MachineView>
-  /** Our own jobs, without those that their teams' limits hold back. */
+  /** The shard's own jobs, without those that their teams' limits keep from starting or renting. */
   readonly jobs: ReadonlyArray<JobView>
-  /** What other shards published. */
+  /** Demands published by other shards. */
   readonly demands: ReadonlyArray<MachineDemand>
-  /** Our fair share of each demand, 0 to 1, so that not every shard sends its machines to the same one. */
+  /** Share of each demand that this shard serves, 0 to 1, so that not all shards lend to the same one. */
   readonly share: number
-  /** Slots lent to a shard so lately that its demand can't show them yet. */
+  /** Slots lent to each shard so recently that its published demand doesn't reflect them yet. */
   readonly recentlyLentSlots: ReadonlyMap<ShardName, number>
   readonly reserve: Reserve
 }
 
 /**
- * Empty machines that other shards need more than we do: those demanded by work
- * of higher rank than what we have queued, or that we have no work for at all.
+ * Chooses empty machines that other shards need more urgently: those demanded by work of higher rank than
+ * this shard's queued work, and those for which this shard has no work.
  */
 export const lend = (input: LendingInput): ReadonlyArray<MachineLoan> => {
-  const { machines, jobs, demands, share, recentlyLentSlots: lentLately, reserve } = input
+  const { machines, jobs, demands, share, recentlyLentSlots, reserve } = input
   const emptyMachines = new Set(machines.filter((m) => m.state === "ready" && m.busyTasks === 0))
   const loans: Array<MachineLoan> = []
   if (demands.length === 0 || emptyMachines.size === 0) return loans
   let remainingSpareCores = spareCores(machines, reserve)
-  /** Work below the reserve's rank gets only what the reserve can spare. */
+  /** Takes the machine's cores from those that the reserve can spare; false if it can't spare them. */
   const takeSpareCores = (demand: MachineDemand, machine: MachineView): boolean => {
+    // Only demand below the reserve's rank is kept from the reserve.
     if (demand.rank >= reserve.rank || !machine.reserved) return true
     if (remainingSpareCores < machine.free.cores) return false
     remainingSpareCores -= machine.free.cores
@@ -105,7 +106,7 @@
     outranks(demand, urgencyOn(machine)) &&
     takeSpareCores(demand, machine)
   for (const demand of [...demands].sort((a, b) => b.rank - a.rank || a.since - b.since)) {
-    let slotsLeft = Math.ceil(demand.tasks * share) - (lentLately.get(demand.shard) ?? 0)
+    let slotsLeft = Math.ceil(demand.tasks * share) - (recentlyLentSlots.get(demand.shard) ?? 0)
     const imageScore = (machine: MachineView) => Number(machine.images.has(demand.shape.image))
     for (const machine of [...emptyMachines].sort((a, b) => imageScore(b) - imageScore(a))) {
       if (slotsLeft <= 0) break
--- a/packages/planner/src/order.ts
+++ b/packages/planner/src/order.ts
@@ -1,40 +1,43 @@
-/** The order in which a plan serves jobs. It decides no placement: only who chooses first. */
+/** The order in which a plan serves jobs. It doesn't decide placements, only which job is placed first. */
 import type { JobClassName } from "@sorreltally/protocol"
 import type { JobView, ShardLoad } from "./input.ts"
 
 /**
- * Share of a run that has to fit into the time left for a job to count as feasible:
- * owners' estimates are often half off.
+ * Share of a task's estimated run time that has to fit into the time left for a job to count as feasible.
+ * Less than 1, since owners' estimates are often wrong by half.
  */
 export const MIN_FEASIBLE_RUN_SHARE = 0.5
 
-/** Without any aim, a job counts as due this long after its submission. */
+/** Seconds after submission at which a job without a deadline or objective counts as due. */
 const DEFAULT_DUE_S = 600
 
-/** The first of several times, in order, that can still be met at this age; the last one where none can. */
+/**
+ * Returns the first of the ascending targets that can still be met at this age, else the last one;
+ * null: no targets.
+ */
 export const nextTarget = (targets: ReadonlyArray<number>, ageS: number, neededS: number): number | null => {
   for (const target of targets) if (target - ageS > neededS) return target
   return targets.at(-1) ?? null
 }
 
-/** It can't meet its deadline any more, even if its run times are overestimated. */
+/** Whether the job can't meet its deadline any more, even if its run time is overestimated. */
 const isInfeasible = (job: JobView): boolean =>
   job.timeLeftS !== null && job.timeLeftS < job.executionS * MIN_FEASIBLE_RUN_SHARE
 
-/** A job with what decides its place in the order. */
+/** A job and the properties that decide its place in the order. */
 interface Entry {
   readonly job: JobView
   readonly infeasible: boolean
-  /** Its deadline is given up so that more jobs meet theirs. */
+  /** Whether its deadline is given up so that more jobs meet theirs. */
   deferred: boolean
   readonly dueS: number
 }
 
 /**
- * Higher priority first, then work within its team's guarantee, then earliest due first; infeasible
- * work goes last. Where not all can be in time, jobs are counted, not tasks: the largest are
- * deferred for the others. In tiers, by what mustn't be changed for anything: rank, and who is
- * infeasible or deferred.
+ * Orders jobs by rank, highest first, then those within their team's guarantee, then earliest due time;
+ * within a rank, infeasible jobs go last. If not all jobs can be on time, as many jobs as possible (not
+ * tasks) are to be: the largest are deferred in favour of the others. The result is grouped into tiers of
+ * equal rank, feasibility and deferral; callers may reorder jobs within a tier, never across tiers.
  */
 export const schedulingTiers = (
   jobs: ReadonlyArray<JobView>,
@@ -57,7 +60,7 @@
       (a.job.id < b.job.id ? -1 : 1),
   )
   deferLargest(entries, load)
-  // Stable: within each tier the order stays.
+  // The sort is stable, so the order within each tier is kept.
   entries.sort(
     (a, b) =>
       b.job.rank - a.job.rank ||
@@ -78,27 +81,26 @@
   return [...tiers.values()]
 }
 
-/** A job that is to meet its deadline so far. */
+/** A job that is expected to meet its deadline, given the jobs considered so far. */
 interface OnTimeJob {
   readonly entry: Entry
-  /** Core-seconds. */
+  /** Queued work in core-seconds. */
   readonly work: number
+  /** `work` times the number of jobs in its class: the costliest job is deferred first. */
   readonly cost: number
 }
 
 /**
- * In order of due times, the last task of a job starts when the machines have
- * taken in all queued work up to it, and runs its time; where that is after
- * the job is due, the job so far that takes the most work
- * for what it counts is deferred (after Moore and Hodgson's rule for the
- * least number of late jobs). The objectives are shares of a class, so a job counts
- * the more the fewer there are of its class. Neither work of higher priority
- * nor what a team is guaranteed is deferred for others.
+ * Goes through the jobs in order of due time. The last task of a job starts once the machines have processed
+ * all queued work up to it, and then runs for its execution time. If it ends after the job's deadline, the
+ * job with the most work for its weight among those so far is deferred (after Moore and Hodgson's rule for
+ * the minimum number of late jobs). Objectives are shares of a job class, so a job weighs more the fewer jobs
+ * its class has. Neither jobs of higher rank nor jobs within a team's guarantee are deferred for others.
  */
 const deferLargest = (entries: ReadonlyArray<Entry>, { cores }: ShardLoad): void => {
   if (cores <= 0) return
   const jobsPerClass = countJobsByClass(entries)
-  /** Core-seconds of queued work up to the job at hand. */
+  /** Core-seconds of queued work up to and including the current job. */
   let backlog = 0
   let rank: number | null = null
   let onTimeJobs: Array<OnTimeJob> = []
@@ -111,12 +113,12 @@
     backlog += work
     if (job.timeLeftS === null || job.withinGuarantee) continue
     onTimeJobs.push({ entry, work, cost: work * (jobsPerClass.get(job.spec.jobClass) ?? 1) })
-    backlog = deferUntilInTime(entry, job.timeLeftS, onTimeJobs, backlog, cores)
+    backlog = deferUntilOnTime(entry, job.timeLeftS, onTimeJobs, backlog, cores)
   }
 }
 
-/** Defers jobs until this one's last task is in time, or is itself deferred. Returns the backlog without them. */
-const deferUntilInTime = (
+/** Defers jobs until this one is on time or itself deferred. Returns the backlog without deferred jobs. */
+const deferUntilOnTime = (
   entry: Entry,
   timeLeftS: number,
   onTimeJobs: Array<OnTimeJob>,
@@ -139,7 +141,7 @@
   return counts
 }
 
-/** Of equally costly ones, the first. */
+/** Index of the job with the highest cost; of equally costly ones, the first. */
 const indexOfCostliest = (jobs: ReadonlyArray<OnTimeJob>): number => {
   let costliest = 0
   for (const [i, { cost }] of jobs.entries()) if (cost > jobs[costliest]!.cost) costliest = i
--- a/packages/planner/src/output.ts
+++ b/packages/planner/src/output.ts
@@ -1,29 +1,29 @@
-/** What a plan decides. Only the caller carries it out: the planner changes nothing outside the plan. */
+/** Output of the planner: the decisions of one plan, which the caller executes. */
 import type { JobId, MachineId, TeamName } from "@sorreltally/protocol"
 import type { JobView, Offer, QuotaHeadroom } from "./input.ts"
 
-/** The job's next queued task goes to this machine. */
+/** Placement of the job's next queued task on a machine. */
 export interface PlannedPlacement {
   readonly job: JobId
   readonly machine: MachineId
 }
 
-/** Machines to ask for. */
+/** Machines to rent. */
 export interface PlannedRental {
   readonly offer: Offer
   readonly count: number
-  /** The job on whose behalf; null: for the pool. */
+  /** Job for which the machines are rented; null: for the shared pool. */
   readonly assignedJob: JobId | null
 }
 
 /** Queued tasks of a job for which no ready machine has capacity. */
 export interface UnplacedTasks {
   readonly job: JobView
-  /** Those that the team's limit leaves room for beside the jobs before. */
+  /** Number of tasks within the team's limit, after the earlier jobs of the plan. */
   readonly tasks: number
-  /** Those of them that could start at once if there were capacity. */
+  /** Number of tasks that could start at once if there were capacity. */
   readonly startableTasks: number
-  /** Those of them that start too late for an objective or the deadline unless capacity is made. */
+  /** Number of tasks that start too late for an objective or the deadline without preemption. */
   readonly urgentTasks: number
 }
 
@@ -31,18 +31,21 @@
 export interface Plan {
   readonly placements: ReadonlyArray<PlannedPlacement>
   readonly rentals: ReadonlyArray<PlannedRental>
-  /** Machines whose assigned job changes; null: to the pool. */
+  /** New assigned jobs of machines whose assignment changes; null: released to the shared pool. */
   readonly assignedJobs: ReadonlyMap<MachineId, JobId | null>
-  /** Some work needs machines that spot can't provide: on-demand ones that we have are kept in use. */
+  /** Whether some work needs machines that spot can't provide; on-demand machines are then kept. */
   readonly onDemandNeeded: boolean
-  /** Queued tasks without capacity, most urgent job first. */
+  /** Queued tasks without capacity, in scheduling order of their jobs. */
   readonly unplaced: ReadonlyArray<UnplacedTasks>
-  /** What the plan counts on of each team's limit beyond what is used: placed, expected on machines, or rented for. */
+  /**
+   * Quota that the plan claims beyond what is in use, by team: for tasks that it places, expects on machines
+   * or rents machines for.
+   */
   readonly claims: ReadonlyMap<TeamName, QuotaHeadroom>
-  /** Cores on ready machines for which our queued tasks have no use because of their teams' limits. */
+  /** Free cores on ready machines that queued tasks can't use because of their teams' limits. */
   readonly unusedCores: number
-  /** Jobs of which the teams' limits let some queued tasks neither start nor rent. */
+  /** Jobs with queued tasks for which their teams' limits allow neither a start nor a rental. */
   readonly quotaLimitedJobs: ReadonlySet<JobId>
-  /** Machines that are ready, empty and of use to no queued task: none fits, or the teams' limits let none start. */
+  /** Ready, empty machines that no queued task can use: none fits, or the teams' limits let none start. */
   readonly idleMachines: ReadonlySet<MachineId>
 }
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -1,4 +1,4 @@
-/** Which queued tasks of one job go to which ready machines. */
+/** Placement of the queued tasks of one job on ready machines. */
 import type { ZoneName } from "@sorreltally/protocol"
 import { type Bin, hasCapacity, type MachineGroup, takeCapacity, tasksFitting } from "./bins.ts"
 import { EPSILON, fits, slotsIn } from "./capacity.ts"
@@ -8,23 +8,26 @@
 import { tasksWithinQuota } from "./limits.ts"
 import type { PlannedPlacement } from "./output.ts"
 
-/** Seconds of fetching an image that other work rather takes than capacity beside the reserve's images. */
+/** Seconds of image fetch that tasks below the reserve's rank accept rather than use a reserved machine. */
 const RESERVED_PENALTY_S = 4
 
-/** Share of a run that it is worth to leave a machine empty that another shard waits for. */
+/** Score penalty of an empty machine that another shard could borrow, as a share of the task's run time. */
 const LENDABLE_PENALTY_RUN_SHARE = 0.5
 
-/** What to place, and where it may go. */
+/** The tasks of a job to place, and constraints on the machines. */
 export interface PlacementRequest {
   readonly job: JobView
   readonly maxTasks: number
-  /** Only where its image is cached. */
+  /** Whether only machines with its image in the cache are considered. */
   readonly cachedOnly: boolean
-  /** Its uncleared tasks by zone; those placed are added. */
+  /** Number of the job's uncleared tasks by zone; placed tasks are added to it. */
   readonly tasksByZone: Map<ZoneName, number>
 }
 
-/** For a job whose tasks stay in one zone and of which none is placed: the zone with the most capacity. */
+/**
+ * Returns the zone with the most slots for a job that is bound to a single zone and has no task placed yet;
+ * null for other jobs.
+ */
 const zoneWithMostSlots = (
   job: JobView,
   tasksByZone: ReadonlyMap<ZoneName, number>,
@@ -43,10 +46,10 @@
   return best
 }
 
-/** Is the reserve kept from this job? */
+/** Whether the job's rank is too low to use the reserve. */
 const isBelowReserve = (job: JobView, reserve: Reserve): boolean => job.rank < reserve.rank
 
-/** How well a bin suits a task of the job; null: it can't go there, or mustn't. */
+/** Score of a bin for a task of the job, higher is better; null: the task doesn't fit or may not use it. */
 const scoreOf = (
   { job, cachedOnly }: PlacementRequest,
   bin: Bin,
@@ -56,15 +59,15 @@
   const { machine } = bin
   if (!fits(job.spec, bin.free) || job.avoidedMachines.has(machine.id)) return null
   if (cachedOnly && !machine.images.has(job.spec.image)) return null
-  const reserved = isBelowReserve(job, snapshot.reserve) && bin.reserved
-  if (reserved && ready.spareCores < job.spec.cores) return null
-  const lendable = snapshot.otherShardsWait && machine.busyTasks === 0
+  const usesReserve = isBelowReserve(job, snapshot.reserve) && bin.reserved
+  if (usesReserve && ready.spareCores < job.spec.cores) return null
+  const isLendable = snapshot.otherShardsWait && machine.busyTasks === 0
   const penalty =
-    (reserved ? RESERVED_PENALTY_S : 0) + (lendable ? job.executionS * LENDABLE_PENALTY_RUN_SHARE : 0)
+    (usesReserve ? RESERVED_PENALTY_S : 0) + (isLendable ? job.executionS * LENDABLE_PENALTY_RUN_SHARE : 0)
   return suitability(job, bin) - penalty
 }
 
-/** Bins that a task of the job fits into, best first. */
+/** Bins into which a task of the job fits, best first. */
 const rankedBins = (
   request: PlacementRequest,
   groups: ReadonlyArray<MachineGroup>,
@@ -83,18 +86,21 @@
   return ranked.sort((a, b) => b.score - a.score)
 }
 
-/** The image counts most: a fetch is time that the task, and the capacity it takes, only wait. Then tight packing. */
+/**
+ * Suitability of a machine, in equivalent seconds of image fetch. A cached image counts most, since the task
+ * and its capacity are idle during a fetch; then tight packing.
+ */
 const suitability = (job: JobView, { machine, free }: Bin): number => {
   const fetchS = machine.images.has(job.spec.image)
     ? 0
     : job.spec.imageGb / Math.max(EPSILON, machine.type.imagePullGbPerS)
-  const leftover = (free.cores - job.spec.cores) / Math.max(EPSILON, machine.type.cores)
+  const leftoverShare = (free.cores - job.spec.cores) / Math.max(EPSILON, machine.type.cores)
   const assigned = machine.assignedJob === job.id ? 1 : 0
-  // On-demand machines fill last, so that they empty first and can be released.
-  return -fetchS - 2 * leftover + 0.5 * assigned + (machine.spot ? 2 : 0)
+  // On-demand machines are filled last, so that they become empty first and can be released.
+  return -fetchS - 2 * leftoverShare + 0.5 * assigned + (machine.spot ? 2 : 0)
 }
 
-/** How many more tasks of the job, up to `maxTasks`, may be placed on a bin. */
+/** Number of further tasks of the job, up to `maxTasks`, that may be placed on a bin. */
 const placeableTasks = (
   { job, tasksByZone }: PlacementRequest,
   bin: Bin,
@@ -112,7 +118,7 @@
   return Math.min(fitting, Math.floor((ready.spareCores + EPSILON) / spec.cores))
 }
 
-/** Places queued tasks of a job, within its team's headroom in `snapshot.teams`; returns how many. */
+/** Places queued tasks of a job within `snapshot.allocationHeadroom` of its team. Returns their number. */
 export const placeJob = (
   request: PlacementRequest,
   ready: ReadyCapacity,
@@ -121,31 +127,31 @@
 ): number => {
   const { job, maxTasks, tasksByZone } = request
   const { spec } = job
-  const team = snapshot.allocationHeadroom.get(spec.team)
+  const headroom = snapshot.allocationHeadroom.get(spec.team)
   const limit = Math.min(maxTasks, tasksWithinQuota(job, snapshot.allocationHeadroom))
-  if (team === undefined || limit <= 0) return 0
+  if (headroom === undefined || limit <= 0) return 0
   const groups = ready.groups.filter((group) => group.bins.length > 0 && isEligible(spec, group))
-  let left = limit
+  let tasksLeft = limit
   for (const { bin } of rankedBins(request, groups, ready, snapshot)) {
-    if (left <= 0) break
+    if (tasksLeft <= 0) break
     const { machine } = bin
-    const count = placeableTasks(request, bin, left, ready, snapshot)
+    const count = placeableTasks(request, bin, tasksLeft, ready, snapshot)
     if (count <= 0) continue
     takeCapacity(bin, spec, count)
     if (bin.reserved) ready.spareCores -= spec.cores * count
-    team.cores -= spec.cores * count
-    team.accelerators -= spec.accelerators * count
+    headroom.cores -= spec.cores * count
+    headroom.accelerators -= spec.accelerators * count
     tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + count)
     for (let i = 0; i < count; i++) placements.push({ job: job.id, machine: machine.id })
-    left -= count
+    tasksLeft -= count
   }
-  if (left < limit) for (const group of groups) group.bins = group.bins.filter(hasCapacity)
-  return limit - left
+  if (tasksLeft < limit) for (const group of groups) group.bins = group.bins.filter(hasCapacity)
+  return limit - tasksLeft
 }
 
 /**
- * Takes capacity on ready machines for queued tasks that wait for something else than a machine: for
- * their shard's quota allocation, mostly. Returns for how many.
+ * Takes capacity on ready machines for queued tasks that wait for something other than a machine, mostly for
+ * their shard's quota allocation. Returns the number of these tasks.
  */
 export const reserveOnReady = (
   job: JobView,
@@ -156,18 +162,18 @@
 ): number => {
   const { spec } = job
   const tasksByZone = new Map(placedByZone)
-  let left = maxTasks
+  let tasksLeft = maxTasks
   for (const group of ready.groups) {
-    if (left <= 0) break
+    if (tasksLeft <= 0) break
     if (!isEligible(spec, group)) continue
     for (const bin of group.bins) {
       if (bin.reserved && isBelowReserve(job, reserve)) continue
-      const count = Math.min(left, tasksFitting(spec, bin), zoneAllowance(spec, tasksByZone, group.zone))
+      const count = Math.min(tasksLeft, tasksFitting(spec, bin), zoneAllowance(spec, tasksByZone, group.zone))
       if (count <= 0) continue
       takeCapacity(bin, spec, count)
       tasksByZone.set(group.zone, (tasksByZone.get(group.zone) ?? 0) + count)
-      left -= count
+      tasksLeft -= count
     }
   }
-  return maxTasks - left
+  return maxTasks - tasksLeft
 }
--- a/packages/planner/src/plan.ts
+++ b/packages/planner/src/plan.ts
@@ -1,4 +1,4 @@
-/** One plan: what starts where, what is rented, and what is released. Pure: equal snapshots give equal plans. */
+/** Computes one plan: placements, rentals and releases. Pure: equal snapshots give equal plans. */
 import { isIdle, unusedCores } from "./bins.ts"
 import { DemandPass } from "./demand-pass.ts"
 import { fleetOf } from "./fleet.ts"
@@ -7,7 +7,10 @@
 import type { Plan } from "./output.ts"
 import { placeQueuedTasks } from "./placement-pass.ts"
 
-/** Places queued tasks, then decides what the rest needs. What is placed is taken from `snapshot.teams`. */
+/**
+ * Places queued tasks, then decides what the remaining tasks need. Placed tasks are subtracted from
+ * `snapshot.allocationHeadroom`.
+ */
 export const plan = (snapshot: Snapshot): Plan => {
   const tiers = schedulingTiers(snapshot.jobs, snapshot.load())
   const fleet = fleetOf(snapshot)
@@ -19,7 +22,8 @@
   return {
     ...decisions,
     placements,
-    // Where no limit binds it is fragments, or waits for a heartbeat: no reason to empty a machine.
+    // If no team limit binds, free cores are fragments or wait for a heartbeat, which is no reason to
+    // drain a machine.
     unusedCores: decisions.quotaLimitedJobs.size > 0 ? unusedCores(ready) : 0,
     idleMachines: new Set(ready.filter(isIdle).map(({ machine }) => machine.id)),
   }
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -1,31 +1,37 @@
-/** How many machines a job needs beyond those that it has: the deadline formula, or the base fleet. */
+/**
+ * Number of slots that a job needs beyond the ready machines: by the deadline formula, or by the base
+ * fleet for a job without a deadline.
+ */
 import type { MachineGroup } from "./bins.ts"
 import { EPSILON, slotsIn, subtractTasks } from "./capacity.ts"
 import { extraResources, newMachinesComeInTime } from "./deadline.ts"
 import { isEligible } from "./eligibility.ts"
 import type { JobView, Snapshot } from "./input.ts"
 
-/** Without a stated aim, the base fleet starts a job's queue within this time. */
+/** Time within which the base fleet starts the queue of a job without an objective. */
 const DEFAULT_START_WITHIN_S = 120
 
-/** What a job counts on beyond the machines that are ready, in slots. */
+/** Slots that a job relies on beyond the ready machines. */
 export interface Provision {
-  /** On machines that boot. */
+  /** Slots on booting machines. */
   readonly requestedSlots: number
-  /** On machines to ask for. */
+  /** Slots on machines that have yet to be requested. */
   readonly shortfall: number
 }
 
-/** The tasks of a job for which machines are to be found. */
+/** Tasks of a job for which machines are needed. */
 export interface ProvisionDemand {
   readonly job: JobView
   readonly queued: number
   readonly running: number
-  /** Slots to count on at most: what the team's limit allows. */
+  /** Maximum number of slots, from the team's limit. */
   readonly maxSlots: number
 }
 
-/** Slots to ask for beyond what runs and what boots; takes what it counts on from `booting`. */
+/**
+ * Plans the slots for a job's queued tasks: first on booting machines, whose capacity it takes from
+ * `booting`, then on machines to request.
+ */
 export const planProvision = (
   demand: ProvisionDemand,
   booting: ReadonlyArray<MachineGroup>,
@@ -36,24 +42,24 @@
     Math.min(slotsNeeded(demand, requestedSlots, deploymentS), maxSlots - requestedSlots)
   let requestedSlots = 0
   const groups = booting.filter((group) => group.bins.length > 0 && isEligible(job.spec, group))
-  // Machines asked for on this job's behalf come first, then capacity that others left on theirs.
+  // Machines requested for this job come first, then spare capacity of machines requested for other jobs.
   for (const isOwn of [true, false]) {
     for (const group of groups) {
       for (const bin of group.bins) {
         if ((bin.machine.assignedJob === job.id) !== isOwn) continue
-        const missing = computeShortfall(requestedSlots)
-        if (missing === 0) return { requestedSlots: requestedSlots, shortfall: missing }
-        const slots = Math.min(missing, slotsIn(job.spec, bin.free))
+        const missingSlots = computeShortfall(requestedSlots)
+        if (missingSlots === 0) return { requestedSlots, shortfall: missingSlots }
+        const slots = Math.min(missingSlots, slotsIn(job.spec, bin.free))
         bin.free = subtractTasks(bin.free, job.spec, slots)
         requestedSlots += slots
       }
       group.bins = group.bins.filter((bin) => bin.free.cores > EPSILON)
     }
   }
-  return { requestedSlots: requestedSlots, shortfall: computeShortfall(requestedSlots) }
+  return { requestedSlots, shortfall: computeShortfall(requestedSlots) }
 }
 
-/** Slots needed beyond those that run and those already requested. */
+/** Number of slots needed beyond running tasks and requested slots. */
 const slotsNeeded = (
   { job, queued, running }: ProvisionDemand,
   requestedSlots: number,
@@ -71,9 +77,8 @@
       })
 
 /**
- * Without a deadline, enough slots to start the queue in half the time in
- * which the objectives want it started. What runs now makes room in time only if
- * that leaves more than one round.
+ * Slots for a job without a deadline: enough to start its queue in half the time that the objectives allow.
+ * Slots of running tasks count only if this leaves time for more than one round.
  */
 const baseFleetSlots = (job: JobView, queued: number, running: number, requestedSlots: number): number => {
   const horizonS = Math.max(0, (job.startWithinS ?? DEFAULT_START_WITHIN_S) / 2 - job.ageS)
@@ -81,14 +86,14 @@
   return Math.max(0, Math.ceil(queued / rounds) - (rounds > 1 ? running : 0) - requestedSlots)
 }
 
-/** Can spot machines that the job may use be asked for? */
+/** Whether spot machines are offered on which the job may run. */
 export const spotAvailable = (job: JobView, { offers }: Pick<Snapshot, "offers">): boolean =>
   offers.some((offer) => offer.spot && isEligible(job.spec, offer))
 
 /**
- * On-demand machines cost several times as much. They are the fall-back where
- * what runs now ends too late for the queue, and are asked for no sooner than
- * they have to be: until then spot may open again, or another shard lend.
+ * Whether on-demand machines may be requested for the job. They cost several times as much as spot ones and
+ * are the fallback if running tasks end too late for the queue. They are requested as late as possible: until
+ * then spot capacity may become available again, or another shard may lend machines.
  */
 export const onDemandJustified = (job: JobView, lateTasks: number, deploymentS: number): boolean => {
   if (!job.spec.spotAllowed) return true
@@ -97,7 +102,7 @@
     return (job.startWithinS ?? 2 * deploymentS) - job.ageS < 1.5 * deploymentS
   }
   const slackS = job.timeLeftS - job.executionS - deploymentS
-  // Half a run more than it takes: owners' estimates are often that far off.
-  const soon = slackS < (deploymentS + job.executionS) / 2
-  return soon && slackS > 0 && newMachinesComeInTime(job.executionS, job.timeLeftS, deploymentS)
+  // Half of deployment and run time as margin, since owners' estimates are often wrong by half.
+  const isDueSoon = slackS < (deploymentS + job.executionS) / 2
+  return isDueSoon && slackS > 0 && newMachinesComeInTime(job.executionS, job.timeLeftS, deploymentS)
 }
--- a/packages/planner/src/release.ts
+++ b/packages/planner/src/release.ts
@@ -1,26 +1,26 @@
-/** Machines that jobs release to the pool, one at a time each. */
+/** Releases of machines by jobs to the shared pool, one machine at a time. */
 import type { JobId, MachineId } from "@sorreltally/protocol"
 import { type Bin, isIdle } from "./bins.ts"
 import { slotsIn } from "./capacity.ts"
 import { canRelease } from "./deadline.ts"
 import type { JobView } from "./input.ts"
 
-/** Tasks of a job as the plan leaves them. */
+/** Task counts of a job after the placement pass. */
 interface TaskCounts {
   readonly queued: number
   readonly running: number
 }
 
-/** Releases the job's least busy machine if nothing is queued, or if one fewer still meets its deadline. */
+/** Releases the job's least busy machine if no task is queued, or if the deadline is met without it. */
 export const releaseMachine = (
   job: JobView,
-  assigned: ReadonlyArray<Bin>,
+  assignedBins: ReadonlyArray<Bin>,
   { queued, running }: TaskCounts,
   assignedJobs: Map<MachineId, JobId | null>,
 ): void => {
   let leastBusy: Bin | null = null
   let freeSlots = 0
-  for (const bin of assigned) {
+  for (const bin of assignedBins) {
     freeSlots += slotsIn(job.spec, bin.free)
     const { state, busyTasks } = bin.machine
     if (state === "ready" && (leastBusy === null || busyTasks < leastBusy.machine.busyTasks)) leastBusy = bin
@@ -36,11 +36,11 @@
     assignedJobs.set(leastBusy.machine.id, null)
 }
 
-/** A job held back by its team's limit releases a machine on which the limit lets nothing run. */
+/** Releases an idle machine of a job that its team's limit keeps from using it. */
 export const releaseIdleMachine = (
-  assigned: ReadonlyArray<Bin>,
+  assignedBins: ReadonlyArray<Bin>,
   assignedJobs: Map<MachineId, JobId | null>,
 ): void => {
-  const idle = assigned.find(isIdle)
+  const idle = assignedBins.find(isIdle)
   if (idle !== undefined) assignedJobs.set(idle.machine.id, null)
 }
--- a/packages/planner/src/renting.ts
+++ b/packages/planner/src/renting.ts
@@ -1,26 +1,32 @@
-/** Which kinds of machine are asked for: the cheapest for the work, spot before on-demand. */
+/** Chooses the kinds of machine to rent: the cheapest for the work, spot before on-demand. */
 import { type JobId, MAX_TASKS_ON_MACHINE, type MachineId, type MachineType } from "@sorreltally/protocol"
 import { binOf, type MachineGroup } from "./bins.ts"
 import { EPSILON, fits, slotsIn, subtractTasks } from "./capacity.ts"
 import { isEligible, zoneAllowance } from "./eligibility.ts"
 import type { Capacity, JobView, MachineView, Offer, Snapshot } from "./input.ts"
 
-/** Above any price: on-demand machines are the fall-back once every fitting kind of spot is refused. */
+/**
+ * Added to the cost of on-demand machines. Above any price, so that they are rented only once every fitting
+ * spot kind is refused.
+ */
 const ON_DEMAND_COST_PENALTY = 1e6
 
-/** A kind that costs at most this much more is asked as well, rather than waiting for the cheapest one's answer. */
+/**
+ * Maximum cost, relative to the cheapest kind, of the other kinds that are requested without waiting for the
+ * response about the cheapest.
+ */
 const MAX_COST_RATIO_TO_CHEAPEST = 1.1
 
-/** Rentals planned so far, by what is asked for; the first job to ask has the machines assigned. */
+/** Rentals planned so far, by offer. The machines are assigned to the first job that requests them. */
 export type RentalsByOffer = Map<Offer, { count: number; readonly assignedJob: JobId }>
 
-/** Money for a second of one task's work on a machine that first has to boot. */
+/** Cost per second of one task's run time on a machine that first has to boot. */
 const costPerTaskSecond = (job: JobView, shortfall: number, type: MachineType, price: number): number => {
   const slots = Math.max(1, Math.min(shortfall, slotsIn(job.spec, type)))
   return (price * (type.bootS + job.executionS)) / (slots * job.executionS)
 }
 
-/** What that costs at best, whether such machines can be had now or not. */
+/** Lowest such cost of all machine types, whether or not they are offered now. */
 const lowestCostPerTaskSecond = (
   job: JobView,
   shortfall: number,
@@ -35,10 +41,10 @@
   return cheapest
 }
 
-/** The tasks of a job for which machines are to be rented. */
+/** Tasks of a job for which machines are to be rented. */
 export interface RentalDemand {
   readonly job: JobView
-  /** How many. */
+  /** Number of tasks without a slot. */
   readonly shortfall: number
   readonly onDemandAllowed: boolean
 }
@@ -48,7 +54,7 @@
   readonly cost: number
 }
 
-/** Offers that the job may use, the cheapest first; of equally cheap ones, the zone with fewer of our machines. */
+/** Offers that the job may use, cheapest first; ties go to the zone with the fewest rented machines. */
 const rankedOffers = (
   { job, shortfall, onDemandAllowed }: RentalDemand,
   snapshot: Snapshot,
@@ -68,8 +74,8 @@
 }
 
 /**
- * Asks for the cheapest kind that fits. What one rental can't hold is asked of
- * kinds about as cheap. Returns for how many of the tasks it asked.
+ * Plans rentals of the cheapest kind that fits. Tasks beyond the size of one rental go to kinds within
+ * `MAX_COST_RATIO_TO_CHEAPEST`. Returns the number of tasks covered.
  */
 export const planRentals = (
   demand: RentalDemand,
@@ -96,7 +102,7 @@
     else planned.count += count
     const spareSlots = tasksPerMachine * count - tasksLeft
     tasksLeft -= tasksPerMachine * count
-    // What the last machine has to spare is there for the jobs that follow.
+    // Spare capacity of the last machine is available to later jobs.
     if (spareSlots > 0)
       addSpareCapacity(job, offer, subtractTasks(offer.type, job.spec, tasksPerMachine - spareSlots), booting)
   }
@@ -105,7 +111,7 @@
 
 const NO_IMAGES = { has: () => false }
 
-/** Adds the free capacity of a machine to be rented to the booting ones. */
+/** Adds the free capacity of a machine to be rented to the booting machines. */
 const addSpareCapacity = (
   job: JobView,
   { type, zone, spot }: Offer,
@@ -125,7 +131,7 @@
     assignedJob: job.id,
   }
   const bin = binOf(machine)
-  const group = booting.find((group) => group.type === type && group.zone === zone && group.spot === spot)
-  if (group === undefined) booting.push({ type, zone, spot, bins: [bin] })
-  else group.bins.push(bin)
+  const sameKind = booting.find((group) => group.type === type && group.zone === zone && group.spot === spot)
+  if (sameKind === undefined) booting.push({ type, zone, spot, bins: [bin] })
+  else sameKind.bins.push(bin)
 }
--- a/packages/planner/src/reserve.ts
+++ b/packages/planner/src/reserve.ts
@@ -2,14 +2,14 @@
 import { EPSILON } from "./capacity.ts"
 import type { Capacity, Images, MachineView, Reserve } from "./input.ts"
 
-/** Does a machine's free capacity count towards the reserve? */
+/** Whether a machine's free capacity counts towards the reserve. */
 export const isReserved = (free: Capacity, images: Images, reserve: Reserve): boolean => {
   if (free.cores <= EPSILON) return false
   for (const image of reserve.images) if (images.has(image)) return true
   return false
 }
 
-/** Cores that work of lower rank may still take on machines with the reserve's images; below 0: a shortfall. */
+/** Cores on reserved machines that tasks below the reserve's rank may take; negative: a shortfall. */
 export const spareCores = (machines: Iterable<MachineView>, reserve: Reserve): number => {
   let spare = -reserve.cores
   for (const { state, reserved, free } of machines) if (state === "ready" && reserved) spare += free.cores
--- a/packages/planner/src/victims.ts
+++ b/packages/planner/src/victims.ts
@@ -1,51 +1,53 @@
-/** Which running tasks are preempted for work of higher rank. It chooses; stopping them is the caller's. */
+/** Chooses running tasks to preempt for work of higher rank. The caller stops them. */
 import type { MachineId } from "@sorreltally/protocol"
 import { fits, slotsIn, subtractTasks } from "./capacity.ts"
 import { isEligible } from "./eligibility.ts"
 import type { Capacity, MachineView, TaskShape } from "./input.ts"
 
-/** About what an image fetch takes, in seconds. */
+/** Typical duration of an image fetch in seconds. */
 const IMAGE_FETCH_S = 8
 
-/** A running task that could be preempted; `T` is the caller's record of it. */
+/** A running task that could be preempted; `T` is the caller's record of the task. */
 export interface Victim<T> {
   readonly placement: T
   readonly machine: MachineId
   readonly shape: TaskShape
   readonly rank: number
-  /** Core-seconds lost by stopping it: what it ran since its last checkpoint. */
+  /** Core-seconds lost by stopping it: its work since the last checkpoint. */
   readonly lossCoreS: number
-  /** Seconds that its checkpoint takes before its capacity is free; 0: it can't save, and frees it at once. */
+  /** Seconds to save its checkpoint before its capacity is free; 0: no checkpoint, free at once. */
   readonly checkpointSaveS: number
 }
 
-/** What victims are chosen for, and among which. */
+/** Work for which tasks are to be preempted, and the candidates. */
 export interface PreemptionRequest<T> {
   readonly shape: TaskShape
   /** Only tasks of lower rank are chosen. */
   readonly rank: number
-  /** So many tasks of that shape are to fit. */
+  /** Number of further tasks of that shape that are to fit. */
   readonly tasks: number
   readonly machines: ReadonlyArray<MachineView>
-  /** Those on a machine, least loss a core first. */
+  /** Possible victims on a machine, in ascending order of loss per core. */
   readonly victimsOn: (machine: MachineId) => ReadonlyArray<Victim<T>>
-  /** Only machines that end up empty count, since only those can be lent. */
+  /** Whether only machines that become empty count, since only empty machines can be lent. */
   readonly wholeMachines: boolean
 }
 
-/** Victims on one machine that are chosen together, or not at all. */
+/** Victims on one machine that are preempted together or not at all. */
 interface PreemptionOption<T> {
   readonly victims: ReadonlyArray<Victim<T>>
-  /** Slots for the shape that they free. */
+  /** Number of slots of the requested shape that they free. */
   readonly slots: number
-  /** Core-seconds. */
+  /** Loss in core-seconds. */
   readonly loss: number
 }
 
 const totalLoss = <T>(victims: ReadonlyArray<Victim<T>>): number =>
   victims.reduce((sum, { lossCoreS }) => sum + lossCoreS, 0)
 
-/** One more victim at a time, as an option of its own for each time that slots are added. */
+/**
+ * Adds one victim at a time. Whenever this adds slots, the victims since the previous option form an option.
+ */
 const incrementalOptions = <T>(
   shape: TaskShape,
   free: Capacity,
@@ -55,10 +57,10 @@
   let capacity = free
   let pending: Array<Victim<T>> = []
   for (const victim of victims) {
-    const before = slotsIn(shape, capacity)
+    const slotsBefore = slotsIn(shape, capacity)
     capacity = subtractTasks(capacity, victim.shape, -1)
     pending.push(victim)
-    const slots = slotsIn(shape, capacity) - before
+    const slots = slotsIn(shape, capacity) - slotsBefore
     if (slots > 0 && fits(shape, capacity)) {
       options.push({ victims: pending, slots, loss: totalLoss(pending) })
       pending = []
@@ -79,7 +81,7 @@
     ? [{ victims, slots: slotsIn(shape, machine.type), loss: totalLoss(victims) }]
     : incrementalOptions(shape, machine.free, victims)
   if (machine.images.has(shape.image)) return options
-  // Where the image is missing, its fetch keeps the capacity from use as long as lost work would.
+  // If the image isn't cached, the capacity is unused while it is fetched, which counts like lost work.
   return options.map((option) => ({
     ...option,
     loss: option.loss + IMAGE_FETCH_S * shape.cores * option.slots,
@@ -87,19 +89,19 @@
 }
 
 /**
- * Which tasks to preempt so that so many more of a higher-ranked job fit: machine
- * by machine, where the least work is lost for each slot.
+ * Chooses tasks to preempt so that the requested number of tasks fits. Goes through the machines' options in
+ * ascending order of work lost per slot, and may return fewer victims than needed.
  */
 export const choosePreemptions = <T>(request: PreemptionRequest<T>): ReadonlyArray<Victim<T>> => {
   const { tasks, machines } = request
   const options = machines.flatMap((machine) => optionsOn(machine, request))
   options.sort((a, b) => a.loss / Math.min(tasks, a.slots) - b.loss / Math.min(tasks, b.slots))
   const chosen: Array<Victim<T>> = []
-  let left = tasks
+  let tasksLeft = tasks
   for (const { victims, slots } of options) {
-    if (left <= 0) break
+    if (tasksLeft <= 0) break
     chosen.push(...victims)
-    left -= slots
+    tasksLeft -= slots
   }
   return chosen
 }
--- a/packages/planner/test/builders.ts
+++ b/packages/planner/test/builders.ts
@@ -1,4 +1,4 @@
-/** Jobs, machines and snapshots as the planner's tests need them: plain ones, each changed where a test says so. */
+/** Builders of jobs, machines and snapshots with plain defaults, which tests override as needed. */
 import type {
   ImageName,
   JobId,
@@ -13,7 +13,7 @@
 export const zone = (name: string): ZoneName => name as ZoneName
 
 /** 16 cores, no accelerators; spot costs a quarter of on-demand. */
-export const type = {
+export const machineType = {
   name: "m",
   cores: 16,
   accelerators: 0,
@@ -24,7 +24,7 @@
   spotPrice: 1,
 } as unknown as MachineType
 
-/** Four cores a task, of team red. */
+/** A specification of team red with four cores per task. */
 export const spec = {
   cores: 4,
   accelerators: 0,
@@ -37,31 +37,31 @@
   image: "img",
 } as unknown as JobSpec
 
-/** An empty spot machine that is ready; `images`: those cached on it. */
+/** An empty, ready spot machine; `images` are the names of its cached images. */
 export const machine = (
   id: string,
   {
     images = [],
-    ...more
+    ...overrides
   }: Partial<Omit<MachineView, "images">> & { readonly images?: ReadonlyArray<string> } = {},
 ): MachineView => ({
   id: id as MachineId,
-  type,
+  type: machineType,
   zone: zone("a"),
   spot: true,
-  free: type,
+  free: machineType,
   busyTasks: 0,
   images: new Set(images as ReadonlyArray<ImageName>),
   reserved: false,
   state: "ready",
   assignedJob: null,
-  ...more,
+  ...overrides,
 })
 
 export const jobId = (number: number): JobId => `run-${String(number).padStart(6, "0")}` as JobId
 
-/** A job submitted just now, all of its 40 tasks queued, without a deadline. */
-export const job = (id: JobId, more: Partial<JobView> = {}): JobView => ({
+/** A job without a deadline, just submitted, with all of its 40 tasks queued. */
+export const job = (id: JobId, overrides: Partial<JobView> = {}): JobView => ({
   id,
   spec,
   rank: 1,
@@ -77,26 +77,31 @@
   withinGuarantee: false,
   mayStart: true,
   avoidedMachines: new Set(),
-  ...more,
+  ...overrides,
 })
 
 export const noReserve: Reserve = { rank: 0, cores: 0, images: new Set() }
 
-/** Headroom in cores by team. */
+/** Headroom of each team, from its number of cores. */
 export const headroom = (cores: Readonly<Record<string, number>>): Map<TeamName, QuotaHeadroom> =>
-  new Map(Object.entries(cores).map(([team, of]) => [team as TeamName, { cores: of, accelerators: 0 }]))
+  new Map(
+    Object.entries(cores).map(([team, coreCount]) => [
+      team as TeamName,
+      { cores: coreCount, accelerators: 0 },
+    ]),
+  )
 
-/** Nothing runs, nobody waits elsewhere, and nothing can be rented. */
+/** A snapshot without running tasks, demand of other shards, or rental offers. */
 export const snapshot = (
   jobs: ReadonlyArray<JobView>,
   machines: ReadonlyArray<MachineView>,
-  more: Partial<Snapshot> = {},
+  overrides: Partial<Snapshot> = {},
 ): Snapshot => ({
   jobs,
   machines,
   reserve: noReserve,
   otherShardsWait: false,
-  machineTypes: [type],
+  machineTypes: [machineType],
   load: () => ({ cores: 0, endingCoresBySecond: [] }),
   allocationHeadroom: headroom({ red: 100 }),
   limitHeadroom: headroom({ red: 100 }),
@@ -104,5 +109,5 @@
   maxMachinesPerRental: 50,
   deploymentS: 40,
   maxOnDemandCostRatio: 6,
-  ...more,
+  ...overrides,
 })
--- a/packages/planner/test/deadline.test.ts
+++ b/packages/planner/test/deadline.test.ts
@@ -11,38 +11,38 @@
   deploymentTime: 40,
 }
 
-test("required time counts one round for what runs now", () => {
+test("required time includes one round for the running tasks", () => {
   // ceil(10 / 2) + 1 = 6 rounds of 20 s
   assert.equal(requiredTime(10, 2, 20), 120)
   assert.equal(requiredTime(10, 0, 20), Number.POSITIVE_INFINITY)
 })
 
-test("no extra machines while the deadline is met, to the second", () => {
+test("no extra slots are requested while the deadline is met, exact to the second", () => {
   assert.equal(extraResources({ ...input, timeLeft: 120 }), 0)
   // 119 s: alpha 5, beta 2: ceil(((1 - 5) * 2 + 10) / 3) = ceil(2 / 3) = 1
   assert.equal(extraResources({ ...input, timeLeft: 119 }), 1)
 })
 
-test("the deadline can be met with machines that are still to boot", () => {
+test("slots on new machines are requested when the deadline can be met with them", () => {
   // alpha 5, beta 2: ceil((-4 * 1 + 10) / 3) = 2
   assert.equal(extraResources({ ...input, resources: 1 }), 2)
-  // with one slot already asked for: ceil((-4 * 2 + 10) / 3) = 1
+  // with one slot already requested: ceil((-4 * 2 + 10) / 3) = 1
   assert.equal(extraResources({ ...input, resources: 1, requestedResources: 1 }), 1)
 })
 
-test("a job without any slot always needs more", () => {
+test("a job without slots needs extra slots", () => {
   // alpha 5, beta 2: ceil(10 / 3) = 4
   assert.equal(extraResources({ ...input, resources: 0 }), 4)
 })
 
-test("when new machines come too late, what the old ones can't do by then is asked for", () => {
+test("if new machines come too late, slots are requested for tasks that existing ones can't run", () => {
   // alpha 2, beta 2, so alpha - beta = 0: 10 - (2 + 1) * 2 = 4
   assert.equal(extraResources({ ...input, timeLeft: 55 }), 4)
   // never negative: 10 - 3 * 5 < 0
   assert.equal(extraResources({ ...input, timeLeft: 35, resources: 5 }), 0)
 })
 
-test("never more than there are queued tasks", () => {
+test("no more slots are requested than there are queued tasks", () => {
   // alpha 3, beta 2: ceil(4 / 1) = 4 of 4
   assert.equal(extraResources({ ...input, pendingTasks: 4, resources: 0, timeLeft: 60 }), 4)
   assert.equal(extraResources({ ...input, pendingTasks: 0, resources: 0, timeLeft: 1 }), 0)
@@ -50,14 +50,14 @@
   assert.equal(extraResources({ ...input, pendingTasks: 4, resources: 0, timeLeft: -5 }), 4)
 })
 
-test("a machine is given back only when one fewer is strictly in time", () => {
+test("a machine is released only if the job ends strictly before its deadline without it", () => {
   // 4 tasks on 2 slots: (2 + 1) * 20 = 60
   const job = { pendingTasks: 4, resources: 4, executionTime: 20 }
   assert.equal(canRelease({ ...job, timeLeft: 60 }, 2), false)
   assert.equal(canRelease({ ...job, timeLeft: 61 }, 2), true)
 })
 
-test("the last slot is never given back", () => {
+test("the last slot is never released", () => {
   assert.equal(canRelease({ pendingTasks: 0, resources: 1, executionTime: 20, timeLeft: 1e9 }, 1), false)
   assert.equal(canRelease({ pendingTasks: 3, resources: 2, executionTime: 20, timeLeft: 1e9 }, 2), false)
 })
