--- a/packages/planner/src/demand-pass.ts
+++ b/packages/planner/src/demand-pass.ts
@@ -1,7 +1,8 @@
 /**
- * The second half of a plan: what the jobs still need once queued tasks are placed. Job after job,
- * in scheduling order, it decides what is published as unplaced, what is rented, and which machine
- * a job releases; each takes what it counts on from its team's headroom, so that those after it don't.
+ * The second half of a plan: demand that is left once queued tasks are placed. For each job, in scheduling
+ * order, it decides which tasks are published as unplaced, which machines are rented, and which machine the
+ * job releases. Each job takes the quota it relies on from its team's headroom, so that later jobs of the
+ * team don't rely on the same quota.
  */
 import type { JobId, MachineId } from "@sorreltally/protocol"
 import type { Bin } from "./bins.ts"
@@ -9,35 +10,35 @@
 import type { JobView, Snapshot } from "./input.ts"
 import { tasksStartingTooLate } from "./lateness.ts"
 import { QuotaBudget, tasksWithinQuota } from "./limits.ts"
-import type { Plan, PlannedRental, Unplaced } from "./output.ts"
+import type { Plan, PlannedRental, UnplacedTasks } from "./output.ts"
 import { reserveOnReady } from "./placement.ts"
 import type { JobProgress } from "./placement-pass.ts"
 import { onDemandJustified, planProvision, spotAvailable } from "./provisioning.ts"
-import { releaseIdle, releaseMachine } from "./release.ts"
+import { releaseIdleMachine, releaseMachine } from "./release.ts"
 import { planRentals, type RentalsByOffer } from "./renting.ts"
 
-/** What the pass starts from. */
+/** Input of the demand pass. */
 export interface DemandPassInput {
   readonly snapshot: Snapshot
   readonly fleet: Fleet
-  /** The jobs' tasks after the placement pass; every job of the plan has an entry. */
+  /** Task counts of the jobs after the placement pass, with an entry for every job of the plan. */
   readonly progress: ReadonlyMap<JobId, JobProgress>
 }
 
-/** One pass: `run` once, then read the decisions. */
+/** One demand pass: call `run` once, then read `decisions`. */
 export class DemandPass {
   private readonly snapshot: Snapshot
   private readonly fleet: Fleet
   private readonly progress: ReadonlyMap<JobId, JobProgress>
-  /** What may still be rented for, by team. */
-  private readonly rentable: QuotaBudget
-  /** What machines of other shards may still be borrowed for, by team. */
-  private readonly borrowable: QuotaBudget
+  /** Quota for which machines may still be rented, by team. */
+  private readonly rentableQuota: QuotaBudget
+  /** Quota for which machines of other shards may still be borrowed, by team. */
+  private readonly borrowableQuota: QuotaBudget
   private readonly assignedJobs = new Map<MachineId, JobId | null>()
   private readonly rentals: RentalsByOffer = new Map()
-  private readonly unplaced: Array<Unplaced> = []
-  private readonly quotaLimited: Array<JobView> = []
-  /** Cores of queued tasks of the jobs so far. */
+  private readonly unplaced: Array<UnplacedTasks> = []
+  private readonly quotaLimitedJobs: Array<JobView> = []
+  /** Cores of the queued tasks of the jobs planned so far. */
   private backlogCores = 0
   private onDemandNeeded = false
 
@@ -45,28 +46,28 @@
     this.snapshot = snapshot
     this.fleet = fleet
     this.progress = progress
-    this.rentable = new QuotaBudget(snapshot.limits)
-    this.borrowable = new QuotaBudget(snapshot.limits)
+    this.rentableQuota = new QuotaBudget(snapshot.limitHeadroom)
+    this.borrowableQuota = new QuotaBudget(snapshot.limitHeadroom)
   }
 
-  /** Decides for all jobs, in their order; called once. */
+  /** Decides for all jobs, in the given order. Must be called only once. */
   run(jobs: ReadonlyArray<JobView>): void {
     for (const job of jobs) {
       const placed = job.queued - this.progressOf(job).queued
-      this.rentable.take(job, placed)
-      this.borrowable.take(job, placed)
+      this.rentableQuota.take(job, placed)
+      this.borrowableQuota.take(job, placed)
     }
     for (const job of jobs) {
-      if (this.progressOf(job).queued === 0) this.releaseOneOf(job)
-      else this.provide(job)
+      if (this.progressOf(job).queued === 0) this.releaseOneMachine(job)
+      else this.planQueuedJob(job)
     }
-    for (const job of this.quotaLimited) releaseIdle(this.assignedTo(job), this.assignedJobs)
+    for (const job of this.quotaLimitedJobs) releaseIdleMachine(this.assignedBins(job), this.assignedJobs)
   }
 
-  /** What it decided, in the plan's terms. */
+  /** The pass's part of the plan. */
   decisions(): Pick<
     Plan,
-    "rentals" | "assignedJobs" | "onDemandNeeded" | "unplaced" | "claims" | "quotaLimited"
+    "rentals" | "assignedJobs" | "onDemandNeeded" | "unplaced" | "claims" | "quotaLimitedJobs"
   > {
     return {
       rentals: [...this.rentals].map(
@@ -75,69 +76,74 @@
       assignedJobs: this.assignedJobs,
       onDemandNeeded: this.onDemandNeeded,
       unplaced: this.unplaced,
-      claims: this.rentable.taken(),
-      quotaLimited: new Set(this.quotaLimited.map(({ id }) => id)),
+      claims: this.rentableQuota.taken(),
+      quotaLimitedJobs: new Set(this.quotaLimitedJobs.map(({ id }) => id)),
     }
   }
 
   private progressOf(job: JobView): JobProgress {
     return this.progress.get(job.id)!
   }
-  private assignedTo(job: JobView): ReadonlyArray<Bin> {
-    return this.fleet.assigned.get(job.id) ?? []
+  private assignedBins(job: JobView): ReadonlyArray<Bin> {
+    return this.fleet.binsByAssignedJob.get(job.id) ?? []
   }
-  private releaseOneOf(job: JobView): void {
-    releaseMachine(job, this.assignedTo(job), this.progressOf(job), this.assignedJobs)
+  private releaseOneMachine(job: JobView): void {
+    releaseMachine(job, this.assignedBins(job), this.progressOf(job), this.assignedJobs)
   }
 
-  /** For a job with queued tasks left. */
-  private provide(job: JobView): void {
+  /** Plans for a job that has queued tasks left. */
+  private planQueuedJob(job: JobView): void {
     const { queued } = this.progressOf(job)
     const lateTasks = tasksStartingTooLate(job, queued, this.backlogCores, this.snapshot.load)
     this.backlogCores += queued * job.spec.cores
-    if (this.rentable.tasksLeft(job) < queued) this.quotaLimited.push(job)
+    if (this.rentableQuota.tasksLeft(job) < queued) this.quotaLimitedJobs.push(job)
     this.recordUnplaced(job, queued, lateTasks)
-    this.provision(job, lateTasks)
+    this.planMachines(job, lateTasks)
   }
 
   private recordUnplaced(job: JobView, queued: number, lateTasks: number): void {
-    const { limits, teams } = this.snapshot
-    // What is preempted for urgent work frees quota as well: here each job counts on its team's headroom for itself.
-    const alone = tasksWithinQuota(job, limits)
-    if (!job.mayStart || !(alone > 0)) return
-    const tasks = Math.min(queued, this.borrowable.tasksLeft(job))
-    const startable = Math.min(queued, tasksWithinQuota(job, teams))
-    this.unplaced.push({ job, tasks, startable, urgent: Math.min(lateTasks, alone) })
-    this.borrowable.take(job, tasks)
+    const { limitHeadroom, allocationHeadroom } = this.snapshot
+    // Preempting tasks for urgent work frees quota as well, so each job is checked against the whole headroom
+    // of its team's limit, without what earlier jobs of the team took of it.
+    const tasksWithinTeamLimit = tasksWithinQuota(job, limitHeadroom)
+    if (!job.mayStart || !(tasksWithinTeamLimit > 0)) return
+    const tasks = Math.min(queued, this.borrowableQuota.tasksLeft(job))
+    const startableTasks = Math.min(queued, tasksWithinQuota(job, allocationHeadroom))
+    this.unplaced.push({ job, tasks, startableTasks, urgentTasks: Math.min(lateTasks, tasksWithinTeamLimit) })
+    this.borrowableQuota.take(job, tasks)
   }
 
-  /** Machines for a job's queued tasks: those that are ready or boot first, then rentals. */
-  private provision(job: JobView, lateTasks: number): void {
+  /** Finds machines for a job's queued tasks: ready and booting ones first, then rentals. */
+  private planMachines(job: JobView, lateTasks: number): void {
     const { snapshot, fleet } = this
-    const { queued, running, zones } = this.progressOf(job)
-    const headroom = this.rentable.tasksLeft(job)
-    const withinLimit = Math.min(queued, headroom)
-    // The limit's headroom that tasks on ready or booting machines will take is no reason to rent more.
-    const onReady = reserveOnReady(job, withinLimit, zones, fleet.ready, snapshot.reserve)
-    // Guards against machine after machine for a task that waits for quota beside an empty one.
-    const maxSlots = onReady >= withinLimit ? 0 : headroom - onReady
-    const { requested, shortfall } = planProvision(
+    const { queued, running, tasksByZone } = this.progressOf(job)
+    const rentableTasks = this.rentableQuota.tasksLeft(job)
+    const tasksWithinLimit = Math.min(queued, rentableTasks)
+    // Headroom that tasks on ready or booting machines will use is not available for rentals.
+    const tasksOnReady = reserveOnReady(job, tasksWithinLimit, tasksByZone, fleet.ready, snapshot.reserve)
+    // Guards against renting one machine after another for a task that waits for quota although an empty
+    // machine has capacity for it.
+    const maxSlots = tasksOnReady >= tasksWithinLimit ? 0 : rentableTasks - tasksOnReady
+    const { requestedSlots, shortfall } = planProvision(
       { job, queued, running, maxSlots },
       fleet.booting,
       snapshot.deploymentS,
     )
-    if (shortfall === 0) this.releaseOneOf(job)
-    const onDemand = onDemandJustified(job, lateTasks, snapshot.deploymentS)
-    // What is ready needs no boot: it stays for all that spot has no room for and that starts too late.
+    if (shortfall === 0) this.releaseOneMachine(job)
+    const onDemandAllowed = onDemandJustified(job, lateTasks, snapshot.deploymentS)
+    // On-demand machines that are already up need no boot, so they are kept for any late task that spot has
+    // no capacity for.
     this.onDemandNeeded ||=
-      headroom > 0 && (lateTasks > 0 || (shortfall > 0 && onDemand)) && !spotAvailable(job, snapshot)
-    const rented = planRentals(
-      { job, shortfall, onDemandAllowed: onDemand },
+      rentableTasks > 0 &&
+      (lateTasks > 0 || (shortfall > 0 && onDemandAllowed)) &&
+      !spotAvailable(job, snapshot)
+    const rentedTasks = planRentals(
+      { job, shortfall, onDemandAllowed },
       snapshot,
       this.rentals,
       fleet.booting,
     )
-    // What the market can't give a job stays for the others of its team.
-    this.rentable.take(job, onReady + requested + rented)
+    // Headroom for which no machine can be rented stays available to the team's other jobs.
+    this.rentableQuota.take(job, tasksOnReady + requestedSlots + rentedTasks)
   }
 }
