--- a/packages/cloud/src/client.ts
+++ b/packages/cloud/src/client.ts
@@ -8,7 +8,7 @@
   decodeCatalog,
   decodeMachinePage,
   decodeRental,
-  encodeDeletion,
+  encodeMachineDeletion,
   encodeRentalRequest,
   HttpClient,
   type HttpResponse,
@@ -119,7 +119,7 @@
     Effect.flatMap(
       Effect.andThen(
         this.rateLimit.acquire(1, CHANGE),
-        this.send("delete", "POST", "/machines/delete", encodeDeletion(machines)),
+        this.send("delete", "POST", "/machines/delete", encodeMachineDeletion(machines)),
       ),
       (response) => (response.status === 200 ? Effect.void : refused("delete", response)),
     )
--- a/packages/concurrency/src/index.ts
+++ b/packages/concurrency/src/index.ts
@@ -1,2 +1,2 @@
-export * from "./in-flight.ts"
+export * from "./in-flight-limit.ts"
 export * from "./signal.ts"
--- a/packages/concurrency/src/signal.ts
+++ b/packages/concurrency/src/signal.ts
@@ -1,28 +1,28 @@
-/** Wakes a loop from synchronous code. Holds one waiter at a time; carries no data, so signals merge. */
+/** Wakes a loop from synchronous code. Supports one waiter at a time. Carries no data, so signals merge. */
 import { Effect } from "effect"
 
-/** Wakes the one loop that waits for it; a signal while nobody waits is kept. */
+/** Wakes the loop that waits for it; a signal that is sent without a waiter is kept for the next wait. */
 export class Signal {
-  private raised = false
+  private isPending = false
   private resume: (() => void) | null = null
 
-  /** Wakes the waiting loop, or the next one that waits. */
+  /** Wakes the waiting loop; without one, the next wait returns at once. */
   notify(): void {
-    this.raised = true
+    this.isPending = true
     const resume = this.resume
     this.resume = null
     resume?.()
   }
-  /** Until the next signal, or until `ms` have passed. */
+  /** Waits for the next signal, for at most `ms` milliseconds. */
   wait(ms: number): Effect.Effect<void> {
     return Effect.callback<void>((resume) => {
-      if (this.raised) return resume(Effect.void)
+      if (this.isPending) return resume(Effect.void)
       this.resume = () => resume(Effect.void)
     }).pipe(
       Effect.timeoutOption(ms),
       Effect.andThen(
         Effect.sync(() => {
-          this.raised = false
+          this.isPending = false
           this.resume = null
         }),
       ),
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -3,7 +3,7 @@
  * decides nothing about jobs or machines, and owns no shard but those that membership says it holds.
  */
 import type { CloudClient } from "@sorreltally/cloud"
-import { InFlight } from "@sorreltally/concurrency"
+import { InFlightLimit } from "@sorreltally/concurrency"
 import { CommandForwarder, HeartbeatBalancer, HeartbeatForwarder, NodeLoads } from "@sorreltally/forwarding"
 import { JobIndex, JobStore } from "@sorreltally/jobs"
 import { Membership, type MembershipListener, shardOf } from "@sorreltally/membership"
@@ -69,7 +69,7 @@
   private readonly heartbeatRouter: HeartbeatRouter
   private readonly loads: NodeLoads
   private readonly estimates = new RunTimeEstimates()
-  private readonly commandsInFlight: InFlight
+  private readonly commandsInFlight: InFlightLimit
   private readonly commandForwarder: CommandForwarder
   private readonly demandRegistry: DemandRegistry
   private readonly demandExchange: DemandExchange
@@ -84,7 +84,7 @@
       log,
       fork,
     })
-    this.commandsInFlight = new InFlight(socketBudget(platform).commands)
+    this.commandsInFlight = new InFlightLimit(socketBudget(platform).commands)
     this.membership = this.makeMembership()
     const { membership, shards } = this
     this.machineIndex = new MachineIndex(membership.replica)
--- a/packages/daemon/src/http-client.ts
+++ b/packages/daemon/src/http-client.ts
@@ -5,8 +5,8 @@
   type HttpClient,
   type HttpRequest,
   type HttpResponse,
-  hostAndPort,
   NoResponseError,
+  splitAddress,
   withTimeout,
 } from "@sorreltally/protocol"
 import type { SocketBudget } from "@sorreltally/settings"
@@ -28,7 +28,7 @@
  */
 const send = (call: HttpRequest, agent: Agent): Effect.Effect<HttpResponse, NoResponseError> =>
   Effect.callback<HttpResponse, NoResponseError>((resume) => {
-    const { host, port } = hostAndPort(call.address)
+    const { host, port } = splitAddress(call.address)
     const text = call.body === undefined ? undefined : JSON.stringify(call.body)
     const headers =
       text === undefined
--- a/packages/daemon/src/http-server.ts
+++ b/packages/daemon/src/http-server.ts
@@ -3,11 +3,11 @@
 import type { Socket } from "node:net"
 import {
   type Address,
-  hostAndPort,
   type IncomingRequest,
   type Log,
   type OutgoingResponse,
   type Respond,
+  splitAddress,
 } from "@sorreltally/protocol"
 import { Effect, type Scope } from "effect"
 import { InboundConnections } from "./connection-pools.ts"
@@ -88,7 +88,7 @@
   Effect.acquireRelease(
     Effect.sync(() => {
       const server = createListener(options)
-      const { host, port } = hostAndPort(options.listen)
+      const { host, port } = splitAddress(options.listen)
       return server.listen(port, host)
     }),
     (server) =>
--- a/packages/daemon/src/readiness.ts
+++ b/packages/daemon/src/readiness.ts
@@ -1,5 +1,5 @@
 /** What `/ready` answers a load balancer: the node's health with a delay, so that short faults don't show. */
-import { addMs, type Clocks, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, type Clocks, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 
 /** The health of this node and, as far as it is known here, of the others. */
 export interface HealthSource {
@@ -24,7 +24,7 @@
 
 /** Ready while healthy and for a grace period afterwards; not ready before it was healthy once. */
 export const makeReadiness = (health: HealthSource, clocks: Clocks): (() => boolean) => {
-  let healthyAt: MonotonicTime = NEVER
+  let healthyAt: MonotonicTime = EARLIEST_TIME
   return () => {
     const now = clocks.monotonicNow()
     if (health.isHealthy()) healthyAt = now
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -4,7 +4,7 @@
  * live as long as the process.
  */
 import { openSockets } from "@sorreltally/peers"
-import { BODY_LIMIT, HttpClient, type Log } from "@sorreltally/protocol"
+import { HttpClient, type Log, MAX_BODY_BYTES } from "@sorreltally/protocol"
 import {
   budgetHolds,
   cancellationBudget,
@@ -39,7 +39,7 @@
     const node = yield* makeNode(platform, operators, links, log)
     yield* serveHttp({
       listen: platform.listenAddress,
-      maxBodyBytes: BODY_LIMIT,
+      maxBodyBytes: MAX_BODY_BYTES,
       maxConnections: socketBudget(platform).inbound,
       serve: node.serve,
       log,
--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -3,7 +3,7 @@
  * its sender a client request and often a connection, by far more than a line in a message between nodes.
  */
 
-import type { InFlight } from "@sorreltally/concurrency"
+import type { InFlightLimit } from "@sorreltally/concurrency"
 import {
   type CommandResult,
   type CommandResults,
@@ -39,7 +39,7 @@
   readonly peers: PeerChannel
   readonly httpClient: HttpClient["Service"]
   /** Commands under way from this node. */
-  readonly inFlight: InFlight
+  readonly inFlight: InFlightLimit
   readonly clocks: Clocks
   /** By how much the nodes' times of day may differ. */
   readonly clockSkewMs: number
@@ -73,7 +73,7 @@
   send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandOutcome> {
     const body = encodeCommandBatch(batch)
     const through = via !== null && this.options.peers.isConnected(via) ? via : null
-    return this.options.inFlight.within(
+    return this.options.inFlight.track(
       through === null ? this.call(address, body) : this.forward(through, address, body),
     )
   }
@@ -105,7 +105,7 @@
     // Its sender has given up on what is older, and has sent other commands since.
     const tooOld = ageMs > COMMAND_TIMEOUT_MS + 2 * clockSkewMs
     for (const command of commands) {
-      if (!tooOld && !inFlight.full) fork(this.sendFor(from, senderLife, command))
+      if (!tooOld && !inFlight.isFull) fork(this.sendFor(from, senderLife, command))
       else
         this.results.put(from, { life: senderLife, item: { ...NO_ANSWER, id: command.id, status: NOT_SENT } })
     }
@@ -115,7 +115,7 @@
     life: number,
     { id, address, batch }: ForwardedCommand,
   ): Effect.Effect<void> {
-    return Effect.map(this.options.inFlight.within(this.call(address, batch)), (outcome) =>
+    return Effect.map(this.options.inFlight.track(this.call(address, batch)), (outcome) =>
       this.results.put(from, { life, item: { id, ...outcome } }),
     )
   }
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -5,9 +5,9 @@
 import {
   addMs,
   type Clocks,
+  EARLIEST_TIME,
   type MachineId,
   type MonotonicTime,
-  NEVER,
   type NodeName,
 } from "@sorreltally/protocol"
 
@@ -34,7 +34,7 @@
 /** A rate of events a second that follows them with some delay (exponentially weighted). */
 class Rate {
   private perSecond = 0
-  private at: MonotonicTime = NEVER
+  private at: MonotonicTime = EARLIEST_TIME
   constructor(private readonly windowMs: number) {}
 
   add(events: number, now: MonotonicTime): void {
@@ -42,7 +42,7 @@
     this.at = now
   }
   read(now: MonotonicTime): number {
-    return this.at === NEVER ? 0 : this.perSecond * Math.exp(-(now - this.at) / this.windowMs)
+    return this.at === EARLIEST_TIME ? 0 : this.perSecond * Math.exp(-(now - this.at) / this.windowMs)
   }
 }
 
@@ -112,7 +112,7 @@
   }
   private redirect(machine: MachineId): NodeName | null {
     const now = this.options.clocks.monotonicNow()
-    if (now < (this.keptUntil.get(machine) ?? NEVER)) return null
+    if (now < (this.keptUntil.get(machine) ?? EARLIEST_TIME)) return null
     const redirectedAt = this.redirectedAt.get(machine)
     this.redirectedAt.delete(machine)
     this.keptUntil.delete(machine)
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -12,12 +12,12 @@
 import {
   addMs,
   type Clocks,
+  EARLIEST_TIME,
   encodeRedirect,
   HEARTBEAT_UNAVAILABLE,
   type Heartbeat,
   type MachineId,
   type MonotonicTime,
-  NEVER,
   type NodeName,
   type Respond,
 } from "@sorreltally/protocol"
@@ -113,8 +113,8 @@
   redirect(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
     const { machineId } = heartbeat
     const now = this.options.clocks.monotonicNow()
-    const forwarding = now < (this.forwardUntil.get(machineId) ?? NEVER)
-    const back = now < addMs(this.redirectedAt.get(machineId) ?? NEVER, BACK_SOON_MS)
+    const forwarding = now < (this.forwardUntil.get(machineId) ?? EARLIEST_TIME)
+    const back = now < addMs(this.redirectedAt.get(machineId) ?? EARLIEST_TIME, BACK_SOON_MS)
     if (!forwarding && !back) {
       this.redirectedAt.set(machineId, now)
       return respond({ status: 421, body: encodeRedirect(owner) })
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -10,7 +10,7 @@
  * job's shard: it fails if any node may have reported the job as done.
  */
 import type { Membership } from "@sorreltally/membership"
-import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/protocol"
+import { ABSENT_KEY_REVISION, type JobId, type JobSpec, type ShardName } from "@sorreltally/protocol"
 import {
   type Condition,
   type Entry,
@@ -125,7 +125,10 @@
         const target = this.pageFor(record, pages)
         if (target === null) return yield* Effect.fail(tooLarge)
         const conditions: Array<Condition> = pages.map(({ key, modRevision }) => ({ key, modRevision }))
-        conditions.push({ key: keys.jobPage(bucketOf(spec.id), pages.length), modRevision: ABSENT })
+        conditions.push({
+          key: keys.jobPage(bucketOf(spec.id), pages.length),
+          modRevision: ABSENT_KEY_REVISION,
+        })
         const { page: written, operations } = this.writesOf(target.key, target.page)
         const accepted = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (accepted.ok) {
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -4,12 +4,12 @@
  * PlacementWriter writes, and reports what became of each write.
  */
 import {
-  ABSENT,
+  ABSENT_KEY_REVISION,
   type Attempt,
   type JobId,
   type ModRevision,
   type MonotonicTime,
-  taskId,
+  makeTaskId,
 } from "@sorreltally/protocol"
 import type { PlacementRecord } from "@sorreltally/store"
 import type { JobState, Placement } from "./job-state.ts"
@@ -102,7 +102,10 @@
     if (builder.isEmpty) return null
     this.reclaimDeadSlots()
     const compacted = this.slots.size > COMPACTION_THRESHOLD_SLOTS ? this.compactOldest(builder) : []
-    const { slot, modRevision } = this.freeSlots.pop() ?? { slot: this.nextSlot++, modRevision: ABSENT }
+    const { slot, modRevision } = this.freeSlots.pop() ?? {
+      slot: this.nextSlot++,
+      modRevision: ABSENT_KEY_REVISION,
+    }
     const record = builder.record(epoch, ++this.writeCount)
     return {
       slot,
@@ -215,7 +218,7 @@
       const placement: Placement = {
         job,
         index,
-        task: taskId(job.id, index),
+        task: makeTaskId(job.id, index),
         machine: record.machines[machine]!,
         agentEpoch,
         attempt: (record.firstAttempt + attemptOffset) as Attempt,
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -12,11 +12,11 @@
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
 import {
-  ABSENT,
+  ABSENT_KEY_REVISION,
   addMs,
+  EARLIEST_TIME,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   type ShardName,
 } from "@sorreltally/protocol"
 import { interpolateByLoad } from "@sorreltally/rate-limit"
@@ -87,7 +87,7 @@
   readonly ledger: PlacementLedger
   private readonly starts = new Set<Placement>()
   private readonly unsavedJobs = new Set<JobState>()
-  private unsavedSince: MonotonicTime = NEVER
+  private unsavedSince: MonotonicTime = EARLIEST_TIME
   private readonly pacer: WritePacer
   private inFlight: ReadonlySet<Placement> = new Set()
   private readonly workAdded = new Signal()
@@ -241,7 +241,7 @@
       }
       const entry = read.success
       return {
-        modRevision: entry?.modRevision ?? ABSENT,
+        modRevision: entry?.modRevision ?? ABSENT_KEY_REVISION,
         isThisWrite: isSameWrite(entry?.value.write, write),
       }
     })
--- a/packages/jobs/src/write-pacer.ts
+++ b/packages/jobs/src/write-pacer.ts
@@ -2,7 +2,7 @@
  * Owns the pace of one kind of write: how long after the last one the next may
  * be sent. It never writes anything itself.
  */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import type { StoreClient } from "@sorreltally/store"
 import { Effect } from "effect"
 
@@ -19,7 +19,7 @@
 
 /** Spaces writes of one operation, so that what becomes ready in between goes with the next one. */
 export class WritePacer {
-  private lastWriteAt: MonotonicTime = NEVER
+  private lastWriteAt: MonotonicTime = EARLIEST_TIME
 
   constructor(private readonly options: WritePacerOptions) {}
 
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -8,9 +8,9 @@
   type MachineId,
   type ModRevision,
   type MonotonicTime,
+  makeTaskId,
   type Revision,
   type ShardName,
-  taskId,
 } from "@sorreltally/protocol"
 import {
   type Condition,
@@ -61,7 +61,7 @@
   const placement: Placement = {
     job,
     index,
-    task: taskId(job.id, index),
+    task: makeTaskId(job.id, index),
     machine: `i-${index}` as MachineId,
     agentEpoch: 1 as AgentEpoch,
     attempt: (index + 1) as Attempt,
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -3,14 +3,14 @@
  * that its lease is valid; never counts a validity from anything but the sending of its own request.
  */
 import {
-  ABSENT,
+  ABSENT_KEY_REVISION,
   addMs,
+  EARLIEST_TIME,
   type Incarnation,
   type LeaseId,
   type Log,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   type NodeName,
 } from "@sorreltally/protocol"
 import { type Entry, findEntry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
@@ -64,7 +64,7 @@
 /** Obtains the node's lease and node key, and keeps the lease alive until it has ended. */
 export class NodeLeaseKeeper {
   private membershipLease: MembershipLease | null = null
-  private validUntil: MonotonicTime = NEVER
+  private validUntil: MonotonicTime = EARLIEST_TIME
 
   constructor(private readonly options: NodeLeaseOptions) {}
 
@@ -95,7 +95,7 @@
       const record: NodeRecord = { incarnation, leaseId }
       // A copy of this that is carried out late finds the key there, or the lease ended.
       const written = yield* store.compareAndSwap(
-        [{ key, modRevision: ABSENT }],
+        [{ key, modRevision: ABSENT_KEY_REVISION }],
         [put(key, record, leaseId)],
         0,
       )
@@ -117,7 +117,7 @@
   /** The lease has ended: this node isn't a member until it joins again. */
   leave(): void {
     this.membershipLease = null
-    this.validUntil = NEVER
+    this.validUntil = EARLIEST_TIME
   }
 
   /**
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -2,7 +2,7 @@
  * Linearizable reads from the replica. Owns the requests that bring the replica up to a query's moment;
  * never lets a query pass on a request that was sent before the query arrived.
  */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
@@ -31,7 +31,7 @@
 export class ReadBarrier {
   private waiting: Array<Waiter> = []
   private isServing = false
-  private lastSent: MonotonicTime = NEVER
+  private lastSent: MonotonicTime = EARLIEST_TIME
 
   constructor(private readonly options: ReadBarrierOptions) {}
 
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -2,7 +2,7 @@
  * Keeps the replica up to date by watching the store, and decides until when it counts as fresh. Never
  * counts an answer as fresher than the moment when its request was sent.
  */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
@@ -44,7 +44,7 @@
 
 /** Watches the replicated keys, and knows until when the replica counts as fresh. */
 export class ReplicaWatch {
-  private freshUntil: MonotonicTime = NEVER
+  private freshUntil: MonotonicTime = EARLIEST_TIME
 
   constructor(private readonly options: ReplicaWatchOptions) {}
 
--- a/packages/membership/src/replica.ts
+++ b/packages/membership/src/replica.ts
@@ -3,7 +3,7 @@
  * which changes are applied; it never asks the store anything, and never goes back to an older revision
  * of a key, in whatever order snapshots, watch events and writes of our own arrive.
  */
-import { ABSENT, type ModRevision, type Revision } from "@sorreltally/protocol"
+import { ABSENT_KEY_REVISION, type ModRevision, type Revision } from "@sorreltally/protocol"
 import { type Entry, familyOf, type KeyFamily, type StoreKey, type WatchEvent } from "@sorreltally/store"
 
 /** Called with each key of a family that changed, and its entry, or null when the key was deleted. */
@@ -36,9 +36,9 @@
   private find(key: string): Entry | undefined {
     return this.families.get(familyOf(key))?.get(key)
   }
-  /** The revision that last wrote the key; `ABSENT` if there is no such key. */
+  /** The revision that last wrote the key; `ABSENT_KEY_REVISION` if there is no such key. */
   modRevision(key: string): ModRevision {
-    return this.find(key)?.modRevision ?? ABSENT
+    return this.find(key)?.modRevision ?? ABSENT_KEY_REVISION
   }
   /** Calls the listener at every change of the family's keys; returns how to stop that. */
   listen<A>(family: KeyFamily<A>, listener: ReplicaListener<A>): () => void {
@@ -93,7 +93,9 @@
   }
 
   private isNewer(key: string, modRevision: ModRevision): boolean {
-    return this.modRevision(key) < modRevision && (this.tombstones.get(key) ?? ABSENT) < modRevision
+    return (
+      this.modRevision(key) < modRevision && (this.tombstones.get(key) ?? ABSENT_KEY_REVISION) < modRevision
+    )
   }
   private advanceTo(revision: Revision): void {
     if (revision > this.appliedRevision) this.appliedRevision = revision
--- a/packages/membership/src/shard-fail-back.ts
+++ b/packages/membership/src/shard-fail-back.ts
@@ -4,10 +4,10 @@
  */
 import {
   addMs,
+  EARLIEST_TIME,
   type Incarnation,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   type NodeName,
   type ShardName,
 } from "@sorreltally/protocol"
@@ -42,7 +42,7 @@
 /** Lets shards go whose home nodes are alive again. */
 export class ShardFailBack {
   private readonly aliveSince = new Map<NodeName, AliveSince>()
-  private failedBackAt: MonotonicTime = NEVER
+  private failedBackAt: MonotonicTime = EARLIEST_TIME
 
   constructor(private readonly options: ShardFailBackOptions) {}
 
--- a/packages/peers/src/reachability.ts
+++ b/packages/peers/src/reachability.ts
@@ -2,7 +2,7 @@
  * Which other controllers this one can reach, by the pings that arrive. Hints only: a link may break at any
  * moment, so no decision that safety rests on may be taken from them.
  */
-import { addMs, type Clocks, type MonotonicTime, NEVER, type NodeName } from "@sorreltally/protocol"
+import { addMs, type Clocks, EARLIEST_TIME, type MonotonicTime, type NodeName } from "@sorreltally/protocol"
 import type { PingFrame } from "./codec-frames.ts"
 
 /** A ping older than this no longer counts: three in a row were lost. */
@@ -22,7 +22,7 @@
   ) {}
 
   private isRecent(at: MonotonicTime | undefined): boolean {
-    return this.clocks.monotonicNow() < addMs(at ?? NEVER, PING_VALID_MS)
+    return this.clocks.monotonicNow() < addMs(at ?? EARLIEST_TIME, PING_VALID_MS)
   }
   /** True when pings of that node arrive. */
   receivesFrom(node: NodeName): boolean {
--- a/packages/peers/src/sockets.ts
+++ b/packages/peers/src/sockets.ts
@@ -10,7 +10,7 @@
  * timers last as long as the process and end with it, so there is nothing to release.
  */
 import { createConnection, createServer, type Socket } from "node:net"
-import { type Address, hostAndPort, type Log, type NodeName } from "@sorreltally/protocol"
+import { type Address, type Log, type NodeName, splitAddress } from "@sorreltally/protocol"
 import type { Links } from "./channel.ts"
 import { frameLength, receiveFrames } from "./socket-frames.ts"
 
@@ -50,13 +50,13 @@
     receiveFrames(socket, deliver, log)
   })
   server.on("error", (cause) => log.error("peer listener failed", { cause: String(cause) }))
-  const { host, port } = hostAndPort(listen)
+  const { host, port } = splitAddress(listen)
   server.listen(port, host)
 }
 
 /** Keeps a connection to a peer, for as long as the process lives. */
 const dial = ({ node, address }: PeerAddress, connections: Map<NodeName, Socket>): void => {
-  const { host, port } = hostAndPort(address)
+  const { host, port } = splitAddress(address)
   const socket = createConnection({ host, port, noDelay: true })
   const connectTimer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS)
   const stallTimer = destroyWhenStalled(socket)
--- a/packages/protocol/src/clocks.ts
+++ b/packages/protocol/src/clocks.ts
@@ -1,16 +1,16 @@
-/** The two clocks of a process, and reckoning with moments of the monotonic one. Reads no other source of time. */
+/** Monotonic and wall clock of the process, read from Effect's clock only; arithmetic on monotonic times. */
 import { Effect } from "effect"
 import type { MonotonicTime, WallTime } from "./ids.ts"
 
-/** The two clocks of a process, readable from synchronous code. */
+/** Monotonic and wall clock, readable from synchronous code. */
 export interface Clocks {
-  /** Milliseconds on the monotonic clock: for leases, timeouts and every other duration. */
+  /** Milliseconds on the monotonic clock: for leases, time-outs and all other durations. */
   readonly monotonicNow: () => MonotonicTime
-  /** Milliseconds of the time of day: only for what other nodes or users compare. */
+  /** Milliseconds since the Unix epoch: only for times that are compared on other nodes or by users. */
   readonly wallNow: () => WallTime
 }
 
-/** The clocks of the running process; those of the simulation where Effect's clock is simulated. */
+/** Clocks of the running process; simulated clocks where Effect's clock is simulated. */
 export const processClocks: Effect.Effect<Clocks> = Effect.clockWith((clock) =>
   Effect.succeed({
     monotonicNow: () => (Number(clock.monotonicTimeNanosUnsafe()) / 1e6) as MonotonicTime,
@@ -18,7 +18,7 @@
   }),
 )
 
-/** The moment `ms` milliseconds after `moment`; before it when `ms` is negative. */
-export const addMs = (moment: MonotonicTime, ms: number): MonotonicTime => (moment + ms) as MonotonicTime
-/** A moment before any other. */
-export const NEVER = Number.NEGATIVE_INFINITY as MonotonicTime
+/** The time `ms` milliseconds after `time`, or before it when `ms` is negative. */
+export const addMs = (time: MonotonicTime, ms: number): MonotonicTime => (time + ms) as MonotonicTime
+/** Earlier than every other time: stands for the time of an event that has not occurred yet. */
+export const EARLIEST_TIME = Number.NEGATIVE_INFINITY as MonotonicTime
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,6 +1,7 @@
 /**
- * Codec between controllers and the cloud (protocol, "Controller nodes -> cloud"). The wire's names stand
- * in the wire types only; a body that doesn't decode is an error of the cloud, for its client to handle.
+ * Codec for messages between controllers and the cloud (protocol, "Controller nodes -> cloud"). Only the wire
+ * types use the field names of the wire. A body that doesn't decode is a fault of the cloud; the client of
+ * the cloud handles it.
  */
 import { Result, Schema } from "effect"
 import { Address, MachineId, MachineTypeName, type RentalRequestId, ZoneName } from "./ids.ts"
@@ -18,22 +19,22 @@
   startup_s: NonNegative,
   sites: Schema.Array(ZoneName),
 })
-/** A machine type as the catalog lists it, and as the catalog record stores it. */
+/** Wire form of a machine type, in the response of `GET /catalog` and in the stored catalog record. */
 export type WireMachineType = typeof WireMachineType.Type
 
-/** A type of machine that the cloud rents. */
+/** A machine type that the cloud offers for rent. */
 export interface MachineType {
   readonly name: MachineTypeName
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
-  /** Room for images, in GB. */
+  /** Size of the image cache, in GB. */
   readonly cacheGb: number
-  /** Nominal rate of image fetches, give or take a third; fetches at the same time may share it. */
+  /** Nominal rate of image fetches; actual rates differ by up to a third. Concurrent fetches may share it. */
   readonly imagePullGbPerS: number
-  /** Per hour, charged by the second from the rental request on. */
+  /** Price per hour, charged by the second from the rental request on. */
   readonly onDemandPrice: number
-  /** Per hour, as of the catalog; it moves, also for machines rented before. */
+  /** Price per hour at the time of the catalog; it changes, also for machines rented earlier. */
   readonly spotPrice: number
   /** Nominal time from the rental request to the worker's first heartbeat. */
   readonly bootS: number
@@ -52,8 +53,8 @@
 })
 
 /**
- * A machine as the cloud's list shows it. The list lags (`cloud.list_lag_s`, at times twice that): absence
- * from it proves nothing about a machine.
+ * A machine in the cloud's list. The list lags by `cloud.list_lag_s`, at times by twice that, so a machine
+ * that is absent from it may still exist.
  */
 export interface ListedMachine {
   readonly id: MachineId
@@ -62,24 +63,24 @@
   readonly spot: boolean
   /** `booting`, `running` or `failed`. */
   readonly status: string
-  /** Seconds since the rental request, at the moment that the list describes. */
+  /** Seconds since the rental request, at the time that the list describes. */
   readonly ageS: number
 }
-/** One page of the cloud's list of machines. */
+/** A page of the cloud's list of machines. */
 export interface MachinePage {
-  /** In the order of their ids, which is that of their creation. */
+  /** Ordered by id, which is the order of creation. */
   readonly machines: ReadonlyArray<ListedMachine>
-  /** Whether the list goes on after this page. */
+  /** Whether more machines follow on the next page. */
   readonly hasMore: boolean
 }
 
-/** A request to rent machines; repeated under the same id, it rents nothing twice. */
+/** A request to rent machines; idempotent: a retry under the same id rents no further machines. */
 export interface RentalRequest {
   readonly requestId: RentalRequestId
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
-  /** How many machines; the cloud takes at most 50, and may rent fewer. */
+  /** Number of machines requested, at most 50; the cloud may rent fewer. */
   readonly count: number
 }
 
@@ -90,7 +91,7 @@
 const decodeWireMachinePage = Schema.decodeUnknownResult(WireMachinePage)
 const decodeWireRental = Schema.decodeUnknownResult(WireRental)
 
-/** The typed form of a machine type on the wire. */
+/** Converts a machine type from its wire form. */
 export const machineTypeFromWire = (wire: WireMachineType): MachineType => ({
   name: wire.name,
   cores: wire.cores,
@@ -103,7 +104,7 @@
   bootS: wire.startup_s,
   zones: wire.sites,
 })
-/** The wire form of a machine type. */
+/** Converts a machine type to its wire form. */
 export const machineTypeToWire = (type: MachineType): WireMachineType => ({
   name: type.name,
   cores: type.cores,
@@ -117,11 +118,11 @@
   sites: type.zones,
 })
 
-/** Decodes the response of `GET /catalog`; fails with the issue of the schema. */
+/** Decodes the response of `GET /catalog`; fails with the schema issue. */
 export const decodeCatalog = (body: unknown) =>
   Result.map(decodeWireCatalog(body), ({ builds }) => builds.map(machineTypeFromWire))
 
-/** Decodes the response of `GET /machines`; fails with the issue of the schema. */
+/** Decodes the response of `GET /machines`; fails with the schema issue. */
 export const decodeMachinePage = (body: unknown) =>
   Result.map(
     decodeWireMachinePage(body),
@@ -138,7 +139,7 @@
     }),
   )
 
-/** The body of `POST /machines`. */
+/** Encodes the body of `POST /machines`. */
 export const encodeRentalRequest = ({ requestId, machineType, zone, spot, count }: RentalRequest) => ({
   hire: requestId,
   build: machineType,
@@ -146,8 +147,8 @@
   loaners: spot,
   how_many: count,
 })
-/** Decodes the response of `POST /machines`, the machines that were rented; fails with the issue of the schema. */
+/** Decodes the response of `POST /machines`, the ids of the rented machines; fails with the schema issue. */
 export const decodeRental = (body: unknown) => Result.map(decodeWireRental(body), ({ hosts }) => hosts)
 
-/** The body of `POST /machines/delete`: at most 100 machines; ids that the cloud doesn't know are ignored. */
-export const encodeDeletion = (machineIds: ReadonlyArray<MachineId>) => ({ hosts: machineIds })
+/** Encodes the body of `POST /machines/delete`: at most 100 machines; the cloud ignores unknown ids. */
+export const encodeMachineDeletion = (machineIds: ReadonlyArray<MachineId>) => ({ hosts: machineIds })
--- a/packages/protocol/src/hash.ts
+++ b/packages/protocol/src/hash.ts
@@ -1,6 +1,6 @@
-/** The hash by which jobs are spread over shards and job pages. It must never change: stored records follow it. */
+/** Hash that assigns jobs to shards and job pages. It must never change: stored records depend on it. */
 
-/** FNV-1a (32 bits) of the text's UTF-16 units; all versions of the program have to agree on it. */
+/** 32-bit FNV-1a over the UTF-16 code units of a text. Must be identical in all versions of the program. */
 export const hashText = (text: string): number => {
   let hash = 0x811c9dc5
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193)
--- a/packages/protocol/src/http.ts
+++ b/packages/protocol/src/http.ts
@@ -1,46 +1,46 @@
 /**
- * HTTP as the service sees it: a client for its own requests, and the typed form of requests and
- * responses of its server. Knows no path and no body; sockets are the daemon's, or the simulation's.
+ * HTTP interfaces of the service: the client for outgoing requests, and the types of the server's requests
+ * and responses. Independent of paths and bodies; the daemon or the simulation provides the transport.
  */
 import { Context, Data, Effect, Option } from "effect"
 import type { Address } from "./ids.ts"
 
 /**
- * No response came in time, or the connection failed: the request may have been carried out, or may
- * be at any later time (protocol, "Delayed messages").
+ * The request timed out or the connection failed: the request may have been executed, or may still be
+ * executed at any later time (protocol, "Delayed messages").
  */
 export class NoResponseError extends Data.TaggedError("NoResponseError")<{
-  /** What happened to the connection, for the log. */
+  /** Cause of the failure, for the log. */
   readonly reason: string
 }> {}
 
-/** A request of this node to a worker, the cloud or the store. */
+/** A request from this node to a worker, the cloud or the store. */
 export interface HttpRequest {
   readonly address: Address
   readonly method: "GET" | "POST" | "DELETE"
-  /** Path with its query. */
+  /** Path including the query. */
   readonly path: string
-  /** Sent as JSON; absent: no body. */
+  /** Sent as JSON; absent for a request without a body. */
   readonly body?: unknown
-  /** Milliseconds after which the response is no longer waited for. */
+  /** Time-out of the response, in milliseconds. */
   readonly timeoutMs: number
 }
-/** A complete response, whatever its status. */
+/** A complete response, of any status. */
 export interface HttpResponse {
   readonly status: number
-  /** The parsed JSON body, or null when there was none or it was no JSON. */
+  /** Parsed JSON body; null if the body was empty or not valid JSON. */
   readonly body: unknown
 }
-/** An HTTP client: Node's in the daemon, an in-memory one in the tests. */
+/** HTTP client: over Node's `http` in the daemon, in memory in tests. */
 export class HttpClient extends Context.Service<
   HttpClient,
   {
-    /** Sends the request once; nothing is repeated here. */
+    /** Sends the request once, without retries. */
     readonly call: (request: HttpRequest) => Effect.Effect<HttpResponse, NoResponseError>
   }
 >()("sorreltally/HttpClient") {}
 
-/** A client of a transport that may never respond: a request is abandoned after its own timeout. */
+/** Builds a client on a transport that may never respond: each request fails after its `timeoutMs`. */
 export const withTimeout = (
   send: (request: HttpRequest) => Effect.Effect<HttpResponse, NoResponseError>,
 ): HttpClient["Service"] => ({
@@ -49,19 +49,20 @@
       Effect.timeoutOption(request.timeoutMs),
       Effect.flatMap(
         Option.match({
-          onNone: () => Effect.fail(new NoResponseError({ reason: "no answer in time" })),
+          onNone: () =>
+            Effect.fail(new NoResponseError({ reason: `no response within ${request.timeoutMs} ms` })),
           onSome: (response: HttpResponse) => Effect.succeed(response),
         }),
       ),
     ),
 })
 
-/** A request as the daemon's server or the tests pass it in. */
+/** A request received by the daemon's server or passed in by a test. */
 export interface IncomingRequest {
   readonly method: string
-  /** Path with its query. */
+  /** Path including the query. */
   readonly path: string
-  /** Raw text, not parsed yet. */
+  /** Unparsed text. */
   readonly body: string
 }
 /** The response to an incoming request. */
@@ -69,8 +70,8 @@
   readonly status: number
   /** Sent as JSON. */
   readonly body: unknown
-  /** The `Retry-After` header, in seconds; absent: none. */
+  /** Value of the `Retry-After` header, in seconds; absent for a response without it. */
   readonly retryAfterS?: number
 }
-/** Sends the response to one request; called exactly once. */
+/** Sends the response to a request; called exactly once per request. */
 export type Respond = (response: OutgoingResponse) => void
--- a/packages/protocol/src/log.ts
+++ b/packages/protocol/src/log.ts
@@ -1,14 +1,14 @@
-/** The interface of the log; where and how lines are written is the daemon's affair. */
+/** Interface of the log. The daemon decides where and in which format lines are written. */
 
 /**
- * Where the synchronous code of the service writes its log lines: a fixed message and typed fields, as
- * docs/operations.md lists them. Nothing is logged above `debug` for each heartbeat, task or poll.
+ * Logger for synchronous code. A line has a fixed message and typed fields, which are listed in
+ * docs/operations.md. Lines for individual heartbeats, tasks or polls are logged at `debug` only.
  */
 export interface Log {
-  /** Something failed that an operator should look at. */
+  /** A failure that needs an operator's attention. */
   readonly error: (message: string, fields?: Record<string, unknown>) => void
-  /** A change of the service's state that is rare. */
+  /** A rare change of the service's state. */
   readonly info: (message: string, fields?: Record<string, unknown>) => void
-  /** Detail that is off by default. */
+  /** Details, off by default. */
   readonly debug: (message: string, fields?: Record<string, unknown>) => void
 }
--- a/packages/protocol/src/numbers.ts
+++ b/packages/protocol/src/numbers.ts
@@ -1,7 +1,7 @@
-/** Schemas of numbers, for the codecs of bodies and settings; units are those of the field. */
+/** Number schemas for the codecs of bodies and settings; the unit is that of the field. */
 import { Schema } from "effect"
 
-/** A finite number of 0 or more. */
+/** A finite number, 0 or greater. */
 export const NonNegative = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0))
-/** A finite number above 0. */
+/** A finite number greater than 0. */
 export const Positive = Schema.Finite.check(Schema.isGreaterThan(0))
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/users.ts
@@ -1,21 +1,21 @@
 /**
- * Codec between users and controllers: submissions, and the view of a job that a user is shown (protocol,
- * "Users -> controller nodes"). Job records store the wire form of a job, so it may gain fields and never
- * lose one.
+ * Codec for messages between users and controllers: job submissions, and the view of a job in responses
+ * (protocol, "Users -> controller nodes"). Job records store the wire form of a job, so fields may be added
+ * to it but never removed.
  */
 import { Result, Schema } from "effect"
 import { ImageName, JobClassName, JobId, MachineTypeName, TeamName, ZoneName } from "./ids.ts"
 import { NonNegative, Positive } from "./numbers.ts"
 
-const maybe = <S extends Schema.Top>(schema: S) => Schema.optionalKey(Schema.NullOr(schema))
+const optionalOrNull = <S extends Schema.Top>(schema: S) => Schema.optionalKey(Schema.NullOr(schema))
 
 const Priority = Schema.Literals(["production", "high", "standard", "best_effort"])
-/** Priority of a job; work of a higher one may preempt work of a lower one (protocol, "Preemption"). */
+/** Priority of a job; jobs of a higher priority may preempt jobs of a lower one (protocol, "Preemption"). */
 export type Priority = typeof Priority.Type
-/** Order of the priorities: the higher rank goes first. */
+/** Rank of each priority: a higher rank is scheduled first. */
 export const priorityRank: Record<Priority, number> = { production: 3, high: 2, standard: 1, best_effort: 0 }
 
-/** A job as it is submitted, and as job records store it. */
+/** Wire form of a job, in submissions and in stored job records. */
 export const WireJob = Schema.Struct({
   id: JobId,
   lane: JobClassName,
@@ -28,57 +28,57 @@
   mem_gb: NonNegative,
   bundle: ImageName,
   image_gb: NonNegative,
-  builds: maybe(Schema.Array(MachineTypeName)),
-  site: maybe(ZoneName),
+  builds: optionalOrNull(Schema.Array(MachineTypeName)),
+  site: optionalOrNull(ZoneName),
   together: Schema.Boolean,
   scatter: Schema.Boolean,
   loaners: Schema.Boolean,
   expected_s: Positive,
   snapshot_s: NonNegative,
   flush_s: NonNegative,
-  due_s: maybe(Positive),
+  due_s: optionalOrNull(Positive),
 })
-/** A job in the wire's names. */
 export type WireJob = typeof WireJob.Type
 
-/** A job as its user described it; resources are those of one task. */
+/** Specification of a job by its user; resources are per task. */
 export interface JobSpec {
   readonly id: JobId
   readonly jobClass: JobClassName
   readonly team: TeamName
   readonly shape: "batch"
   readonly priority: Priority
-  /** Tasks are numbered from 0; at most 100,000. */
+  /** Number of tasks, at most 100,000; they are numbered from 0. */
   readonly taskCount: number
   readonly cores: number
   readonly accelerators: number
   readonly memGb: number
-  /** The image that a machine has to hold before a task of the job can start, and its size. */
+  /** Image that a machine must have fetched before a task of the job can start. */
   readonly image: ImageName
+  /** Size of the image, in GB. */
   readonly imageGb: number
-  /** The only machine types allowed; null or absent: any. */
+  /** Allowed machine types; null or absent allows any. */
   readonly machineTypes?: ReadonlyArray<MachineTypeName> | null
-  /** The only zone allowed; null or absent: any. */
+  /** Allowed zone; null or absent allows any. */
   readonly zone?: ZoneName | null
-  /** All tasks have to be in one zone. */
+  /** Whether all tasks must run in one zone. */
   readonly singleZone: boolean
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in one zone. */
   readonly spreadZones: boolean
   /** Whether tasks may run on spot machines. */
   readonly spotAllowed: boolean
-  /** The owner's estimate of a task's run time without the image fetch; often wrong by half. */
+  /** The user's estimate of a task's run time without the image fetch; often wrong by half. */
   readonly estimatedRunS: number
-  /** Progress between two checkpoints, in seconds; 0: tasks never save. */
+  /** Interval between two checkpoints, in seconds of progress; 0 if tasks don't checkpoint. */
   readonly checkpointIntervalS: number
-  /** Seconds that a stopped task needs to save. */
+  /** Time that a stopped task needs to write its checkpoint, in seconds. */
   readonly checkpointSaveS: number
-  /** Deadline in seconds from the submission; null or absent: none. */
+  /** Deadline, in seconds from the submission; null or absent for none. */
   readonly deadlineS?: number | null
 }
 
 const decodeWireJob = Schema.decodeUnknownResult(WireJob)
 
-/** The typed form of a job on the wire. */
+/** Converts a job from its wire form. */
 export const jobSpecFromWire = (wire: WireJob): JobSpec => ({
   id: wire.id,
   jobClass: wire.lane,
@@ -102,7 +102,7 @@
   deadlineS: wire.due_s,
 })
 
-/** The wire form of a job; what its user left out stays left out. */
+/** Converts a job to its wire form; fields that its user omitted stay absent. */
 export const jobSpecToWire = (spec: JobSpec): WireJob => ({
   id: spec.id,
   lane: spec.jobClass,
@@ -126,12 +126,12 @@
   ...(spec.deadlineS === undefined ? {} : { due_s: spec.deadlineS }),
 })
 
-/** Decodes the body of a submission; a failure's message names the wire field. */
+/** Decodes the body of a submission; fails with a message that names the wire field. */
 export const decodeJobSpec = (body: unknown) => Result.map(decodeWireJob(body), jobSpecFromWire)
 
 /** Status of a job; `done` and `cancelled` are final (protocol, "GET /v1/jobs/{id}"). */
 export type JobStatus = "queued" | "running" | "done" | "cancelled"
-/** A job as its user is shown it; tasks done and running are for display. */
+/** A job as returned to its user; the numbers of done and running tasks are for display only. */
 export interface JobView {
   readonly id: JobId
   readonly status: JobStatus
@@ -139,7 +139,7 @@
   readonly running?: number
 }
 
-/** The body of a 200 or 201 about a job. */
+/** Encodes the body of a 200 or 201 response about a job. */
 export const encodeJobView = ({ status, ...view }: JobView) => ({
   id: view.id,
   status: status === "cancelled" ? "withdrawn" : status,
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,7 +1,7 @@
 /**
- * Codec between controllers and workers: heartbeats, the replies to them, and commands sent to a
- * worker's own address (protocol, "Workers -> controller nodes" and "Controller nodes -> workers").
- * The wire's names stand in the wire types only. heartbeat-decoder.ts decodes heartbeats.
+ * Codec for messages between controllers and workers: heartbeats, the replies to them, and commands sent
+ * directly to a worker's address (protocol, "Workers -> controller nodes" and "Controller nodes -> workers").
+ * Only the wire types use the field names of the wire. heartbeat-decoder.ts decodes heartbeats.
  */
 import type { OutgoingResponse } from "./http.ts"
 import type {
@@ -17,22 +17,23 @@
   ZoneName,
 } from "./ids.ts"
 
-/** The protocol's limit on a request body, and on a line of a response to workers or users, in bytes. */
-export const BODY_LIMIT = 64 * 1024
-/** Generous sizes in JSON of a task in a heartbeat, and of a command. */
-const TASK_BYTES = 110
-const COMMAND_BYTES = 100
-/** Commands in one message; the rest go with the next one. */
-export const MAX_COMMANDS = Math.floor(BODY_LIMIT / COMMAND_BYTES) - 1
+/** Limit of the protocol on a request body, and on a line of a response to workers or users, in bytes. */
+export const MAX_BODY_BYTES = 64 * 1024
+/** Generous estimate of the JSON size of a task in a heartbeat. */
+const ESTIMATED_TASK_BYTES = 110
+/** Generous estimate of the JSON size of a command. */
+const ESTIMATED_COMMAND_BYTES = 100
+/** Maximum number of commands in a message; the remaining ones are sent in the next message. */
+export const MAX_COMMANDS_PER_MESSAGE = Math.floor(MAX_BODY_BYTES / ESTIMATED_COMMAND_BYTES) - 1
 /**
- * Tasks placed on one machine at a time: they take up to half of its heartbeat, and leave the
- * other half to exited tasks that wait to be purged.
+ * Maximum number of tasks placed on a machine at a time: they fill at most half of its heartbeat, and leave
+ * the other half for exited tasks that haven't been purged yet.
  */
-export const MAX_TASKS_ON_MACHINE = Math.floor(BODY_LIMIT / (2 * TASK_BYTES))
+export const MAX_TASKS_ON_MACHINE = Math.floor(MAX_BODY_BYTES / (2 * ESTIMATED_TASK_BYTES))
 
-/** Phase of a task on its machine; one that the protocol doesn't name is kept as it came. */
+/** Phase of a task on its machine; a phase that the protocol doesn't define is kept as received. */
 export type TaskPhase = "fetching" | "running" | "checkpointing" | "exited" | (string & {})
-/** Why a task exited; a reason that the protocol doesn't name is kept as it came. */
+/** Reason why a task exited; a reason that the protocol doesn't define is kept as received. */
 export type ExitReason =
   | "done"
   | "stopped"
@@ -42,33 +43,33 @@
   | "unknown"
   | (string & {})
 
-/** A task as its worker reports it. */
+/** A task in a worker's heartbeat. */
 export interface ReportedTask {
   readonly taskId: TaskId
   readonly attempt: Attempt
   readonly phase: TaskPhase
-  /** Null or absent while the task has not exited. */
+  /** Null or absent until the task has exited. */
   readonly exitReason?: ExitReason | null
-  /** Whether a stopped task saved its progress. */
+  /** Whether a stopped task has written a checkpoint. */
   readonly checkpointed?: boolean | null
 }
 
-/** A worker's heartbeat with its status; `/orders` and `/inspect` answer with the same body. */
+/** Heartbeat of a worker with its status; the responses of `/orders` and `/inspect` have the same body. */
 export interface Heartbeat {
   readonly machineId: MachineId
   readonly address: Address
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
-  /** Rises when the worker's lease expires: all its former tasks are gone then. */
+  /** Incremented when the worker's agent lease expires; all its earlier tasks are gone then. */
   readonly agentEpoch: AgentEpoch
-  /** Counts the worker's messages; within an agent epoch the larger one is the newer message. */
+  /** Number of the worker's message; within an agent epoch, a message with a larger number is newer. */
   readonly sequence: SequenceNumber
-  /** The highest fencing token that the worker has seen. */
+  /** Highest fencing token that the worker has seen. */
   readonly fencingToken: FencingToken
-  /** Seconds until the cloud takes a spot machine away; null or absent without a notice. */
+  /** Seconds until the cloud preempts the spot machine; null or absent without a preemption notice. */
   readonly preemptionNoticeS?: number | null
-  /** All tasks on the machine, exited ones until they are purged. */
+  /** All tasks on the machine, including exited ones until they are purged. */
   readonly tasks: ReadonlyArray<ReportedTask>
 }
 
@@ -79,27 +80,27 @@
       readonly kind: "stop"
       readonly taskId: TaskId
       readonly attempt: Attempt
-      /** Seconds that the task may take to save its progress. */
+      /** Time that the task is given to write a checkpoint, in seconds. */
       readonly gracePeriodS: number
     }
   /** Removes an exited task from the worker's heartbeats. */
   | { readonly kind: "purge"; readonly taskId: TaskId; readonly attempt: Attempt }
 
-/** The owner's reply to a heartbeat. */
+/** Reply of the shard's owner to a heartbeat. */
 export interface HeartbeatReply {
-  /** The worker drops the reply, and doesn't renew its lease, when it has seen a higher token. */
+  /** A worker that has seen a higher token discards the reply and doesn't renew its agent lease. */
   readonly fencingToken: FencingToken
-  /** Executed in order. */
+  /** Commands, executed in this order. */
   readonly commands: ReadonlyArray<Command>
 }
-/** Commands sent straight to a worker; it executes none of them in another agent epoch. */
+/** Commands sent directly to a worker, which executes them only in this agent epoch. */
 export interface CommandBatch extends HeartbeatReply {
   readonly agentEpoch: AgentEpoch
 }
 
 // --- wire forms ---------------------------------------------------------------
 
-/** A task on the wire. */
+/** Wire form of a task. */
 export interface WireTask {
   readonly piece: TaskId
   readonly try: Attempt
@@ -107,7 +108,7 @@
   readonly cause?: string | null
   readonly stored?: boolean | null
 }
-/** A heartbeat on the wire. */
+/** Wire form of a heartbeat. */
 export interface WireHeartbeat {
   readonly host: MachineId
   readonly address: Address
@@ -120,47 +121,47 @@
   readonly warning_s?: number | null
   readonly pieces: ReadonlyArray<WireTask>
 }
-/** A command on the wire. */
+/** Wire form of a command. */
 export type WireCommand =
   | { readonly verb: "start"; readonly piece: TaskId; readonly try: Attempt }
   | { readonly verb: "stop"; readonly piece: TaskId; readonly try: Attempt; readonly leeway_s: number }
   | { readonly verb: "forget"; readonly piece: TaskId; readonly try: Attempt }
-/** The reply to a heartbeat on the wire. */
+/** Wire form of the reply to a heartbeat. */
 export interface WireHeartbeatReply {
   readonly baton: FencingToken
   readonly orders: ReadonlyArray<WireCommand>
 }
-/** The body of `POST /orders`. */
+/** Wire form of the body of `POST /orders`. */
 export interface WireCommandBatch extends WireHeartbeatReply {
   readonly tenure: AgentEpoch
 }
 
-/** Wire statuses and causes that the code names differently; all others have the same name in both. */
-const PHASES: ReadonlyArray<readonly [status: string, phase: TaskPhase]> = [
+/** Wire statuses that the code names differently; all others have the same name in both. */
+const RENAMED_PHASES: ReadonlyArray<readonly [status: string, phase: TaskPhase]> = [
   ["pulling", "fetching"],
   ["flushing", "checkpointing"],
 ]
-const EXIT_REASONS: ReadonlyArray<readonly [cause: string, reason: ExitReason]> = [
+/** Wire causes that the code names differently; all others have the same name in both. */
+const RENAMED_EXIT_REASONS: ReadonlyArray<readonly [cause: string, reason: ExitReason]> = [
   ["no_room", "insufficientResources"],
   ["in_use", "attemptConflict"],
 ]
-const reversed = <A, B>(pairs: ReadonlyArray<readonly [A, B]>): ReadonlyMap<B, A> =>
+const invert = <A, B>(pairs: ReadonlyArray<readonly [A, B]>): ReadonlyMap<B, A> =>
   new Map(pairs.map(([a, b]) => [b, a]))
-const phaseByStatus: ReadonlyMap<string, TaskPhase> = new Map(PHASES)
-const statusByPhase = reversed(PHASES)
-const reasonByCause: ReadonlyMap<string, ExitReason> = new Map(EXIT_REASONS)
-const causeByReason = reversed(EXIT_REASONS)
+const phaseByStatus: ReadonlyMap<string, TaskPhase> = new Map(RENAMED_PHASES)
+const statusByPhase = invert(RENAMED_PHASES)
+const reasonByCause: ReadonlyMap<string, ExitReason> = new Map(RENAMED_EXIT_REASONS)
+const causeByReason = invert(RENAMED_EXIT_REASONS)
 
-/** The phase that a wire status names. */
+/** Converts a phase from its wire status. */
 export const phaseFromWire = (status: string): TaskPhase => phaseByStatus.get(status) ?? status
-/** The wire status of a phase. */
+/** Converts a phase to its wire status. */
 export const phaseToWire = (phase: TaskPhase): string => statusByPhase.get(phase) ?? phase
-/** The exit reason that a wire cause names. */
+/** Converts an exit reason from its wire cause. */
 export const exitReasonFromWire = (cause: string): ExitReason => reasonByCause.get(cause) ?? cause
-/** The wire cause of an exit reason. */
+/** Converts an exit reason to its wire cause. */
 export const exitReasonToWire = (reason: ExitReason): string => causeByReason.get(reason) ?? reason
 
-/** One command in the form that workers take. */
 const encodeCommand = (command: Command): WireCommand => {
   const { taskId: piece, attempt } = command
   switch (command.kind) {
@@ -173,13 +174,13 @@
   }
 }
 
-/** The body of a 200 to a heartbeat. */
+/** Encodes the body of a 200 response to a heartbeat. */
 export const encodeHeartbeatReply = ({ fencingToken, commands }: HeartbeatReply): WireHeartbeatReply => ({
   baton: fencingToken,
   orders: commands.map(encodeCommand),
 })
 
-/** The body of `POST /orders`. */
+/** Encodes the body of `POST /orders`. */
 export const encodeCommandBatch = ({
   fencingToken,
   agentEpoch,
@@ -190,8 +191,8 @@
   orders: commands.map(encodeCommand),
 })
 
-/** The reply to a heartbeat that this node can't accept now: the worker tries again, here or at another node. */
+/** Response to a heartbeat that this node can't accept now: the worker retries, at this or another node. */
 export const HEARTBEAT_UNAVAILABLE: OutgoingResponse = { status: 503, body: {} }
 
-/** The body of a 421: the worker should report to that node instead. */
+/** Encodes the body of a 421 response: the worker should send its heartbeats to that node instead. */
 export const encodeRedirect = (owner: NodeName): { readonly steward: NodeName } => ({ steward: owner })
--- a/packages/protocol/test/workers.test.ts
+++ b/packages/protocol/test/workers.test.ts
@@ -29,22 +29,22 @@
   return Result.getOrThrow(heartbeat).tasks[0]!
 }
 
-/** Each status with its phase; the last one is of a later protocol. */
-const PHASES = [
+/** Wire statuses with their phases; `frozen` stands for a status of a later protocol version. */
+const PHASE_BY_STATUS = [
   ["pulling", "fetching"],
   ["running", "running"],
   ["flushing", "checkpointing"],
   ["exited", "exited"],
   ["frozen", "frozen"],
 ] as const
-for (const [status, phase] of PHASES)
-  test(`the status ${status} is the phase ${phase}, both ways`, () => {
+for (const [status, phase] of PHASE_BY_STATUS)
+  test(`wire status ${status} decodes to phase ${phase}, which encodes to it`, () => {
     assert.equal(decodeTask({ status }).phase, phase)
     assert.equal(phaseToWire(phase), status)
   })
 
-/** Each cause with its exit reason; the last one is of a later protocol. */
-const EXIT_REASONS = [
+/** Wire causes with their exit reasons; `evicted` stands for a cause of a later protocol version. */
+const EXIT_REASON_BY_CAUSE = [
   ["done", "done"],
   ["stopped", "stopped"],
   ["error", "error"],
@@ -53,20 +53,20 @@
   ["unknown", "unknown"],
   ["evicted", "evicted"],
 ] as const
-for (const [cause, reason] of EXIT_REASONS)
-  test(`the cause ${cause} is the exit reason ${reason}, both ways`, () => {
+for (const [cause, reason] of EXIT_REASON_BY_CAUSE)
+  test(`wire cause ${cause} decodes to exit reason ${reason}, which encodes to it`, () => {
     assert.equal(decodeTask({ status: "exited", cause }).exitReason, reason)
     assert.equal(exitReasonToWire(reason), cause)
   })
 
-test("a cause or a stored flag that is absent or null decodes to null", () => {
+test("an absent or null cause or stored flag decodes to null", () => {
   const expected = { taskId, attempt, phase: "running", exitReason: null, checkpointed: null }
   assert.deepEqual(decodeTask({ status: "running" }), expected)
   assert.deepEqual(decodeTask({ status: "running", cause: null, stored: null }), expected)
 })
 
-/** Each command with its wire form. */
-const COMMANDS: ReadonlyArray<readonly [Command, object]> = [
+/** Commands with their wire forms. */
+const WIRE_FORM_BY_COMMAND: ReadonlyArray<readonly [Command, object]> = [
   [
     { kind: "start", taskId, attempt },
     { verb: "start", piece: taskId, try: attempt },
@@ -80,8 +80,8 @@
     { verb: "forget", piece: taskId, try: attempt },
   ],
 ]
-for (const [command, wire] of COMMANDS)
-  test(`the command ${command.kind} has the protocol's verb and fields`, () => {
+for (const [command, wire] of WIRE_FORM_BY_COMMAND)
+  test(`command ${command.kind} is encoded with the verb and fields of the protocol`, () => {
     const reply = encodeHeartbeatReply({ fencingToken: 7 as FencingToken, commands: [command] })
     assert.deepEqual(reply, { baton: 7, orders: [wire] })
   })
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -8,12 +8,12 @@
 import type { Offer } from "@sorreltally/planner"
 import {
   addMs,
+  EARLIEST_TIME,
   type ListedMachine,
   type MachineId,
   type MachineType,
   type MachineTypeName,
   type MonotonicTime,
-  NEVER,
   type ZoneName,
 } from "@sorreltally/protocol"
 import { type CatalogRecord, keys, put, type StoreClient } from "@sorreltally/store"
@@ -58,7 +58,7 @@
  */
 export class CloudInventory {
   private types = new Map<MachineTypeName, MachineType>()
-  private catalogAt: MonotonicTime = NEVER
+  private catalogAt: MonotonicTime = EARLIEST_TIME
   private readonly refusals = new Map<PoolKey, { readonly until: MonotonicTime; readonly times: number }>()
   /** Rental requests under way. */
   private readonly requested = new Map<PoolKey, number>()
@@ -70,7 +70,7 @@
   /** Machines that any list has shown; bounded, the oldest are forgotten. */
   readonly everListed = new Set<MachineId>()
   /** When the last list was asked for. */
-  listedAt: MonotonicTime = NEVER
+  listedAt: MonotonicTime = EARLIEST_TIME
   private catalogStored = false
 
   constructor(private readonly options: CloudInventoryOptions) {}
@@ -136,7 +136,7 @@
   }
   /** Whether a pool refused a request lately, and should be left alone. */
   isRefused(type: MachineTypeName, zone: ZoneName, spot: boolean): boolean {
-    return this.options.now() < (this.refusals.get(poolKey(type, zone, spot))?.until ?? NEVER)
+    return this.options.now() < (this.refusals.get(poolKey(type, zone, spot))?.until ?? EARLIEST_TIME)
   }
 
   /** What may be rented at present. Spot counts while it is cheaper than on-demand; refusing pools are left out. */
--- a/packages/provisioning/src/machine-additions.ts
+++ b/packages/provisioning/src/machine-additions.ts
@@ -4,7 +4,7 @@
  */
 import type { Replica } from "@sorreltally/membership"
 import {
-  ABSENT,
+  ABSENT_KEY_REVISION,
   type FencingToken,
   type MachineId,
   type ModRevision,
@@ -131,7 +131,7 @@
   const hasRoom = latest !== null && latest.machines + added.length <= maxMachines
   const key = hasRoom ? latest.key : machineIndex.nextBlock(series)
   const before = replica.get(key)
-  conditions.push({ key, modRevision: before?.modRevision ?? ABSENT })
+  conditions.push({ key, modRevision: before?.modRevision ?? ABSENT_KEY_REVISION })
   const rentedAt = before?.value.rentedAt ?? Math.min(...added.map((machine) => machine.rentedAt))
   const machines: Array<BlockMachine> = [...(before?.value.machines ?? [])]
   for (const machine of added) {
@@ -156,7 +156,7 @@
     const series = blockSeries(other, pool)
     const latest = pool.adopted ? machineIndex.latestBlock(series) : null
     if (latest !== null) conditions.push({ key: latest.key, modRevision: replica.modRevision(latest.key) })
-    conditions.push({ key: machineIndex.nextBlock(series), modRevision: ABSENT })
+    conditions.push({ key: machineIndex.nextBlock(series), modRevision: ABSENT_KEY_REVISION })
   }
   return conditions
 }
--- a/packages/quota/src/allocation-policy.ts
+++ b/packages/quota/src/allocation-policy.ts
@@ -4,7 +4,7 @@
  * writes the store: that the allocations of all shards stay within the limit
  * is kept by QuotaAllocation.
  */
-import { addMs, type MonotonicTime, NEVER, type TeamName } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime, type TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
 import {
   add,
@@ -86,7 +86,7 @@
 
   /** Whether the shard leaves the team's quota to others for now. */
   isYielding(team: TeamName): boolean {
-    return this.now() < (this.timersByTeam.get(team)?.yieldsUntil ?? NEVER)
+    return this.now() < (this.timersByTeam.get(team)?.yieldsUntil ?? EARLIEST_TIME)
   }
 
   /** What the shard's allocation should be changed to; null: it stays as it is. */
@@ -111,9 +111,9 @@
       unusedSince: null,
       surplusSince: null,
       leftoverSince: null,
-      leftoverKeptUntil: NEVER,
-      yieldsUntil: NEVER,
-      lastTaskStart: NEVER,
+      leftoverKeptUntil: EARLIEST_TIME,
+      yieldsUntil: EARLIEST_TIME,
+      lastTaskStart: EARLIEST_TIME,
     }
     this.timersByTeam.set(team, timers)
     return timers
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -12,7 +12,7 @@
 import type { Replica } from "@sorreltally/membership"
 import type { TeamClaim } from "@sorreltally/planner"
 import {
-  ABSENT,
+  ABSENT_KEY_REVISION,
   type ModRevision,
   type MonotonicTime,
   type ShardName,
@@ -213,7 +213,7 @@
     return Effect.map(Effect.result(store.get(key)), (read) => {
       if (Result.isFailure(read)) return false
       if (read.success !== null) replica.applyWrite(read.success)
-      return (read.success?.modRevision ?? ABSENT) !== baseRevision
+      return (read.success?.modRevision ?? ABSENT_KEY_REVISION) !== baseRevision
     })
   }
 }
--- a/packages/shard/src/arrivals.ts
+++ b/packages/shard/src/arrivals.ts
@@ -2,7 +2,7 @@
  * How much capacity is kept free for jobs that have to start sooner than a machine boots, learned
  * from those that came. It keeps sums only, and reads no clock itself.
  */
-import { type ImageName, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { EARLIEST_TIME, type ImageName, type MonotonicTime } from "@sorreltally/protocol"
 
 /** Weight of the newest arrival in the running means; about the last twenty count. */
 const NEWEST_WEIGHT = 0.1
@@ -19,7 +19,7 @@
   private variance = 0
   private seen = 0
   private gapMs = 0
-  private lastAt = NEVER
+  private lastAt = EARLIEST_TIME
   private readonly recentImages: Array<ImageName> = []
 
   /** A job came that asks for so many cores. */
--- a/packages/shard/src/command-delivery.ts
+++ b/packages/shard/src/command-delivery.ts
@@ -47,7 +47,7 @@
     const now = this.context.node.clocks.monotonicNow()
     for (const session of this.awaitingCommands) {
       // The others get theirs with their next reply, or once a request in flight has ended.
-      this.isThrottled = this.context.node.commandsInFlight.full
+      this.isThrottled = this.context.node.commandsInFlight.isFull
       if (this.isThrottled) return
       if (this.replyIfDeferred(session)) continue
       if (session.commandsInFlight || session.address === null || session.agentEpoch === null) continue
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -143,7 +143,7 @@
 
   /** Is the task's result durable, so that its worker may purge the task? */
   finishIsDurable(task: TaskId): boolean {
-    const { job, index } = splitTaskId(task)
+    const { jobId: job, index } = splitTaskId(task)
     return this.jobs.get(job)?.finishIsDurable(index) ?? true
   }
 
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -1,5 +1,5 @@
 /** Health checks of machines: which are gone or broken. Pure: reads the shard's state and changes nothing. */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 import type { FaultReason } from "./machine-release.ts"
 import type { ShardView } from "./shard-context.ts"
@@ -42,7 +42,7 @@
   if (isPreempted(session, platform.deployment.workers.heartbeatIntervalS, now)) return "preempted"
   // A new owner hasn't heard machines that are long up either: the list has to show it as booting.
   const isBootOverdue = ageMs > session.type.bootS * BOOT_OVERDUE_FACTOR * 1000
-  if (isBootOverdue && session.lastHeard === NEVER && listed?.status === "booting" && isListFresh)
+  if (isBootOverdue && session.lastHeard === EARLIEST_TIME && listed?.status === "booting" && isListFresh)
     return "never booted"
   if (session.unreachableSince !== null && now > addMs(session.unreachableSince, MAX_UNREACHABLE_MS))
     return "unreachable"
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -10,7 +10,7 @@
   type MachineId,
   type ModRevision,
   type MonotonicTime,
-  taskId,
+  makeTaskId,
 } from "@sorreltally/protocol"
 import type { QuotaAllocation } from "@sorreltally/quota"
 import type { JobRegistry } from "./job-registry.ts"
@@ -63,7 +63,7 @@
     const placement: Placement = {
       job,
       index,
-      task: taskId(job.id, index),
+      task: makeTaskId(job.id, index),
       machine,
       agentEpoch: session.agentEpoch,
       attempt,
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -13,11 +13,11 @@
 } from "@sorreltally/planner"
 import {
   addMs,
+  EARLIEST_TIME,
   type JobClassName,
   type JobSpec,
   type MachineId,
   type MonotonicTime,
-  NEVER,
   priorityRank,
   type TeamName,
   type WallTime,
@@ -200,7 +200,7 @@
 ): MachineView["state"] => {
   if (assignment.releasing || assignment.moving || session.preemptionAt !== null) return "unavailable"
   if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
-  if (session.lastHeard !== NEVER) return "unavailable"
+  if (session.lastHeard !== EARLIEST_TIME) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const booting =
     bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_HEARTBEATS_MS)
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -1,6 +1,6 @@
 /** What the modules of a shard share: their node's services, and the shard's state as they may read it. */
 import type { CloudClient } from "@sorreltally/cloud"
-import type { InFlight } from "@sorreltally/concurrency"
+import type { InFlightLimit } from "@sorreltally/concurrency"
 import type { CommandForwarder } from "@sorreltally/forwarding"
 import type { FailureTracker, JobIndex, JobState } from "@sorreltally/jobs"
 import type { Membership } from "@sorreltally/membership"
@@ -35,7 +35,7 @@
   /** For requests to workers' own addresses. */
   readonly httpClient: HttpClient["Service"]
   /** Requests with commands that are under way from this node, and their limit. */
-  readonly commandsInFlight: InFlight
+  readonly commandsInFlight: InFlightLimit
   /** Sends commands to workers, directly or through the node that a worker sends its heartbeats to. */
   readonly commandForwarder: CommandForwarder
   /** The node's lease, the shards' owners, and the replica of the store. */
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -8,12 +8,12 @@
 import type { TaskCounts } from "@sorreltally/peers"
 import {
   addMs,
+  EARLIEST_TIME,
   type Heartbeat,
   type JobId,
   type MachineId,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   type NodeName,
   type Respond,
   type ShardName,
@@ -52,7 +52,7 @@
   private readonly planning: ShardPlanning
   private readonly workers: WorkerCommunication
   private readonly checks: MachineChecks
-  private checkedAt: MonotonicTime = NEVER
+  private checkedAt: MonotonicTime = EARLIEST_TIME
   /** Failover is complete, and the shard isn't lost. */
   private isReady = false
   private isStopped = false
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -22,12 +22,12 @@
 } from "@sorreltally/planner"
 import {
   addMs,
+  EARLIEST_TIME,
   type JobId,
   type JobSpec,
   type MachineId,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   priorityRank,
   type TeamName,
 } from "@sorreltally/protocol"
@@ -95,9 +95,9 @@
   private readonly draining = new Draining()
   private readonly arrivals = new Arrivals()
   private reserveRank = Number.NEGATIVE_INFINITY
-  private onDemandNeededAt: MonotonicTime = NEVER
+  private onDemandNeededAt: MonotonicTime = EARLIEST_TIME
   private lastLoad: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
-  private statusAt: MonotonicTime = NEVER
+  private statusAt: MonotonicTime = EARLIEST_TIME
   /** The last plan left work without capacity. */
   hasUnplacedTasks = false
   /** Empty machines that the last plan found no use for. */
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -13,7 +13,7 @@
   // The key's type says what its codec decoded.
   entries.find((entry) => entry.key === key) as Entry<A> | undefined
 
-/** Holds while the key's last change is this revision; `ABSENT`: while the key does not exist. */
+/** Holds while the key's last change is this revision; `ABSENT_KEY_REVISION`: while the key doesn't exist. */
 export interface Condition {
   readonly key: StoreKey<unknown>
   readonly modRevision: ModRevision
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -3,7 +3,7 @@
 import {
   type AgentEpoch,
   type Command,
-  MAX_COMMANDS,
+  MAX_COMMANDS_PER_MESSAGE,
   type MonotonicTime,
   type ReportedTask,
   type TaskId,
@@ -24,7 +24,7 @@
 
 /**
  * The commands that bring the tasks that a worker reported to those that should be there; at most
- * `MAX_COMMANDS`.
+ * `MAX_COMMANDS_PER_MESSAGE`.
  */
 export const commandsFor = (inputs: CommandInputs): ReadonlyArray<Command> => {
   const commands: Array<Command> = []
@@ -37,14 +37,16 @@
     const command = commandForPlacement(placement, inputs)
     if (command !== null) commands.push(command)
   }
-  return commands.length <= MAX_COMMANDS ? commands : firstThatFit(commands)
+  return commands.length <= MAX_COMMANDS_PER_MESSAGE ? commands : firstThatFit(commands)
 }
 
 /** Lower goes first where not all commands fit. */
 const COMMAND_ORDER: Record<Command["kind"], number> = { stop: 0, start: 1, purge: 2 }
 /** Guards against a message that exceeds what a line may hold: what doesn't fit goes with the next one. */
 const firstThatFit = (commands: ReadonlyArray<Command>): ReadonlyArray<Command> =>
-  [...commands].sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind]).slice(0, MAX_COMMANDS)
+  [...commands]
+    .sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind])
+    .slice(0, MAX_COMMANDS_PER_MESSAGE)
 
 /** For an orphaned task: the worker reports it, and no placement accounts for this attempt. */
 const commandForOrphan = (task: ReportedTask, { placements, mayPurge }: CommandInputs): Command | null => {
--- a/packages/workers/src/reachability.ts
+++ b/packages/workers/src/reachability.ts
@@ -2,7 +2,7 @@
  * Whether a worker can be given work: it was heard of recently, by messages that are surely no late
  * copies, and receives what we send. It decides nothing about the tasks on the machine.
  */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import type { LeaseTimes, MessageSource } from "./model.ts"
 
 /** What happened within so many heartbeat intervals is recent. */
@@ -14,11 +14,11 @@
 /** When a worker was last heard of, and since when it seems to receive nothing. */
 export class Reachability {
   /** When its latest message arrived. */
-  lastHeard: MonotonicTime = NEVER
+  lastHeard: MonotonicTime = EARLIEST_TIME
   /** When its latest heartbeat arrived, not the response to a direct request. */
-  private lastHeartbeatAt: MonotonicTime = NEVER
+  private lastHeartbeatAt: MonotonicTime = EARLIEST_TIME
   /** When a message arrived that is surely no late copy. */
-  private provenAt: MonotonicTime = NEVER
+  private provenAt: MonotonicTime = EARLIEST_TIME
   /**
    * Since when the worker seems to receive nothing of ours: it gets no work until it has
    * shown a token that we raised after this.
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -9,6 +9,7 @@
   type AgentEpoch,
   addMs,
   type Command,
+  EARLIEST_TIME,
   type FencingToken,
   type Heartbeat,
   type ImageName,
@@ -16,7 +17,6 @@
   type MachineType,
   type ModRevision,
   type MonotonicTime,
-  NEVER,
   type NodeName,
   type TaskId,
 } from "@sorreltally/protocol"
@@ -62,7 +62,7 @@
   /** The node that forwarded the latest heartbeat; null: it came to the owner itself. */
   via: NodeName | null = null
   /** No direct commands before this moment: the last ones got no response. */
-  commandsPausedUntil: MonotonicTime = NEVER
+  commandsPausedUntil: MonotonicTime = EARLIEST_TIME
 
   private recorded: MachineEntry
   private readonly latest = new LatestMessage()
@@ -128,7 +128,7 @@
   get free(): Readonly<FreeCapacity> {
     return this.placed.free
   }
-  /** When the latest message arrived; `NEVER` before the first one. */
+  /** When the latest message arrived; `EARLIEST_TIME` before the first one. */
   get lastHeard(): MonotonicTime {
     return this.reachability.lastHeard
   }
--- a/packages/workers/test/commands.test.ts
+++ b/packages/workers/test/commands.test.ts
@@ -4,10 +4,10 @@
 import {
   type AgentEpoch,
   type Attempt,
-  BODY_LIMIT,
   encodeCommandBatch,
   type FencingToken,
-  MAX_COMMANDS,
+  MAX_BODY_BYTES,
+  MAX_COMMANDS_PER_MESSAGE,
   MAX_TASKS_ON_MACHINE,
   type TaskId,
 } from "@sorreltally/protocol"
@@ -24,20 +24,22 @@
 
 // Guards against messages to workers with lines beyond the protocol's limit.
 test("a message holds no more commands than a line may, and stops go first", () => {
-  const placements = new Map(Array.from({ length: 2 * MAX_COMMANDS }, (_, i) => placementOf(50_000 + i)))
+  const placements = new Map(
+    Array.from({ length: 2 * MAX_COMMANDS_PER_MESSAGE }, (_, i) => placementOf(50_000 + i)),
+  )
   const orphan = reported({ taskId: taskId(99_999), attempt: LARGEST_ATTEMPT })
   const done = exited("done", { taskId: taskId(99_998), attempt: LARGEST_ATTEMPT })
   const tasks = new Map([done, orphan].map((task) => [task.taskId, task]))
   const mayPurge = () => true
   const commands = commandsFor({ agentEpoch: AGENT_EPOCH, tasks, placements, mayPurge, now: at(0) })
   const batch = { fencingToken: Number.MAX_SAFE_INTEGER as FencingToken, agentEpoch: AGENT_EPOCH, commands }
-  assert.equal(commands.length, MAX_COMMANDS)
+  assert.equal(commands.length, MAX_COMMANDS_PER_MESSAGE)
   assert.equal(commands[0]?.kind, "stop")
-  assert.ok(JSON.stringify(encodeCommandBatch(batch)).length < BODY_LIMIT)
+  assert.ok(JSON.stringify(encodeCommandBatch(batch)).length < MAX_BODY_BYTES)
 })
 
 test("a heartbeat stays within the limit of a body with as many exited tasks as placed ones", () => {
   const task = { piece: taskId(99_999), try: LARGEST_ATTEMPT, status: "exited", cause: "done", stored: true }
   const tasks = Array.from({ length: 2 * MAX_TASKS_ON_MACHINE }, () => task)
-  assert.ok(JSON.stringify(tasks).length < BODY_LIMIT)
+  assert.ok(JSON.stringify(tasks).length < MAX_BODY_BYTES)
 })
--- a/scenarios/scale-restart.sexp
+++ b/scenarios/scale-restart.sexp
@@ -5,4 +5,4 @@
   (expect (all-over) (served) (begun-within 60) (rented-at-least 1850) (workers-at-one-node-at-least 1800)
     (commands-at-once-at-most 30) (state-changes-at-most 800) (state-requests-at-most 3000) (cloud-calls-at-most 400)
     (peer-kilobytes-at-most 6000))
-  (guard "packages/shard/src/command-delivery.ts" "this.isThrottled = this.context.node.commandsInFlight.full" "this.isThrottled = false"))
+  (guard "packages/shard/src/command-delivery.ts" "this.isThrottled = this.context.node.commandsInFlight.isFull" "this.isThrottled = false"))
