--- a/packages/shard/src/draining.ts
+++ b/packages/shard/src/draining.ts
@@ -1,8 +1,8 @@
 /**
- * Machines that take nothing new so that they can be lent once they are empty.
- * Only empty machines change shards, and under load none is ever empty by
- * itself: what ends makes room for what waits here. It remembers which machine
- * drains for whom, and changes neither machines nor placements itself.
+ * Drains machines for other shards: a draining machine takes no new tasks, so that it can be lent once it is
+ * empty. Only empty machines change shards, and under load none becomes empty by itself, because queued tasks
+ * of this shard take the capacity of finished ones. Keeps which machine drains for which shard; changes
+ * neither machines nor placements itself.
  */
 import {
   allowed,
@@ -13,70 +13,75 @@
 } from "@sorreltally/planner"
 import type { MachineId, ShardName } from "@sorreltally/protocol"
 
-/** What may be drained in one plan. */
+/** Input of draining in one plan. */
 export interface DrainingInput {
   readonly machines: ReadonlyArray<MachineView>
-  /** Demands of other shards that some machine of ours would be lent to. */
+  /** Demands of other shards for which some machine of this shard would be lent. */
   readonly demands: ReadonlyArray<MachineDemand>
-  /** Free cores of no use to us, as the last plan found: the tasks of a draining machine fit there. */
+  /** Free cores for which the last plan found no use: the tasks of a draining machine fit there. */
   readonly unusedCores: number
-  /** Starved jobs of other shards are served even where there are no such cores. */
-  readonly forStarved: boolean
+  /** Whether a machine is drained for starved jobs of other shards even without such cores. */
+  readonly mayDrainForStarved: boolean
 }
 
-/** The draining machines of one shard. */
+/** The machines of one shard that drain for other shards. */
 export class Draining {
-  /** The machine that drains for each shard that lacks machines. */
-  private readonly machines = new Map<ShardName, MachineId>()
+  /** Draining machine by the shard that it will be lent to. */
+  private readonly machineByShard = new Map<ShardName, MachineId>()
 
-  /** The machines as the plan is to see them, the drained ones in that state. */
-  apply({ machines, demands, unusedCores, forStarved }: DrainingInput): ReadonlyArray<MachineView> {
+  /** Returns the machines for the plan, with the state of the draining ones changed. */
+  apply({ machines, demands, unusedCores, mayDrainForStarved }: DrainingInput): ReadonlyArray<MachineView> {
     const demanding = new Set(demands.map(({ shard }) => shard))
-    for (const shard of this.machines.keys()) if (!demanding.has(shard)) this.machines.delete(shard)
+    for (const shard of this.machineByShard.keys())
+      if (!demanding.has(shard)) this.machineByShard.delete(shard)
     if (demands.length === 0) return machines
-    let unused = unusedCores
+    let remainingCores = unusedCores
     for (const demand of demands) {
-      const starved = forStarved && demand.rank >= STARVED_RANK
-      const chosen = this.choose(demand, machines, starved ? Number.POSITIVE_INFINITY : unused)
-      if (chosen !== null) unused -= chosen.type.cores
+      const ignoresCores = mayDrainForStarved && demand.rank >= STARVED_RANK
+      const chosen = this.chooseMachine(
+        demand,
+        machines,
+        ignoresCores ? Number.POSITIVE_INFINITY : remainingCores,
+      )
+      if (chosen !== null) remainingCores -= chosen.type.cores
     }
-    const drained = new Set(this.machines.values())
-    return machines.map((view) => (drained.has(view.id) ? { ...view, state: "draining" as const } : view))
+    const drainedIds = new Set(this.machineByShard.values())
+    return machines.map((view) => (drainedIds.has(view.id) ? { ...view, state: "draining" as const } : view))
   }
 
   /**
-   * Machines that are empty by now, for the shard that they were drained for: they go there
-   * whatever waits here, or they would be of use to nobody.
+   * Loans of the drained machines that are empty now, each to the shard that it was drained for. They are
+   * lent even if this shard has queued work, because draining machines take none of it and would stay unused.
    */
-  *emptied(machines: ReadonlyArray<MachineView>): Iterable<MachineLoan> {
-    for (const [to, machine] of this.machines) {
+  *emptiedLoans(machines: ReadonlyArray<MachineView>): Iterable<MachineLoan> {
+    for (const [to, machine] of this.machineByShard) {
       const view = machines.find(({ id }) => id === machine)
       if (view !== undefined && view.busyTasks === 0) yield { machine, to }
     }
   }
 
   /**
-   * The one that is empty soonest, as far as the number of its tasks shows,
-   * and whose tasks the unused cores can take. It stays chosen until it is
-   * gone. Returns one that is newly chosen, else null.
+   * Chooses the machine to drain for a demand: of those whose tasks fit into the unused cores, the one with
+   * the fewest tasks, which is likely to be empty soonest. It stays chosen while it is ready and demanded.
+   * Returns a newly chosen machine; null: none, or an earlier choice still holds.
    */
-  private choose(
+  private chooseMachine(
     { shard, shape }: MachineDemand,
     machines: ReadonlyArray<MachineView>,
     unusedCores: number,
   ): MachineView | null {
-    const current = this.machines.get(shard)
+    const current = this.machineByShard.get(shard)
     if (current !== undefined && machines.some(({ id, state }) => id === current && state === "ready"))
       return null
-    this.machines.delete(shard)
-    const taken = new Set(this.machines.values())
+    this.machineByShard.delete(shard)
+    const taken = new Set(this.machineByShard.values())
     let best: MachineView | null = null
     for (const view of machines) {
       if (view.state !== "ready" || taken.has(view.id) || !allowed(shape, view)) continue
       if (view.type.cores > unusedCores || (view.reserved && Number.isFinite(unusedCores))) continue
       if (best === null || view.busyTasks < best.busyTasks) best = view
     }
-    if (best !== null) this.machines.set(shard, best.id)
+    if (best !== null) this.machineByShard.set(shard, best.id)
     return best
   }
 }
--- a/packages/shard/src/machine-demand.ts
+++ b/packages/shard/src/machine-demand.ts
@@ -1,4 +1,4 @@
-/** What a shard asks of the others: machines for queued tasks that its own have no capacity for. */
+/** Demand that a shard publishes: machines for queued tasks that its own have no capacity for. */
 import {
   isStarved,
   type JobView,
@@ -10,11 +10,11 @@
 } from "@sorreltally/planner"
 import type { ShardName } from "@sorreltally/protocol"
 
-/** The most urgent demands are published, and the kinds of machine that most starved jobs wait for. */
+/** Only the most urgent demands are published, and those of the starved groups with the most tasks. */
 const MAX_PUBLISHED_DEMANDS = 4
 const MAX_PUBLISHED_STARVED_DEMANDS = 2
 
-/** The shard's demands after a plan: those of starved jobs, then the others in scheduling order. */
+/** The shard's demands after a plan: groups of starved jobs, then single jobs in scheduling order. */
 export const machineDemands = (
   shard: ShardName,
   unplaced: ReadonlyArray<Unplaced>,
@@ -35,17 +35,16 @@
     ),
 ]
 
-/** Starved jobs that fit the same machines ask together. */
+/** Starved jobs that fit the same machines, which share one demand. */
 interface StarvedGroup {
-  readonly first: JobView
+  readonly firstJob: JobView
   tasks: number
   since: number
 }
 
 /**
- * Guards against jobs that never begin because other shards have all machines
- * and more urgent work, or as urgent: for some of their tasks machines are lent
- * before any other work.
+ * Demands of starved jobs: for some of their tasks, machines are lent before any other work is served.
+ * Otherwise a job might never start while other shards have all machines and work that is as urgent or more.
  */
 const starvedDemands = (
   shard: ShardName,
@@ -55,7 +54,7 @@
   for (const { job, tasks } of unplaced) {
     if (tasks === 0 || !isStarved(job)) continue
     const key = eligibleMachinesKey(job)
-    const group = groups.get(key) ?? { first: job, tasks: 0, since: job.submitted }
+    const group = groups.get(key) ?? { firstJob: job, tasks: 0, since: job.submitted }
     group.tasks += Math.min(tasks, tasksToBegin(job))
     group.since = Math.min(group.since, job.submitted)
     groups.set(key, group)
@@ -63,9 +62,9 @@
   return [...groups.values()]
     .sort((a, b) => b.tasks - a.tasks)
     .slice(0, MAX_PUBLISHED_STARVED_DEMANDS)
-    .map(({ first, tasks, since }) => ({
+    .map(({ firstJob, tasks, since }) => ({
       shard,
-      shape: shapeOf(first.spec),
+      shape: shapeOf(firstJob.spec),
       rank: STARVED_RANK,
       tasks,
       pressing: 0,
@@ -73,7 +72,7 @@
     }))
 }
 
-/** Equal for jobs that fit the same machines. */
+/** Key that is equal for jobs that fit the same machines. */
 const eligibleMachinesKey = ({ spec }: JobView): string => {
   const { cores, accelerators, memGb, machineTypes, zone, spotAllowed } = spec
   return JSON.stringify([cores, accelerators, memGb, machineTypes ?? null, zone ?? null, spotAllowed])
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -1,4 +1,4 @@
-/** Release: has the cloud delete machines. Decides nothing about which: that is health checks' and scale in's. */
+/** Release: deletes machines at the cloud. Which ones is decided by the health checks and scale in. */
 import { Signal } from "@sorreltally/concurrency"
 import type { MachineId } from "@sorreltally/protocol"
 import type { MachineRecordWriter } from "@sorreltally/provisioning"
@@ -6,60 +6,63 @@
 import { Effect, Result } from "effect"
 import type { ShardView } from "./shard-context.ts"
 
-/** Machines that the cloud deletes in one request at most. */
+/** Maximum machines that the cloud deletes in one request. */
 const MAX_MACHINES_PER_RELEASE = 100
-const MAX_WAIT_MS = 1_000
-/** With nothing to release, or without the lease. */
+const MAX_SIGNAL_WAIT_MS = 1_000
+/** Pause of the loop while there is nothing to release, or the shard may not act. */
 const IDLE_PAUSE_MS = 100
 const RELEASE_RETRY_MS = 400
 
-/** Why a machine is released at once: it is gone, or its tasks can't go on there. Stands in the log as it is. */
+/** Why a machine is released at once: it is gone, or tasks can't run on it. Logged as it is. */
 export type FaultReason =
-  /** Neither listed by the cloud nor heard, though it should be listed. */
+  /** The cloud doesn't list it although it should, and it sends no heartbeats. */
   | "vanished"
   /** The cloud lists it as failed. */
   | "failed"
-  /** Tasks fail on it that succeed elsewhere. */
+  /** Tasks fail on it that succeed on other machines. */
   | "faulty"
-  /** Its preemption notice has run out, and it is silent. */
+  /** Its preemption notice has expired, and its heartbeat is overdue. */
   | "preempted"
-  /** It takes far longer to boot than its type does. */
+  /** It takes far longer to boot than its type usually does. */
   | "never booted"
-  /** Its worker doesn't receive what is sent to it. */
+  /** Its worker doesn't receive the messages sent to it. */
   | "unreachable"
-  /** A direct start got no response before the lease expired: only the deletion proves that it takes no effect. */
+  /**
+   * A start sent directly got no response before the agent lease expired: only the machine's deletion proves
+   * that it can't take effect any more.
+   */
   | "lease expired with a start in flight"
 
-/** Why a machine is released; the last two of machines that are healthy. */
+/** Why a machine is released: a fault, or one of two reasons for healthy machines. */
 export type ReleaseReason =
   | FaultReason
-  /** On-demand, it was to take no new tasks, and is empty. */
+  /** An on-demand machine that was draining and has become empty. */
   | "drained"
-  /** Of no use to any shard at the end of its billing window. */
+  /** No shard needs it at the end of its billing window. */
   | "window end"
 
-/** What the release of machines uses of its shard. */
+/** Options of a shard's machine release. */
 export interface MachineReleaseOptions {
   readonly shard: ShardView
   readonly machineRecords: MachineRecordWriter
-  /** The shard's state is restored, and its node holds the lease to act for it. */
+  /** Whether the shard's state is restored and its node holds the node lease. */
   readonly mayAct: () => boolean
-  /** The node has lost the shard. */
+  /** Whether the node has lost the shard. */
   readonly isStopped: () => boolean
-  /** The cloud's response proves that the machine and all tasks on it are gone. */
-  readonly deleted: (session: WorkerSession) => void
-  /** Machines were deleted: there may be something to plan. */
-  readonly changed: () => void
+  /** Called when the cloud's response proves that a machine and all tasks on it are gone. */
+  readonly onDeleted: (session: WorkerSession) => void
+  /** Requests a new plan, because machines were deleted. */
+  readonly requestPlan: () => void
 }
 
-/** The machines of one shard that are being released. */
+/** Releases the machines of one shard. */
 export class MachineRelease {
   private readonly releasing = new Map<MachineId, WorkerSession>()
   private readonly signal = new Signal()
 
   constructor(private readonly options: MachineReleaseOptions) {}
 
-  /** Releases a machine, whatever runs on it. Repeated, it does nothing. */
+  /** Releases a machine, even if tasks run on it. Idempotent. */
   release(session: WorkerSession, reason: ReleaseReason): void {
     const { assignments, node } = this.options.shard
     const assignment = assignments.get(session.id)
@@ -71,14 +74,15 @@
   }
 
   /**
-   * Deletes what is to be released until the shard is lost. Repeating a deletion is harmless: a machine that is
-   * gone stays gone. (A loop in place of a Schedule: each round's batch and pause depend on the shard's state.)
+   * Deletes the machines to be released, until the shard is lost. Repeating a deletion is harmless: deleted
+   * machines stay deleted. A loop instead of a Schedule, because the batch and the pause depend on the
+   * shard's state.
    */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const { isStopped, mayAct } = this.options
       for (;;) {
-        if (this.releasing.size === 0) yield* this.signal.wait(MAX_WAIT_MS)
+        if (this.releasing.size === 0) yield* this.signal.wait(MAX_SIGNAL_WAIT_MS)
         if (isStopped()) return
         if (this.releasing.size > 0 && mayAct()) yield* this.deleteBatch()
         else yield* Effect.sleep(IDLE_PAUSE_MS)
@@ -88,23 +92,23 @@
 
   private deleteBatch() {
     return Effect.gen({ self: this }, function* () {
-      const { isStopped, shard, changed } = this.options
+      const { isStopped, shard, requestPlan } = this.options
       const batch = [...this.releasing.values()].slice(0, MAX_MACHINES_PER_RELEASE)
-      const deleted = yield* Effect.result(shard.node.cloud.remove(batch.map((session) => session.id)))
+      const result = yield* Effect.result(shard.node.cloud.remove(batch.map((session) => session.id)))
       if (isStopped()) return
-      if (Result.isFailure(deleted)) return yield* Effect.sleep(RELEASE_RETRY_MS)
+      if (Result.isFailure(result)) return yield* Effect.sleep(RELEASE_RETRY_MS)
       for (const session of batch) this.removeDeleted(session)
-      changed()
+      requestPlan()
     })
   }
 
   private removeDeleted(session: WorkerSession): void {
-    const { deleted, machineRecords, shard } = this.options
+    const { onDeleted, machineRecords, shard } = this.options
     this.releasing.delete(session.id)
-    // Whether we released it or the cloud preempted it: its capacity is free now.
+    // Whether it was released or preempted by the cloud, its pool has free capacity now.
     const { machineType, zone, spot } = session.entry
     shard.node.inventory.granted(machineType, zone, spot)
-    deleted(session)
+    onDeleted(session)
     machineRecords.edit(session.id, { kind: "remove" })
   }
 }
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -1,7 +1,7 @@
 /**
- * Carries one plan's decisions out: placements, rentals, and machines' assigned jobs. A placement
- * made here is only proposed: it starts nothing before the job registry has made it durable, with
- * conditions that fence an owner that lost the shard.
+ * Executes the decisions of a plan: placements, rentals, and the assigned jobs of machines. A placement made
+ * here is only proposed: it starts nothing until the job registry has made it durable, with conditions that
+ * fence an owner that has lost the shard.
  */
 import type { JobState, Placement } from "@sorreltally/jobs"
 import type { Plan } from "@sorreltally/planner"
@@ -17,27 +17,27 @@
 import type { Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 
-/** Attempts that one owner can make before its numbers reach those of the next shard epoch. */
+/** Attempt numbers per shard epoch: beyond these, an owner's numbers would reach those of the next epoch. */
 const ATTEMPTS_PER_EPOCH = 2 ** 20
 
-/** What decisions act on. */
+/** Options of plan execution. */
 export interface PlanExecutionOptions {
   readonly shard: ShardView
-  /** The shard epoch of this owner. */
+  /** Shard epoch under which this node owns the shard. */
   readonly epoch: ModRevision
   readonly registry: JobRegistry
   readonly quotas: QuotaAllocation
   readonly rentals: () => Rentals
 }
 
-/** The only place where a shard's placements are made. */
+/** Executes the plans of one shard; its placements are made nowhere else. */
 export class PlanExecution {
-  private attempts = 0
+  private attemptCount = 0
 
   constructor(private readonly options: PlanExecutionOptions) {}
 
-  /** All decisions of a plan but those that its caller publishes. */
-  carryOut({ placements, assignedJobs, rentals, onDemandNeeded }: Plan, now: MonotonicTime): void {
+  /** Executes all decisions of a plan, except for the demand that the caller publishes. */
+  execute({ placements, assignedJobs, rentals, onDemandNeeded }: Plan, now: MonotonicTime): void {
     const { shard } = this.options
     for (const { job: id, machine } of placements) {
       const job = shard.jobs.get(id)
@@ -51,15 +51,15 @@
     if (onDemandNeeded) for (const assignment of shard.assignments.values()) assignment.closing = false
   }
 
-  /** Places the job's next queued task; none if the machine is gone or its agent is unknown. */
+  /** Places the job's next queued task; does nothing if the machine is gone or its agent epoch is unknown. */
   private place(job: JobState, machine: MachineId, now: MonotonicTime): void {
     const { shard, epoch, registry, quotas } = this.options
     const session = shard.machines.get(machine)
     if (session === undefined || session.agentEpoch === null) return
     const index = job.nextQueued()
     if (index === null) return
-    // The epoch makes attempts of different owners differ, the counter those of one.
-    const attempt = (epoch * ATTEMPTS_PER_EPOCH + ++this.attempts) as Attempt
+    // The epoch makes attempt numbers unique across owners, the counter within one owner.
+    const attempt = (epoch * ATTEMPTS_PER_EPOCH + ++this.attemptCount) as Attempt
     const placement: Placement = {
       job,
       index,
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -1,4 +1,6 @@
-/** What the planner is shown of a shard: its jobs, machines, load and quota use at one moment. It changes none of them. */
+/**
+ * Builds the planner's views of a shard: jobs, machines, load and quota usage at one moment. Changes nothing.
+ */
 import { type JobState, type Placement, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   type ClusterLoad,
@@ -26,56 +28,57 @@
 import type { WorkerSession } from "@sorreltally/workers"
 import type { MachineAssignment, ShardView } from "./shard-context.ts"
 
-/** Times a type's boot time after which a machine no longer counts as booting: the design's weak spot, see docs/design.md. */
-const OVERDUE_BOOT = 1.6
-/** After a failover, time in which the machines' first heartbeats come in. */
-const FIRST_HEARTBEATS_MS = 8_000
-/** Running tasks that end later than this are as good as never ending to the planner. */
-const HORIZON_S = 600
+/** A machine counts as booting for this multiple of its type's boot time: a weak spot, see docs/design.md. */
+const MAX_BOOTING_FACTOR = 1.6
+/** Time after a failover within which the machines' first heartbeats are expected. */
+const FIRST_HEARTBEAT_TIMEOUT_MS = 8_000
+/** The planner treats running tasks that end later than this as if they never ended. */
+const LOAD_HORIZON_S = 600
 
 /**
- * What each team uses of its limit here. Every placement counts until it is cleared, whether its
- * machine can be reached or not: what is counted off too early would let the team start beyond its limit.
+ * Quota that each team uses in this shard. Every placement counts until it is cleared, whether or not its
+ * machine can be reached: a placement subtracted too early would let the team start tasks beyond its limit.
  */
-export const teamUse = (shard: ShardView): Map<TeamName, QuotaHeadroom> => {
-  const used = new Map<TeamName, QuotaHeadroom>()
-  for (const team of shard.node.platform.deployment.teams) used.set(team.name, { cores: 0, accelerators: 0 })
+export const teamUsage = (shard: ShardView): Map<TeamName, QuotaHeadroom> => {
+  const usageByTeam = new Map<TeamName, QuotaHeadroom>()
+  for (const team of shard.node.platform.deployment.teams)
+    usageByTeam.set(team.name, { cores: 0, accelerators: 0 })
   for (const job of shard.jobs.values()) {
-    const use = used.get(job.spec.team)
-    if (use === undefined) continue
-    use.cores += job.spec.cores * job.placements.size
-    use.accelerators += job.spec.accelerators * job.placements.size
+    const usage = usageByTeam.get(job.spec.team)
+    if (usage === undefined) continue
+    usage.cores += job.spec.cores * job.placements.size
+    usage.accelerators += job.spec.accelerators * job.placements.size
   }
-  return used
+  return usageByTeam
 }
 
-/** Cores of the machines, and those of running tasks by the second from now in which they probably end. */
-export const loadOf = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
+/** Cores of the shard's machines, and cores of running tasks by the second in which they should end. */
+export const clusterLoad = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
     if (!shard.assignments.get(id)!.releasing) cores += type.cores
-  const ending = new Array<number>(HORIZON_S).fill(0)
+  const ending = new Array<number>(LOAD_HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
     const executionS = shard.node.estimates.executionS(job.spec)
     for (const placement of job.placements.values()) {
-      const leftS = remainingS(placement, executionS, now)
-      if (leftS < HORIZON_S) ending[Math.floor(leftS)]! += job.spec.cores
+      const endsInS = remainingS(placement, executionS, now)
+      if (endsInS < LOAD_HORIZON_S) ending[Math.floor(endsInS)]! += job.spec.cores
     }
   }
   return { cores, ending }
 }
 
 const remainingS = ({ runningSince }: Placement, executionS: number, now: MonotonicTime): number => {
-  const ranS = runningSince === null ? 0 : (now - runningSince) / 1000
-  // One that overran its estimate may end at any time, or much later.
-  return ranS < executionS ? executionS - ranS : executionS / 3
+  const elapsedS = runningSince === null ? 0 : (now - runningSince) / 1000
+  // A task that has overrun its estimate may end now or much later: a third of the estimate is assumed.
+  return elapsedS < executionS ? executionS - elapsedS : executionS / 3
 }
 
-/** The jobs that aren't over, oldest first. */
+/** Views of the jobs with unfinished tasks that aren't cancelled, oldest first. */
 export const jobViews = (shard: ShardView, now: MonotonicTime): ReadonlyArray<JobView> => {
-  const wall = shard.node.clocks.wallNow()
-  /** Cores that each team's jobs ask for, up to the one at hand. */
+  const wallNow = shard.node.clocks.wallNow()
+  /** Cores requested by each team's jobs, up to and including the current one. */
   const demandedCores = new Map<TeamName, number>()
   const views: Array<JobView> = []
   const bySubmission = [...shard.jobs.values()].sort((a, b) => a.submitted - b.submitted)
@@ -83,30 +86,30 @@
     if (job.cancelled || job.allFinished) continue
     const { team, cores } = job.spec
     const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
-    // A job that seems to have a mistake holds no guarantee against its team's others.
+    // A suspect job, which probably fails everywhere, takes no guaranteed cores from its team's other jobs.
     if (!shard.failures.isSuspect(job.id)) demandedCores.set(team, demanded)
-    views.push(jobView(shard, job, demanded, wall, now))
+    views.push(jobView(shard, job, demanded, wallNow, now))
   }
   return views
 }
 
-/** `demandedCores`: what its team's jobs up to it ask for. */
+/** `demandedCores`: cores requested by its team's jobs, up to and including this one. */
 const jobView = (
   shard: ShardView,
   job: JobState,
   demandedCores: number,
-  wall: WallTime,
+  wallNow: WallTime,
   now: MonotonicTime,
 ): JobView => {
   const { id, spec, submitted } = job
   const team = shard.node.platform.deployment.teams.find(({ name }) => name === spec.team)
-  const suspect = shard.failures.isSuspect(id)
-  const ageS = Math.max(0, (wall - submitted) / 1000)
+  const isSuspect = shard.failures.isSuspect(id)
+  const ageS = Math.max(0, (wallNow - submitted) / 1000)
   const executionS = shard.node.estimates.executionS(spec)
   return {
     id,
     spec,
-    rank: suspect ? SUSPECT_RANK : priorityRank[spec.priority],
+    rank: isSuspect ? SUSPECT_RANK : priorityRank[spec.priority],
     queued: shard.failures.startable(job, now),
     running: job.placements.size - job.stopping,
     zones: tasksByZone(shard, job),
@@ -115,14 +118,14 @@
     submitted,
     executionS,
     startWithinS: nextTarget(startTargets(shard, spec.jobClass, executionS), ageS, 0),
-    notStarted: job.notStarted && !suspect,
-    withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
+    notStarted: job.notStarted && !isSuspect,
+    withinGuarantee: !isSuspect && team !== undefined && demandedCores <= team.cpus,
     mayStart: job.retryAfter === null || now >= job.retryAfter,
     avoids: shard.failures.avoidedBy(id, now),
   }
 }
 
-/** Uncleared tasks by zone; counted only for jobs that zones matter to. */
+/** Uncleared tasks by zone; counted only for jobs whose placement depends on zones. */
 const tasksByZone = (shard: ShardView, { spec, placements }: JobState): ReadonlyMap<ZoneName, number> => {
   const zones = new Map<ZoneName, number>()
   if (!spec.singleZone && !spec.spreadZones) return zones
@@ -133,7 +136,7 @@
   return zones
 }
 
-/** Seconds after submission within which the objectives want tasks of a class started, soonest first. */
+/** Seconds after submission within which the objectives want tasks of a class to start, shortest first. */
 export const startTargets = (
   shard: ShardView,
   jobClass: JobClassName,
@@ -149,7 +152,7 @@
   return targets.sort((a, b) => a - b)
 }
 
-/** Seconds until the next target; a deadline that is missed may still have objectives at a multiple of it. */
+/** Seconds until the next reachable target: the deadline, or an objective at a multiple of it. */
 const timeLeftS = (shard: ShardView, spec: JobSpec, ageS: number, executionS: number): number | null => {
   const { deadlineS, jobClass } = spec
   if (deadlineS == null) return null
@@ -163,12 +166,12 @@
   return (nextTarget(targets, ageS, executionS * REACH) ?? deadlineS) - ageS
 }
 
-/** The shard's machines, and those of rentals that haven't been answered yet. */
+/** Views of the shard's machines, and of those in pending rentals. */
 export const machineViews = (
   shard: ShardView,
   now: MonotonicTime,
   reserve: Reserve,
-  /** Also those in the pool without free capacity: nothing can be placed there, or released. */
+  /** Also machines in the pool without free capacity: they can take no task and can't be released. */
   includeFull: boolean,
 ): ReadonlyArray<MachineView> => {
   const views: Array<MachineView> = []
@@ -192,7 +195,10 @@
   return views
 }
 
-/** A machine that was never heard of is booting until that is overdue, or until a new owner has waited for its first heartbeat. */
+/**
+ * A machine without any heartbeat counts as booting until its boot is overdue; under a new owner at least
+ * until the time-out of its first heartbeat.
+ */
 const machineState = (
   session: WorkerSession,
   assignment: MachineAssignment,
@@ -202,12 +208,13 @@
   if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
   if (session.lastHeard !== NEVER) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
-  const booting =
-    bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_HEARTBEATS_MS)
-  return booting ? "booting" : "unavailable"
+  const isBooting =
+    bootingS < session.type.bootS * MAX_BOOTING_FACTOR ||
+    now < addMs(assignment.knownSince, FIRST_HEARTBEAT_TIMEOUT_MS)
+  return isBooting ? "booting" : "unavailable"
 }
 
-/** They have no ids yet: each stands under its request's id and a number. */
+/** Machines of pending rentals have no ids yet: the rental request id and a number stand in for them. */
 const pendingRentalViews = (shard: ShardView): ReadonlyArray<MachineView> => {
   const views: Array<MachineView> = []
   for (const [requestId, { offer, count, assignedJob }] of shard.pendingRentals) {
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -1,7 +1,7 @@
 /**
- * Stops running work of lower rank where work of higher rank would otherwise come too late. It only
- * marks placements as to be stopped: their capacity counts as taken until their workers show them
- * gone, so a stop that is late or lost delays work, and never runs a task twice.
+ * Preempts running tasks of lower rank where work of higher rank would otherwise start too late. Only marks
+ * placements to be stopped: their capacity counts as taken until their workers show that they are gone. A
+ * stop that is late or lost therefore delays work, but never makes a task run twice.
  */
 import type { Placement } from "@sorreltally/jobs"
 import {
@@ -27,64 +27,74 @@
 } from "@sorreltally/protocol"
 import type { ShardView } from "./shard-context.ts"
 
-/** Capacity is made for this many jobs at a time, the most urgent ones. */
-const MAX_JOBS = 6
-/** The first tasks of a job that waited too long run at least this long: users count no shorter start. */
+/** Number of jobs, the most urgent ones, for which one pass preempts. */
+const MAX_JOBS_PER_PASS = 6
+/**
+ * Minimum run of the first tasks of a job that waited too long: users don't count a shorter run as a start.
+ */
 const MIN_FIRST_RUN_MS = 30_000
-/** Added to the time that a checkpoint takes, as a task's grace period. */
+/** Grace period of a preempted task beyond the time that its checkpoint takes. */
 const GRACE_MARGIN_S = 1
 
 /**
- * Guards against a job that waited too long, is placed ahead of all other work
- * and stopped for it at once, again and again.
+ * Whether the placement is of a job that waited too long and has finished no task yet, and hasn't run for the
+ * minimum time. Such a job is placed ahead of all other work; without this check it would be preempted for
+ * that work at once, again and again.
  */
-const isFirstOfStarved = ({ job, runningSince }: Placement, wall: WallTime, now: MonotonicTime): boolean =>
+const isProtectedFirstRun = (
+  { job, runningSince }: Placement,
+  wallNow: WallTime,
+  now: MonotonicTime,
+): boolean =>
   job.done === 0 &&
-  hasWaitedTooLong((wall - job.submitted) / 1000) &&
+  hasWaitedTooLong((wallNow - job.submitted) / 1000) &&
   (runningSince === null || now < addMs(runningSince, MIN_FIRST_RUN_MS))
 
-/** Would capacity freed machine by machine be of use? Not where tasks are bound to zones. */
+/** Whether tasks are bound to zones: capacity freed machine by machine doesn't help them. */
 const isZoneBound = ({ singleZone, spreadZones }: MachineDemand["shape"]): boolean =>
   singleZone || spreadZones
 
-/** What work is preempted for, and among which machines. */
+/** Input of one preemption pass. */
 export interface PreemptionInput {
-  /** Our own queued tasks without capacity, most urgent job first. */
+  /** This shard's queued tasks without capacity, most urgent job first. */
   readonly unplaced: ReadonlyArray<Unplaced>
-  /** Demands of other shards that some machine of ours could serve. */
+  /** Demands of other shards that some machine of this shard could serve. */
   readonly demands: ReadonlyArray<MachineDemand>
-  /** Our fair share of each of these, 0 to 1. */
-  readonly share: number
-  /** Slots lent to a shard so lately that its demand can't show them yet. */
-  readonly lentLately: ReadonlyMap<ShardName, number>
-  /** All machines, full ones as well, before the plan at hand. */
+  /** Fraction of each of these demands that this shard should serve, 0 to 1. */
+  readonly fleetShare: number
+  /** Task slots lent to each shard so recently that its published demand may not reflect them yet. */
+  readonly recentlyLentSlots: ReadonlyMap<ShardName, number>
+  /** All machines, including full ones, with the placements of the current plan. */
   readonly machines: ReadonlyArray<MachineView>
   readonly now: MonotonicTime
-  /** The machine has a command to be sent before its next heartbeat. */
-  readonly commandsDue: (machine: MachineId) => void
+  /** Marks a machine as having a command to be sent before its next heartbeat. */
+  readonly markCommandsDue: (machine: MachineId) => void
 }
 
-/** A machine as it will be; its capacity is taken task by task. */
+/** A machine as it will be once its stopping tasks are gone; its capacity is taken task by task. */
 type FutureMachine = { -readonly [K in keyof MachineView]: MachineView[K] }
 
 type Victims = Map<MachineId, Array<Victim<Placement>>>
 
-/** Preempts for our own unplaced tasks first, then for other shards' urgent ones. */
+/** Preempts for this shard's unplaced tasks first, then for urgent tasks of other shards. */
 export const preempt = (shard: ShardView, input: PreemptionInput): void => {
-  const foreign = input.demands.filter((demand) => demand.pressing > 0 && !isZoneBound(demand.shape))
-  const own = input.unplaced.filter(({ job }) => !isZoneBound(job.spec)).slice(0, MAX_JOBS)
-  if (foreign.length === 0 && own.length === 0) return
-  const maxRank = Math.max(...foreign.map(({ rank }) => rank), ...own.map(({ job }) => job.rank))
+  const foreignDemands = input.demands.filter((demand) => demand.pressing > 0 && !isZoneBound(demand.shape))
+  const ownUnplaced = input.unplaced.filter(({ job }) => !isZoneBound(job.spec)).slice(0, MAX_JOBS_PER_PASS)
+  if (foreignDemands.length === 0 && ownUnplaced.length === 0) return
+  const maxRank = Math.max(
+    ...foreignDemands.map(({ rank }) => rank),
+    ...ownUnplaced.map(({ job }) => job.rank),
+  )
   const pass = new PreemptionPass(shard, input, maxRank)
   if (!pass.hasVictims) return
-  for (const unplaced of own) pass.makeCapacityFor(unplaced)
-  for (const demand of foreign) pass.emptyMachinesFor(demand)
+  for (const unplaced of ownUnplaced) pass.makeCapacityFor(unplaced)
+  for (const demand of foreignDemands) pass.emptyMachinesFor(demand)
 }
 
-/** One pass over the shard's machines; what it stops is never chosen again in the same pass. */
+/** One pass over the shard's machines; a task that it stops isn't chosen again in the same pass. */
 class PreemptionPass {
   private readonly victims: Victims = new Map()
-  private readonly stopped = new Set<Placement>()
+  private readonly stoppedPlacements = new Set<Placement>()
   private readonly machines: ReadonlyArray<FutureMachine>
 
   constructor(
@@ -92,7 +102,7 @@
     private readonly input: PreemptionInput,
     maxRank: number,
   ) {
-    this.machines = input.machines.map((view) => this.onceStopped(view, maxRank))
+    this.machines = input.machines.map((view) => this.withoutStoppingTasks(view, maxRank))
     for (const onMachine of this.victims.values())
       onMachine.sort((a, b) => a.lossCoreS / a.shape.cores - b.lossCoreS / b.shape.cores)
   }
@@ -101,8 +111,8 @@
     return this.victims.size > 0
   }
 
-  /** The machine without what is being stopped already, which is as good as gone; collects its victims. */
-  private onceStopped(view: MachineView, maxRank: number): FutureMachine {
+  /** The machine without its tasks that are being stopped; also collects its victims. */
+  private withoutStoppingTasks(view: MachineView, maxRank: number): FutureMachine {
     const { now } = this.input
     let { free, busyTasks } = view
     const victims: Array<Victim<Placement>> = []
@@ -114,86 +124,92 @@
         continue
       }
       if (priorityRank[spec.priority] >= maxRank) continue
-      if (isFirstOfStarved(placement, this.shard.node.clocks.wallNow(), now)) continue
-      victims.push(victimOf(placement, now))
+      if (isProtectedFirstRun(placement, this.shard.node.clocks.wallNow(), now)) continue
+      victims.push(toVictim(placement, now))
     }
     if (victims.length > 0) this.victims.set(view.id, victims)
     return { ...view, free, busyTasks }
   }
 
   /**
-   * Work that can save gives way to any of higher rank; other work is given
-   * up only where it has to be, and only for what a team is guaranteed.
+   * Tasks with checkpoints are preempted for any work of higher rank. Other tasks are preempted only if no
+   * task with checkpoints can be, and only for urgent work within its team's guarantee.
    */
   makeCapacityFor({ job, startable, urgent }: Unplaced): void {
-    const missing = startable - this.takeFree(job.spec, startable)
+    const missing = startable - this.takeFreeSlots(job.spec, startable)
     if (missing <= 0) return
-    const forced = job.withinGuarantee ? urgent : 0
+    const forcedTasks = job.withinGuarantee ? urgent : 0
     const request = { shape: shapeOf(job.spec), rank: job.rank, wholeMachines: false }
-    const saving = this.choose({ ...request, tasks: missing }, ({ savesS }) => savesS > 0)
-    if (saving.length > 0) this.stop(saving)
-    else if (forced > 0) this.stop(this.choose({ ...request, tasks: Math.min(missing, forced) }, () => true))
+    const victimsWithCheckpoint = this.chooseVictims(
+      { ...request, tasks: missing },
+      ({ savesS }) => savesS > 0,
+    )
+    if (victimsWithCheckpoint.length > 0) this.stopVictims(victimsWithCheckpoint)
+    else if (forcedTasks > 0)
+      this.stopVictims(this.chooseVictims({ ...request, tasks: Math.min(missing, forcedTasks) }, () => true))
   }
 
-  /** Other shards can use a machine only once it is empty. */
+  /** Preempts whole machines: other shards can use a machine only once it is empty. */
   emptyMachinesFor({ shard, shape, rank, pressing }: MachineDemand): void {
-    let missing = Math.ceil(pressing * this.input.share) - (this.input.lentLately.get(shard) ?? 0)
+    let missing = Math.ceil(pressing * this.input.fleetShare) - (this.input.recentlyLentSlots.get(shard) ?? 0)
     for (const machine of this.machines) {
       if (machine.state === "ready" && machine.busyTasks === 0 && allowed(shape, machine))
         missing -= slotsIn(shape, machine.type)
     }
     if (missing <= 0) return
-    this.stop(this.choose({ shape, rank, tasks: missing, wholeMachines: true }, () => true))
+    this.stopVictims(this.chooseVictims({ shape, rank, tasks: missing, wholeMachines: true }, () => true))
   }
 
-  /** Takes free capacity for up to that many tasks; returns for how many. */
-  private takeFree(spec: Unplaced["job"]["spec"], tasks: number): number {
+  /** Takes free capacity for up to `tasks` tasks; returns the number that it suffices for. */
+  private takeFreeSlots(spec: Unplaced["job"]["spec"], tasks: number): number {
     let left = tasks
     for (const machine of this.machines) {
       if (left <= 0) break
       if (machine.state !== "ready" || !allowed(spec, machine)) continue
-      const take = Math.min(left, slotsIn(spec, machine.free))
-      machine.free = minus(machine.free, spec, take)
-      left -= take
+      const taken = Math.min(left, slotsIn(spec, machine.free))
+      machine.free = minus(machine.free, spec, taken)
+      left -= taken
     }
     return tasks - left
   }
 
-  private choose(
+  private chooseVictims(
     request: Omit<PreemptionRequest<Placement>, "machines" | "victimsOn">,
-    usable: (victim: Victim<Placement>) => boolean,
+    isUsable: (victim: Victim<Placement>) => boolean,
   ): ReadonlyArray<Victim<Placement>> {
     const victimsOn = (machine: MachineId) =>
-      (this.victims.get(machine) ?? []).filter((v) => !this.stopped.has(v.placement) && usable(v))
+      (this.victims.get(machine) ?? []).filter(
+        (victim) => !this.stoppedPlacements.has(victim.placement) && isUsable(victim),
+      )
     return choosePreemptions({ ...request, machines: this.machines, victimsOn })
   }
 
-  private stop(chosen: ReadonlyArray<Victim<Placement>>): void {
-    const { now, commandsDue } = this.input
-    for (const { placement, savesS } of chosen) {
-      this.stopped.add(placement)
+  private stopVictims(victims: ReadonlyArray<Victim<Placement>>): void {
+    const { now, markCommandsDue } = this.input
+    for (const { placement, savesS } of victims) {
+      this.stoppedPlacements.add(placement)
       placement.job.stop(placement, {
         reason: "preempted",
         gracePeriodS: savesS + GRACE_MARGIN_S,
         since: now,
       })
-      commandsDue(placement.machine)
+      markCommandsDue(placement.machine)
       this.shard.node.log.debug("task preempted", { task: placement.task, machine: placement.machine })
     }
   }
 }
 
-/** What stopping a placement costs; a task that saves loses at most what its checkpoint takes. */
-const victimOf = (placement: Placement, now: MonotonicTime): Victim<Placement> => {
+/** A placement with the cost of stopping it; with checkpoints, it loses at most the time to save one. */
+const toVictim = (placement: Placement, now: MonotonicTime): Victim<Placement> => {
   const { spec } = placement.job
-  const saves = spec.checkpointIntervalS > 0
-  const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
+  const hasCheckpoints = spec.checkpointIntervalS > 0
+  const elapsedS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000
   return {
     placement,
     machine: placement.machine,
     shape: shapeOf(spec),
     rank: priorityRank[spec.priority],
-    lossCoreS: (saves ? Math.min(ranS, spec.checkpointSaveS) : ranS) * spec.cores,
-    savesS: saves ? spec.checkpointSaveS : 0,
+    lossCoreS: (hasCheckpoints ? Math.min(elapsedS, spec.checkpointSaveS) : elapsedS) * spec.cores,
+    savesS: hasCheckpoints ? spec.checkpointSaveS : 0,
   }
 }
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -1,7 +1,7 @@
 /**
- * What a shard needs of the teams' limits: what it uses, what its queued tasks
- * could use, and which shard goes first where the limits aren't enough for all. It asks and
- * answers; the quota allocations themselves change only by their conditional writes.
+ * A shard's demand for quota within the teams' limits: usage, what its queued tasks could use, and which
+ * shard has precedence where a limit isn't enough for all. Computes demands only; the quota allocations
+ * themselves change only by conditional writes.
  */
 import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
@@ -21,71 +21,76 @@
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { ShardView } from "./shard-context.ts"
 
-/** Claims are published in steps of this share of a limit, so that not every task that ends is news. */
-const CLAIM_STEP = 1 / 32
+/**
+ * Claims are rounded up to steps of this fraction of a limit, so that not every finished task changes them.
+ */
+const CLAIM_STEP_FRACTION = 1 / 32
 
-/** What a team without any task here uses. */
-export const NO_QUOTA: QuotaHeadroom = { cores: 0, accelerators: 0 }
+/** Usage of a team without tasks in this shard. */
+export const ZERO_USAGE: QuotaHeadroom = { cores: 0, accelerators: 0 }
 
-/** Tasks of a job that so many cores hold, whatever else they need. */
+/** Number of a job's tasks that fit into `cores` cores, regardless of accelerators and memory. */
 const slotsInCores = (spec: JobSpec, cores: number): number =>
   slotsIn(spec, { cores, accelerators: Number.POSITIVE_INFINITY, memGb: Number.POSITIVE_INFINITY })
 
-/** What a team's limit leaves a shard beyond what its own tasks use, however much other shards give up. */
-const attainableQuota = ({ maxCpus, maxGpus }: Team, use: QuotaHeadroom): QuotaHeadroom => ({
-  cores: maxCpus - use.cores,
-  accelerators: maxGpus - use.accelerators,
+/** Quota that a shard could get beyond its usage if other shards gave up all of theirs. */
+const attainableQuota = ({ maxCpus, maxGpus }: Team, usage: QuotaHeadroom): QuotaHeadroom => ({
+  cores: maxCpus - usage.cores,
+  accelerators: maxGpus - usage.accelerators,
 })
 
-const amountOf = ({ cores, accelerators }: QuotaHeadroom): QuotaAmount => ({
+const toQuotaAmount = ({ cores, accelerators }: QuotaHeadroom): QuotaAmount => ({
   cpus: cores,
   gpus: accelerators,
 })
 
-/** Cores of our machines, ready or booting, on which no task is placed. */
-export const unusedCores = (shard: ShardView, used: ReadonlyMap<TeamName, QuotaHeadroom>): number => {
+/** Cores of this shard's machines and pending rentals on which no task is placed. */
+export const countUnusedCores = (
+  shard: ShardView,
+  usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>,
+): number => {
   let cores = 0
   for (const { type } of shard.machines.values()) cores += type.cores
   for (const { offer, count } of shard.pendingRentals.values()) cores += count * offer.type.cores
-  for (const use of used.values()) cores -= use.cores
+  for (const usage of usageByTeam.values()) cores -= usage.cores
   return Math.max(0, cores)
 }
 
-/** What a shard's demand for quota is made from. */
+/** Input of `quotaDemands`. */
 export interface QuotaDemandInput {
   readonly jobs: ReadonlyArray<JobView>
-  /** What the teams may still start within this shard's allocations. */
-  readonly startable: ReadonlyMap<TeamName, QuotaHeadroom>
-  readonly used: ReadonlyMap<TeamName, QuotaHeadroom>
-  /** Cores of machines on which no task is placed. */
+  /** Headroom of the teams within this shard's allocations. */
+  readonly startableByTeam: ReadonlyMap<TeamName, QuotaHeadroom>
+  readonly usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>
+  /** Cores of the shard's machines on which no task is placed. */
   readonly unusedCores: number
 }
 
-/** Teams whose allocation here keeps queued tasks from starting that machines have capacity for. */
+/** Demands for teams whose allocation in this shard keeps queued tasks from using free machine capacity. */
 export const quotaDemands = (
   shard: ShardView,
-  { jobs, startable, used, unusedCores }: QuotaDemandInput,
+  { jobs, startableByTeam, usageByTeam, unusedCores }: QuotaDemandInput,
 ): ReadonlyArray<QuotaDemand> => {
   const attainableByTeam = new Map<TeamName, QuotaHeadroom>()
   for (const team of shard.node.platform.deployment.teams)
-    attainableByTeam.set(team.name, attainableQuota(team, used.get(team.name) ?? NO_QUOTA))
+    attainableByTeam.set(team.name, attainableQuota(team, usageByTeam.get(team.name) ?? ZERO_USAGE))
   const demands = new Map<TeamName, QuotaDemand>()
   for (const job of jobs) {
     const { team } = job.spec
-    const headroom = startable.get(team)
+    const headroom = startableByTeam.get(team)
     const attainable = attainableByTeam.get(team)
     if (headroom === undefined || attainable === undefined) continue
     const rank = demandRank(job, headroom, attainable, unusedCores)
     if (rank === null) continue
     const since = shard.jobs.get(job.id)?.submitted ?? 0
     const demand: QuotaDemand = { shard: shard.name, team, rank, since }
-    const before = demands.get(team)
-    if (before === undefined || goesFirst(demand, before)) demands.set(team, demand)
+    const current = demands.get(team)
+    if (current === undefined || goesFirst(demand, current)) demands.set(team, demand)
   }
   return [...demands.values()]
 }
 
-/** The rank at which a job asks for more quota; null when it needs none, or could use none. */
+/** Rank at which a job demands more quota; null when it needs none or could use none. */
 const demandRank = (
   job: JobView,
   headroom: QuotaHeadroom,
@@ -93,38 +98,39 @@
   unusedCores: number,
 ): number | null => {
   const { spec, queued } = job
-  // Guards against other shards that wait for ours to start tasks which no quota of theirs could make room for.
-  const wanted = Math.min(queued, slotsInCores(spec, unusedCores), tasksWithinHeadroom(spec, attainable))
-  if (wanted === 0) return null
+  // Leaves out tasks that couldn't start even with all other shards' quota: those shards would wait for their
+  // start in vain.
+  const neededTasks = Math.min(queued, slotsInCores(spec, unusedCores), tasksWithinHeadroom(spec, attainable))
+  if (neededTasks === 0) return null
   const withinAllocation = tasksWithinHeadroom(spec, headroom)
-  if (withinAllocation >= wanted) return null
-  const starved = isStarved(job) && withinAllocation < Math.min(wanted, tasksToBegin(job))
-  return starved ? STARVED_RANK : job.rank
+  if (withinAllocation >= neededTasks) return null
+  const isForStarvedJob = isStarved(job) && withinAllocation < Math.min(neededTasks, tasksToBegin(job))
+  return isForStarvedJob ? STARVED_RANK : job.rank
 }
 
-/** What this shard counts on of the teams' limits, after a plan. */
+/** Quota that this shard claims of the teams' limits after a plan: its usage and what the plan counts on. */
 export const teamClaims = (
   shard: ShardView,
-  used: ReadonlyMap<TeamName, QuotaHeadroom>,
-  planned: ReadonlyMap<TeamName, QuotaHeadroom>,
+  usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>,
+  plannedByTeam: ReadonlyMap<TeamName, QuotaHeadroom>,
 ): ReadonlyArray<TeamClaim> => {
-  const inSteps = (amount: number, limit: number) =>
+  const roundUpToStep = (amount: number, limit: number) =>
     limit <= 0 || !isLimited(limit)
       ? 0
-      : Math.min(limit, Math.ceil(amount / (limit * CLAIM_STEP)) * limit * CLAIM_STEP)
+      : Math.min(limit, Math.ceil(amount / (limit * CLAIM_STEP_FRACTION)) * limit * CLAIM_STEP_FRACTION)
   return shard.node.platform.deployment.teams.map(({ name, maxCpus, maxGpus }) => {
-    const use = used.get(name) ?? NO_QUOTA
-    const more = planned.get(name) ?? NO_QUOTA
+    const usage = usageByTeam.get(name) ?? ZERO_USAGE
+    const planned = plannedByTeam.get(name) ?? ZERO_USAGE
     return {
       shard: shard.name,
       team: name,
-      cpus: inSteps(use.cores + more.cores, maxCpus),
-      gpus: inSteps(use.accelerators + more.accelerators, maxGpus),
+      cpus: roundUpToStep(usage.cores + planned.cores, maxCpus),
+      gpus: roundUpToStep(usage.accelerators + planned.accelerators, maxGpus),
     }
   })
 }
 
-/** Quota for a number of tasks, and how urgent the most urgent of them are. */
+/** Quota for a number of queued tasks, with the rank and submission time of the most urgent of them. */
 class QueuedQuota {
   cpus = 0
   gpus = 0
@@ -140,21 +146,21 @@
   }
 }
 
-/** What the queued tasks of one team could use here. */
+/** Quota that the queued tasks of one team could use in this shard. */
 interface TeamQueue {
   readonly all: QueuedQuota
-  /** Of starved jobs, the tasks that go first. */
+  /** Only those tasks of starved jobs that take precedence. */
   readonly starved: QueuedQuota
   readonly smallestTask: JobSpec | null
 }
 
-/** Beyond what machines have capacity for, quota would only lie idle, and be asked back: such tasks don't count. */
-const teamQueue = (shard: ShardView, team: Team, use: QuotaHeadroom, unusedCores: number): TeamQueue => {
-  const wall = shard.node.clocks.wallNow()
+/** Leaves out tasks beyond the machines' capacity: quota for them would stay unused and be reclaimed. */
+const teamQueue = (shard: ShardView, team: Team, usage: QuotaHeadroom, unusedCores: number): TeamQueue => {
+  const wallNow = shard.node.clocks.wallNow()
   const now = shard.node.clocks.monotonicNow()
   const all = new QueuedQuota()
   const starved = new QueuedQuota()
-  const attainable = attainableQuota(team, use)
+  const attainable = attainableQuota(team, usage)
   let coresLeft = unusedCores
   let smallestTask: JobSpec | null = null
   for (const job of shard.jobs.values()) {
@@ -164,41 +170,45 @@
     const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
     if (tasks === 0 || tasksWithinHeadroom(spec, attainable) === 0) continue
     coresLeft -= tasks * spec.cores
-    const suspect = shard.failures.isSuspect(job.id)
-    all.add(job, tasks, suspect ? SUSPECT_RANK : priorityRank[spec.priority])
-    const waiting = { notStarted: job.notStarted && !suspect, queued, ageS: (wall - job.submitted) / 1000 }
-    if (isStarved(waiting)) starved.add(job, Math.min(tasks, tasksToBegin(waiting)), STARVED_RANK)
+    const isSuspect = shard.failures.isSuspect(job.id)
+    all.add(job, tasks, isSuspect ? SUSPECT_RANK : priorityRank[spec.priority])
+    const waitState = {
+      notStarted: job.notStarted && !isSuspect,
+      queued,
+      ageS: (wallNow - job.submitted) / 1000,
+    }
+    if (isStarved(waitState)) starved.add(job, Math.min(tasks, tasksToBegin(waitState)), STARVED_RANK)
     if (smallestTask === null || spec.cores < smallestTask.cores) smallestTask = spec
   }
   return { all, starved, smallestTask }
 }
 
-/** What one shard needs of one team's limit, given what the others ask for. */
-export const shareDemand = (
+/** A shard's demand for its allocation of a team's limit, given the other shards' demands. */
+export const allocationDemand = (
   shard: ShardView,
   team: Team,
-  use: QuotaHeadroom,
-  quotas: ReadonlyArray<QuotaDemand>,
+  usage: QuotaHeadroom,
+  demandsOfOthers: ReadonlyArray<QuotaDemand>,
   unusedCores: number,
 ): AllocationDemand => {
-  const { all, starved, smallestTask } = teamQueue(shard, team, use, unusedCores)
-  const others = quotas.filter((demand) => demand.team === team.name)
-  const anyBefore = ({ rank, since }: QueuedQuota) =>
-    others.some((demand) => goesFirst(demand, { shard: shard.name, team: team.name, rank, since }))
-  const need = (
+  const { all, starved, smallestTask } = teamQueue(shard, team, usage, unusedCores)
+  const competing = demandsOfOthers.filter((demand) => demand.team === team.name)
+  const isOutranked = ({ rank, since }: QueuedQuota) =>
+    competing.some((demand) => goesFirst(demand, { shard: shard.name, team: team.name, rank, since }))
+  const demandFor = (
     queue: QueuedQuota,
     competingDemand: AllocationDemand["competingDemand"],
   ): AllocationDemand => ({
-    used: amountOf(use),
-    demanded: { cpus: use.cores + queue.cpus, gpus: use.accelerators + queue.gpus },
+    used: toQuotaAmount(usage),
+    demanded: { cpus: usage.cores + queue.cpus, gpus: usage.accelerators + queue.gpus },
     smallestTask:
       smallestTask === null ? null : { cpus: smallestTask.cores, gpus: smallestTask.accelerators },
     competingDemand,
   })
-  if (others.length === 0) return need(all, "none")
-  if (!anyBefore(all)) return need(all, "lowerPriority")
-  // Guards against work of low rank that never begins while other shards have more urgent work than
-  // the limit holds: some tasks of a job that waited too long go before it.
-  if (starved.cpus + starved.gpus > 0 && !anyBefore(starved)) return need(starved, "lowerPriority")
-  return need(all, "higherPriority")
+  if (competing.length === 0) return demandFor(all, "none")
+  if (!isOutranked(all)) return demandFor(all, "lowerPriority")
+  // Some tasks of a starved job precede more urgent work of other shards: otherwise work of low rank would
+  // never start while that work needs more than the limit.
+  if (starved.cpus + starved.gpus > 0 && !isOutranked(starved)) return demandFor(starved, "lowerPriority")
+  return demandFor(all, "higherPriority")
 }
--- a/packages/shard/src/rental-requests.ts
+++ b/packages/shard/src/rental-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Scale out: carries one shard's rental requests out at the cloud and has the rented machines recorded. Decides
- * nothing about what to rent: that is the plan's.
+ * Scale out: sends one shard's rental requests to the cloud and has the rented machines recorded. What to
+ * rent is decided by the plan.
  */
 import type { PlannedRental } from "@sorreltally/planner"
 import type { JobId, MachineId, RentalRequestId, WallTime } from "@sorreltally/protocol"
@@ -8,33 +8,33 @@
 import { Effect, Result } from "effect"
 import type { ShardView } from "./shard-context.ts"
 
-/** Requests under one id at most; what they may have rented all the same is adopted from the cloud's list. */
+/** Requests under one id at most; machines rented without a response are adopted from the cloud's list. */
 const MAX_RENTAL_ATTEMPTS = 20
 const RENTAL_RETRY_MS = 400
-/** The cloud's status for a request that it can't carry out: repeating it is of no use. */
-const BAD_REQUEST = 400
+/** Status for a request that the cloud can't carry out, so a retry would fail too. */
+const HTTP_BAD_REQUEST = 400
 
-/** What the rental requests use of their shard. */
+/** Options of a shard's rental requests. */
 export interface RentalRequestsOptions {
   readonly shard: ShardView
   readonly machineRecords: MachineRecordWriter
-  /** Machines whose records are being written; shared with adoption, so that neither records the other's. */
-  readonly recording: Set<MachineId>
-  /** The node has lost the shard. */
+  /** Machines whose records are being written; shared with adoption, so that none is recorded by both. */
+  readonly machinesBeingRecorded: Set<MachineId>
+  /** Whether the node has lost the shard. */
   readonly isStopped: () => boolean
-  /** A rental ended: there may be something to plan. */
-  readonly changed: () => void
+  /** Requests a new plan, because a rental request has ended. */
+  readonly requestPlan: () => void
 }
 
-/** The rental requests of one shard that are under way. */
+/** The rental requests in progress of one shard. */
 export class RentalRequests {
-  /** By request id, from the decision to rent until the machines are recorded or the request has failed. */
+  /** By request id, from the plan's decision until the machines are recorded or the request has failed. */
   readonly pending = new Map<RentalRequestId, PlannedRental>()
   private readonly assignedJobs = new Map<MachineId, JobId>()
 
   constructor(private readonly options: RentalRequestsOptions) {}
 
-  /** The job that a machine just recorded was rented for; null: rented for none, or not by this owner. */
+  /** The job that a newly recorded machine was rented for; null: for no job, or not by this owner. */
   takeAssignedJob(id: MachineId): JobId | null {
     const assignedJob = this.assignedJobs.get(id) ?? null
     this.assignedJobs.delete(id)
@@ -42,36 +42,37 @@
   }
 
   /**
-   * Starts a rental. Its fiber is the node's, not the shard's: a request that the cloud may have carried out is
-   * followed to its response also when the shard is lost meanwhile, and then sent no more.
+   * Starts a rental. The node owns its fiber, not the shard: if the shard is lost while a request is in
+   * flight, which the cloud may already have carried out, its response is still processed, but the request
+   * isn't retried.
    */
   start(rental: PlannedRental): void {
     const { node } = this.options.shard
     const requestId = node.nextRentalRequestId()
     const { type, zone, spot } = rental.offer
-    const answered = node.inventory.asking(type.name, zone, spot)
+    const endRequest = node.inventory.asking(type.name, zone, spot)
     this.pending.set(requestId, rental)
-    const settled = Effect.sync(() => {
-      answered()
+    const cleanUp = Effect.sync(() => {
+      endRequest()
       this.pending.delete(requestId)
-      this.options.changed()
+      this.options.requestPlan()
     })
-    node.fork(Effect.ensuring(this.rent(requestId, rental, answered), settled))
+    node.fork(Effect.ensuring(this.rent(requestId, rental, endRequest), cleanUp))
   }
 
-  private rent(requestId: RentalRequestId, rental: PlannedRental, answered: () => void) {
+  private rent(requestId: RentalRequestId, rental: PlannedRental, endRequest: () => void) {
     return Effect.gen({ self: this }, function* () {
-      // The request id is the idempotency key: repeated until there is a response, it rents nothing twice.
-      // (A loop in place of a Schedule: it ends by the shard's state, and each attempt takes its own time.)
+      // The request id is the idempotency key: retries until there is a response never rent twice.
+      // A loop instead of a Schedule, because the shard's state ends it and attempts differ in duration.
       for (let attempt = 0; attempt < MAX_RENTAL_ATTEMPTS && !this.options.isStopped(); attempt++) {
-        const settled = yield* this.attempt(requestId, rental, answered)
-        if (settled) return
+        const isSettled = yield* this.attempt(requestId, rental, endRequest)
+        if (isSettled) return
       }
     })
   }
 
-  /** Whether the rental needs no further attempt. */
-  private attempt(requestId: RentalRequestId, rental: PlannedRental, answered: () => void) {
+  /** Makes one attempt; true: the rental needs no further one. */
+  private attempt(requestId: RentalRequestId, rental: PlannedRental, endRequest: () => void) {
     return Effect.gen({ self: this }, function* () {
       const { isStopped, shard } = this.options
       const { cloud, clocks, inventory } = shard.node
@@ -81,22 +82,22 @@
       const rentedAt = clocks.wallNow()
       const response = yield* Effect.result(cloud.rent(request, isStillWanted))
       if (Result.isFailure(response)) {
-        if (response.failure.status === BAD_REQUEST) return true
+        if (response.failure.status === HTTP_BAD_REQUEST) return true
         yield* Effect.sleep(RENTAL_RETRY_MS)
         return false
       }
       const outcome = response.success
       if (outcome.kind === "dropped") return true
       const ids = outcome.kind === "rented" ? outcome.machines : []
-      this.noteOutcome(requestId, rental, ids)
-      answered()
-      if (ids.length > 0) yield* this.record(requestId, rental, ids, rentedAt)
+      this.applyOutcome(requestId, rental, ids)
+      endRequest()
+      if (ids.length > 0) yield* this.recordMachines(requestId, rental, ids, rentedAt)
       return true
     })
   }
 
-  /** What a response says of the cloud's capacity: fewer machines than requested means that it has no more. */
-  private noteOutcome(
+  /** Updates the inventory from a response: fewer machines than requested means that the pool has no more. */
+  private applyOutcome(
     requestId: RentalRequestId,
     { offer: { type, zone, spot }, count, assignedJob }: PlannedRental,
     ids: ReadonlyArray<MachineId>,
@@ -116,26 +117,26 @@
     })
   }
 
-  private record(
+  private recordMachines(
     requestId: RentalRequestId,
     { offer, assignedJob }: PlannedRental,
     ids: ReadonlyArray<MachineId>,
     rentedAt: WallTime,
   ) {
     return Effect.gen({ self: this }, function* () {
-      const { machineRecords, recording } = this.options
+      const { machineRecords, machinesBeingRecorded } = this.options
       for (const id of ids) {
         if (assignedJob !== null) this.assignedJobs.set(id, assignedJob)
-        recording.add(id)
+        machinesBeingRecorded.add(id)
       }
-      // Until they are recorded they count as pending under this request.
+      // The machines count as pending under this request until they are recorded.
       this.pending.set(requestId, { offer, count: ids.length, assignedJob })
       yield* Effect.callback<void>((resume) => {
         const { type, zone, spot } = offer
         const machines = { machineType: type.name, zone, spot, rentedAt, ids }
         machineRecords.add(machines, false, () => resume(Effect.void))
       })
-      for (const id of ids) recording.delete(id)
+      for (const id of ids) machinesBeingRecorded.delete(id)
     })
   }
 }
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -1,7 +1,7 @@
 /**
- * One shard's machines at the cloud: scale out, adoption, health checks, scale in and release, each in a module
- * of its own. Owns their loops; every machine is deleted through `MachineRelease` alone, and its record goes only
- * after the cloud's response.
+ * Lifecycle of one shard's machines at the cloud: scale out, adoption, health checks, scale in and release,
+ * each in a module of its own, whose loops run here. Machines are deleted through `MachineRelease` only, and
+ * a machine's record is removed only after the cloud's response.
  */
 import { DEADLINE_SHARD } from "@sorreltally/membership"
 import type { PlannedRental } from "@sorreltally/planner"
@@ -16,26 +16,26 @@
 import { ScaleIn, type ScaleInOptions } from "./scale-in.ts"
 
 const CHECK_INTERVAL_MS = 1_000
-/** Machines that the cloud rents in one request at most. */
+/** Maximum machines that the cloud rents in one request. */
 export const MAX_MACHINES_PER_RENTAL = 50
 
-/** What the rentals use of their shard and its planning. */
+/** Options of a shard's rentals. */
 export interface RentalsOptions extends Omit<ScaleInOptions, "release"> {
   readonly machineRecords: MachineRecordWriter
-  /** The shard's state is restored, and its node holds the lease to act for it. */
+  /** Whether the shard's state is restored and its node holds the node lease. */
   readonly mayAct: () => boolean
-  /** The node has lost the shard. */
+  /** Whether the node has lost the shard. */
   readonly isStopped: () => boolean
-  /** There may be something to plan. */
-  readonly changed: () => void
-  /** The cloud's response proves that the machine and all tasks on it are gone. */
-  readonly deleted: (session: WorkerSession) => void
+  /** Requests a new plan, because a rental ended or machines were deleted. */
+  readonly requestPlan: () => void
+  /** Called when the cloud's response proves that a machine and all tasks on it are gone. */
+  readonly onDeleted: (session: WorkerSession) => void
 }
 
-/** One shard's machines at the cloud: rents, adopts, checks and releases them. */
+/** Rents, adopts, checks and releases one shard's machines. */
 export class Rentals {
   /** Machines whose records are being written. */
-  private readonly recording = new Set<MachineId>()
+  private readonly machinesBeingRecorded = new Set<MachineId>()
   private readonly requests: RentalRequests
   private readonly adoption: MachineAdoption
   private readonly machineRelease: MachineRelease
@@ -43,13 +43,13 @@
 
   constructor(private readonly options: RentalsOptions) {
     const { shard, machineRecords } = options
-    this.requests = new RentalRequests({ ...options, recording: this.recording })
-    this.adoption = new MachineAdoption(shard, machineRecords, this.recording)
+    this.requests = new RentalRequests({ ...options, machinesBeingRecorded: this.machinesBeingRecorded })
+    this.adoption = new MachineAdoption(shard, machineRecords, this.machinesBeingRecorded)
     this.machineRelease = new MachineRelease(options)
     this.scaleIn = new ScaleIn({ ...options, release: (session, reason) => this.release(session, reason) })
   }
 
-  /** Rentals that are decided and whose machines aren't recorded yet. */
+  /** Rentals decided by plans whose machines aren't recorded yet. */
   get pendingRentals(): ReadonlyMap<RentalRequestId, PlannedRental> {
     return this.requests.pending
   }
@@ -59,14 +59,14 @@
     Effect.all([this.machineRelease.run, this.checkLoop()], { concurrency: "unbounded", discard: true }),
   )
 
-  /** The job that a machine just recorded was rented for; null: rented for none, or not by this owner. */
+  /** The job that a newly recorded machine was rented for; null: for no job, or not by this owner. */
   takeAssignedJob(id: MachineId): JobId | null {
     return this.requests.takeAssignedJob(id)
   }
 
-  /** Is the machine rented or adopted by this very owner, and its record not yet confirmed? */
+  /** Whether this owner has rented or adopted the machine and its record isn't confirmed yet. */
   isRecording(id: MachineId): boolean {
-    return this.recording.has(id)
+    return this.machinesBeingRecorded.has(id)
   }
 
   /** Rents machines as planned. */
@@ -74,7 +74,7 @@
     this.requests.start(rental)
   }
 
-  /** Releases a machine, whatever runs on it. */
+  /** Releases a machine, even if tasks run on it. */
   release(session: WorkerSession, reason: ReleaseReason): void {
     this.machineRelease.release(session, reason)
   }
@@ -92,18 +92,18 @@
     })
   }
 
-  /** Releases the machines that are gone or broken, and those of no use at the end of their billing windows. */
+  /** Releases machines that are gone or faulty, and those not needed at the end of their billing windows. */
   private check(): void {
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
-    const round = this.scaleIn.begin(now)
+    const round = this.scaleIn.beginRound(now)
     for (const session of shard.machines.values()) {
       const assignment = shard.assignments.get(session.id)!
       if (assignment.releasing || assignment.moving) continue
       const reason = releaseReason(shard, session, assignment.rentedAt, now)
       if (reason !== null) this.release(session, reason)
-      else if (session.isUp) this.scaleIn.consider(round, session, assignment)
+      else if (session.isUp) this.scaleIn.checkMachine(round, session, assignment)
     }
-    this.scaleIn.finish(round)
+    this.scaleIn.finishRound(round)
   }
 }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -224,7 +224,7 @@
       mayAct: () => this.mayAct,
       events: {
         durable: (placements) => this.startPlaced(placements),
-        arrived: (spec) => this.planning.arrived(spec),
+        arrived: (spec) => this.planning.recordArrival(spec),
         changed: () => this.planSignal.notify(),
         release: (placement) => this.machines.get(placement.machine)?.release(placement),
         commandsDue: (machine) => this.workers.commandsDue(machine),
@@ -273,8 +273,8 @@
       registry: this.registry,
       lending: this.lending,
       rentals: () => this.rentals,
-      commandsDue: (machine) => this.workers.commandsDue(machine),
-      changed: () => this.planSignal.notify(),
+      markCommandsDue: (machine) => this.workers.commandsDue(machine),
+      requestPlan: () => this.planSignal.notify(),
     })
   }
 
@@ -284,12 +284,12 @@
       machineRecords: this.machineRecords,
       mayAct: () => this.mayAct,
       isStopped: () => this.isStopped,
-      changed: () => this.planSignal.notify(),
-      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
+      requestPlan: () => this.planSignal.notify(),
+      onDeleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
       lend: (session, to, demands) => this.lending.lend(session, to, demands),
       onDemandNeeded: () => this.planning.onDemandNeeded(),
       reserve: () => this.planning.reserve(),
-      isIdle: (id) => this.planning.idle.has(id),
+      isIdle: (id) => this.planning.idleMachines.has(id),
       quotaLimitedJobs: () => this.planning.quotaLimitedJobs,
     })
   }
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -1,6 +1,6 @@
 /**
- * One shard's plans: what the planner is shown of the shard, and what becomes of its decisions. It
- * reads the clock and the store's replica for the planner, which does neither.
+ * Planning of one shard: builds the planner's snapshot of the shard and applies the resulting plan.
+ * Reads the clock and the store's replica on behalf of the planner, which does no I/O.
  */
 import { DEADLINE_SHARD } from "@sorreltally/membership"
 import {
@@ -38,57 +38,61 @@
 import type { Lending } from "./lending.ts"
 import { machineDemands } from "./machine-demand.ts"
 import { PlanExecution } from "./plan-execution.ts"
-import { jobViews, loadOf, machineViews, startTargets, teamUse } from "./planner-input.ts"
+import { clusterLoad, jobViews, machineViews, startTargets, teamUsage } from "./planner-input.ts"
 import { preempt } from "./preemption.ts"
-import { NO_QUOTA, quotaDemands, shareDemand, teamClaims, unusedCores } from "./quota-demand.ts"
+import { allocationDemand, countUnusedCores, quotaDemands, teamClaims, ZERO_USAGE } from "./quota-demand.ts"
 import { MAX_MACHINES_PER_RENTAL, type Rentals } from "./rentals.ts"
 import type { ShardView } from "./shard-context.ts"
 import { logShardStatus } from "./shard-status.ts"
 
-/** The load of the machines is counted anew this often. */
-const LOAD_EVERY_MS = 700
-/** While refused kinds of spot are asked again, on-demand machines stay as they were wanted before. */
-const ON_DEMAND_LINGER_MS = 10_000
-/** Between two status lines. */
-const STATUS_EVERY_MS = 15_000
+/** Interval at which the load of the machines is recomputed. */
+const LOAD_REFRESH_INTERVAL_MS = 700
+/**
+ * On-demand machines stay in use this long after work last needed them: while refused spot offers are
+ * retried, plans report no need for on-demand.
+ */
+const ON_DEMAND_RETENTION_MS = 10_000
+const STATUS_LOG_INTERVAL_MS = 15_000
 
-/** What the plans need of their shard beyond its state. */
+/** Options of a shard's planning. */
 export interface ShardPlanningOptions {
   readonly shard: ShardView
-  /** The shard epoch of this owner. */
+  /** Shard epoch under which this node owns the shard. */
   readonly epoch: ModRevision
   readonly registry: JobRegistry
   readonly lending: Lending
   readonly rentals: () => Rentals
-  /** The machine has a command to be sent before its next heartbeat. */
-  readonly commandsDue: (machine: MachineId) => void
-  /** There may be something to plan. */
-  readonly changed: () => void
+  /** Marks a machine as having a command to be sent before its next heartbeat. */
+  readonly markCommandsDue: (machine: MachineId) => void
+  /** Requests a new plan, because what plans depend on has changed. */
+  readonly requestPlan: () => void
 }
 
-/** What the teams' limits leave a shard: at once within its allocations, and for rentals whether these cover it yet. */
+/** Headroom that the teams' limits leave a shard. */
 interface TeamHeadroom {
+  /** For tasks that start now: within the shard's quota allocations. */
   readonly startable: Map<TeamName, QuotaHeadroom>
+  /** For rentals: within the limits, whether or not the allocations cover it yet. */
   readonly rentable: Map<TeamName, QuotaHeadroom>
 }
 
-/** What the steps of one plan have in common. */
+/** Values shared by the steps of one plan. */
 interface PlanContext {
   readonly now: MonotonicTime
-  /** What the other shards published. */
-  readonly others: ShardDemand
-  /** What each team's tasks use here. */
-  readonly used: ReadonlyMap<TeamName, QuotaHeadroom>
-  /** Cores of our machines on which no task is placed. */
+  /** Demand published by the other shards. */
+  readonly demandOfOthers: ShardDemand
+  /** Quota that each team's tasks use in this shard. */
+  readonly usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>
+  /** Cores of this shard's machines on which no task is placed. */
   readonly unusedCores: number
   readonly headroom: TeamHeadroom
   readonly jobs: ReadonlyArray<JobView>
-  /** How much of what others demand is ours to lend, 0 to 1. */
-  readonly share: number
+  /** Fraction of the other shards' demand that this shard should serve, 0 to 1. */
+  readonly fleetShare: number
   readonly reserve: Reserve
 }
 
-/** The planning of one shard for as long as this node owns it. */
+/** Planning of one shard while this node owns it. */
 export class ShardPlanning {
   private readonly quotas: QuotaAllocation
   private readonly execution: PlanExecution
@@ -97,18 +101,18 @@
   private reserveRank = Number.NEGATIVE_INFINITY
   private onDemandNeededAt: MonotonicTime = NEVER
   private lastLoad: { readonly at: MonotonicTime; readonly load: ClusterLoad } | null = null
-  private statusAt: MonotonicTime = NEVER
-  /** The last plan left work without capacity. */
+  private lastStatusLogAt: MonotonicTime = NEVER
+  /** Whether the last plan left queued tasks without capacity. */
   hasUnplacedTasks = false
-  /** Empty machines that the last plan found no use for. */
-  idle: ReadonlySet<MachineId> = new Set()
-  /** Jobs that it found held back by their teams' limits. */
+  /** Empty machines for which the last plan found no use. */
+  idleMachines: ReadonlySet<MachineId> = new Set()
+  /** Jobs that the last plan found limited by their teams' quota. */
   quotaLimitedJobs: ReadonlySet<JobId> = new Set()
-  /** Free cores on ready machines for which it found no use. */
+  /** Free cores on ready machines for which the last plan found no use. */
   private unusedCores = 0
 
   constructor(private readonly options: ShardPlanningOptions) {
-    const { shard, epoch, registry, rentals, changed } = options
+    const { shard, epoch, registry, rentals, requestPlan } = options
     const { platform, membership, store, clocks } = shard.node
     const { replica } = membership
     this.quotas = new QuotaAllocation({
@@ -118,24 +122,24 @@
       replica,
       store,
       now: clocks.monotonicNow,
-      changed,
+      changed: requestPlan,
     })
     this.execution = new PlanExecution({ shard, epoch, registry, quotas: this.quotas, rentals })
   }
 
-  /** A job came: jobs like it may need capacity sooner than a machine boots. */
-  arrived(spec: JobSpec): void {
+  /** Records a job's arrival; only jobs that have to start sooner than a machine boots add to the reserve. */
+  recordArrival(spec: JobSpec): void {
     const { shard } = this.options
-    const withinS = startTargets(shard, spec.jobClass, spec.estimatedRunS)[0] ?? null
-    let soonestBootS = Number.POSITIVE_INFINITY
+    const startTargetS = startTargets(shard, spec.jobClass, spec.estimatedRunS)[0] ?? null
+    let shortestBootS = Number.POSITIVE_INFINITY
     for (const type of shard.node.inventory.catalog()?.values() ?? [])
-      soonestBootS = Math.min(soonestBootS, type.bootS)
-    if (withinS === null || withinS >= soonestBootS) return
-    this.arrivals.learn(spec.taskCount * spec.cores, spec.image, shard.node.clocks.monotonicNow())
+      shortestBootS = Math.min(shortestBootS, type.bootS)
+    if (startTargetS === null || startTargetS >= shortestBootS) return
+    this.arrivals.record(spec.taskCount * spec.cores, spec.image, shard.node.clocks.monotonicNow())
     this.reserveRank = Math.max(this.reserveRank, priorityRank[spec.priority])
   }
 
-  /** What is kept free for such jobs now. */
+  /** Capacity to keep free now for jobs that have to start sooner than a machine boots. */
   reserve(): Reserve {
     return {
       rank: this.reserveRank,
@@ -144,108 +148,113 @@
     }
   }
 
-  /** Some work needed machines that spot couldn't provide, not long ago. */
+  /** Whether some work recently needed machines that spot couldn't provide. */
   onDemandNeeded(): boolean {
     const now = this.options.shard.node.clocks.monotonicNow()
-    return now < addMs(this.onDemandNeededAt, ON_DEMAND_LINGER_MS)
+    return now < addMs(this.onDemandNeededAt, ON_DEMAND_RETENTION_MS)
   }
 
-  /** `mayPreempt`: running tasks of lower rank may be stopped this time. */
+  /** Makes and applies one plan. `mayPreempt`: running tasks of lower rank may be stopped this time. */
   planOnce(mayPreempt: boolean): void {
     const context = this.prepare()
     const { now } = context
-    // Work that its team's limit holds back is no reason to keep a machine from others.
+    // A job that can't start because of its team's limit is no reason to keep a machine from other shards.
     const budget = new QuotaBudget(context.headroom.rentable)
     const rentableJobs = context.jobs.filter((job) => budget.tasksLeft(job) > 0)
-    const lent = this.lendEmptyMachines(context, rentableJobs)
-    const servable = servableDemands(context.others.machines, rentableJobs, lent)
-    const machines = this.drainMachines(context, servable, lent)
-    const decided = this.plan(context, machines)
-    this.execution.carryOut(decided, now)
-    this.remember(decided, now)
-    if (mayPreempt) this.preempt(decided, servable, context)
-    this.publish(decided, context)
+    const remainingMachines = this.lendEmptyMachines(context, rentableJobs)
+    const servable = servableDemands(context.demandOfOthers.machines, rentableJobs, remainingMachines)
+    const machines = this.drainMachines(context, servable, remainingMachines)
+    const newPlan = this.plan(context, machines)
+    this.execution.execute(newPlan, now)
+    this.recordPlan(newPlan, now)
+    if (mayPreempt) this.preempt(newPlan, servable, context)
+    this.publish(newPlan, context)
     this.logStatus(now)
   }
 
-  /** Quota allocations are adjusted first, so that the plan may use what was added to them. */
+  /** Adjusts quota allocations first, so that the plan can use what was added to them. */
   private prepare(): PlanContext {
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
-    const used = teamUse(shard)
-    const others = shard.node.demandOfOthers(shard.name)
-    const unused = unusedCores(shard, used)
-    this.adjustQuotas(used, others.quotas, unused)
+    const usageByTeam = teamUsage(shard)
+    const demandOfOthers = shard.node.demandOfOthers(shard.name)
+    const unusedCores = countUnusedCores(shard, usageByTeam)
+    this.adjustQuotas(usageByTeam, demandOfOthers.quotas, unusedCores)
     return {
       now,
-      others,
-      used,
-      unusedCores: unused,
-      headroom: this.teamHeadroom(used, others.claims),
+      demandOfOthers,
+      usageByTeam,
+      unusedCores,
+      headroom: this.teamHeadroom(usageByTeam, demandOfOthers.claims),
       jobs: jobViews(shard, now),
-      share: this.shareOfFleet(),
+      fleetShare: this.fleetShare(),
       reserve: this.reserve(),
     }
   }
 
   private adjustQuotas(
-    used: ReadonlyMap<TeamName, QuotaHeadroom>,
+    usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>,
     quotas: ReadonlyArray<QuotaDemand>,
-    unused: number,
+    unusedCores: number,
   ): void {
     const { shard } = this.options
     const changes = this.quotas.adjust((team) =>
-      shareDemand(shard, team, used.get(team.name) ?? NO_QUOTA, quotas, unused),
+      allocationDemand(shard, team, usageByTeam.get(team.name) ?? ZERO_USAGE, quotas, unusedCores),
     )
     for (const change of changes) shard.node.fork(change)
   }
 
   private teamHeadroom(
-    used: ReadonlyMap<TeamName, QuotaHeadroom>,
+    usageByTeam: ReadonlyMap<TeamName, QuotaHeadroom>,
     claims: ShardDemand["claims"],
   ): TeamHeadroom {
     const headroom: TeamHeadroom = { startable: new Map(), rentable: new Map() }
     for (const team of this.options.shard.node.platform.deployment.teams) {
-      const { cores, accelerators } = used.get(team.name) ?? NO_QUOTA
-      const beyond = this.quotas.rentable(team, { cpus: cores, gpus: accelerators }, claims)
-      headroom.rentable.set(team.name, { cores: beyond.cpus, accelerators: beyond.gpus })
-      const share = this.quotas.allocated(team)
+      const { cores, accelerators } = usageByTeam.get(team.name) ?? ZERO_USAGE
+      const rentable = this.quotas.rentable(team, { cpus: cores, gpus: accelerators }, claims)
+      headroom.rentable.set(team.name, { cores: rentable.cpus, accelerators: rentable.gpus })
+      const allocated = this.quotas.allocated(team)
       headroom.startable.set(team.name, {
-        cores: share.cpus - cores,
-        accelerators: share.gpus - accelerators,
+        cores: allocated.cpus - cores,
+        accelerators: allocated.gpus - accelerators,
       })
     }
     return headroom
   }
 
-  /** The machines that the plan may use once those lent are left out. */
+  /** Lends empty machines to other shards; returns the machines that remain for the plan. */
   private lendEmptyMachines(
-    { now, others, share, reserve }: PlanContext,
+    { now, demandOfOthers, fleetShare, reserve }: PlanContext,
     jobs: ReadonlyArray<JobView>,
   ): ReadonlyArray<MachineView> {
     const { shard, lending } = this.options
-    const demands = others.machines
+    const demands = demandOfOthers.machines
     const machines = machineViews(shard, now, reserve, false)
-    const lentLately = lending.recentlyLent(now)
-    const loans = lend({ machines, jobs, demands, share, lentLately, reserve })
+    const recentlyLentSlots = lending.recentlyLentSlots(now)
+    const loans = lend({ machines, jobs, demands, share: fleetShare, lentLately: recentlyLentSlots, reserve })
     if (loans.length === 0) return machines
     this.lendAll(loans, demands)
     return machineViews(shard, now, reserve, false)
   }
 
-  /** Guards against machines that are drained for others, never lent, and of no use to our own work. */
+  /**
+   * Marks machines that are drained for other shards, and lends those that have become empty. Only servable
+   * and starved demands count: otherwise machines could be drained that are never lent and stay unused.
+   */
   private drainMachines(
-    { others }: PlanContext,
+    { demandOfOthers }: PlanContext,
     servable: ReadonlyArray<MachineDemand>,
     machines: ReadonlyArray<MachineView>,
   ): ReadonlyArray<MachineView> {
     const drained = this.draining.apply({
       machines,
-      demands: others.machines.filter((need) => need.rank >= STARVED_RANK || servable.includes(need)),
+      demands: demandOfOthers.machines.filter(
+        (demand) => demand.rank >= STARVED_RANK || servable.includes(demand),
+      ),
       unusedCores: this.unusedCores,
-      forStarved: this.hasMostMachines(),
+      mayDrainForStarved: this.hasMostMachines(),
     })
-    this.lendAll(this.draining.emptied(drained), others.machines)
+    this.lendAll(this.draining.emptiedLoans(drained), demandOfOthers.machines)
     return drained
   }
 
@@ -259,7 +268,7 @@
 
   private plan(context: PlanContext, machines: ReadonlyArray<MachineView>): Plan {
     const { node } = this.options.shard
-    const { now, others, headroom, jobs, reserve } = context
+    const { now, demandOfOthers, headroom, jobs, reserve } = context
     return plan({
       jobs,
       machines,
@@ -268,7 +277,7 @@
       types: [...(node.inventory.catalog()?.values() ?? [])],
       maxOnDemandCostRatio: node.operators.provisioning.maxOnDemandCostRatio,
       reserve,
-      otherShardsWait: others.machines.length > 0,
+      otherShardsWait: demandOfOthers.machines.length > 0,
       load: () => this.load(now),
       market: node.inventory.market(),
       rentalSize: MAX_MACHINES_PER_RENTAL,
@@ -276,63 +285,64 @@
     })
   }
 
-  /** Tasks run for many seconds: counting them all anew for each plan would say little more. */
+  /** Cached between plans: tasks run for many seconds, so a recount for each plan would change little. */
   private load(now: MonotonicTime): ClusterLoad {
-    if (this.lastLoad === null || now > addMs(this.lastLoad.at, LOAD_EVERY_MS))
-      this.lastLoad = { at: now, load: loadOf(this.options.shard, now) }
+    if (this.lastLoad === null || now > addMs(this.lastLoad.at, LOAD_REFRESH_INTERVAL_MS))
+      this.lastLoad = { at: now, load: clusterLoad(this.options.shard, now) }
     return this.lastLoad.load
   }
 
-  /** What the next plans and those who ask in between need of this one. */
-  private remember(decided: Plan, now: MonotonicTime): void {
-    this.hasUnplacedTasks = decided.unplaced.length > 0
-    this.idle = decided.idle
-    this.quotaLimitedJobs = decided.quotaLimited
-    this.unusedCores = decided.unusedCores
-    if (decided.onDemandNeeded) this.onDemandNeededAt = now
+  /** Keeps the results that the next plans and callers between plans use. */
+  private recordPlan(newPlan: Plan, now: MonotonicTime): void {
+    this.hasUnplacedTasks = newPlan.unplaced.length > 0
+    this.idleMachines = newPlan.idle
+    this.quotaLimitedJobs = newPlan.quotaLimited
+    this.unusedCores = newPlan.unusedCores
+    if (newPlan.onDemandNeeded) this.onDemandNeededAt = now
   }
 
   private preempt(
     { unplaced }: Plan,
     demands: ReadonlyArray<MachineDemand>,
-    { share, now }: PlanContext,
+    { fleetShare, now }: PlanContext,
   ): void {
     if (unplaced.length === 0 && !demands.some(({ pressing }) => pressing > 0)) return
-    const { shard, lending, commandsDue } = this.options
+    const { shard, lending, markCommandsDue } = this.options
     const machines = machineViews(shard, now, this.reserve(), true)
-    const lentLately = lending.recentlyLent(now)
-    preempt(shard, { unplaced, demands, share, lentLately, machines, now, commandsDue })
+    const recentlyLentSlots = lending.recentlyLentSlots(now)
+    preempt(shard, { unplaced, demands, fleetShare, recentlyLentSlots, machines, now, markCommandsDue })
   }
 
-  private publish(decided: Plan, { jobs, used, unusedCores: unused, headroom }: PlanContext): void {
+  private publish(newPlan: Plan, { jobs, usageByTeam, unusedCores, headroom }: PlanContext): void {
     const { shard } = this.options
-    const quotaInput = { jobs, startable: headroom.startable, used, unusedCores: unused }
+    const quotaInput = { jobs, startableByTeam: headroom.startable, usageByTeam, unusedCores }
     shard.node.publishDemand(shard.name, {
-      machines: machineDemands(shard.name, decided.unplaced),
+      machines: machineDemands(shard.name, newPlan.unplaced),
       quotas: quotaDemands(shard, quotaInput).filter(({ team }) => !this.quotas.isYielding(team)),
-      claims: teamClaims(shard, used, decided.claims),
+      claims: teamClaims(shard, usageByTeam, newPlan.claims),
     })
   }
 
+  /** Whether no shard has more machines than this one, which has more than one. */
   private hasMostMachines(): boolean {
     const { machines, node } = this.options.shard
-    const ours = machines.size
-    return ours > 1 && node.membership.shards.every((shard) => node.machineIndex.size(shard) <= ours)
+    const ownCount = machines.size
+    return ownCount > 1 && node.membership.shards.every((shard) => node.machineIndex.size(shard) <= ownCount)
   }
 
-  /** How much of the machines that could be lent to somebody is ours to lend. */
-  private shareOfFleet(): number {
+  /** Fraction of the lendable machines that this shard owns; the deadline shard's count only for itself. */
+  private fleetShare(): number {
     const { name: shard, machines, node } = this.options.shard
-    const all =
+    const candidateCount =
       shard === DEADLINE_SHARD
         ? node.machineIndex.total
         : node.machineIndex.total - node.machineIndex.size(DEADLINE_SHARD)
-    return all === 0 ? 1 : Math.min(1, machines.size / all)
+    return candidateCount === 0 ? 1 : Math.min(1, machines.size / candidateCount)
   }
 
   private logStatus(now: MonotonicTime): void {
-    if (now < addMs(this.statusAt, STATUS_EVERY_MS)) return
-    this.statusAt = now
+    if (now < addMs(this.lastStatusLogAt, STATUS_LOG_INTERVAL_MS)) return
+    this.lastStatusLogAt = now
     const { shard, registry } = this.options
     logShardStatus(shard, registry, machineViews(shard, now, this.reserve(), true))
   }
--- a/packages/shard/src/shard-status.ts
+++ b/packages/shard/src/shard-status.ts
@@ -1,10 +1,10 @@
-/** Once in a while, for those on call: how much capacity a shard has and what waits for it. */
+/** Periodic status log line of a shard: its capacity and its queued tasks. */
 
 import type { MachineView } from "@sorreltally/planner"
 import type { JobRegistry } from "./job-registry.ts"
 import type { ShardView } from "./shard-context.ts"
 
-/** The status line's fields, which are settled: those who read the log rely on them. */
+/** Fields of the status line by machine state. Operators' tools rely on these names. */
 const LOG_FIELD_OF_STATE = {
   ready: "up",
   booting: "coming",
@@ -12,7 +12,7 @@
   unavailable: "away",
 } as const
 
-/** `machines`: all of the shard's, full ones as well. */
+/** Logs the status line. `machines`: all machines of the shard, including full ones. */
 export const logShardStatus = (
   shard: ShardView,
   registry: JobRegistry,
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -75,7 +75,7 @@
     job.retryAfter = null
     failures.succeeded(job.id, session.id)
     if (placement.runningSince !== null && placement.stop === null)
-      node.estimates.learn(job.spec, (now - placement.runningSince) / 1000)
+      node.estimates.record(job.spec, (now - placement.runningSince) / 1000)
   }
 
   private taskCleared(
--- a/scenarios/limits-cancelled-hung.sexp
+++ b/scenarios/limits-cancelled-hung.sexp
@@ -7,5 +7,5 @@
   (at 31 (crash host-0 0.3))
   (at 40 (crash host-0 0.3) (crash host-1 3))
   (expect (withdrawn 2) (all-over) (happened leaderChangesAtLimit 7) (happened cancelledOutOfReach 32))
-  (guard "packages/shard/src/planner-input.ts" "use.cores += job.spec.cores * job.placements.size"
-    "use.cores += job.cancelled ? 0 : job.spec.cores * job.placements.size"))
+  (guard "packages/shard/src/planner-input.ts" "usage.cores += job.spec.cores * job.placements.size"
+    "usage.cores += job.cancelled ? 0 : job.spec.cores * job.placements.size"))
--- a/scenarios/overload-slow-links.sexp
+++ b/scenarios/overload-slow-links.sexp
@@ -6,4 +6,4 @@
   (at 20 (submit pieces 20 cores 8 run 20 owner blue urgency best_effort lane sweep due 500))
   (expect (all-over) (served) (largest-begun-within 240) (begun-within 240) (happened overloadedOnSlowLinks 700))
   (guard "packages/planner/src/placement-pass.ts" "for (const job of jobs) if (isOverdue(job)) place(job, tasksToBegin(job))" "")
-  (guard "packages/shard/src/machine-demand.ts" "rank: STARVED_RANK," "rank: first.rank,"))
+  (guard "packages/shard/src/machine-demand.ts" "rank: STARVED_RANK," "rank: firstJob.rank,"))
--- a/scenarios/quota.sexp
+++ b/scenarios/quota.sexp
@@ -6,5 +6,5 @@
   (at 100 (submit pieces 12 cores 4 run 15 urgency high due 100))
   (expect (all-over))
   (guard "packages/shard/src/planner-input.ts"
-    "use.cores += job.spec.cores * job.placements.size"
-    "use.cores += 0"))
+    "usage.cores += job.spec.cores * job.placements.size"
+    "usage.cores += 0"))
