--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -52,7 +52,7 @@
   return usageByTeam
 }
 
-/** Cores of the shard's machines, and cores of running tasks by the second in which they should end. */
+/** Cores of the machines, and cores of running tasks by the second from now in which they should end. */
 export const clusterLoad = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
@@ -152,7 +152,7 @@
   return targets.sort((a, b) => a - b)
 }
 
-/** Seconds until the next reachable target: the deadline, or an objective at a multiple of it. */
+/** Seconds until the next reachable target: the deadline or, after it, an objective at a multiple of it. */
 const timeLeftS = (shard: ShardView, spec: JobSpec, ageS: number, executionS: number): number | null => {
   const { deadlineS, jobClass } = spec
   if (deadlineS == null) return null
