--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -61,7 +61,7 @@
       else shard.receiveHeartbeat(heartbeat, from, respond)
     }
     const whole = (repeat: RepeatedHeartbeat) =>
-      this.shardControllerOf(repeat.machineId)?.repeated(repeat) ?? null
+      this.shardControllerOf(repeat.machineId)?.expandRepeat(repeat) ?? null
     this.options.forwarder.receivedHeartbeats(from, message, take, whole)
   }
 
--- a/packages/controller/src/running-shards.ts
+++ b/packages/controller/src/running-shards.ts
@@ -68,7 +68,7 @@
   }
   /** Lets every shard but the named one plan again soon. */
   wakeAll(except: ShardName | null): void {
-    for (const [name, { shard }] of this.running) if (name !== except) shard.wake()
+    for (const [name, { shard }] of this.running) if (name !== except) shard.requestPlan()
   }
   /** Whether any shard has jobs or machines. */
   get haveWork(): boolean {
--- a/packages/shard/src/command-delivery.ts
+++ b/packages/shard/src/command-delivery.ts
@@ -1,58 +1,58 @@
 /**
- * Sends commands that can't wait for the next heartbeat's reply directly to the workers. A command may be late,
- * lost or repeated: it carries the fencing token and agent epoch it was made for, a worker refuses lower ones,
- * and the session treats a start without a response as one that may still be carried out.
+ * Sends commands that can't wait for the reply to the next heartbeat directly to the workers. A command may
+ * be late, lost or repeated. It carries the fencing token and agent epoch it was made for, and a worker
+ * refuses lower ones; the session treats a start without a response as one that may still take effect.
  */
 import { NOT_SENT } from "@sorreltally/peers"
 import { addMs, type Heartbeat, type MachineId } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 import { Effect } from "effect"
-import { fenceWhereNeeded } from "./fencing.ts"
+import { fenceIfNeeded } from "./fencing.ts"
 import type { TaskOutcomes } from "./task-outcomes.ts"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
-/** A worker that gave no response gets no direct commands for this long; its heartbeats' replies carry them. */
-const COMMANDS_BACKOFF_MS = 4_000
-const OK = 200
-/** The worker refused the commands: its agent epoch or fencing token is higher. */
-const CONFLICT = 409
+/** After a request without a response, the worker gets commands only in heartbeat replies for this long. */
+const DIRECT_COMMANDS_BACKOFF_MS = 4_000
+const HTTP_OK = 200
+/** The worker refused the commands, because its agent epoch or fencing token is higher. */
+const HTTP_CONFLICT = 409
 
-/** Commands from one shard to its workers' own addresses. */
+/** Sends commands of one shard to the addresses of its workers. */
 export class CommandDelivery {
-  /** Machines that need commands before their next heartbeat. */
-  private readonly awaitingCommands = new Set<WorkerSession>()
-  /** Some of them wait for requests in flight to end: the node sends only so many at a time. */
+  /** Sessions of machines that need commands before their next heartbeat. */
+  private readonly sessionsWithCommandsDue = new Set<WorkerSession>()
+  /** Whether sessions wait because the node has reached its limit of command requests in flight. */
   private isThrottled = false
 
   constructor(
     private readonly context: WorkerCommunicationContext,
-    private readonly outcomes: TaskOutcomes,
-    /** Sends the machine's commands with its deferred reply; false: none is deferred. */
+    private readonly taskOutcomes: TaskOutcomes,
+    /** Sends the machine's commands in its deferred reply; returns false if no reply is deferred. */
     private readonly replyIfDeferred: (session: WorkerSession) => boolean,
   ) {}
 
-  /** The machine needs commands before its next heartbeat. */
-  commandsDue(machine: MachineId): void {
+  /** Marks a machine that needs commands before its next heartbeat. */
+  markCommandsDue(machine: MachineId): void {
     const session = this.context.machines.get(machine)
-    if (session !== undefined) this.awaitingCommands.add(session)
+    if (session !== undefined) this.sessionsWithCommandsDue.add(session)
   }
-  /** The machine has got its commands with a reply, or left the shard. */
-  notDue(session: WorkerSession): void {
-    this.awaitingCommands.delete(session)
+  /** Removes the mark, after a reply has carried the commands or the machine has left the shard. */
+  clearCommandsDue(session: WorkerSession): void {
+    this.sessionsWithCommandsDue.delete(session)
   }
 
-  /** Sends the commands that are due, as far as the node's limit of requests in flight goes. */
+  /** Sends the commands that are due, up to the node's limit of command requests in flight. */
   push(): void {
     if (!this.context.holdsLease()) return
     const now = this.context.node.clocks.monotonicNow()
-    for (const session of this.awaitingCommands) {
-      // The others get theirs with their next reply, or once a request in flight has ended.
+    for (const session of this.sessionsWithCommandsDue) {
+      // The remaining machines get their commands in the next reply, or after a request in flight has ended.
       this.isThrottled = this.context.node.commandsInFlight.full
       if (this.isThrottled) return
       if (this.replyIfDeferred(session)) continue
       if (session.commandsInFlight || session.address === null || session.agentEpoch === null) continue
-      this.awaitingCommands.delete(session)
-      // The fiber is the node's: a request under way ends by its own time limit, also when the shard is lost.
+      this.sessionsWithCommandsDue.delete(session)
+      // The node owns the fiber: a request in flight ends by its own time-out, even if the shard is lost.
       if (now >= session.commandsPausedUntil) this.context.node.fork(this.send(session))
     }
   }
@@ -62,7 +62,7 @@
       const { node, registry } = this.context
       const now = node.clocks.monotonicNow()
       const { address, agentEpoch, token } = session
-      // Checked again: the fiber may start later than it was forked.
+      // Checked again, since the fiber may start some time after the fork.
       if (session.commandsInFlight || address === null || agentEpoch === null || !this.context.holdsLease())
         return Effect.void
       const commands = session.commands(now, (task) => registry.finishIsDurable(task))
@@ -70,24 +70,24 @@
       session.recordDirectCommands(commands, now)
       const batch = { fencingToken: token, agentEpoch, commands }
       return Effect.map(node.commandForwarder.send(address, batch, session.via), ({ status, heartbeat }) => {
-        const isAnswered = status === OK || status === CONFLICT || status === NOT_SENT
-        session.recordDirectResult(commands, token, isAnswered)
+        const isOutcomeKnown = status === HTTP_OK || status === HTTP_CONFLICT || status === NOT_SENT
+        session.recordDirectResult(commands, token, isOutcomeKnown)
         if (this.context.isStopped() || this.context.machines.get(session.id) !== session) return
         this.applyResponse(session, heartbeat)
       })
     })
   }
 
-  /** `heartbeat`: the worker's state in its response; null: no response, or one without a state. */
+  /** `heartbeat` is the worker state in the response; null if there is no response or it contains none. */
   private applyResponse(session: WorkerSession, heartbeat: Heartbeat | null): void {
     const now = this.context.node.clocks.monotonicNow()
     if (heartbeat === null) {
-      session.commandsPausedUntil = addMs(now, COMMANDS_BACKOFF_MS)
+      session.commandsPausedUntil = addMs(now, DIRECT_COMMANDS_BACKOFF_MS)
       return
     }
     const outcomes = session.observe(heartbeat, "direct", now)
-    if (outcomes !== null) this.outcomes.apply(session, outcomes)
-    fenceWhereNeeded(this.context, session)
-    if (this.isThrottled || this.awaitingCommands.has(session)) this.push()
+    if (outcomes !== null) this.taskOutcomes.apply(session, outcomes)
+    fenceIfNeeded(this.context, session)
+    if (this.isThrottled || this.sessionsWithCommandsDue.has(session)) this.push()
   }
 }
--- a/packages/shard/src/fencing.ts
+++ b/packages/shard/src/fencing.ts
@@ -1,18 +1,18 @@
-/** When a machine's fencing token has to rise, and its preemption notice to be acted on. Writes nothing itself. */
+/** Decides when a machine's fencing token is raised and its preemption notice planned for; writes nothing. */
 import type { WorkerSession } from "@sorreltally/workers"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
 /**
- * After each heartbeat or response of a worker: raises its fencing token durably where only a higher token proves
- * what can't take effect any more, and has a preemption notice planned for.
+ * Called after each heartbeat or response of a worker. Has its fencing token raised durably if only a higher
+ * token can prove which commands no longer take effect, and requests a plan if there is a preemption notice.
  */
-export const fenceWhereNeeded = (context: WorkerCommunicationContext, session: WorkerSession): void => {
+export const fenceIfNeeded = (context: WorkerCommunicationContext, session: WorkerSession): void => {
   if (session.needsHigherToken() && !context.machineRecords.isEditing(session.id)) {
     if (session.unreachableSince !== null)
-      context.node.log.info("machine unreachable, fenced", { machine: session.id })
-    context.machineRecords.edit(session.id, { kind: "fence" }, (done) => {
-      if (done) session.tokenRaised()
+      context.node.log.info("raising fencing token of unreachable machine", { machine: session.id })
+    context.machineRecords.edit(session.id, { kind: "fence" }, (isRecorded) => {
+      if (isRecorded) session.tokenRaised()
     })
   }
-  if (session.preemptionAt !== null) context.changed()
+  if (session.preemptionAt !== null) context.requestPlan()
 }
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -1,6 +1,7 @@
 /**
- * One shard's jobs: restores them in a failover, follows the job index, and has placements and ends written down.
- * Never starts a task whose placement isn't durable, and never ends a job that has one that may still run.
+ * Jobs of one shard: restores them in a failover, follows the job index, and has placements and final states
+ * written to the store. It never lets a task start whose placement isn't durable, and never ends a job while
+ * one of its placements may still run.
  */
 import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
@@ -18,43 +19,43 @@
 import { Effect } from "effect"
 import type { NodeContext } from "./shard-context.ts"
 
-/** What the job registry reports to its shard. */
+/** Callbacks of the job registry. */
 export interface JobRegistryEvents {
-  /** These placements may be started now. */
-  readonly durable: (placements: ReadonlyArray<Placement>) => void
-  /** A job was accepted, or restored in a failover. */
-  readonly arrived: (spec: JobSpec) => void
-  /** There may be something to plan. */
-  readonly changed: () => void
-  /** The task is off its machine, or never got there. */
-  readonly release: (placement: Placement) => void
-  /** The worker on this machine has commands pending. */
-  readonly commandsDue: (machine: MachineId) => void
-  /** The job is over; none of its state is kept. */
-  readonly removed: (job: JobState) => void
-  /** Is the failover complete, so that the jobs' placements are known? */
+  /** The placements are durable: their tasks may be started. */
+  readonly onPlacementsDurable: (placements: ReadonlyArray<Placement>) => void
+  /** A job was added: newly accepted, or restored in a failover. */
+  readonly onJobAdded: (spec: JobSpec) => void
+  /** Requests a plan, after a change that may allow or require one. */
+  readonly requestPlan: () => void
+  /** Removes a placement from its machine: the task left the machine, or never reached it. */
+  readonly releasePlacement: (placement: Placement) => void
+  /** Marks a machine whose worker needs commands before its next heartbeat. */
+  readonly markCommandsDue: (machine: MachineId) => void
+  /** A job was removed after its end: state that is kept about it has to be discarded. */
+  readonly onJobRemoved: (job: JobState) => void
+  /** Whether failover is complete, so that the jobs' placements are known. */
   readonly isReady: () => boolean
 }
 
-/** What the job registry uses of its shard. */
+/** Options of the job registry. */
 export interface JobRegistryOptions {
   readonly shard: ShardName
-  /** The shard's epoch: it fences every write for the shard. */
+  /** Shard epoch; it fences every write for the shard. */
   readonly epoch: ModRevision
   readonly node: NodeContext
-  /** The shard's state is restored, and its node holds the lease to act for it. */
+  /** Whether failover is complete and the node holds its node lease. */
   readonly mayAct: () => boolean
   readonly events: JobRegistryEvents
 }
 
-/** One shard's jobs, from their acceptance or a failover to their end. */
+/** Jobs of one shard, from their acceptance or restoration to their end. */
 export class JobRegistry {
   readonly jobs = new Map<JobId, JobState>()
   private readonly shard: ShardName
   private readonly node: NodeContext
   private readonly events: JobRegistryEvents
   private readonly placementWriter: PlacementWriter
-  private readonly ends: JobEnds
+  private readonly jobEnds: JobEnds
   private readonly now: () => MonotonicTime
 
   constructor({ shard, epoch, node, mayAct, events }: JobRegistryOptions) {
@@ -71,9 +72,12 @@
       membership,
       now,
       active: mayAct,
-      events: { durable: events.durable, abandoned: (placement) => this.unplace(placement) },
+      events: {
+        durable: events.onPlacementsDurable,
+        abandoned: (placement) => this.abandonPlacement(placement),
+      },
     })
-    this.ends = new JobEnds({
+    this.jobEnds = new JobEnds({
       shard,
       epoch,
       store,
@@ -81,20 +85,20 @@
       jobIndex,
       now,
       active: mayAct,
-      events: { ended: (ends) => node.jobsEnded(ends), fold: (page) => node.foldJobs(page) },
+      events: { ended: (ends) => node.onJobsEnded(ends), fold: (page) => node.compactJobPage(page) },
     })
   }
 
-  /** Placement slots that hold a record. */
-  get slots(): number {
+  /** Number of placement slots that contain a record. */
+  get usedSlotCount(): number {
     return this.placementWriter.ledger.size
   }
-  /** Writes placements and ends down, for as long as its fiber runs: the shard's. */
+  /** Writes placements and final states to the store until it is interrupted; runs in the shard's fiber. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
-    Effect.all([this.placementWriter.run, this.ends.run], { concurrency: "unbounded", discard: true }),
+    Effect.all([this.placementWriter.run, this.jobEnds.run], { concurrency: "unbounded", discard: true }),
   )
 
-  /** Restores what a former owner left: the jobs in the job index, and the placements that its slots record. */
+  /** Restores the jobs from the job index, and the placements that former owners recorded in the slots. */
   restore(slots: ReadonlyArray<Entry<PlacementRecord>>): void {
     for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
@@ -105,43 +109,46 @@
     }
   }
 
-  /** Has a placement made durable; only then may its task be started. */
+  /** Queues a placement to be written to the store; its task may start only once the placement is durable. */
   place(placement: Placement): void {
     this.placementWriter.place(placement)
   }
 
-  /** The job index changed an entry, of any shard's jobs; null: the job is over. */
+  /** Handles a change of the job index, for a job of any shard; `entry` is null when the job has ended. */
   jobChanged(id: JobId, entry: LiveJob | null): void {
-    const known = this.jobs.get(id)
+    const existing = this.jobs.get(id)
     if (entry === null) {
-      // Only its owner ends a job: by a write of ours, or by one of ours that got no response.
-      if (known !== undefined) this.remove(known)
+      // Only the shard's owner ends a job: this node wrote the end, possibly without receiving the response.
+      if (existing !== undefined) this.remove(existing)
       return
     }
-    const { record, pageKey: page, modRevision } = entry
+    const { record, pageKey, modRevision } = entry
     if (shardOf(id, record.spec.deadlineS != null, this.node.nodeCount) !== this.shard) return
-    if (known === undefined) {
-      const job = new JobState(id, record, page, modRevision)
+    if (existing === undefined) {
+      const job = new JobState(id, record, pageKey, modRevision)
       this.jobs.set(id, job)
-      this.events.arrived(record.spec)
-      // During a failover its placements aren't read yet: a cancelled job would seem to have none.
-      if (this.events.isReady() && job.awaitsFinalState) this.settle(job)
-      this.events.changed()
+      this.events.onJobAdded(record.spec)
+      // During failover the placements aren't read yet, so a cancelled job would appear to have none.
+      if (this.events.isReady() && job.awaitsFinalState) this.recordProgress(job)
+      this.events.requestPlan()
       return
     }
-    if (modRevision > known.modRevision) known.modRevision = modRevision
-    if (record.cancelled && !known.cancelled) this.cancel(known)
+    if (modRevision > existing.modRevision) existing.modRevision = modRevision
+    if (record.cancelled && !existing.cancelled) this.cancel(existing)
   }
 
-  /** A task of the job finished or was cleared, or the job was cancelled. */
-  settle(job: JobState): void {
+  /**
+   * Has the job's final state written if it is due, otherwise its finished tasks. Called after a task
+   * finished or left its machine, after a cancellation, and after a failover.
+   */
+  recordProgress(job: JobState): void {
     if (job.finalized) return
     if (!job.awaitsFinalState) return this.placementWriter.recordFinishes(job)
     this.placementWriter.discardFinishes(job)
-    this.ends.add(job)
+    this.jobEnds.add(job)
   }
 
-  /** Is the task's result durable, so that its worker may purge the task? */
+  /** Whether the task's result is durable, so that its worker may purge the task. */
   finishIsDurable(task: TaskId): boolean {
     const { job, index } = splitTaskId(task)
     return this.jobs.get(job)?.finishIsDurable(index) ?? true
@@ -151,29 +158,29 @@
     job.cancelled = true
     const since = this.now()
     for (const placement of [...job.placements.values()]) {
-      if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.unplace(placement)
+      if (!placement.durable && !this.placementWriter.isInFlight(placement)) this.abandonPlacement(placement)
       else {
         job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since })
-        this.events.commandsDue(placement.machine)
+        this.events.markCommandsDue(placement.machine)
       }
     }
-    this.settle(job)
-    this.events.changed()
+    this.recordProgress(job)
+    this.events.requestPlan()
   }
 
-  private unplace(placement: Placement): void {
-    this.events.release(placement)
+  private abandonPlacement(placement: Placement): void {
+    this.events.releasePlacement(placement)
     placement.job.clear(placement)
-    this.settle(placement.job)
-    this.events.changed()
+    this.recordProgress(placement.job)
+    this.events.requestPlan()
   }
 
   private remove(job: JobState): void {
     if (!this.jobs.delete(job.id)) return
     job.finalized = true
     this.placementWriter.discardFinishes(job)
-    for (const placement of job.placements.values()) this.events.release(placement)
-    this.events.removed(job)
-    this.events.changed()
+    for (const placement of job.placements.values()) this.events.releasePlacement(placement)
+    this.events.onJobRemoved(job)
+    this.events.requestPlan()
   }
 }
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -48,14 +48,14 @@
     const assignment = this.shard.assignments.get(id)
     if (
       assignment === undefined ||
-      assignment.moving ||
-      assignment.releasing ||
+      assignment.isMoving ||
+      assignment.isReleasing ||
       this.machineRecords.isEditing(id)
     )
       return
     if (!session.isEmpty(this.finishIsDurable) || session.unreachableSince !== null) return
     if (node.membership.owner(to) === null) return
-    assignment.moving = true
+    assignment.isMoving = true
     assignment.assignedJob = null
     const shape = demands.find((demand) => demand.shard === to)?.shape
     if (shape !== undefined) {
@@ -64,7 +64,7 @@
     }
     const handoff = session.handoff(node.clocks.monotonicNow())
     this.machineRecords.edit(id, { kind: "move", to }, (moved) => {
-      assignment.moving = false
+      assignment.isMoving = false
       if (!moved) return
       node.log.debug("machine lent", { machine: id, to })
       node.handOff(to, id, handoff)
--- a/packages/shard/src/machine-adoption.ts
+++ b/packages/shard/src/machine-adoption.ts
@@ -1,7 +1,8 @@
 /**
- * Adoption: records the machines that the cloud lists and no record names, rented by a node that ended before it
- * had recorded them, or there from the start. Only the shard for jobs with deadlines adopts, so that two owners
- * don't adopt the same machine; a record that is written twice all the same is refused by its condition.
+ * Adoption: records machines that the cloud lists and that have no record. They were rented by a node that
+ * stopped before it had recorded them, or existed from the start. Only the shard for jobs with deadlines
+ * adopts machines, so that two owners don't adopt the same one; if a record is written twice nevertheless,
+ * the condition of the second write fails.
  */
 import type { ListedMachine, MachineId } from "@sorreltally/protocol"
 import { ADOPTED, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
@@ -9,60 +10,61 @@
 import type { ShardView } from "./shard-context.ts"
 
 /**
- * A listed machine without a record may be another node's rental that is still being recorded; hardly so at
- * this age, or once it runs. (Adopted too early, one of its two records is refused.)
+ * A listed machine without a record may have been rented by another node that is still recording it. This is
+ * unlikely at this age, or once the machine is running. (If it is adopted too early, one of its two records
+ * is refused.)
  */
 const MIN_ADOPTION_AGE_S = 10
 
-/** Records unknown machines for one shard. */
+/** Records listed machines that have no record, for one shard. */
 export class MachineAdoption {
-  /** `recording`: machines whose records are being written; shared with the rental requests. */
+  /** `beingRecorded`: machines whose records are being written, a set shared with the rental requests. */
   constructor(
     private readonly shard: ShardView,
     private readonly machineRecords: MachineRecordWriter,
-    private readonly recording: Set<MachineId>,
+    private readonly beingRecorded: Set<MachineId>,
   ) {}
 
-  /** Adopts what the list and the records, read after it, say; does nothing when the store can't be read. */
+  /** Adopts listed machines that have no record after a read barrier; does nothing if the barrier fails. */
   readonly adopt: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const { inventory, membership } = this.shard.node
-      if (!inventory.listedHere.some((machine) => this.isUnknown(machine))) return
-      // A record may have been written that the replica doesn't show yet.
-      const barrier = yield* Effect.result(membership.readBarrier.wait)
-      if (Result.isFailure(barrier)) return
+      if (!inventory.listedHere.some((machine) => this.isAdoptable(machine))) return
+      // A record may have been written that the replica doesn't contain yet.
+      const barrierResult = yield* Effect.result(membership.readBarrier.wait)
+      if (Result.isFailure(barrierResult)) return
       const groups = new Map<string, Array<ListedMachine>>()
       for (const machine of inventory.listedHere) {
-        if (!this.isUnknown(machine)) continue
-        const origin = blockSeries(ADOPTED, machine)
-        const group = groups.get(origin)
-        if (group === undefined) groups.set(origin, [machine])
+        if (!this.isAdoptable(machine)) continue
+        const series = blockSeries(ADOPTED, machine)
+        const group = groups.get(series)
+        if (group === undefined) groups.set(series, [machine])
         else group.push(machine)
       }
-      for (const group of groups.values()) this.record(group)
+      for (const group of groups.values()) this.recordGroup(group)
     }),
   )
 
-  private isUnknown(machine: ListedMachine): boolean {
+  private isAdoptable(machine: ListedMachine): boolean {
     const { machineIndex } = this.shard.node
     return (
-      !this.recording.has(machine.id) &&
+      !this.beingRecorded.has(machine.id) &&
       machineIndex.get(machine.id) === undefined &&
       !machineIndex.gone.has(machine.id) &&
       (machine.ageS >= MIN_ADOPTION_AGE_S || machine.status === "running")
     )
   }
 
-  /** Records machines of one origin: of the same type, zone and price model. */
-  private record(group: ReadonlyArray<ListedMachine>): void {
+  /** Records machines of one series, which have the same type, zone and price model. */
+  private recordGroup(group: ReadonlyArray<ListedMachine>): void {
     const { clocks, log } = this.shard.node
     const { machineType, zone, spot, ageS } = group[0]!
     const ids = group.map((machine) => machine.id)
-    for (const id of ids) this.recording.add(id)
-    log.info("machines adopted", { count: ids.length, machineType, zone, spot, first: ids[0] })
+    for (const id of ids) this.beingRecorded.add(id)
+    log.info("adopting machines", { count: ids.length, machineType, zone, spot, firstMachine: ids[0] })
     const rentedAt = clocks.wallNow() - ageS * 1000
     this.machineRecords.add({ machineType, zone, spot, rentedAt, ids }, true, () => {
-      for (const id of ids) this.recording.delete(id)
+      for (const id of ids) this.beingRecorded.delete(id)
     })
   }
 }
--- a/packages/shard/src/machine-checks.ts
+++ b/packages/shard/src/machine-checks.ts
@@ -1,24 +1,24 @@
-/** Periodic checks of a shard's machines by the clock: workers' leases and preemption notices. */
+/** Periodic checks of a shard's machines that depend on time only: agent leases and preemption notices. */
 import type { MachineId } from "@sorreltally/protocol"
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import type { ReleaseReason } from "./machine-release.ts"
 import type { ShardView } from "./shard-context.ts"
 
-/** Time in s that a stop needs to reach its worker, beside the checkpoint: a heartbeat and the command. */
+/** Time in s for a stop to reach its worker (a heartbeat and the command), in addition to the checkpoint. */
 const STOP_DELAY_S = 3
 
-/** What the checks have their shard do. */
+/** Options and callbacks of the checks. */
 export interface MachineChecksOptions {
   readonly shard: ShardView
-  /** Applies what a lease's expiry proves of the machine's tasks. */
-  readonly apply: (session: WorkerSession, outcomes: ReadonlyArray<Outcome>) => void
-  /** Releases a machine, whatever runs on it. */
-  readonly release: (session: WorkerSession, reason: ReleaseReason) => void
-  /** The machine needs commands before its next heartbeat. */
-  readonly commandsDue: (machine: MachineId) => void
+  /** Applies the outcomes that the expiry of an agent lease proves. */
+  readonly applyOutcomes: (session: WorkerSession, outcomes: ReadonlyArray<Outcome>) => void
+  /** Releases a machine, even if tasks run on it. */
+  readonly releaseMachine: (session: WorkerSession, reason: ReleaseReason) => void
+  /** Marks a machine that needs commands before its next heartbeat. */
+  readonly markCommandsDue: (machine: MachineId) => void
 }
 
-/** Checks one shard's machines. */
+/** Checks the machines of one shard. */
 export class MachineChecks {
   constructor(private readonly options: MachineChecksOptions) {}
 
@@ -28,37 +28,40 @@
     this.checkPreemptionNotices()
   }
 
-  /** A worker whose lease has surely run out has killed its tasks: they are queued again. */
+  /** Requeues the tasks of workers whose agent lease has certainly expired, since they killed their tasks. */
   private expireLeases(): void {
-    const { shard, apply, release } = this.options
+    const { shard, applyOutcomes, releaseMachine } = this.options
     const now = shard.node.clocks.monotonicNow()
     for (const session of shard.machines.values()) {
       if ((!session.isUp && session.placements.size === 0) || !session.isLeaseExpired(now)) continue
-      const tasks = session.placements.size
-      const ended = session.expireLease()
-      if (ended.length > 0 || tasks === 0)
-        shard.node.log.info("agent lease expired", { machine: session.id, tasks })
-      apply(session, ended)
-      // What is left may still start there: only the machine's deletion proves at once that it can't.
-      if (session.placements.size > 0) release(session, "lease expired with a start in flight")
+      const placedTaskCount = session.placements.size
+      const outcomes = session.expireLease()
+      if (outcomes.length > 0 || placedTaskCount === 0)
+        shard.node.log.info("agent lease expired", { machine: session.id, tasks: placedTaskCount })
+      applyOutcomes(session, outcomes)
+      // The remaining tasks may still start there: only the machine's deletion rules this out immediately.
+      if (session.placements.size > 0) releaseMachine(session, "lease expired with a start in flight")
     }
   }
 
-  /** Machines with a preemption notice: tasks that checkpoint do so in time, the others run on until the end. */
+  /**
+   * On machines with a preemption notice, stops the tasks with checkpoints early enough to save one; the
+   * others run until the preemption.
+   */
   private checkPreemptionNotices(): void {
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
     for (const session of shard.machines.values()) {
       if (session.preemptionAt === null) continue
-      const leftS = (session.preemptionAt - now) / 1000
+      const remainingS = (session.preemptionAt - now) / 1000
       for (const placement of session.placements.values()) {
         const { checkpointIntervalS, checkpointSaveS } = placement.job.spec
         if (placement.stop !== null || checkpointIntervalS === 0) continue
-        // Heartbeats, and the stop itself, take time too.
-        if (leftS >= checkpointSaveS + STOP_DELAY_S) continue
-        const gracePeriodS = Math.max(checkpointSaveS, leftS)
+        // The stop reaches the worker only after a heartbeat and the command.
+        if (remainingS >= checkpointSaveS + STOP_DELAY_S) continue
+        const gracePeriodS = Math.max(checkpointSaveS, remainingS)
         placement.job.stop(placement, { reason: "drain", gracePeriodS, since: now })
-        this.options.commandsDue(session.id)
+        this.options.markCommandsDue(session.id)
       }
     }
   }
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -1,23 +1,23 @@
-/** Health checks of machines: which are gone or broken. Pure: reads the shard's state and changes nothing. */
+/** Health checks that find lost and faulty machines. They read the shard's state and change nothing. */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import type { WorkerSession } from "@sorreltally/workers"
 import type { FaultReason } from "./machine-release.ts"
 import type { ShardView } from "./shard-context.ts"
 
-/** A machine that hasn't come up after this many times its type's boot time is released. */
+/** A machine that isn't up after this multiple of its type's boot time is released. */
 const BOOT_OVERDUE_FACTOR = 2.5
-/** Heartbeat intervals after which a heartbeat is overdue: the interval varies by a quarter. */
+/** Number of heartbeat intervals after which a heartbeat is overdue; the interval varies by a quarter. */
 const HEARTBEAT_OVERDUE_FACTOR = 1.35
-/** A machine that stays unreachable this long is released. */
+/** A machine that stays unreachable for this long is released. */
 const MAX_UNREACHABLE_MS = 12_000
 /** A machine that isn't listed counts as vanished only after this long without a heartbeat. */
 const MIN_VANISHED_SILENCE_MS = 4_000
-/** Beyond three times the list's lag and a poll interval, a list is too old to conclude anything from it. */
+/** A list older than three times the list lag plus a poll interval plus this slack proves nothing. */
 const LIST_FRESHNESS_SLACK_MS = 4_000
-/** Beyond four times the list's lag and a poll interval, a rented machine should have been listed. */
+/** A rented machine should be listed after four times the list lag plus a poll interval plus this slack. */
 const FIRST_LISTING_SLACK_MS = 2_000
 
-/** Why a machine is to be released at once; null: it is healthy, as far as can be seen. */
+/** Returns why a machine has to be released immediately, or null if no fault was found. */
 export const releaseReason = (
   shard: ShardView,
   session: WorkerSession,
@@ -30,7 +30,8 @@
   const ageMs = now - rentedAt
   const isListFresh =
     inventory.listedAt > addMs(now, -3 * listLagMs - LIST_FRESHNESS_SLACK_MS - inventory.pollMs)
-  // Neither listed nor heard: the response to its deletion proves it gone, which the list alone doesn't.
+  // Neither listed nor sending heartbeats. The list alone doesn't prove that the machine is gone; the
+  // response to its deletion does.
   if (listed === undefined && isListFresh && session.silentMs(now) > MIN_VANISHED_SILENCE_MS) {
     const shouldBeListed =
       inventory.everListed.has(session.id) ||
@@ -40,7 +41,8 @@
   if (listed?.status === "failed") return "failed"
   if (shard.failures.isFaulty(session.id)) return "faulty"
   if (isPreempted(session, platform.deployment.workers.heartbeatIntervalS, now)) return "preempted"
-  // A new owner hasn't heard machines that are long up either: the list has to show it as booting.
+  // A new owner may not have received a heartbeat of a machine that has been up for long either, so the list
+  // has to show the machine as booting.
   const isBootOverdue = ageMs > session.type.bootS * BOOT_OVERDUE_FACTOR * 1000
   if (isBootOverdue && session.lastHeard === NEVER && listed?.status === "booting" && isListFresh)
     return "never booted"
@@ -49,7 +51,7 @@
   return null
 }
 
-/** Its preemption notice has run out and its heartbeat is overdue: known sooner than by the lagging list. */
+/** Whether the preemption time has passed and the heartbeat is overdue; the lagging list shows it later. */
 const isPreempted = (session: WorkerSession, heartbeatIntervalS: number, now: MonotonicTime): boolean => {
   const overdueMs = HEARTBEAT_OVERDUE_FACTOR * 1000 * heartbeatIntervalS
   return session.preemptionAt !== null && now > session.preemptionAt && session.silentMs(now) > overdueMs
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -63,8 +63,8 @@
   release(session: WorkerSession, reason: ReleaseReason): void {
     const { assignments, node } = this.options.shard
     const assignment = assignments.get(session.id)
-    if (assignment === undefined || assignment.releasing) return
-    assignment.releasing = true
+    if (assignment === undefined || assignment.isReleasing) return
+    assignment.isReleasing = true
     node.log.info("machine released", { machine: session.id, reason, tasks: session.placements.size })
     this.releasing.set(session.id, session)
     this.signal.notify()
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -48,7 +48,8 @@
       if (assignment !== undefined) assignment.assignedJob = assignedJob
     }
     for (const rental of rentals) this.options.rentals().scaleOut(rental)
-    if (onDemandNeeded) for (const assignment of shard.assignments.values()) assignment.closing = false
+    if (onDemandNeeded)
+      for (const assignment of shard.assignments.values()) assignment.isDrainingForRelease = false
   }
 
   /** Places the job's next queued task; none if the machine is gone or its agent is unknown. */
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -53,7 +53,7 @@
 export const loadOf = (shard: ShardView, now: MonotonicTime): ClusterLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
-    if (!shard.assignments.get(id)!.releasing) cores += type.cores
+    if (!shard.assignments.get(id)!.isReleasing) cores += type.cores
   const ending = new Array<number>(HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
@@ -198,12 +198,12 @@
   assignment: MachineAssignment,
   now: MonotonicTime,
 ): MachineView["state"] => {
-  if (assignment.releasing || assignment.moving || session.preemptionAt !== null) return "unavailable"
-  if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
+  if (assignment.isReleasing || assignment.isMoving || session.preemptionAt !== null) return "unavailable"
+  if (session.isSchedulable(now)) return assignment.isDrainingForRelease ? "draining" : "ready"
   if (session.lastHeard !== NEVER) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const booting =
-    bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_HEARTBEATS_MS)
+    bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.ownedSince, FIRST_HEARTBEATS_MS)
   return booting ? "booting" : "unavailable"
 }
 
--- a/packages/shard/src/rentals.ts
+++ b/packages/shard/src/rentals.ts
@@ -99,7 +99,7 @@
     const round = this.scaleIn.begin(now)
     for (const session of shard.machines.values()) {
       const assignment = shard.assignments.get(session.id)!
-      if (assignment.releasing || assignment.moving) continue
+      if (assignment.isReleasing || assignment.isMoving) continue
       const reason = releaseReason(shard, session, assignment.rentedAt, now)
       if (reason !== null) this.release(session, reason)
       else if (session.isUp) this.scaleIn.consider(round, session, assignment)
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -52,7 +52,7 @@
   /** Opens a round; `consider` takes each healthy machine that is up, `finish` releases those found due. */
   begin(now: MonotonicTime): ScaleInRound {
     const { shard } = this.options
-    const { machines: demands } = shard.node.demandOfOthers(shard.name)
+    const { machines: demands } = shard.node.demandOfOtherShards(shard.name)
     const windowMs = shard.node.operators.provisioning.windowS * 1000
     let hasSpotUp = false
     for (const session of shard.machines.values()) hasSpotUp ||= session.entry.spot && session.isUp
@@ -66,11 +66,11 @@
     const isWithinWindow =
       ageMs < MIN_BILLED_MS - RELEASE_LEAD_MS || ageMs % round.windowMs <= round.windowMs - RELEASE_LEAD_MS
     if (isWithinWindow) {
-      if (assignment.closing && session.placements.size === 0) release(session, "drained")
+      if (assignment.isDrainingForRelease && session.placements.size === 0) release(session, "drained")
       return
     }
     if (!session.entry.spot && round.hasSpotUp && !onDemandNeeded() && !isPressing(round.demands, session))
-      assignment.closing = true
+      assignment.isDrainingForRelease = true
     if (session.placements.size > 0 || assignment.assignedJob !== null) return
     if (round.startable.some((request) => slotsIn(request, session.type) > 0)) return
     // Guards against holding machines for queued work of which a team's limit lets nothing start.
@@ -101,7 +101,7 @@
     const { shard, release, lend } = this.options
     const { zone, spot } = session.entry
     const offer = { type: session.type, zone, spot }
-    const isClosing = shard.assignments.get(session.id)!.closing
+    const isClosing = shard.assignments.get(session.id)!.isDrainingForRelease
     const borrower = isClosing ? undefined : demands.find((demand) => allowed(demand.shape, offer))
     if (borrower === undefined) release(session, "window end")
     else lend(session, borrower.shard, demands)
--- a/packages/shard/src/shard-context.ts
+++ b/packages/shard/src/shard-context.ts
@@ -1,4 +1,4 @@
-/** What the modules of a shard share: their node's services, and the shard's state as they may read it. */
+/** Context of the modules of a shard: the node's services and a read-only view of the shard's state. */
 import type { CloudClient } from "@sorreltally/cloud"
 import type { InFlight } from "@sorreltally/concurrency"
 import type { CommandForwarder } from "@sorreltally/forwarding"
@@ -22,83 +22,88 @@
 import type { Effect } from "effect"
 import type { RunTimeEstimates } from "./run-time-estimates.ts"
 
-/** What the controller of a shard shares with the rest of its node. */
+/** Services and state of the node that its shard controllers use. */
 export interface NodeContext {
-  /** The platform's settings: deployment, addresses, this node's name and zone. */
+  /** Platform settings: deployment, addresses, name and zone of this node. */
   readonly platform: Platform
-  /** The operators' settings, with their defaults filled in. */
+  /** Operators' settings, with defaults applied. */
   readonly operators: Operators
-  /** Controller nodes of the deployment, up or not: it decides which shard a job belongs to. */
+  /** Number of controller nodes of the deployment, up or not; it determines which shard a job belongs to. */
   readonly nodeCount: number
   readonly store: StoreClient
   readonly cloud: CloudClient
-  /** For requests to workers' own addresses. */
+  /** Client for requests to workers at their own addresses. */
   readonly httpClient: HttpClient["Service"]
-  /** Requests with commands that are under way from this node, and their limit. */
+  /** Counter of this node's command requests in flight, with their limit. */
   readonly commandsInFlight: InFlight
-  /** Sends commands to workers, directly or through the node that a worker sends its heartbeats to. */
+  /** Sends commands to a worker, directly or through the node that receives the worker's heartbeats. */
   readonly commandForwarder: CommandForwarder
-  /** The node's lease, the shards' owners, and the replica of the store. */
+  /** Node lease, owners of the shards, and replica of the store. */
   readonly membership: Membership
-  /** The cloud's catalog, offers and list of machines; the list lags. */
+  /** The cloud's catalog, offers and machine list; the list lags behind. */
   readonly inventory: CloudInventory
-  /** All shards' machines, as the replica shows them. */
+  /** Machines of all shards, according to the replica. */
   readonly machineIndex: MachineIndex
-  /** Learned run times, shared by the node's shards. */
+  /** Run-time estimates, shared by the shards of this node. */
   readonly estimates: RunTimeEstimates
   readonly clocks: Clocks
   readonly log: Log
-  /** A request id that no rental request had before: the cloud's idempotency key. */
+  /** Returns an unused id for a rental request; the cloud uses it as idempotency key. */
   readonly nextRentalRequestId: () => RentalRequestId
-  /** The demand of all shards but `except`, as last published; may be out of date. */
-  readonly demandOfOthers: (except: ShardName) => ShardDemand
+  /** Returns the latest published demand of all shards except `except`; it may be out of date. */
+  readonly demandOfOtherShards: (except: ShardName) => ShardDemand
   /** Publishes a shard's demand to the other shards, on this node and on others. */
   readonly publishDemand: (shard: ShardName, demand: ShardDemand) => void
   /**
-   * Hands a machine off to its new owner before the watch shows the move; null: nothing is known of its worker.
-   * May be lost or late: it is unverified state, good for sending commands and no proof of anything.
+   * Hands a machine off to its new owner before the watch delivers the move; `handoff` is null when the state
+   * of its worker is unknown. A hand-off may be lost or late: it is unverified state, sufficient for sending
+   * commands but no proof.
    */
   readonly handOff: (to: ShardName, id: MachineId, handoff: MachineHandoff | null) => void
-  /** All shards' jobs, as the replica shows them. */
+  /** Jobs of all shards, according to the replica. */
   readonly jobIndex: JobIndex
-  /** These jobs are over, durably. */
-  readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
-  /** Rewrites a page of the job store without the jobs that are over. */
-  readonly foldJobs: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
+  /** Called after the final states of these jobs became durable. */
+  readonly onJobsEnded: (ends: ReadonlyArray<JobEnd>) => void
+  /** Rewrites a job page without the jobs that have ended. */
+  readonly compactJobPage: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
   /**
-   * Runs an effect in a fiber that the node owns: it outlives the shard, nothing interrupts it, and its failure is
-   * logged. So it must end by itself, by time limits, and check before it acts that the shard isn't lost.
+   * Runs an effect in a fiber that the node owns: it outlives the shard, is never interrupted, and its
+   * failure is logged. The effect must therefore end by its own time-outs, and check before it acts that the
+   * node has not lost the shard.
    */
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
-/** What the owner knows of a machine beside its worker's session; not stored, so lost in a failover. */
+/** Owner's state of a machine besides the worker session; it isn't stored and is lost in a failover. */
 export interface MachineAssignment {
-  /** The job that the machine is kept for; null: any job's tasks may use it. */
+  /** Job that the machine is reserved for; null when tasks of any job may use it. */
   assignedJob: JobId | null
-  /** When it was rented, by this node's monotonic clock. */
+  /** When the machine was rented, by this node's monotonic clock. */
   readonly rentedAt: MonotonicTime
-  /** Since when this owner knows it: a machine long rented may have been heard by the former owner alone. */
-  readonly knownSince: MonotonicTime
-  /** Its deletion was decided; there is no way back. */
-  releasing: boolean
-  /** An on-demand machine that takes no new tasks and is released when it is empty. */
-  closing: boolean
-  /** Its move to another shard is being written. */
-  moving: boolean
+  /**
+   * When this owner added the machine. It differs from `rentedAt`: a machine rented long ago may have sent
+   * its heartbeats only to the former owner.
+   */
+  readonly ownedSince: MonotonicTime
+  /** Whether its deletion was decided; this is irrevocable. */
+  isReleasing: boolean
+  /** Whether it is an on-demand machine that takes no new tasks and is released once it is empty. */
+  isDrainingForRelease: boolean
+  /** Whether its move to another shard is being written. */
+  isMoving: boolean
 }
 
-/** A shard's state as others read it: enough to plan from. */
+/** Read-only view of a shard's state, sufficient for planning. */
 export interface ShardView {
   readonly name: ShardName
   readonly node: NodeContext
-  /** Jobs that aren't over. */
+  /** Jobs that have not ended. */
   readonly jobs: ReadonlyMap<JobId, JobState>
-  /** The shard's recorded machines, up or not. */
+  /** Recorded machines of the shard, up or not. */
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
-  /** One for each of `machines`. */
+  /** One assignment for each entry of `machines`. */
   readonly assignments: ReadonlyMap<MachineId, MachineAssignment>
-  /** Rentals that are decided and whose machines aren't recorded yet. */
+  /** Planned rentals whose machines are not recorded yet. */
   readonly pendingRentals: ReadonlyMap<RentalRequestId, PlannedRental>
   readonly failures: FailureTracker
 }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -1,7 +1,7 @@
 /**
- * Everything one shard's owner does: its jobs, its machines, and the control loops that reconcile the actual
- * state with the desired one. Never acts before failover is complete or without the node's lease: both are
- * checked before each plan, reply, command and write.
+ * Controller of one shard on its owner: the shard's jobs, its machines, and the control loops that reconcile
+ * the actual state with the desired state. It never acts before failover is complete or without the node
+ * lease: both are checked before each plan, reply, command and write.
  */
 import { Signal } from "@sorreltally/concurrency"
 import { FailureTracker, type JobState, type Placement } from "@sorreltally/jobs"
@@ -31,16 +31,19 @@
 import { ShardPlanning } from "./shard-planning.ts"
 import { WorkerCommunication } from "./worker-communication.ts"
 
-/** Between two plans at least. */
+/** Minimum pause between two plans. */
 const MIN_PLAN_PAUSE_MS = 120
-/** After a plan, other work has the processor for this many times what the plan took. */
+/** The pause after a plan is at least this many times its duration, to leave processor time to other work. */
 const PLAN_PAUSE_FACTOR = 4
-/** A plan is made at least this often. */
+/** After this wait a plan is made even if none was requested. */
 const MAX_PLAN_WAIT_MS = 1_000
-/** Leases, preemption notices and preemption are checked this often. */
+/** Interval between checks of agent leases, preemption notices and preemption. */
 const CHECK_INTERVAL_MS = 700
 
-/** Controller of one shard. Lives from a failover until the shard is lost; a shard acquired again gets a new one. */
+/**
+ * Controller of one shard. It exists from a failover until the node loses the shard; when the node acquires
+ * the shard again, a new controller is created.
+ */
 export class ShardController implements ShardView {
   readonly failures = new FailureTracker()
   private readonly planSignal = new Signal()
@@ -52,13 +55,13 @@
   private readonly planning: ShardPlanning
   private readonly workers: WorkerCommunication
   private readonly checks: MachineChecks
-  private checkedAt: MonotonicTime = NEVER
-  /** Failover is complete, and the shard isn't lost. */
+  private lastCheckAt: MonotonicTime = NEVER
+  /** Whether failover is complete and the node has not lost the shard. */
   private isReady = false
   private isStopped = false
-  private unsubscribe: ReadonlyArray<() => void> = []
+  private unsubscribers: ReadonlyArray<() => void> = []
 
-  /** `epoch`: the shard epoch under which the node `node` acquired the shard `name`. */
+  /** `epoch` is the shard epoch under which `node` acquired the shard `name`. */
   constructor(
     readonly name: ShardName,
     readonly epoch: ModRevision,
@@ -73,9 +76,9 @@
     this.rentals = this.makeRentals()
     this.checks = new MachineChecks({
       shard: this,
-      apply: (session, outcomes) => this.workers.apply(session, outcomes),
-      release: (session, reason) => this.rentals.release(session, reason),
-      commandsDue: (machine) => this.workers.commandsDue(machine),
+      applyOutcomes: (session, outcomes) => this.workers.applyOutcomes(session, outcomes),
+      releaseMachine: (session, reason) => this.rentals.release(session, reason),
+      markCommandsDue: (machine) => this.workers.markCommandsDue(machine),
     })
   }
 
@@ -93,8 +96,8 @@
   }
 
   /**
-   * Restores the shard, then runs its loops until it is stopped. Its fiber is owned by the node's controller,
-   * which interrupts it when the shard is lost.
+   * Restores the shard, then runs its loops until the fiber is interrupted. The node's controller owns the
+   * fiber and interrupts it when the node loses the shard.
    */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
@@ -106,33 +109,33 @@
     }),
   )
 
-  /** The node lost the shard: nothing is decided or answered for it any more. */
+  /** Called when the node has lost the shard: from then on it makes no decision and sends no reply for it. */
   stop(): void {
     this.isStopped = true
     this.isReady = false
     this.workers.stop()
-    for (const unsubscribe of this.unsubscribe) unsubscribe()
+    for (const unsubscribe of this.unsubscribers) unsubscribe()
   }
 
-  /** Has a plan made soon: something outside the shard changed that may concern it. */
-  wake(): void {
+  /** Requests a plan soon, after a change outside the shard that may affect it. */
+  requestPlan(): void {
     this.planSignal.notify()
   }
 
-  /** Answers a heartbeat of a machine of this shard; `via`: the node that forwarded it, null: none. */
-  receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
-    this.workers.receiveHeartbeat(heartbeat, via, respond)
+  /** Answers a heartbeat of one of the shard's machines; `forwardedBy` is null if received directly. */
+  receiveHeartbeat(heartbeat: Heartbeat, forwardedBy: NodeName | null, respond: Respond): void {
+    this.workers.receiveHeartbeat(heartbeat, forwardedBy, respond)
   }
-  /** The whole of a heartbeat that repeats its machine's last one; null: the last one was another. */
-  repeated(repeat: RepeatedHeartbeat): Heartbeat | null {
+  /** Returns the full heartbeat if `repeat` refers to the machine's latest heartbeat, otherwise null. */
+  expandRepeat(repeat: RepeatedHeartbeat): Heartbeat | null {
     return this.machines.get(repeat.machineId)?.expandRepeat(repeat) ?? null
   }
-  /** The former owner handed off a machine of this shard. */
+  /** Takes over the state of a machine's worker that the machine's former owner handed off. */
   acceptHandoff(id: MachineId, handoff: MachineHandoff): void {
     this.machines.get(id)?.acceptHandoff(handoff, this.node.clocks.monotonicNow())
     this.planSignal.notify()
   }
-  /** Each job's task counts, for display. */
+  /** Task counts of each job, for display. */
   *taskCounts(): Iterable<TaskCounts> {
     for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
   }
@@ -152,7 +155,7 @@
       const now = clocks.monotonicNow()
       for (const entry of machineIndex.all()) this.shardMachines.machineChanged(entry.id, entry)
       restoreJobs(this, this.registry, slots, now)
-      this.unsubscribe = [
+      this.unsubscribers = [
         jobIndex.listen((id, job) => this.registry.jobChanged(id, job)),
         machineIndex.listen((id, entry) => this.shardMachines.machineChanged(id, entry)),
       ]
@@ -168,7 +171,7 @@
     })
   }
 
-  // A loop in place of a Schedule: its pause follows what the plan took, and a signal cuts the wait short.
+  // A loop rather than a Schedule: the pause depends on the plan's duration, and a signal ends the wait.
   private planLoop() {
     return Effect.gen({ self: this }, function* () {
       const { clocks } = this.node
@@ -177,8 +180,8 @@
         if (this.isStopped) return
         const startedAt = clocks.monotonicNow()
         if (this.holdsLease) this.reconcile(startedAt)
-        this.workers.replyWhereDue()
-        // Heartbeats, node leases and health checks must not wait for plans.
+        this.workers.sendDueReplies()
+        // Planning must not delay heartbeats, keep-alives of the node lease or health checks.
         const tookMs = clocks.monotonicNow() - startedAt
         yield* Effect.sleep(Math.max(MIN_PLAN_PAUSE_MS, PLAN_PAUSE_FACTOR * tookMs))
       }
@@ -186,21 +189,21 @@
   }
 
   private reconcile(now: MonotonicTime): void {
-    const isCheckDue = now >= addMs(this.checkedAt, CHECK_INTERVAL_MS)
+    const isCheckDue = now >= addMs(this.lastCheckAt, CHECK_INTERVAL_MS)
     if (isCheckDue) {
-      this.checkedAt = now
+      this.lastCheckAt = now
       this.checks.run()
     }
     this.planning.planOnce(isCheckDue)
     this.workers.pushCommands()
   }
 
-  private startPlaced(placements: ReadonlyArray<Placement>): void {
-    for (const placement of placements) this.workers.commandsDue(placement.machine)
+  private startDurablePlacements(placements: ReadonlyArray<Placement>): void {
+    for (const placement of placements) this.workers.markCommandsDue(placement.machine)
     this.workers.pushCommands()
   }
 
-  // The members below use one another: their callbacks look the others up when they are called.
+  // The components below depend on one another, so their callbacks read the other fields only when called.
 
   private makeMachineRecords(): MachineRecordWriter {
     const { store, membership, machineIndex, clocks } = this.node
@@ -223,12 +226,12 @@
       node: this.node,
       mayAct: () => this.mayAct,
       events: {
-        durable: (placements) => this.startPlaced(placements),
-        arrived: (spec) => this.planning.arrived(spec),
-        changed: () => this.planSignal.notify(),
-        release: (placement) => this.machines.get(placement.machine)?.release(placement),
-        commandsDue: (machine) => this.workers.commandsDue(machine),
-        removed: (job) => {
+        onPlacementsDurable: (placements) => this.startDurablePlacements(placements),
+        onJobAdded: (spec) => this.planning.arrived(spec),
+        requestPlan: () => this.planSignal.notify(),
+        releasePlacement: (placement) => this.machines.get(placement.machine)?.release(placement),
+        markCommandsDue: (machine) => this.workers.markCommandsDue(machine),
+        onJobRemoved: (job) => {
           this.failures.forgetJob(job.id)
           this.shardMachines.unassign(job.id)
         },
@@ -243,11 +246,11 @@
       epoch: this.epoch,
       isRecording: (id) => this.rentals.isRecording(id),
       takeAssignedJob: (id) => this.rentals.takeAssignedJob(id),
-      removed: (session, cause) => {
+      onMachineRemoved: (session, cause) => {
         this.workers.removeMachine(session)
-        this.workers.apply(session, session.clearAll(cause))
+        this.workers.applyOutcomes(session, session.clearAll(cause))
       },
-      changed: () => this.planSignal.notify(),
+      requestPlan: () => this.planSignal.notify(),
     })
   }
 
@@ -262,7 +265,7 @@
       holdsLease: () => this.holdsLease,
       isStopped: () => this.isStopped,
       hasUnplacedTasks: () => this.planning.hasUnplacedTasks,
-      changed: () => this.planSignal.notify(),
+      requestPlan: () => this.planSignal.notify(),
     })
   }
 
@@ -273,7 +276,7 @@
       registry: this.registry,
       lending: this.lending,
       rentals: () => this.rentals,
-      commandsDue: (machine) => this.workers.commandsDue(machine),
+      commandsDue: (machine) => this.workers.markCommandsDue(machine),
       changed: () => this.planSignal.notify(),
     })
   }
@@ -285,7 +288,7 @@
       mayAct: () => this.mayAct,
       isStopped: () => this.isStopped,
       changed: () => this.planSignal.notify(),
-      deleted: (session) => this.workers.apply(session, session.clearAll("machine deleted")),
+      deleted: (session) => this.workers.applyOutcomes(session, session.clearAll("machine deleted")),
       lend: (session, to, demands) => this.lending.lend(session, to, demands),
       onDemandNeeded: () => this.planning.onDemandNeeded(),
       reserve: () => this.planning.reserve(),
--- a/packages/shard/src/shard-failover.ts
+++ b/packages/shard/src/shard-failover.ts
@@ -1,7 +1,7 @@
 /**
- * Failover: restores a shard's state from the replica and the store after its node acquired it. Nothing may be
- * started, answered or released for the shard before it is complete: what a former owner started would be
- * unknown, and run twice.
+ * Failover: restores a shard's state from the replica and the store after the node acquired the shard. Before
+ * it is complete, no task may be started, no heartbeat answered and no machine released for the shard: tasks
+ * that a former owner started would be unknown, and would run twice.
  */
 import type { JobState } from "@sorreltally/jobs"
 import type { MonotonicTime } from "@sorreltally/protocol"
@@ -10,14 +10,16 @@
 import type { JobRegistry } from "./job-registry.ts"
 import type { ShardView } from "./shard-context.ts"
 
-/** The replica and the catalog are looked at this often until they are there. */
+/** Interval of checks whether the replica has caught up and the catalog is available. */
 const REPLICA_POLL_MS = 20
+/** Pause before the slots are read again after a failed read. */
 const SLOTS_RETRY_MS = 200
 
 /**
- * Waits until the replica has reached the shard epoch and the catalog is known, then reads the shard's slots.
- * Never fails: without them the shard can't be served, so it retries until its fiber is interrupted. (Loops in
- * place of Schedules: the first look must not wait, and the pauses stand between looks.)
+ * Waits until the replica has reached the shard epoch and the catalog is available, then reads the shard's
+ * placement slots. It never fails: the shard can't be served without the slots, so the read is retried until
+ * the fiber is interrupted. (Loops rather than Schedules: the first check is made at once, with pauses only
+ * in between.)
  */
 export const readSlots = (
   shard: ShardView,
@@ -25,18 +27,18 @@
 ): Effect.Effect<ReadonlyArray<Entry<PlacementRecord>>> =>
   Effect.gen(function* () {
     const { inventory, membership, store } = shard.node
-    // Every job and machine of this shard that a former owner acted on is in the replica once it has
-    // reached our shard epoch.
+    // Once the replica has reached this owner's shard epoch, it contains every job and machine of the shard
+    // that a former owner acted on.
     while (membership.replica.revision < epoch || inventory.catalog() === null)
       yield* Effect.sleep(REPLICA_POLL_MS)
     for (;;) {
-      const read = yield* Effect.result(store.list(keys.slots(shard.name)))
-      if (Result.isSuccess(read)) return read.success.items
+      const listing = yield* Effect.result(store.list(keys.slots(shard.name)))
+      if (Result.isSuccess(listing)) return listing.success.items
       yield* Effect.sleep(SLOTS_RETRY_MS)
     }
   })
 
-/** Restores the jobs and their placements onto the shard's machines, which must be there already. */
+/** Restores the jobs and their placements; the shard's machines must have been added before. */
 export const restoreJobs = (
   shard: ShardView,
   registry: JobRegistry,
@@ -46,15 +48,15 @@
   registry.restore(slots)
   for (const job of shard.jobs.values()) {
     restorePlacements(shard, job, now)
-    registry.settle(job)
+    registry.recordProgress(job)
   }
 }
 
 const restorePlacements = (shard: ShardView, job: JobState, now: MonotonicTime): void => {
   for (const placement of [...job.placements.values()]) {
     const session = shard.machines.get(placement.machine)
-    // A machine's record is removed only after the response to its deletion, and it moves to another
-    // shard only when no task can be on it.
+    // Without a session, no task can be on the machine: its record is removed only after the response to its
+    // deletion, and it moves to another shard only when no task can be on it.
     if (session === undefined) job.clear(placement)
     else session.hold(placement)
     if (job.cancelled) job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since: now })
--- a/packages/shard/src/shard-machines.ts
+++ b/packages/shard/src/shard-machines.ts
@@ -1,35 +1,39 @@
 /**
- * One shard's machines as the machine index lists them: a worker session and an assignment for each. Creates and
- * removes them by the index alone; never concludes from a session that a machine is gone.
+ * Machines of one shard according to the machine index, with a worker session and an assignment for each.
+ * Entries are added and removed by changes of the index only; a session is never taken as proof that a
+ * machine is gone.
  */
 
 import { addMs, type JobId, type MachineId, type ModRevision } from "@sorreltally/protocol"
 import { type ClearedCause, type MachineEntry, WorkerSession } from "@sorreltally/workers"
 import type { MachineAssignment, ShardView } from "./shard-context.ts"
 
-/** What the machines use of their shard. */
+/** Options of the shard's machines. */
 export interface ShardMachinesOptions {
   readonly shard: Pick<ShardView, "name" | "node" | "jobs" | "failures">
-  /** The shard's epoch: the lowest fencing token of its commands. */
+  /** Shard epoch: the lowest fencing token of the shard's commands. */
   readonly epoch: ModRevision
-  /** Is the machine rented or adopted by this owner, so that no heartbeat of it can be older than that? */
+  /**
+   * Whether this owner rented or adopted the machine and its record is not confirmed yet; no heartbeat of
+   * such a machine can be older than its rental or adoption.
+   */
   readonly isRecording: (id: MachineId) => boolean
-  /** The job that the machine was rented for by this owner; null: none. */
+  /** Returns the job that this owner rented the machine for, or null, and removes the entry. */
   readonly takeAssignedJob: (id: MachineId) => JobId | null
-  /** The machine was deleted or moved to another shard: no task of this shard is on it. */
-  readonly removed: (session: WorkerSession, cause: ClearedCause) => void
-  /** There may be something to plan. */
-  readonly changed: () => void
+  /** The machine was deleted or moved to another shard, so no task of this shard is on it. */
+  readonly onMachineRemoved: (session: WorkerSession, cause: ClearedCause) => void
+  /** Requests a plan, after a change that may allow or require one. */
+  readonly requestPlan: () => void
 }
 
-/** The machines that one shard owns. */
+/** Machines that one shard owns. */
 export class ShardMachines {
   readonly sessions = new Map<MachineId, WorkerSession>()
   readonly assignments = new Map<MachineId, MachineAssignment>()
 
   constructor(private readonly options: ShardMachinesOptions) {}
 
-  /** The machine index changed an entry, of any shard's machines; null: the machine was deleted. */
+  /** Handles a change of the machine index, for a machine of any shard; `entry` is null if it was deleted. */
   machineChanged(id: MachineId, entry: MachineEntry | null): void {
     const session = this.sessions.get(id)
     if (entry === null || entry.shard !== this.options.shard.name) {
@@ -56,22 +60,22 @@
     this.assignments.set(id, {
       assignedJob: assignedJob !== null && shard.jobs.has(assignedJob) ? assignedJob : null,
       rentedAt: addMs(now, -ageMs),
-      knownSince: now,
-      releasing: false,
-      closing: false,
-      moving: false,
+      ownedSince: now,
+      isReleasing: false,
+      isDrainingForRelease: false,
+      isMoving: false,
     })
-    this.options.changed()
+    this.options.requestPlan()
   }
 
   private remove(session: WorkerSession, cause: ClearedCause): void {
     this.sessions.delete(session.id)
     this.assignments.delete(session.id)
     this.options.shard.failures.forgetMachine(session.id)
-    this.options.removed(session, cause)
+    this.options.onMachineRemoved(session, cause)
   }
 
-  /** The job is over: machines assigned to it go back to the pool. */
+  /** Makes the machines that are assigned to a job available to all jobs; called when the job has ended. */
   unassign(job: JobId): void {
     for (const assignment of this.assignments.values())
       if (assignment.assignedJob === job) assignment.assignedJob = null
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -173,7 +173,7 @@
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
     const used = teamUse(shard)
-    const others = shard.node.demandOfOthers(shard.name)
+    const others = shard.node.demandOfOtherShards(shard.name)
     const unused = unusedCores(shard, used)
     this.adjustQuotas(used, others.quotas, unused)
     return {
--- a/packages/shard/src/shard-status.ts
+++ b/packages/shard/src/shard-status.ts
@@ -37,6 +37,6 @@
     ...machinesByState,
     free,
     cores,
-    slots: registry.slots,
+    slots: registry.usedSlotCount,
   })
 }
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -1,30 +1,37 @@
 /**
- * Applies what is proven of placed tasks to their jobs: running, finished, or off their machine without a result.
- * Concludes nothing about a machine itself: what a heartbeat proves is the worker session's to say.
+ * Applies proven outcomes of placed tasks to their jobs: running, finished, or removed from the machine
+ * without a result. It draws no conclusions about a machine: what a heartbeat proves is decided by the worker
+ * session.
  */
 import type { JobState, Placement } from "@sorreltally/jobs"
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import type { ClearedCause, Outcome, WorkerSession } from "@sorreltally/workers"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
-/** A job pauses this long after its first refused start, twice as long after each further one, up to the maximum. */
-const REFUSAL_PAUSE_MS = 250
+/**
+ * A job pauses for this time doubled once per consecutive refused start (500 ms after the first one), up to
+ * the maximum.
+ */
+const BASE_REFUSAL_PAUSE_MS = 250
 const MAX_REFUSAL_PAUSE_MS = 30_000
-/** Doublings beyond this many change nothing: the maximum is reached. */
+/** With this many doublings the pause reaches the maximum. */
 const MAX_REFUSAL_DOUBLINGS = 7
 
-/** Applies outcomes of one shard's tasks. */
+/** Applies outcomes of the tasks of one shard. */
 export class TaskOutcomes {
-  private changes = 0
+  private changeCount = 0
 
   constructor(private readonly context: WorkerCommunicationContext) {}
 
-  /** How often capacity became free or a machine came up: whoever compares two readings sees whether it did. */
-  get capacityChanges(): number {
-    return this.changes
+  /**
+   * Number of times that capacity became free or a machine came up. Comparing two values shows whether that
+   * happened in between.
+   */
+  get capacityChangeCount(): number {
+    return this.changeCount
   }
 
-  /** Applies to the jobs what a heartbeat, a lease's expiry or a machine's deletion proves of their tasks. */
+  /** Applies the outcomes that a heartbeat, an agent lease's expiry or a machine's deletion proves. */
   apply(session: WorkerSession, outcomes: ReadonlyArray<Outcome>): void {
     if (outcomes.length === 0) return
     const now = this.context.node.clocks.monotonicNow()
@@ -33,28 +40,28 @@
       const { placement } = outcome
       switch (outcome.kind) {
         case "running":
-          this.taskRunning(session, placement, now)
+          this.applyRunning(session, placement, now)
           continue
         case "done":
-          this.taskDone(session, placement, now)
+          this.applyDone(session, placement, now)
           break
         case "cleared":
-          this.taskCleared(session, placement, outcome.cause, now)
+          this.applyCleared(session, placement, outcome.cause, now)
           break
       }
       isCapacityFreed = true
-      this.context.registry.settle(placement.job)
+      this.context.registry.recordProgress(placement.job)
     }
-    if (isCapacityFreed) this.capacityChanged()
+    if (isCapacityFreed) this.recordCapacityChange()
   }
 
-  /** Tasks may find room now that didn't before. */
-  capacityChanged(): void {
-    this.changes++
-    this.context.changed()
+  /** Records that capacity may be available for tasks that could not be placed before. */
+  recordCapacityChange(): void {
+    this.changeCount++
+    this.context.requestPlan()
   }
 
-  private taskRunning(session: WorkerSession, placement: Placement, now: MonotonicTime): void {
+  private applyRunning(session: WorkerSession, placement: Placement, now: MonotonicTime): void {
     const { clocks, log } = this.context.node
     const { job } = placement
     job.markRunning(placement, now)
@@ -67,7 +74,7 @@
     })
   }
 
-  private taskDone(session: WorkerSession, placement: Placement, now: MonotonicTime): void {
+  private applyDone(session: WorkerSession, placement: Placement, now: MonotonicTime): void {
     const { failures, node } = this.context
     const { job } = placement
     job.finish(placement.index)
@@ -78,7 +85,7 @@
       node.estimates.learn(job.spec, (now - placement.runningSince) / 1000)
   }
 
-  private taskCleared(
+  private applyCleared(
     session: WorkerSession,
     placement: Placement,
     cause: ClearedCause,
@@ -86,20 +93,25 @@
   ): void {
     const { job } = placement
     job.clear(placement)
-    const pauseMs = this.pauseAfter(cause, job, session, now)
+    const pauseMs = this.retryPauseMs(cause, job, session, now)
     if (pauseMs > 0) job.retryAfter = addMs(now, pauseMs)
     this.context.node.log.debug("task left machine", { task: placement.task, machine: session.id, cause })
   }
 
-  /** How long in ms a job pauses after a task of it left its machine unfinished. */
-  private pauseAfter(cause: ClearedCause, job: JobState, session: WorkerSession, now: MonotonicTime): number {
+  /** Returns how long, in ms, a job pauses after one of its tasks left its machine unfinished. */
+  private retryPauseMs(
+    cause: ClearedCause,
+    job: JobState,
+    session: WorkerSession,
+    now: MonotonicTime,
+  ): number {
     if (cause === "error") return this.recordFailure(job, session, now)
     if (cause !== "insufficientResources" && cause !== "unknown") return 0
-    // Repeatedly refused starts are retried ever less often.
+    // Exponential backoff of starts that are refused repeatedly.
     job.startRefusals++
     return Math.min(
       MAX_REFUSAL_PAUSE_MS,
-      REFUSAL_PAUSE_MS * 2 ** Math.min(MAX_REFUSAL_DOUBLINGS, job.startRefusals),
+      BASE_REFUSAL_PAUSE_MS * 2 ** Math.min(MAX_REFUSAL_DOUBLINGS, job.startRefusals),
     )
   }
 
@@ -108,7 +120,7 @@
     const wasSuspect = failures.isSuspect(job.id)
     const pauseMs = failures.failed(job.id, session.id, now)
     if (!wasSuspect && failures.isSuspect(job.id))
-      node.log.info("job fails on every machine", { job: job.id })
+      node.log.info("job suspect: failed on several machines", { job: job.id })
     return pauseMs
   }
 }
--- a/packages/shard/src/worker-communication-context.ts
+++ b/packages/shard/src/worker-communication-context.ts
@@ -1,4 +1,4 @@
-/** What the modules that communicate with workers share: their shard's state, and its right to act. */
+/** Context shared by the modules that communicate with workers: the shard's state and whether it may act. */
 import type { FailureTracker } from "@sorreltally/jobs"
 import type { MachineId } from "@sorreltally/protocol"
 import type { MachineRecordWriter } from "@sorreltally/provisioning"
@@ -6,22 +6,22 @@
 import type { JobRegistry } from "./job-registry.ts"
 import type { NodeContext } from "./shard-context.ts"
 
-/** What the communication with workers uses of its shard. */
+/** State and callbacks of the shard that the communication with workers uses. */
 export interface WorkerCommunicationContext {
   readonly node: NodeContext
-  /** Sessions of the shard's machines: whatever concerns another session is out of date. */
+  /** Sessions of the shard's machines; anything that concerns a session not in this map is out of date. */
   readonly machines: ReadonlyMap<MachineId, WorkerSession>
   readonly registry: JobRegistry
   readonly machineRecords: MachineRecordWriter
   readonly failures: FailureTracker
-  /** The shard's state is restored, and its node holds the lease to act for it. */
+  /** Whether failover is complete and the node holds its node lease. */
   readonly mayAct: () => boolean
-  /** The node holds the lease to act for the shard, whether or not its state is restored. */
+  /** Whether the node holds its node lease and has not lost the shard; failover may be incomplete. */
   readonly holdsLease: () => boolean
-  /** The node has lost the shard. */
+  /** Whether the node has lost the shard. */
   readonly isStopped: () => boolean
-  /** The last plan left tasks unplaced. */
+  /** Whether the latest plan left tasks unplaced. */
   readonly hasUnplacedTasks: () => boolean
-  /** There may be something to plan. */
-  readonly changed: () => void
+  /** Requests a plan, after a change that may allow or require one. */
+  readonly requestPlan: () => void
 }
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -1,7 +1,7 @@
 /**
- * One shard's communication with its workers: takes heartbeats in and answers them; sends commands and applies
- * outcomes through modules of their own. Never answers 200 for a machine that this node may not act for: that
- * would renew the worker's lease. The lease is checked immediately before each reply.
+ * Communication of one shard with its workers: accepts heartbeats and answers them; separate modules send
+ * commands and apply outcomes. It never answers 200 for a machine that this node may not act for, since that
+ * would renew the agent lease. The node lease is checked immediately before each reply.
  */
 import {
   addMs,
@@ -18,81 +18,83 @@
 import type { Outcome, WorkerSession } from "@sorreltally/workers"
 import { CommandDelivery } from "./command-delivery.ts"
 import { DeferredReplies } from "./deferred-replies.ts"
-import { fenceWhereNeeded } from "./fencing.ts"
+import { fenceIfNeeded } from "./fencing.ts"
 import { TaskOutcomes } from "./task-outcomes.ts"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 import { WorkerInspection } from "./worker-inspection.ts"
 
-/** Heartbeat intervals of silence after which a heartbeat that looks like a late copy has the worker inspected. */
+/** Heartbeat intervals without a valid message after which an apparent late copy triggers an inspection. */
 const INSPECT_AFTER_INTERVALS = 1.5
 
-/** One shard's communication with its workers: heartbeats and their replies, and commands sent to them directly. */
+/** Heartbeats of one shard's workers, the replies to them, and commands sent to the workers directly. */
 export class WorkerCommunication {
-  private readonly outcomes: TaskOutcomes
-  private readonly commands: CommandDelivery
+  private readonly taskOutcomes: TaskOutcomes
+  private readonly commandDelivery: CommandDelivery
   private readonly inspection: WorkerInspection
-  private readonly deferred: DeferredReplies
-  /** A lease renewed later than this after a cancellation could outlast the cancellation limit. */
-  private readonly renewableMs: number
+  private readonly deferredReplies: DeferredReplies
+  /** An agent lease renewed later than this after a cancellation could outlast the cancellation limit. */
+  private readonly maxRenewalDelayMs: number
   private readonly inspectAfterMs: number
 
   constructor(private readonly context: WorkerCommunicationContext) {
     const { clocks, platform, operators } = context.node
     const { workers } = platform.deployment
     const budget = cancellationBudget(workers, operators.membership)
-    this.renewableMs = Math.max(0, budget.cancelMs - budget.worstCaseMs)
+    this.maxRenewalDelayMs = Math.max(0, budget.cancelMs - budget.worstCaseMs)
     this.inspectAfterMs = INSPECT_AFTER_INTERVALS * 1000 * workers.heartbeatIntervalS
-    this.outcomes = new TaskOutcomes(context)
-    this.inspection = new WorkerInspection(context, this.outcomes)
-    this.deferred = new DeferredReplies(clocks.monotonicNow, (session) => this.makeReply(session))
-    this.commands = new CommandDelivery(context, this.outcomes, (session) => this.deferred.replyNow(session))
+    this.taskOutcomes = new TaskOutcomes(context)
+    this.inspection = new WorkerInspection(context, this.taskOutcomes)
+    this.deferredReplies = new DeferredReplies(clocks.monotonicNow, (session) => this.makeReply(session))
+    this.commandDelivery = new CommandDelivery(context, this.taskOutcomes, (session) =>
+      this.deferredReplies.replyNow(session),
+    )
   }
 
   /**
-   * Answers a heartbeat of one of this shard's machines, received directly or forwarded by the node `via`;
-   * 503 when this node may not act for the machine.
-   * The reply to a heartbeat that frees capacity is deferred until the next plan: the starts it decides then
-   * travel in the reply, where commands would cost both ends another request. The worker reports nothing new
-   * for half a second anyway.
+   * Answers a heartbeat of one of the shard's machines, received directly or forwarded by the node
+   * `forwardedBy`; answers 503 when this node may not act for the machine. The reply to a heartbeat that
+   * frees capacity is deferred until the next plan, so that it carries the starts decided there; sending them
+   * as commands would cost the node and the worker another request. The worker reports nothing new for half a
+   * second in any case.
    */
-  receiveHeartbeat(heartbeat: Heartbeat, via: NodeName | null, respond: Respond): void {
-    const changesBefore = this.outcomes.capacityChanges
+  receiveHeartbeat(heartbeat: Heartbeat, forwardedBy: NodeName | null, respond: Respond): void {
+    const changesBefore = this.taskOutcomes.capacityChangeCount
     const session = this.acceptHeartbeat(heartbeat)
     if (session === null) return respond(HEARTBEAT_UNAVAILABLE)
-    session.via = via
-    // The worker has given up the request that is still deferred.
-    this.deferred.replyWith(session, HEARTBEAT_UNAVAILABLE)
-    if (this.outcomes.capacityChanges === changesBefore || !this.context.hasUnplacedTasks())
+    session.via = forwardedBy
+    // The worker has abandoned the request that is still deferred, since it sends the next heartbeat.
+    this.deferredReplies.replyWith(session, HEARTBEAT_UNAVAILABLE)
+    if (this.taskOutcomes.capacityChangeCount === changesBefore || !this.context.hasUnplacedTasks())
       return respond(this.makeReply(session))
-    this.deferred.defer(session, respond)
+    this.deferredReplies.defer(session, respond)
   }
 
-  /** Applies to the jobs what a lease's expiry or a machine's deletion proves of their tasks. */
-  apply(session: WorkerSession, outcomes: ReadonlyArray<Outcome>): void {
-    this.outcomes.apply(session, outcomes)
+  /** Applies the outcomes of tasks that the expiry of an agent lease or the deletion of a machine proves. */
+  applyOutcomes(session: WorkerSession, outcomes: ReadonlyArray<Outcome>): void {
+    this.taskOutcomes.apply(session, outcomes)
   }
-  /** The machine needs commands before its next heartbeat. */
-  commandsDue(machine: MachineId): void {
-    this.commands.commandsDue(machine)
+  /** Marks a machine that needs commands before its next heartbeat. */
+  markCommandsDue(machine: MachineId): void {
+    this.commandDelivery.markCommandsDue(machine)
   }
   /** Sends the commands that can't wait for the next heartbeat directly to the workers. */
   pushCommands(): void {
-    this.commands.push()
+    this.commandDelivery.push()
   }
-  /** The machine left the shard. */
+  /** Called when a machine has left the shard. */
   removeMachine(session: WorkerSession): void {
-    this.commands.notDue(session)
+    this.commandDelivery.clearCommandsDue(session)
   }
   /** Sends the deferred replies that are due. */
-  replyWhereDue(): void {
-    this.deferred.replyWhereDue()
+  sendDueReplies(): void {
+    this.deferredReplies.sendDueReplies()
   }
-  /** The node lost the shard: refuses the deferred heartbeats. */
+  /** Answers the deferred heartbeats with 503; called when the node has lost the shard. */
   stop(): void {
-    this.deferred.replyToAll(HEARTBEAT_UNAVAILABLE)
+    this.deferredReplies.replyToAll(HEARTBEAT_UNAVAILABLE)
   }
 
-  /** Applies a heartbeat; null when this node may not act for its machine, or it is a late copy. */
+  /** Applies a heartbeat; returns null if this node may not act for the machine or it is a late copy. */
   private acceptHeartbeat(heartbeat: Heartbeat): WorkerSession | null {
     const session = this.context.machines.get(heartbeat.machineId)
     if (!this.context.mayAct() || session === undefined) return null
@@ -100,40 +102,40 @@
     const wasDown = !session.isUp
     const outcomes = session.observe(heartbeat, "heartbeat", now)
     if (outcomes === null) {
-      // A late copy proves nothing, and nobody waits for its reply. Or the worker restarted: its heartbeats
-      // would then be taken for late copies for ever.
-      if (session.silentMs(now) > this.inspectAfterMs) this.inspection.start(session, heartbeat)
+      // A late copy proves nothing, and its sender no longer waits for the reply. But the worker may have
+      // restarted: without an inspection, all its heartbeats would then be taken for late copies.
+      if (session.silentMs(now) > this.inspectAfterMs) this.inspection.inspect(session, heartbeat)
       return null
     }
-    this.outcomes.apply(session, outcomes)
-    if (wasDown) this.outcomes.capacityChanged()
+    this.taskOutcomes.apply(session, outcomes)
+    if (wasDown) this.taskOutcomes.recordCapacityChange()
     return session
   }
 
   private makeReply(session: WorkerSession): OutgoingResponse {
-    // While the reply was deferred, the machine may have left the shard, or the node lost its lease.
+    // While the reply was deferred, the machine may have left the shard or the node may have lost its lease.
     if (!this.context.mayAct() || this.context.machines.get(session.id) !== session)
       return HEARTBEAT_UNAVAILABLE
     const now = this.context.node.clocks.monotonicNow()
     if (this.mustLetLeaseExpire(session, now)) {
-      fenceWhereNeeded(this.context, session)
+      fenceIfNeeded(this.context, session)
       return HEARTBEAT_UNAVAILABLE
     }
     const commands = session.commands(now, (task) => this.context.registry.finishIsDurable(task))
     session.recordReply(commands, now)
-    this.commands.notDue(session)
-    fenceWhereNeeded(this.context, session)
+    this.commandDelivery.clearCommandsDue(session)
+    fenceIfNeeded(this.context, session)
     const reply = encodeHeartbeatReply({ fencingToken: session.token, commands })
     return { status: 200, body: reply }
   }
 
   /**
-   * A delayed start of a cancelled task may be carried out as long as the worker's agent epoch and fencing
-   * token are current. If the token can't be raised, the lease must not be renewed beyond what the
-   * cancellation limit leaves.
+   * Whether the agent lease must not be renewed. A delayed start of a cancelled task can take effect as long
+   * as its agent epoch and fencing token are current at the worker. If the token can't be raised, renewals
+   * have to end early enough for the lease to expire within the cancellation limit.
    */
   private mustLetLeaseExpire(session: WorkerSession, now: MonotonicTime): boolean {
     const since = session.pendingCancelledStartSince()
-    return since !== null && now > addMs(since, this.renewableMs)
+    return since !== null && now > addMs(since, this.maxRenewalDelayMs)
   }
 }
--- a/scenarios/began-anew.sexp
+++ b/scenarios/began-anew.sexp
@@ -4,4 +4,4 @@
   (at 66 (submit pieces 4 cores 4 run 10 due 300))
   (at 74 (reboot 9 0.3))
   (expect (all-over))
-  (guard "packages/shard/src/worker-inspection.ts" "else if (session.acceptRestart(decoded.success, since, clocks.monotonicNow()))" "else if (since.sequence < -1)"))
+  (guard "packages/shard/src/worker-inspection.ts" "else if (session.acceptRestart(decoded.success, countersBefore, clocks.monotonicNow()))" "else if (countersBefore.sequence < -1)"))
--- a/scenarios/cancelled-start-held.sexp
+++ b/scenarios/cancelled-start-held.sexp
@@ -6,4 +6,4 @@
   (at 40.9 (cancel 1))
   (at 43.4 (state-outage 65))
   (expect (withdrawn 1) (happened "late commands carried out" 2) (happened startsAfterCancellation 2))
-  (guard "packages/shard/src/worker-communication.ts" "return since !== null && now > addMs(since, this.renewableMs)" "return false"))
+  (guard "packages/shard/src/worker-communication.ts" "return since !== null && now > addMs(since, this.maxRenewalDelayMs)" "return false"))
