--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -56,7 +56,7 @@
 export const clusterLoad = (shard: ShardView, now: MonotonicTime): ShardLoad => {
   let cores = 0
   for (const { id, type } of shard.machines.values())
-    if (!shard.assignments.get(id)!.releasing) cores += type.cores
+    if (!shard.assignments.get(id)!.isReleasing) cores += type.cores
   const endingCoresBySecond = new Array<number>(LOAD_HORIZON_S).fill(0)
   for (const job of shard.jobs.values()) {
     if (job.placements.size === 0) continue
@@ -204,13 +204,13 @@
   assignment: MachineAssignment,
   now: MonotonicTime,
 ): MachineView["state"] => {
-  if (assignment.releasing || assignment.moving || session.preemptionAt !== null) return "unavailable"
-  if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
+  if (assignment.isReleasing || assignment.isMoving || session.preemptionAt !== null) return "unavailable"
+  if (session.isSchedulable(now)) return assignment.isDrainingForRelease ? "draining" : "ready"
   if (session.lastHeard !== EARLIEST_TIME) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const isBooting =
     bootingS < session.type.bootS * MAX_BOOTING_FACTOR ||
-    now < addMs(assignment.knownSince, FIRST_HEARTBEAT_TIMEOUT_MS)
+    now < addMs(assignment.ownedSince, FIRST_HEARTBEAT_TIMEOUT_MS)
   return isBooting ? "booting" : "unavailable"
 }
 
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -53,7 +53,7 @@
   /** Starts a round: call `checkMachine` for each healthy machine that is up, then `finishRound`. */
   beginRound(now: MonotonicTime): ScaleInRound {
     const { shard } = this.options
-    const { machines: demands } = shard.node.demandOfOthers(shard.name)
+    const { machines: demands } = shard.node.demandOfOtherShards(shard.name)
     const windowMs = shard.node.operators.provisioning.windowS * 1000
     let hasSpotUp = false
     for (const session of shard.machines.values()) hasSpotUp ||= session.entry.spot && session.isUp
@@ -67,7 +67,7 @@
     const isWithinWindow =
       ageMs < MIN_BILLED_MS - RELEASE_LEAD_MS || ageMs % round.windowMs <= round.windowMs - RELEASE_LEAD_MS
     if (isWithinWindow) {
-      if (assignment.closing && session.placements.size === 0) release(session, "drained")
+      if (assignment.isDrainingForRelease && session.placements.size === 0) release(session, "drained")
       return
     }
     if (
@@ -76,7 +76,7 @@
       !onDemandNeeded() &&
       !isUrgentlyDemanded(round.demands, session)
     )
-      assignment.closing = true
+      assignment.isDrainingForRelease = true
     if (session.placements.size > 0 || assignment.assignedJob !== null) return
     if (round.startableJobs.some((spec) => slotsIn(spec, session.type) > 0)) return
     // Otherwise machines would be kept for queued work that can't start because of its team's limit.
@@ -107,7 +107,7 @@
     const { shard, release, lend } = this.options
     const { zone, spot } = session.entry
     const offer = { type: session.type, zone, spot }
-    const isClosing = shard.assignments.get(session.id)!.closing
+    const isClosing = shard.assignments.get(session.id)!.isDrainingForRelease
     const borrower = isClosing ? undefined : demands.find((demand) => isEligible(demand.shape, offer))
     if (borrower === undefined) release(session, "window end")
     else lend(session, borrower.shard, demands)
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -177,7 +177,7 @@
     const { shard } = this.options
     const now = shard.node.clocks.monotonicNow()
     const usageByTeam = teamUsage(shard)
-    const demandOfOthers = shard.node.demandOfOthers(shard.name)
+    const demandOfOthers = shard.node.demandOfOtherShards(shard.name)
     const unusedCores = countUnusedCores(shard, usageByTeam)
     this.adjustQuotas(usageByTeam, demandOfOthers.quotas, unusedCores)
     return {
