--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -166,9 +166,9 @@
       membership: this.membership,
       jobIndex: this.jobIndex,
       events: {
-        changed: (entry, spec) => this.jobChanged(entry, spec),
-        cachedFinal: (id) => this.progress.finalStatus(id),
-        cacheFinal: (id, status) => this.progress.remember(id, status),
+        pageWritten: (entry, spec) => this.jobChanged(entry, spec),
+        cachedFinalStatus: (id) => this.progress.finalStatus(id),
+        cacheFinalStatus: (id, status) => this.progress.remember(id, status),
         shardOf: (spec) => this.shardOfJob(spec),
       },
     })
--- a/packages/jobs/src/ends-pages.ts
+++ b/packages/jobs/src/ends-pages.ts
@@ -11,16 +11,18 @@
 
 const ENDS_PAGES_PER_SHARD = 4
 /** Besides those on job pages: on the shard and on the ends page. */
-const OWN_CONDITIONS = 2
+const FIXED_CONDITIONS = 2
 
 /**
  * The keys of a shard's ends pages: together they hold the final states that
  * wait to be folded into job pages. A cancellation is conditioned on all of
  * them, and on the page of its job.
  */
-export const endsPages = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
-  const conditions = CONDITIONS_PER_OPERATION * limits.maxOperations - 1
-  return Array.from({ length: Math.min(ENDS_PAGES_PER_SHARD, conditions) }, (_, n) => keys.endsPage(shard, n))
+export const endsPageKeys = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
+  const maxPageConditions = CONDITIONS_PER_OPERATION * limits.maxOperations - 1
+  return Array.from({ length: Math.min(ENDS_PAGES_PER_SHARD, maxPageConditions) }, (_, n) =>
+    keys.endsPage(shard, n),
+  )
 }
 
 /** What of an ends page is still needed. */
@@ -32,7 +34,7 @@
 }
 
 /** The content of a page without the final states, given by their ids' digits, that nobody needs. */
-export const neededContent = (
+export const neededContentOf = (
   key: StoreKey<FinalStates>,
   stored: FinalStates | undefined,
   isNeeded: (digits: string) => boolean,
@@ -63,7 +65,7 @@
   const cancelled = [...content.page.cancelled]
   const doneJobs = new Set<JobState>()
   const jobs: Array<JobState> = []
-  const maxDoneJobs = CONDITIONS_PER_OPERATION * limits.maxOperations - OWN_CONDITIONS
+  const maxDoneJobs = CONDITIONS_PER_OPERATION * limits.maxOperations - FIXED_CONDITIONS
   let { bytes } = content
   for (const job of waiting) {
     const digits = digitsOf(job.id)
--- a/packages/jobs/src/failure-tracker.ts
+++ b/packages/jobs/src/failure-tracker.ts
@@ -13,52 +13,55 @@
 /** A machine on which this many jobs failed that succeeded elsewhere is faulty. */
 const FAULTY_AFTER_JOBS = 2
 /** Tasks of a suspect job that are tried at a time. */
-const MAX_PROBE_TASKS = 1
+const MAX_SUSPECT_TASKS = 1
 /** Below the rank of any priority: a suspect job delays no other. */
 export const SUSPECT_RANK = -1
 /** A job leaves a machine on which it failed alone for this long, or until it is suspect itself. */
-const AVOID_MS = 30_000
+const MACHINE_AVOIDANCE_MS = 30_000
 const INITIAL_BACKOFF_MS = 500
 /** Bounded, so that a job that no longer fails is noticed. */
 const MAX_BACKOFF_MS = 30_000
 
 interface JobFailures {
   /** Where it failed since one of its tasks last succeeded, and when it last did so there. */
-  readonly machines: Map<MachineId, MonotonicTime>
+  readonly lastFailureByMachine: Map<MachineId, MonotonicTime>
   count: number
 }
 
 /** The failures of one shard's tasks, as far as they still distinguish jobs from machines. */
 export class FailureTracker {
-  private readonly byJob = new Map<JobId, JobFailures>()
+  private readonly failuresByJob = new Map<JobId, JobFailures>()
   /** Jobs that failed on a machine and succeeded on another since. */
-  private readonly provenElsewhere = new Map<MachineId, Set<JobId>>()
+  private readonly succeededElsewhere = new Map<MachineId, Set<JobId>>()
 
   /** A task of the job failed by itself. Returns how long the job has to pause, in ms; 0: it needn't. */
-  failed(job: JobId, machine: MachineId, now: MonotonicTime): number {
-    const failures = this.byJob.get(job) ?? { machines: new Map<MachineId, MonotonicTime>(), count: 0 }
-    this.byJob.set(job, failures)
-    failures.machines.set(machine, now)
+  recordFailure(job: JobId, machine: MachineId, now: MonotonicTime): number {
+    const failures = this.failuresByJob.get(job) ?? {
+      lastFailureByMachine: new Map<MachineId, MonotonicTime>(),
+      count: 0,
+    }
+    this.failuresByJob.set(job, failures)
+    failures.lastFailureByMachine.set(machine, now)
     failures.count++
     if (!this.isSuspect(job)) return 0
     return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(10, failures.count))
   }
 
   /** A task of the job completed: the job has no mistake, and where it failed before is suspect. */
-  succeeded(job: JobId, machine: MachineId): void {
-    this.provenElsewhere.delete(machine)
-    for (const failedOn of this.byJob.get(job)?.machines.keys() ?? []) {
+  recordSuccess(job: JobId, machine: MachineId): void {
+    this.succeededElsewhere.delete(machine)
+    for (const failedOn of this.failuresByJob.get(job)?.lastFailureByMachine.keys() ?? []) {
       if (failedOn === machine) continue
-      const jobs = this.provenElsewhere.get(failedOn)
-      if (jobs === undefined) this.provenElsewhere.set(failedOn, new Set([job]))
+      const jobs = this.succeededElsewhere.get(failedOn)
+      if (jobs === undefined) this.succeededElsewhere.set(failedOn, new Set([job]))
       else jobs.add(job)
     }
-    this.byJob.delete(job)
+    this.failuresByJob.delete(job)
   }
 
   /** Whether the job probably has a mistake. */
   isSuspect(job: JobId): boolean {
-    return (this.byJob.get(job)?.machines.size ?? 0) >= SUSPECT_AFTER_MACHINES
+    return (this.failuresByJob.get(job)?.lastFailureByMachine.size ?? 0) >= SUSPECT_AFTER_MACHINES
   }
 
   /**
@@ -66,14 +69,16 @@
    * released for the errors of jobs with a mistake: those succeed nowhere.
    */
   isFaulty(machine: MachineId): boolean {
-    return (this.provenElsewhere.get(machine)?.size ?? 0) >= FAULTY_AFTER_JOBS
+    return (this.succeededElsewhere.get(machine)?.size ?? 0) >= FAULTY_AFTER_JOBS
   }
 
   /** Machines on which the job failed a moment ago, unless it is suspect itself. */
-  avoidedBy(job: JobId, now: MonotonicTime): ReadonlySet<MachineId> {
-    const failures = this.byJob.get(job)
+  machinesToAvoid(job: JobId, now: MonotonicTime): ReadonlySet<MachineId> {
+    const failures = this.failuresByJob.get(job)
     if (failures === undefined || this.isSuspect(job)) return NO_MACHINES
-    const recent = [...failures.machines].filter(([, at]) => now < addMs(at, AVOID_MS))
+    const recent = [...failures.lastFailureByMachine].filter(
+      ([, at]) => now < addMs(at, MACHINE_AVOIDANCE_MS),
+    )
     return new Set(recent.map(([machine]) => machine))
   }
 
@@ -82,20 +87,20 @@
    * against a job with a mistake for whose whole queue machines are rented
    * again and again.
    */
-  startable(job: JobState, now: MonotonicTime): number {
-    if (!this.isSuspect(job.id)) return job.queued
+  startableCount(job: JobState, now: MonotonicTime): number {
+    if (!this.isSuspect(job.id)) return job.queuedCount
     if (job.retryAfter !== null && now < job.retryAfter) return 0
-    return Math.min(job.queued, Math.max(0, MAX_PROBE_TASKS - job.placements.size))
+    return Math.min(job.queuedCount, Math.max(0, MAX_SUSPECT_TASKS - job.placements.size))
   }
 
   /** The job is over: its failures no longer matter. */
-  forgetJob(job: JobId): void {
-    this.byJob.delete(job)
+  removeJob(job: JobId): void {
+    this.failuresByJob.delete(job)
   }
 
   /** What failed on the machine no longer matters. */
-  forgetMachine(machine: MachineId): void {
-    this.provenElsewhere.delete(machine)
+  removeMachine(machine: MachineId): void {
+    this.succeededElsewhere.delete(machine)
   }
 }
 const NO_MACHINES: ReadonlySet<MachineId> = new Set()
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -19,34 +19,40 @@
   type StoreKey,
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { addEnds, type EndsAddition, type EndsPageContent, endsPages, neededContent } from "./ends-pages.ts"
+import {
+  addEnds,
+  type EndsAddition,
+  type EndsPageContent,
+  endsPageKeys,
+  neededContentOf,
+} from "./ends-pages.ts"
 import type { JobIndex } from "./job-index.ts"
-import { idOf } from "./job-pages.ts"
+import { idFromDigits } from "./job-pages.ts"
 import type { JobState } from "./job-state.ts"
 import { pageConditions } from "./page-conditions.ts"
 import { WritePacer } from "./write-pacer.ts"
 
 /** Ends that come within this time of the last write go together: users expect to hear of one within 3 s. */
-const CALM_SPACING_MS = 500
-const BUSY_SPACING_MS = 1_300
-const PAUSE_MS = 150
-const IDLE_MS = 5_000
+const LOW_LOAD_SPACING_MS = 500
+const HIGH_LOAD_SPACING_MS = 1_300
+const RETRY_DELAY_MS = 150
+const IDLE_WAIT_MS = 5_000
 /** From this fraction of their capacity on, the owner folds job pages itself instead of leaving that to their next writers. */
 const FOLD_THRESHOLD = 0.6
 /** A page is sent to every controller at each write: it isn't made as large as it may be. */
 const MAX_PAGE_BYTES = 3_072
-const FRAME_BYTES = 128
+const PAGE_OVERHEAD_BYTES = 128
 
 /** What becomes of the ends that are written. */
-export interface JobEndsEvents {
+export interface JobEndsWriterEvents {
   /** These jobs have durable final states. */
-  readonly ended: (ends: ReadonlyArray<JobEnd>) => void
+  readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
   /** Writes a job page anew without the jobs that are over. */
   readonly fold: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
 
 /** What a shard's writer of final states works with. */
-export interface JobEndsOptions {
+export interface JobEndsWriterOptions {
   readonly shard: ShardName
   /** Of the ownership on whose behalf ends are written; it fences every write. */
   readonly epoch: ModRevision
@@ -55,8 +61,8 @@
   readonly jobIndex: JobIndex
   readonly now: () => MonotonicTime
   /** False while the node must not write on the shard's behalf. */
-  readonly active: () => boolean
-  readonly events: JobEndsEvents
+  readonly mayWrite: () => boolean
+  readonly events: JobEndsWriterEvents
 }
 
 /** The next write of an ends page. */
@@ -71,27 +77,27 @@
  * late. An ends page names jobs until their records are off the job pages;
  * what is no longer needed is left out of the next write.
  */
-export class JobEnds {
-  private readonly waiting = new Set<JobState>()
+export class JobEndsWriter {
+  private readonly waitingJobs = new Set<JobState>()
   private readonly jobAdded = new Signal()
   private readonly endsPagesGrew = new Signal()
   private readonly pacer: WritePacer
   private readonly maxPageBytes: number
 
-  constructor(private readonly options: JobEndsOptions) {
+  constructor(private readonly options: JobEndsWriterOptions) {
     const { store, now } = options
     const { valueKb } = store.limits
     this.pacer = new WritePacer({
       store,
       now,
-      spacingMs: (load) => interpolateByLoad(load, CALM_SPACING_MS, BUSY_SPACING_MS),
+      spacingMs: (load) => interpolateByLoad(load, LOW_LOAD_SPACING_MS, HIGH_LOAD_SPACING_MS),
     })
-    this.maxPageBytes = Math.min(valueKb * 1024, MAX_PAGE_BYTES) - FRAME_BYTES
+    this.maxPageBytes = Math.min(valueKb * 1024, MAX_PAGE_BYTES) - PAGE_OVERHEAD_BYTES
   }
 
   /** Nothing is left to do for the job but to write its final state. */
   add(job: JobState): void {
-    this.waiting.add(job)
+    this.waitingJobs.add(job)
     this.jobAdded.notify()
   }
 
@@ -103,9 +109,9 @@
   private writeLoop() {
     return Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.waiting.size === 0) yield* this.jobAdded.wait(IDLE_MS)
-        if (!this.options.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.waiting.size > 0) yield* this.writeWaiting()
+        if (this.waitingJobs.size === 0) yield* this.jobAdded.wait(IDLE_WAIT_MS)
+        if (!this.options.mayWrite()) return yield* Effect.sleep(RETRY_DELAY_MS)
+        if (this.waitingJobs.size > 0) yield* this.writeWaiting()
       }),
     )
   }
@@ -114,9 +120,9 @@
     return Effect.gen({ self: this }, function* () {
       yield* this.pacer.awaitTurn
       // What a watch event or a hint has made known since is over already.
-      for (const job of this.waiting) if (job.finalized) this.waiting.delete(job)
+      for (const job of this.waitingJobs) if (job.finalized) this.waitingJobs.delete(job)
       const write = this.prepareWrite()
-      if (write === null) return yield* Effect.sleep(PAUSE_MS)
+      if (write === null) return yield* Effect.sleep(RETRY_DELAY_MS)
       const { key, page } = write
       const { store, membership } = this.options
       const written = yield* Effect.result(
@@ -128,21 +134,21 @@
       } else {
         // Without an answer it may have been written, or may be later: not over a newer
         // write of this page, and beside one of another page it says the same of its jobs.
-        yield* Effect.sleep(PAUSE_MS)
-        const fresh = yield* Effect.result(membership.readBarrier.wait)
-        if (Result.isFailure(fresh)) return
+        yield* Effect.sleep(RETRY_DELAY_MS)
+        const barrier = yield* Effect.result(membership.readBarrier.wait)
+        if (Result.isFailure(barrier)) return
       }
-      this.settle(write.jobs)
+      this.reportEnded(write.jobs)
     })
   }
 
   /** Null when no job waits. */
   private prepareWrite(): EndsPageWrite | null {
-    const emptiest = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
+    const smallest = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
     const { store, membership } = this.options
-    const addition = addEnds(emptiest, this.waiting, this.maxPageBytes, store.limits)
+    const addition = addEnds(smallest, this.waitingJobs, this.maxPageBytes, store.limits)
     if (addition.jobs.length === 0) return null
-    const { key } = emptiest
+    const { key } = smallest
     return { ...addition, key, baseRevision: membership.replica.modRevision(key) }
   }
 
@@ -157,33 +163,33 @@
   }
 
   /** Reports the jobs whose final state is on record, by whichever write. */
-  private settle(jobs: ReadonlyArray<JobState>): void {
+  private reportEnded(jobs: ReadonlyArray<JobState>): void {
     const ends: Array<JobEnd> = []
     for (const job of jobs) {
-      const status = this.options.jobIndex.endOf(job.id)
+      const status = this.options.jobIndex.endsPageStatusOf(job.id)
       if (status === null) continue
-      this.waiting.delete(job)
+      this.waitingJobs.delete(job)
       ends.push({ id: job.id, status })
     }
-    if (ends.length > 0) this.options.events.ended(ends)
+    if (ends.length > 0) this.options.events.jobsEnded(ends)
   }
 
   /** The shard's ends pages, as far as they are still needed. */
   private endsPageContents(): ReadonlyArray<EndsPageContent> {
     const { shard, store, membership, jobIndex } = this.options
     // A final state is needed as long as the job's record stands in its page: without it, the job would seem to live.
-    const isNeeded = (digits: string) => jobIndex.isOnRecord(idOf(digits))
-    return endsPages(shard, store.limits).map((key) =>
-      neededContent(key, membership.replica.get(key)?.value, isNeeded),
+    const isNeeded = (digits: string) => jobIndex.hasRecord(idFromDigits(digits))
+    return endsPageKeys(shard, store.limits).map((key) =>
+      neededContentOf(key, membership.replica.get(key)?.value, isNeeded),
     )
   }
 
   private foldLoop() {
     return Effect.forever(
       Effect.gen({ self: this }, function* () {
-        yield* this.endsPagesGrew.wait(IDLE_MS)
+        yield* this.endsPagesGrew.wait(IDLE_WAIT_MS)
         for (;;) {
-          const page = this.options.active() ? this.pageToFold() : null
+          const page = this.options.mayWrite() ? this.pageToFold() : null
           if (page === null) return
           const folded = yield* Effect.result(this.options.events.fold(page))
           if (Result.isFailure(folded)) return
@@ -197,14 +203,14 @@
     const contents = this.endsPageContents()
     const bytes = contents.reduce((sum, content) => sum + content.bytes, 0)
     if (bytes < FOLD_THRESHOLD * contents.length * this.maxPageBytes) return null
-    const counts = new Map<StoreKey<JobPage>, number>()
+    const endedJobsByPage = new Map<StoreKey<JobPage>, number>()
     for (const digits of contents.flatMap(({ page }) => [...page.done, ...page.cancelled])) {
-      const page = this.options.jobIndex.pageOf(idOf(digits))
-      if (page !== null) counts.set(page, (counts.get(page) ?? 0) + 1)
+      const page = this.options.jobIndex.pageKeyOf(idFromDigits(digits))
+      if (page !== null) endedJobsByPage.set(page, (endedJobsByPage.get(page) ?? 0) + 1)
     }
     let fullest: StoreKey<JobPage> | null = null
-    for (const [page, count] of counts) {
-      if (fullest === null || count > counts.get(fullest)!) fullest = page
+    for (const [page, count] of endedJobsByPage) {
+      if (fullest === null || count > endedJobsByPage.get(fullest)!) fullest = page
     }
     return fullest
   }
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -16,7 +16,7 @@
   keys,
   type StoreKey,
 } from "@sorreltally/store"
-import { EMPTY_PAGE, finalIn, idOf } from "./job-pages.ts"
+import { EMPTY_PAGE, finalStatusIn, idFromDigits } from "./job-pages.ts"
 
 /** A job that isn't over, and the page that holds it. */
 export interface LiveJob {
@@ -33,15 +33,15 @@
 /** Every job on record, as this node's replica has it. */
 export class JobIndex {
   /** Jobs whose records stand in a page, over or not. */
-  private readonly onRecord = new Map<JobId, LiveJob>()
+  private readonly recordedJobs = new Map<JobId, LiveJob>()
   private readonly idsByJobPage = new Map<StoreKey<JobPage>, ReadonlyArray<JobId>>()
-  private readonly ends = new Map<JobId, FinalStatus>()
+  private readonly finalStatuses = new Map<JobId, FinalStatus>()
   private readonly idsByEndsPage = new Map<StoreKey<FinalStates>, ReadonlyArray<JobId>>()
   private readonly listeners = new Set<JobListener>()
 
   constructor(private readonly replica: Replica) {
-    replica.listen(JOB_PAGES, (key, entry) => this.pageChanged(key, entry))
-    replica.listen(ENDS_PAGES, (key, entry) => this.endsChanged(key, entry))
+    replica.listen(JOB_PAGES, (key, entry) => this.applyJobPage(key, entry))
+    replica.listen(ENDS_PAGES, (key, entry) => this.applyEndsPage(key, entry))
   }
 
   /** Returns how to stop listening. */
@@ -51,32 +51,32 @@
   }
 
   /** All jobs that aren't over. */
-  *live(): Iterable<LiveJob> {
-    for (const job of this.onRecord.values()) if (!this.ends.has(job.id)) yield job
+  *liveJobs(): Iterable<LiveJob> {
+    for (const job of this.recordedJobs.values()) if (!this.finalStatuses.has(job.id)) yield job
   }
 
   /** The job, if it is on record and not over. */
   get(id: JobId): LiveJob | null {
-    return this.ends.has(id) ? null : (this.onRecord.get(id) ?? null)
+    return this.finalStatuses.has(id) ? null : (this.recordedJobs.get(id) ?? null)
   }
 
   /** Whether a page still holds its record, though it may be over. */
-  isOnRecord(id: JobId): boolean {
-    return this.onRecord.has(id)
+  hasRecord(id: JobId): boolean {
+    return this.recordedJobs.has(id)
   }
 
   /** The page that holds its record; null when none does. */
-  pageOf(id: JobId): StoreKey<JobPage> | null {
-    return this.onRecord.get(id)?.pageKey ?? null
+  pageKeyOf(id: JobId): StoreKey<JobPage> | null {
+    return this.recordedJobs.get(id)?.pageKey ?? null
   }
 
   /** The final status that an ends page gives it; null when none names it. */
-  endOf(id: JobId): FinalStatus | null {
-    return this.ends.get(id) ?? null
+  endsPageStatusOf(id: JobId): FinalStatus | null {
+    return this.finalStatuses.get(id) ?? null
   }
 
   /** The pages of a bucket: there is no gap between them, as none is ever deleted. */
-  pages(bucket: number): ReadonlyArray<Entry<JobPage>> {
+  pagesInBucket(bucket: number): ReadonlyArray<Entry<JobPage>> {
     const pages: Array<Entry<JobPage>> = []
     for (;;) {
       const key = keys.jobPage(bucket, pages.length)
@@ -87,56 +87,57 @@
   }
 
   /** Its final status by the ends pages or the given pages of its bucket; null when neither has one. */
-  finalOf(id: JobId, pages: ReadonlyArray<Entry<JobPage>>): FinalStatus | null {
-    const end = this.endOf(id)
-    if (end !== null) return end
+  finalStatusOf(id: JobId, pages: ReadonlyArray<Entry<JobPage>>): FinalStatus | null {
+    const endsPageStatus = this.endsPageStatusOf(id)
+    if (endsPageStatus !== null) return endsPageStatus
     for (const { value } of pages) {
-      const final = finalIn(value, id)
-      if (final !== null) return final
+      const status = finalStatusIn(value, id)
+      if (status !== null) return status
     }
     return null
   }
 
-  private pageChanged(key: StoreKey<JobPage>, entry: Entry<JobPage> | null): void {
-    const pageKey = entry?.value ?? EMPTY_PAGE
-    const before = this.idsByJobPage.get(key) ?? []
-    const now = pageKey.jobs.map((job) => job.spec.id)
-    this.idsByJobPage.set(key, now)
-    for (const record of pageKey.jobs) {
+  private applyJobPage(key: StoreKey<JobPage>, entry: Entry<JobPage> | null): void {
+    const page = entry?.value ?? EMPTY_PAGE
+    const previousIds = this.idsByJobPage.get(key) ?? []
+    const currentIds = page.jobs.map((job) => job.spec.id)
+    this.idsByJobPage.set(key, currentIds)
+    for (const record of page.jobs) {
       const { id } = record.spec
       const job: LiveJob = { id, record, pageKey: key, modRevision: entry!.modRevision }
-      this.onRecord.set(id, job)
-      if (!this.ends.has(id)) this.notify(id, job)
+      this.recordedJobs.set(id, job)
+      if (!this.finalStatuses.has(id)) this.notifyListeners(id, job)
     }
-    const remaining = new Set(now)
-    for (const id of before) {
+    const remaining = new Set(currentIds)
+    for (const id of previousIds) {
       if (remaining.has(id)) continue
-      this.onRecord.delete(id)
-      if (!this.ends.has(id)) this.notify(id, null)
+      this.recordedJobs.delete(id)
+      if (!this.finalStatuses.has(id)) this.notifyListeners(id, null)
     }
   }
 
-  private endsChanged(key: StoreKey<FinalStates>, entry: Entry<FinalStates> | null): void {
-    const pageKey: FinalStates = entry?.value ?? EMPTY_PAGE
-    const before = this.idsByEndsPage.get(key) ?? []
-    const now: Array<JobId> = []
-    for (const digits of pageKey.done) now.push(this.recordEnd(idOf(digits), "done"))
-    for (const digits of pageKey.cancelled) now.push(this.recordEnd(idOf(digits), "cancelled"))
-    this.idsByEndsPage.set(key, now)
+  private applyEndsPage(key: StoreKey<FinalStates>, entry: Entry<FinalStates> | null): void {
+    const page: FinalStates = entry?.value ?? EMPTY_PAGE
+    const previousIds = this.idsByEndsPage.get(key) ?? []
+    const currentIds: Array<JobId> = []
+    for (const digits of page.done) currentIds.push(this.addFinalStatus(idFromDigits(digits), "done"))
+    for (const digits of page.cancelled)
+      currentIds.push(this.addFinalStatus(idFromDigits(digits), "cancelled"))
+    this.idsByEndsPage.set(key, currentIds)
     // An ends page names a job until no job page holds its record.
-    const remaining = new Set(now)
-    for (const id of before) if (!remaining.has(id)) this.ends.delete(id)
+    const remaining = new Set(currentIds)
+    for (const id of previousIds) if (!remaining.has(id)) this.finalStatuses.delete(id)
   }
 
-  private recordEnd(id: JobId, status: FinalStatus): JobId {
-    if (!this.ends.has(id)) {
-      this.ends.set(id, status)
-      if (this.onRecord.has(id)) this.notify(id, null)
+  private addFinalStatus(id: JobId, status: FinalStatus): JobId {
+    if (!this.finalStatuses.has(id)) {
+      this.finalStatuses.set(id, status)
+      if (this.recordedJobs.has(id)) this.notifyListeners(id, null)
     }
     return id
   }
 
-  private notify(id: JobId, job: LiveJob | null): void {
+  private notifyListeners(id: JobId, job: LiveJob | null): void {
     for (const listener of this.listeners) listener(id, job)
   }
 }
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -21,30 +21,30 @@
  * page holds: few enough to read at a start, many enough that a page mostly
  * holds a job or two, and writes of different jobs hardly ever meet.
  */
-const BUCKETS = 512
+const BUCKET_COUNT = 512
 /** Final states beyond this many bytes, or this fraction of a value, leave the replicated page for the archive. */
-const ARCHIVE_BYTES = 1_024
-const ARCHIVE_FRACTION = 0.25
+const ARCHIVE_THRESHOLD_BYTES = 1_024
+const ARCHIVE_THRESHOLD_FRACTION = 0.25
 /** Quotes and comma around an id's digits in JSON. */
-const ID_FRAME_BYTES = 3
+const ID_JSON_OVERHEAD_BYTES = 3
 /** Reserved for what encodings may add to a value. */
-const SPARE_BYTES = 64
+const ENCODING_RESERVE_BYTES = 64
 const ID_PREFIX = "run-"
 
 /** What a bucket's next page holds before its first write. */
 export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivedPages: 0 }
 
 /** The bucket whose pages hold the job. */
-export const bucketOf = (id: JobId): number => hashText(id) % BUCKETS
+export const bucketOf = (id: JobId): number => hashText(id) % BUCKET_COUNT
 /** The id without its prefix, as final states are stored. */
 export const digitsOf = (id: JobId): string => id.slice(ID_PREFIX.length)
 /** The id that has these digits. */
-export const idOf = (digits: string): JobId => `${ID_PREFIX}${digits}` as JobId
+export const idFromDigits = (digits: string): JobId => `${ID_PREFIX}${digits}` as JobId
 /** Size of one final state as stored, in bytes. */
-export const finalStateBytes = (digits: string): number => digits.length + ID_FRAME_BYTES
+export const finalStateBytes = (digits: string): number => digits.length + ID_JSON_OVERHEAD_BYTES
 
 /** The job's final state, if it is among these. */
-export const finalIn = (states: FinalStates, id: JobId): FinalStatus | null => {
+export const finalStatusIn = (states: FinalStates, id: JobId): FinalStatus | null => {
   const digits = digitsOf(id)
   if (states.done.includes(digits)) return "done"
   return states.cancelled.includes(digits) ? "cancelled" : null
@@ -60,29 +60,30 @@
 })
 
 /** Replaces the records of jobs that are over by their final states. */
-export const foldEnds = (page: JobPage, endOf: (id: JobId) => FinalStatus | null): JobPage => {
+export const foldEnds = (page: JobPage, finalStatusOf: (id: JobId) => FinalStatus | null): JobPage => {
   const jobs: Array<JobRecord> = []
   const done = [...page.done]
   const cancelled = [...page.cancelled]
   for (const job of page.jobs) {
     const { id } = job.spec
-    const end = endOf(id)
-    if (end === null) jobs.push(job)
-    else if (end === "done") done.push(digitsOf(id))
+    const status = finalStatusOf(id)
+    if (status === null) jobs.push(job)
+    else if (status === "done") done.push(digitsOf(id))
     else cancelled.push(digitsOf(id))
   }
   return { ...page, jobs, done, cancelled }
 }
 
 /** Moves the final states of a page that holds many of them to an archive page of their own. */
-export const archiveFinals = (
+export const archiveFinalStates = (
   page: JobPage,
   valueKb: number,
 ): { readonly page: JobPage; readonly archived: FinalStates | null } => {
   const { done, cancelled } = page
   let bytes = 0
   for (const digits of [...done, ...cancelled]) bytes += finalStateBytes(digits)
-  if (bytes <= Math.min(ARCHIVE_BYTES, ARCHIVE_FRACTION * valueKb * 1024)) return { page, archived: null }
+  if (bytes <= Math.min(ARCHIVE_THRESHOLD_BYTES, ARCHIVE_THRESHOLD_FRACTION * valueKb * 1024))
+    return { page, archived: null }
   return {
     page: { ...page, done: [], cancelled: [], archivedPages: page.archivedPages + 1 },
     archived: { done, cancelled },
@@ -91,4 +92,4 @@
 
 /** Whether the page, as it is stored, is small enough for one value of `valueKb`. */
 export const fitsValue = (key: StoreKey<JobPage>, page: JobPage, valueKb: number): boolean =>
-  Buffer.byteLength(JSON.stringify(encodeRecord(key, page))) <= valueKb * 1024 - SPARE_BYTES
+  Buffer.byteLength(JSON.stringify(encodeRecord(key, page))) <= valueKb * 1024 - ENCODING_RESERVE_BYTES
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -33,7 +33,7 @@
    * is never started anew: either the machine reports the task, or the task is
    * surely off it.
    */
-  readonly inherited: boolean
+  readonly fromPreviousOwner: boolean
   /** Not null: the task is to leave the machine. */
   stop: { readonly reason: StopReason; readonly gracePeriodS: number; readonly since: MonotonicTime } | null
   /** When this owner placed it, or adopted it from a former one. */
@@ -51,7 +51,7 @@
   readonly spec: JobSpec
   readonly submitted: WallTime
   /** By task index; 1: finished. */
-  private readonly finished: Uint8Array
+  private readonly finishedFlags: Uint8Array
   private finishedCount = 0
   /** By task index. */
   readonly placements = new Map<number, Placement>()
@@ -70,9 +70,9 @@
   /** Its final state is durable. */
   finalized = false
   /** Placed tasks that run. */
-  running = 0
+  runningCount = 0
   /** Placed tasks that are to leave their machine. */
-  stopping = 0
+  stoppingCount = 0
 
   constructor(
     readonly id: JobId,
@@ -84,7 +84,7 @@
     this.spec = record.spec
     this.submitted = record.submittedAt as WallTime
     this.cancelled = record.cancelled
-    this.finished = new Uint8Array(record.spec.taskCount)
+    this.finishedFlags = new Uint8Array(record.spec.taskCount)
   }
 
   get taskCount(): number {
@@ -92,12 +92,12 @@
   }
 
   /** How many tasks are finished. */
-  get done(): number {
+  get finishedTaskCount(): number {
     return this.finishedCount
   }
 
   /** How many tasks are neither finished nor placed. */
-  get queued(): number {
+  get queuedCount(): number {
     return this.taskCount - this.finishedCount - this.placements.size
   }
 
@@ -118,7 +118,7 @@
 
   /** Whether that task is finished, durably or not. */
   isFinished(index: number): boolean {
-    return this.finished[index] === 1
+    return this.finishedFlags[index] === 1
   }
 
   /** Whether the store knows that the task is finished: the worker may purge it. */
@@ -146,40 +146,40 @@
   /** The machine reports that the task runs. */
   markRunning(placement: Placement, now: MonotonicTime): void {
     placement.runningSince = now
-    this.running++
+    this.runningCount++
   }
 
   /** The task is to leave its machine. */
   stop(placement: Placement, stop: NonNullable<Placement["stop"]>): void {
-    if (placement.stop === null) this.stopping++
+    if (placement.stop === null) this.stoppingCount++
     placement.stop = stop
   }
 
   /** The task is off its machine without having finished. */
   clear(placement: Placement): void {
-    if (!this.remove(placement)) return
+    if (!this.removePlacement(placement)) return
     this.requeued.push(placement.index)
   }
 
   /** The task finished; its finish isn't durable yet. */
   finish(index: number): void {
     const placement = this.placements.get(index)
-    if (placement !== undefined) this.remove(placement)
+    if (placement !== undefined) this.removePlacement(placement)
     if (this.isFinished(index)) return
     this.markFinished(index)
     this.unsavedFinishes.add(index)
   }
 
-  private remove(placement: Placement): boolean {
+  private removePlacement(placement: Placement): boolean {
     if (this.placements.get(placement.index) !== placement) return false
     this.placements.delete(placement.index)
-    if (placement.runningSince !== null) this.running--
-    if (placement.stop !== null) this.stopping--
+    if (placement.runningSince !== null) this.runningCount--
+    if (placement.stop !== null) this.stoppingCount--
     return true
   }
 
   private markFinished(index: number): void {
-    this.finished[index] = 1
+    this.finishedFlags[index] = 1
     this.finishedCount++
   }
 
@@ -193,10 +193,10 @@
   }
 
   /** Adopts a placement that a former owner wrote. */
-  restorePlaced(placement: Placement): void {
+  restorePlacement(placement: Placement): void {
     if (this.isFinished(placement.index)) return
-    const other = this.placements.get(placement.index)
+    const current = this.placements.get(placement.index)
     // Attempts only ever rise: the highest is the newest.
-    if (other === undefined || other.attempt < placement.attempt) this.place(placement)
+    if (current === undefined || current.attempt < placement.attempt) this.place(placement)
   }
 }
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -25,15 +25,15 @@
   type StoreKey,
 } from "@sorreltally/store"
 import { Effect } from "effect"
-import { endsPages } from "./ends-pages.ts"
+import { endsPageKeys } from "./ends-pages.ts"
 import type { JobIndex } from "./job-index.ts"
 import {
   addJob,
-  archiveFinals,
+  archiveFinalStates,
   bucketOf,
   cancelJob,
   EMPTY_PAGE,
-  finalIn,
+  finalStatusIn,
   fitsValue,
   foldEnds,
 } from "./job-pages.ts"
@@ -41,7 +41,7 @@
 /** Operations of a write that moves final states to the archive. */
 const ARCHIVING_OPERATIONS = 2
 /** The status of a record that fits no value: the store itself would refuse it so. */
-const VALUE_TOO_LARGE = 413
+const VALUE_TOO_LARGE_STATUS = 413
 
 /** A job page as it is to be, and the operations that make it so. */
 interface PageWrites {
@@ -60,10 +60,10 @@
 /** What the node does and knows beside the job store. */
 export interface JobStoreEvents {
   /** A page was written: the owner of this job should know before the watch event comes. */
-  readonly changed: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
+  readonly pageWritten: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
   /** A final status that was found before; it holds for good. */
-  readonly cachedFinal: (id: JobId) => FinalStatus | null
-  readonly cacheFinal: (id: JobId, status: FinalStatus) => void
+  readonly cachedFinalStatus: (id: JobId) => FinalStatus | null
+  readonly cacheFinalStatus: (id: JobId, status: FinalStatus) => void
   readonly shardOf: (spec: JobSpec) => ShardName
 }
 
@@ -101,11 +101,11 @@
    */
   find(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
-      const known = this.events.cachedFinal(id)
-      if (known !== null) return { kind: "final", status: known } as const
+      const cachedStatus = this.events.cachedFinalStatus(id)
+      if (cachedStatus !== null) return { kind: "final", status: cachedStatus } as const
       yield* this.membership.readBarrier.wait
       const found = yield* this.lookUp(id)
-      if (found.kind === "final") this.events.cacheFinal(id, found.status)
+      if (found.kind === "final") this.events.cacheFinalStatus(id, found.status)
       return found
     })
   }
@@ -119,18 +119,18 @@
       const { spec } = record
       for (;;) {
         // The replica may lag here: the conditions fail if it does.
-        const pages = this.jobIndex.pages(bucketOf(spec.id))
+        const pages = this.jobIndex.pagesInBucket(bucketOf(spec.id))
         const seen = yield* this.lookUp(spec.id)
         if (seen.kind !== "none") return yield* this.find(spec.id)
         const target = this.pageFor(record, pages)
-        if (target === null) return yield* Effect.fail(tooLarge)
+        if (target === null) return yield* Effect.fail(valueTooLargeError)
         const conditions: Array<Condition> = pages.map(({ key, modRevision }) => ({ key, modRevision }))
         conditions.push({ key: keys.jobPage(bucketOf(spec.id), pages.length), modRevision: ABSENT })
-        const { page: written, operations } = this.writesOf(target.key, target.page)
+        const { page: written, operations } = this.writesForPage(target.key, target.page)
         const accepted = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (accepted.ok) {
           const entry = { key: target.key, value: written, modRevision: accepted.revision }
-          yield* this.events.changed(entry, spec)
+          yield* this.events.pageWritten(entry, spec)
           return { kind: "accepted" } as const
         }
         yield* this.membership.readBarrier.wait
@@ -149,16 +149,19 @@
         const found = yield* this.find(id)
         if (found.kind !== "live" || found.record.cancelled) return found
         const job = this.jobIndex.get(id)
-        const page = this.jobIndex.pages(bucketOf(id)).find(({ key }) => key === job?.pageKey)
+        const page = this.jobIndex.pagesInBucket(bucketOf(id)).find(({ key }) => key === job?.pageKey)
         if (page === undefined) continue
         const { spec } = found.record
         const conditions: Array<Condition> = [{ key: page.key, modRevision: page.modRevision }]
         conditions.push(...this.endsConditions(this.events.shardOf(spec)))
-        const { page: written, operations } = this.writesOf(page.key, cancelJob(this.folded(page), id))
+        const { page: written, operations } = this.writesForPage(
+          page.key,
+          cancelJob(this.foldedPage(page), id),
+        )
         const cancelled = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (!cancelled.ok) continue
         const entry = { key: page.key, value: written, modRevision: cancelled.revision }
-        yield* this.events.changed(entry, spec)
+        yield* this.events.pageWritten(entry, spec)
         return { kind: "live", record: { ...found.record, cancelled: true } } as const
       }
     })
@@ -169,7 +172,7 @@
     return Effect.gen({ self: this }, function* () {
       const page = this.pageAt(key)
       if (page === null) return
-      const { page: written, operations } = this.writesOf(key, this.folded(page))
+      const { page: written, operations } = this.writesForPage(key, this.foldedPage(page))
       const conditions = [{ key, modRevision: page.modRevision }]
       const result = yield* this.store.compareAndSwap(conditions, operations, 3)
       if (!result.ok) return yield* this.membership.readBarrier.wait
@@ -179,15 +182,15 @@
 
   private pageAt(key: StoreKey<JobPage>): Entry<JobPage> | null {
     const bucket = Number(key.slice(key.lastIndexOf("/") + 1, key.lastIndexOf(".")))
-    return this.jobIndex.pages(bucket).find((page) => page.key === key) ?? null
+    return this.jobIndex.pagesInBucket(bucket).find((page) => page.key === key) ?? null
   }
 
   /** What the replica says, and for jobs long over the archive. */
   private lookUp(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
-      const pages = this.jobIndex.pages(bucket)
-      const status = this.jobIndex.finalOf(id, pages)
+      const pages = this.jobIndex.pagesInBucket(bucket)
+      const status = this.jobIndex.finalStatusOf(id, pages)
       if (status !== null) return Effect.succeed({ kind: "final", status })
       const live = this.jobIndex.get(id)
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
@@ -200,15 +203,15 @@
   private lookUpInArchive(bucket: number, id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.map(this.store.list(keys.archive(bucket)), ({ items }) => {
       for (const { value } of items) {
-        const status = finalIn(value, id)
+        const status = finalStatusIn(value, id)
         if (status !== null) return { kind: "final", status }
       }
       return { kind: "none" }
     })
   }
 
-  private folded({ value }: Entry<JobPage>): JobPage {
-    return foldEnds(value, (id) => this.jobIndex.endOf(id))
+  private foldedPage({ value }: Entry<JobPage>): JobPage {
+    return foldEnds(value, (id) => this.jobIndex.endsPageStatusOf(id))
   }
 
   /** The first page of a bucket with room for the job; null when not even an empty one has. */
@@ -218,7 +221,7 @@
   ): { readonly key: StoreKey<JobPage>; readonly page: JobPage } | null {
     const { valueKb } = this.store.limits
     for (const entry of pages) {
-      const page = addJob(this.folded(entry), record)
+      const page = addJob(this.foldedPage(entry), record)
       const { key } = entry
       if (fitsValue(key, page, valueKb)) return { key, page }
     }
@@ -228,10 +231,10 @@
   }
 
   /** The page's write, and with it that of final states which leave it. */
-  private writesOf(key: StoreKey<JobPage>, next: JobPage): PageWrites {
+  private writesForPage(key: StoreKey<JobPage>, next: JobPage): PageWrites {
     const { maxOperations, valueKb } = this.store.limits
     if (maxOperations < ARCHIVING_OPERATIONS) return { page: next, operations: [put(key, next)] }
-    const { page, archived } = archiveFinals(next, valueKb)
+    const { page, archived } = archiveFinalStates(next, valueKb)
     if (archived === null) return { page, operations: [put(key, page)] }
     const [bucket, number] = key.slice(key.lastIndexOf("/") + 1).split(".")
     const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivedPages)
@@ -240,12 +243,15 @@
 
   private endsConditions(shard: ShardName): ReadonlyArray<Condition> {
     const { replica } = this.membership
-    return endsPages(shard, this.store.limits).map((key) => ({ key, modRevision: replica.modRevision(key) }))
+    return endsPageKeys(shard, this.store.limits).map((key) => ({
+      key,
+      modRevision: replica.modRevision(key),
+    }))
   }
 }
 
-const tooLarge = new StoreError({
+const valueTooLargeError = new StoreError({
   operation: "compareAndSwap",
   outcome: "refused",
-  status: VALUE_TOO_LARGE,
+  status: VALUE_TOO_LARGE_STATUS,
 })
--- a/packages/jobs/src/page-conditions.ts
+++ b/packages/jobs/src/page-conditions.ts
@@ -16,6 +16,6 @@
  */
 export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
   const revisions = new Map<StoreKey<JobPage>, ModRevision>()
-  for (const { pageKey: page, modRevision } of jobs) revisions.set(page, modRevision)
+  for (const { pageKey, modRevision } of jobs) revisions.set(pageKey, modRevision)
   return [...revisions].map(([key, modRevision]) => ({ key, modRevision }))
 }
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -45,7 +45,7 @@
   /** Placements that aren't durable yet; they go before finishes. */
   readonly starts: Iterable<Placement>
   /** Jobs that may have unsaved finishes. */
-  readonly finished: Iterable<JobState>
+  readonly jobsWithFinishes: Iterable<JobState>
   /** For how many jobs the transaction has room for a condition. */
   readonly maxJobs: number
   /** The shard epoch that the write is made under. */
@@ -60,7 +60,7 @@
   /** Null for jobs that are over. */
   readonly jobOf: (id: JobId) => JobState | null
   /** When it was restored: its placements count from then. */
-  readonly now: MonotonicTime
+  readonly restoredAt: MonotonicTime
 }
 
 /** Slots scanned for dead ones at a write: enough to keep up with those that become free. */
@@ -87,12 +87,12 @@
   constructor(private readonly options: { readonly valueKb: number }) {}
 
   /** How many slots are in use. */
-  get size(): number {
+  get usedSlotCount(): number {
     return this.slots.size
   }
 
   /** The next write: as many starts as fit, then finishes. Null when there is nothing to write. */
-  prepareWrite({ starts, finished, maxJobs, epoch }: SlotWriteRequest): SlotWrite | null {
+  prepareWrite({ starts, jobsWithFinishes: finished, maxJobs, epoch }: SlotWriteRequest): SlotWrite | null {
     const builder = new SlotBuilder(this.options.valueKb)
     const jobs = addStarts(builder, starts, maxJobs)
     for (const job of finished) {
@@ -116,21 +116,21 @@
   }
 
   /** The write is durable, at this revision of its slot. */
-  committed(write: SlotWrite, modRevision: ModRevision): void {
+  markCommitted(write: SlotWrite, modRevision: ModRevision): void {
     this.slots.set(write.slot, { modRevision, starts: write.starts, finishes: write.finishes })
     for (const placement of write.starts) placement.durable = true
     for (const { job, indexes } of write.finishes)
       for (const index of indexes) job.unsavedFinishes.delete(index)
-    for (const slot of write.compacted) this.free(slot)
+    for (const slot of write.compacted) this.freeSlot(slot)
   }
 
   /** The write surely never was and never will be carried out; its slot has this revision. */
-  aborted(write: SlotWrite, modRevision: ModRevision): void {
+  markAborted(write: SlotWrite, modRevision: ModRevision): void {
     this.freeSlots.push({ slot: write.slot, modRevision })
   }
 
   /** Adopts a slot that a former owner wrote, and restores the tasks of its jobs. */
-  restore({ slot, modRevision, record, jobOf, now }: StoredSlot): void {
+  restore({ slot, modRevision, record, jobOf, restoredAt: now }: StoredSlot): void {
     this.nextSlot = Math.max(this.nextSlot, slot + 1)
     const finishes = restoreFinishes(record, jobOf)
     const starts = restoreStarts(record, jobOf, now)
@@ -142,7 +142,7 @@
     const numbers = [...this.slots.keys()]
     for (let i = 0; i < Math.min(SLOTS_SCANNED_PER_WRITE, numbers.length); i++) {
       const number = numbers[this.scanPosition++ % numbers.length]!
-      if (isDead(this.slots.get(number)!)) this.free(number)
+      if (isDead(this.slots.get(number)!)) this.freeSlot(number)
     }
   }
 
@@ -161,7 +161,7 @@
     return compacted
   }
 
-  private free(number: number): void {
+  private freeSlot(number: number): void {
     const slot = this.slots.get(number)
     if (slot === undefined) return
     this.slots.delete(number)
@@ -205,7 +205,7 @@
 const restoreStarts = (
   record: PlacementRecord,
   jobOf: StoredSlot["jobOf"],
-  now: MonotonicTime,
+  restoredAt: MonotonicTime,
 ): ReadonlyArray<Placement> => {
   const starts: Array<Placement> = []
   for (const { jobId, tasks } of record.placed) {
@@ -220,13 +220,13 @@
         agentEpoch,
         attempt: (record.firstAttempt + attemptOffset) as Attempt,
         durable: true,
-        inherited: true,
+        fromPreviousOwner: true,
         stop: null,
-        placedAt: now,
+        placedAt: restoredAt,
         runningSince: null,
         unacknowledgedStarts: 0,
       }
-      job.restorePlaced(placement)
+      job.restorePlacement(placement)
       starts.push(placement)
     }
   }
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -35,25 +35,25 @@
 import { PlacementLedger, type SlotWrite } from "./placement-ledger.ts"
 import { WritePacer } from "./write-pacer.ts"
 
-const PAUSE_MS = 150
+const RETRY_DELAY_MS = 150
 /** While finishes wait, it is looked this often whether they are due; else hardly ever. */
-const FINISHES_CHECK_MS = 500
-const IDLE_MS = 5_000
+const FINISHES_CHECK_INTERVAL_MS = 500
+const IDLE_WAIT_MS = 5_000
 /**
  * Finishes wait for the next starts' write, at most this long: the worker
  * keeps an exited task until it is commanded to purge it, so a lost finish is
  * reported again.
  */
-const FINISHES_WAIT_MS = 2_000
+const MAX_FINISH_DELAY_MS = 2_000
 
 /**
  * Fraction of the store's writes that one shard's slots may use: where many
  * small jobs come, starts wait a little so that more of them go together.
  */
-const CALM_WRITE_FRACTION = 0.3
-const BUSY_WRITE_FRACTION = 0.12
+const LOW_LOAD_WRITE_FRACTION = 0.3
+const HIGH_LOAD_WRITE_FRACTION = 0.12
 /** On the shard and on the slot. */
-const OWN_CONDITIONS = 2
+const FIXED_CONDITIONS = 2
 
 /** What a slot was read to hold. */
 interface StoredSlotState {
@@ -64,9 +64,9 @@
 /** What becomes of placements. */
 export interface PlacementWriterEvents {
   /** These placements may be started now. */
-  readonly durable: (placements: ReadonlyArray<Placement>) => void
+  readonly placementsDurable: (placements: ReadonlyArray<Placement>) => void
   /** A placement that won't become durable: its job was cancelled meanwhile. */
-  readonly abandoned: (placement: Placement) => void
+  readonly placementAbandoned: (placement: Placement) => void
 }
 
 /** What a shard's writer of placements works with. */
@@ -78,18 +78,18 @@
   readonly membership: Pick<Membership, "readBarrier">
   readonly now: () => MonotonicTime
   /** False while the node must not write on the shard's behalf. */
-  readonly active: () => boolean
+  readonly mayWrite: () => boolean
   readonly events: PlacementWriterEvents
 }
 
 /** Writes down what became of one shard's tasks: starts at once, finishes along with them. */
 export class PlacementWriter {
   readonly ledger: PlacementLedger
-  private readonly starts = new Set<Placement>()
-  private readonly unsavedJobs = new Set<JobState>()
-  private unsavedSince: MonotonicTime = NEVER
+  private readonly pendingStarts = new Set<Placement>()
+  private readonly jobsWithUnsavedFinishes = new Set<JobState>()
+  private finishesWaitSince: MonotonicTime = NEVER
   private readonly pacer: WritePacer
-  private inFlight: ReadonlySet<Placement> = new Set()
+  private inFlightStarts: ReadonlySet<Placement> = new Set()
   private readonly workAdded = new Signal()
 
   constructor(private readonly options: PlacementWriterOptions) {
@@ -100,50 +100,55 @@
       store,
       now,
       spacingMs: (load) =>
-        1000 / (interpolateByLoad(load, CALM_WRITE_FRACTION, BUSY_WRITE_FRACTION) * writesPerSecond),
+        1000 / (interpolateByLoad(load, LOW_LOAD_WRITE_FRACTION, HIGH_LOAD_WRITE_FRACTION) * writesPerSecond),
     })
   }
 
   /** Makes the placement durable as soon as the store has capacity. */
-  place(placement: Placement): void {
-    this.starts.add(placement)
+  enqueue(placement: Placement): void {
+    this.pendingStarts.add(placement)
     this.workAdded.notify()
   }
 
   /** Whether its write is on the way to the store: it may become durable any moment. */
   isInFlight(placement: Placement): boolean {
-    return this.inFlight.has(placement)
+    return this.inFlightStarts.has(placement)
   }
 
   /** A task of the job finished, and others of it have not. */
   recordFinishes(job: JobState): void {
-    if (job.unsavedFinishes.size === 0 || this.unsavedJobs.has(job)) return
-    if (this.unsavedJobs.size === 0) {
-      this.unsavedSince = this.options.now()
+    if (job.unsavedFinishes.size === 0 || this.jobsWithUnsavedFinishes.has(job)) return
+    if (this.jobsWithUnsavedFinishes.size === 0) {
+      this.finishesWaitSince = this.options.now()
       this.workAdded.notify()
     }
-    this.unsavedJobs.add(job)
+    this.jobsWithUnsavedFinishes.add(job)
   }
 
   /** The job's final state says all that its finishes would. */
   discardFinishes(job: JobState): void {
-    this.unsavedJobs.delete(job)
+    this.jobsWithUnsavedFinishes.delete(job)
   }
 
   /** Writes until it is interrupted. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.starts.size === 0 && !this.finishesAreDue())
-          yield* this.workAdded.wait(this.unsavedJobs.size > 0 ? FINISHES_CHECK_MS : IDLE_MS)
-        if (!this.options.active()) return yield* Effect.sleep(PAUSE_MS)
-        if (this.starts.size > 0 || this.finishesAreDue()) yield* this.writeSlot()
+        if (this.pendingStarts.size === 0 && !this.finishesAreDue())
+          yield* this.workAdded.wait(
+            this.jobsWithUnsavedFinishes.size > 0 ? FINISHES_CHECK_INTERVAL_MS : IDLE_WAIT_MS,
+          )
+        if (!this.options.mayWrite()) return yield* Effect.sleep(RETRY_DELAY_MS)
+        if (this.pendingStarts.size > 0 || this.finishesAreDue()) yield* this.writeSlot()
       }),
     ),
   )
 
   private finishesAreDue(): boolean {
-    return this.unsavedJobs.size > 0 && this.options.now() > addMs(this.unsavedSince, FINISHES_WAIT_MS)
+    return (
+      this.jobsWithUnsavedFinishes.size > 0 &&
+      this.options.now() > addMs(this.finishesWaitSince, MAX_FINISH_DELAY_MS)
+    )
   }
 
   private writeSlot() {
@@ -152,25 +157,31 @@
       yield* this.pacer.awaitTurn
       const write = this.prepareWrite()
       if (write === null) return
-      for (const placement of write.starts) this.starts.delete(placement)
-      this.inFlight = new Set(write.starts)
-      yield* this.write(write)
-      this.inFlight = new Set()
-      for (const job of this.unsavedJobs) if (job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
-      this.unsavedSince = this.options.now()
+      for (const placement of write.starts) this.pendingStarts.delete(placement)
+      this.inFlightStarts = new Set(write.starts)
+      yield* this.sendUntilResolved(write)
+      this.inFlightStarts = new Set()
+      for (const job of this.jobsWithUnsavedFinishes)
+        if (job.unsavedFinishes.size === 0) this.jobsWithUnsavedFinishes.delete(job)
+      this.finishesWaitSince = this.options.now()
     })
   }
 
   /** What is still to be written; null when nothing is. */
   private prepareWrite(): SlotWrite | null {
     const { store, epoch } = this.options
-    for (const placement of this.starts) {
-      if (placement.job.placements.get(placement.index) !== placement) this.starts.delete(placement)
+    for (const placement of this.pendingStarts) {
+      if (placement.job.placements.get(placement.index) !== placement) this.pendingStarts.delete(placement)
     }
-    for (const job of this.unsavedJobs)
-      if (job.finalized || job.unsavedFinishes.size === 0) this.unsavedJobs.delete(job)
-    const maxJobs = CONDITIONS_PER_OPERATION * store.limits.maxOperations - OWN_CONDITIONS
-    return this.ledger.prepareWrite({ starts: this.starts, finished: this.unsavedJobs, maxJobs, epoch })
+    for (const job of this.jobsWithUnsavedFinishes)
+      if (job.finalized || job.unsavedFinishes.size === 0) this.jobsWithUnsavedFinishes.delete(job)
+    const maxJobs = CONDITIONS_PER_OPERATION * store.limits.maxOperations - FIXED_CONDITIONS
+    return this.ledger.prepareWrite({
+      starts: this.pendingStarts,
+      jobsWithFinishes: this.jobsWithUnsavedFinishes,
+      maxJobs,
+      epoch,
+    })
   }
 
   private conditionsOf(write: SlotWrite): ReadonlyArray<Condition> {
@@ -186,46 +197,46 @@
    * Until the write is durable, or surely never will be. A loop rather than a
    * Schedule: what the slot was read to hold decides on another attempt.
    */
-  private write(write: SlotWrite) {
+  private sendUntilResolved(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
       const { store, shard } = this.options
       const conditions = this.conditionsOf(write)
       const operations: ReadonlyArray<Operation> = [put(keys.slot(shard, write.slot), write.record)]
       const first = yield* Effect.result(store.compareAndSwap(conditions, operations, "reserved"))
       if (Result.isFailure(first) && first.failure.outcome === "refused") {
-        yield* Effect.sleep(PAUSE_MS)
-        return this.aborted(write, write.baseRevision)
+        yield* Effect.sleep(RETRY_DELAY_MS)
+        return this.handleAbort(write, write.baseRevision)
       }
-      let settled = yield* this.settle(write, first)
+      let isResolved = yield* this.resolve(write, first)
       // As long as it isn't known what became of it, only the very same write is tried again.
-      while (!settled) {
-        const again = yield* Effect.result(store.compareAndSwap(conditions, operations, 2))
-        settled = yield* this.settle(write, again)
+      while (!isResolved) {
+        const retried = yield* Effect.result(store.compareAndSwap(conditions, operations, 2))
+        isResolved = yield* this.resolve(write, retried)
       }
     })
   }
 
   /** Whether it is now known what became of the write, by the result of an attempt and by what its slot holds. */
-  private settle(
+  private resolve(
     write: SlotWrite,
     attempt: Result.Result<CompareAndSwapResult, StoreError>,
   ): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       if (Result.isSuccess(attempt) && attempt.success.ok) {
-        this.committed(write, attempt.success.revision)
+        this.handleCommit(write, attempt.success.revision)
         return true
       }
       // Without an answer it may have been written, or may yet be.
       const stored = yield* this.readBack(write)
       if (stored === null) return false
       if (stored.isThisWrite) {
-        this.committed(write, stored.modRevision)
+        this.handleCommit(write, stored.modRevision)
         return true
       }
       if (Result.isFailure(attempt)) return false
       // A condition failed, and will fail for every late copy of it as well.
       yield* Effect.result(this.options.membership.readBarrier.wait)
-      this.aborted(write, stored.modRevision)
+      this.handleAbort(write, stored.modRevision)
       return true
     })
   }
@@ -236,7 +247,7 @@
       const { store, shard } = this.options
       const read = yield* Effect.result(store.get(keys.slot(shard, write.slot)))
       if (Result.isFailure(read)) {
-        yield* Effect.sleep(PAUSE_MS)
+        yield* Effect.sleep(RETRY_DELAY_MS)
         return null
       }
       const entry = read.success
@@ -247,19 +258,19 @@
     })
   }
 
-  private committed(write: SlotWrite, modRevision: ModRevision): void {
-    this.ledger.committed(write, modRevision)
-    this.options.events.durable(write.starts)
+  private handleCommit(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.markCommitted(write, modRevision)
+    this.options.events.placementsDurable(write.starts)
   }
 
-  private aborted(write: SlotWrite, modRevision: ModRevision): void {
-    this.ledger.aborted(write, modRevision)
+  private handleAbort(write: SlotWrite, modRevision: ModRevision): void {
+    this.ledger.markAborted(write, modRevision)
     for (const placement of write.starts) {
       // What a write only repeated of an older slot is durable there, and may
       // run: it stays counted until it is surely off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
-      if (placement.stop === null) this.starts.add(placement)
-      else this.options.events.abandoned(placement)
+      if (placement.stop === null) this.pendingStarts.add(placement)
+      else this.options.events.placementAbandoned(placement)
     }
   }
 }
--- a/packages/jobs/src/slot-builder.ts
+++ b/packages/jobs/src/slot-builder.ts
@@ -13,11 +13,11 @@
 }
 
 /** Generous sizes in JSON, punctuation included. */
-const START_BYTES = 30
+const START_RECORD_BYTES = 30
 const JOB_BYTES = 32
 const MACHINE_BYTES = 6
 const RUN_BYTES = 14
-const FRAME_BYTES = 120
+const RECORD_OVERHEAD_BYTES = 120
 
 /** A slot's record in the making; keeps count of its size. */
 export class SlotBuilder {
@@ -30,7 +30,7 @@
 
   /** `valueKb`: the store's limit on a value's size. */
   constructor(valueKb: number) {
-    this.freeBytes = valueKb * 1024 - FRAME_BYTES
+    this.freeBytes = valueKb * 1024 - RECORD_OVERHEAD_BYTES
   }
 
   /** Whether it says nothing yet. */
@@ -45,9 +45,9 @@
     this.freeBytes -= bytes
     this.starts.push(placement)
     if (!this.machines.has(placement.machine)) this.machines.set(placement.machine, this.machines.size)
-    const ofJob = this.startsByJob.get(placement.job)
-    if (ofJob === undefined) this.startsByJob.set(placement.job, [placement])
-    else ofJob.push(placement)
+    const jobStarts = this.startsByJob.get(placement.job)
+    if (jobStarts === undefined) this.startsByJob.set(placement.job, [placement])
+    else jobStarts.push(placement)
     return true
   }
 
@@ -72,7 +72,7 @@
   /** Whether there is surely room for all of these. */
   fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<FinishedTasks>): boolean {
     let bytes = 0
-    for (const { machine } of starts) bytes += START_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
+    for (const { machine } of starts) bytes += START_RECORD_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
     for (const { indexes } of finishes) bytes += JOB_BYTES + RUN_BYTES * runsOf(indexes).length
     return bytes <= this.freeBytes
   }
@@ -88,19 +88,19 @@
       machines: [...this.machines.keys()],
       placed: [...this.startsByJob].map(([job, placements]) => ({
         jobId: job.id,
-        tasks: placements.map((placement) => this.placedTask(placement, firstAttempt)),
+        tasks: placements.map((placement) => this.toPlacedTask(placement, firstAttempt)),
       })),
       finished: this.finishedRuns,
     }
   }
 
   private startBytes(placement: Placement): number {
-    const job = this.startsByJob.has(placement.job) ? 0 : JOB_BYTES
-    const machine = this.machines.has(placement.machine) ? 0 : MACHINE_BYTES + placement.machine.length
-    return START_BYTES + job + machine
+    const jobBytes = this.startsByJob.has(placement.job) ? 0 : JOB_BYTES
+    const machineBytes = this.machines.has(placement.machine) ? 0 : MACHINE_BYTES + placement.machine.length
+    return START_RECORD_BYTES + jobBytes + machineBytes
   }
 
-  private placedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
+  private toPlacedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
     return {
       index,
       machine: this.machines.get(machine)!,
--- a/packages/jobs/src/write-pacer.ts
+++ b/packages/jobs/src/write-pacer.ts
@@ -7,7 +7,7 @@
 import { Effect } from "effect"
 
 /** The priority of placements and ends at the store's client. */
-const PRIORITY = 2
+const WRITE_PRIORITY = 2
 
 /** What a pacer works with. */
 export interface WritePacerOptions {
@@ -31,7 +31,7 @@
     const { store, now, spacingMs } = this.options
     const pauseMs = addMs(this.lastWriteAt, spacingMs(store.writeLoad())) - now()
     if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-    yield* store.awaitWriteCapacity(1, PRIORITY)
+    yield* store.awaitWriteCapacity(1, WRITE_PRIORITY)
     this.lastWriteAt = now()
   })
 }
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -66,7 +66,7 @@
     agentEpoch: 1 as AgentEpoch,
     attempt: (index + 1) as Attempt,
     durable: false,
-    inherited: false,
+    fromPreviousOwner: false,
     stop: null,
     placedAt: 0 as MonotonicTime,
     runningSince: null,
@@ -153,9 +153,9 @@
     membership,
     jobIndex,
     events: {
-      changed: (entry) => Effect.sync(() => replica.applyWrite(entry)),
-      cachedFinal: () => null,
-      cacheFinal: () => {},
+      pageWritten: (entry) => Effect.sync(() => replica.applyWrite(entry)),
+      cachedFinalStatus: () => null,
+      cacheFinalStatus: () => {},
       shardOf: () => shard,
     },
   })
--- a/packages/jobs/test/failure-tracker.test.ts
+++ b/packages/jobs/test/failure-tracker.test.ts
@@ -14,11 +14,11 @@
 describe("a job that fails on one machine", () => {
   it("avoids that machine for a while, and doesn't pause", () => {
     const failures = new FailureTracker()
-    assert.equal(failures.failed(redJob, machine1, at(0)), 0)
+    assert.equal(failures.recordFailure(redJob, machine1, at(0)), 0)
     assert.ok(!failures.isSuspect(redJob))
-    assert.deepEqual([...failures.avoidedBy(redJob, at(29))], [machine1])
-    assert.deepEqual([...failures.avoidedBy(redJob, at(31))], [])
-    assert.deepEqual([...failures.avoidedBy(blueJob, at(1))], [])
+    assert.deepEqual([...failures.machinesToAvoid(redJob, at(29))], [machine1])
+    assert.deepEqual([...failures.machinesToAvoid(redJob, at(31))], [])
+    assert.deepEqual([...failures.machinesToAvoid(blueJob, at(1))], [])
   })
 })
 
@@ -26,21 +26,21 @@
   it("is tried one task at a time, at growing pauses, until one succeeds", () => {
     const failures = new FailureTracker()
     const job = jobOf(redJob, 60)
-    assert.equal(failures.startable(job, at(0)), 60)
-    failures.failed(redJob, machine1, at(0))
-    const pauses = Array.from({ length: 9 }, () => failures.failed(redJob, machine2, at(1)))
+    assert.equal(failures.startableCount(job, at(0)), 60)
+    failures.recordFailure(redJob, machine1, at(0))
+    const pauses = Array.from({ length: 9 }, () => failures.recordFailure(redJob, machine2, at(1)))
     assert.deepEqual(pauses.slice(0, 3), [2_000, 4_000, 8_000])
     assert.equal(pauses.at(-1), 30_000)
-    assert.equal(failures.startable(job, at(1)), 1)
+    assert.equal(failures.startableCount(job, at(1)), 1)
     job.retryAfter = at(30)
-    assert.equal(failures.startable(job, at(29)), 0)
-    assert.equal(failures.startable(job, at(30)), 1)
+    assert.equal(failures.startableCount(job, at(29)), 0)
+    assert.equal(failures.startableCount(job, at(30)), 1)
     placeTask(job, 0)
-    assert.equal(failures.startable(job, at(30)), 0)
+    assert.equal(failures.startableCount(job, at(30)), 0)
     // It can go anywhere: all machines are as good.
-    assert.deepEqual([...failures.avoidedBy(redJob, at(2))], [])
-    failures.succeeded(redJob, machine3)
-    assert.equal(failures.startable(job, at(29)), 59)
+    assert.deepEqual([...failures.machinesToAvoid(redJob, at(2))], [])
+    failures.recordSuccess(redJob, machine3)
+    assert.equal(failures.startableCount(job, at(29)), 59)
   })
 })
 
@@ -48,14 +48,14 @@
   it("is faulty once several jobs failed there that succeeded elsewhere, until one succeeds there", () => {
     const failures = new FailureTracker()
     for (const job of [redJob, blueJob]) {
-      failures.failed(job, machine1, at(0))
+      failures.recordFailure(job, machine1, at(0))
       assert.ok(!failures.isFaulty(machine1))
-      failures.succeeded(job, machine2)
+      failures.recordSuccess(job, machine2)
     }
     assert.ok(failures.isFaulty(machine1))
     assert.ok(!failures.isFaulty(machine2))
     // Whatever completes there says that it works.
-    failures.succeeded(greenJob, machine1)
+    failures.recordSuccess(greenJob, machine1)
     assert.ok(!failures.isFaulty(machine1))
   })
 
@@ -63,7 +63,7 @@
   it("is never faulty by jobs that succeed nowhere", () => {
     const failures = new FailureTracker()
     for (let n = 1; n < 50; n++)
-      for (const machine of machines) failures.failed(`run-${n}` as JobId, machine, at(n))
+      for (const machine of machines) failures.recordFailure(`run-${n}` as JobId, machine, at(n))
     for (const machine of machines) assert.ok(!failures.isFaulty(machine))
   })
 })
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -3,7 +3,7 @@
 import type { ModRevision, MonotonicTime, ShardName } from "@sorreltally/protocol"
 import { encodeRecord, type JobEnd, keys, put } from "@sorreltally/store"
 import { Effect, Fiber } from "effect"
-import { JobEnds } from "../src/job-ends.ts"
+import { JobEndsWriter } from "../src/job-ends.ts"
 import { JobState } from "../src/job-state.ts"
 import { eventually, jobIdAt, jobRecord, MemoryStore, nodeOn } from "./builders.ts"
 
@@ -26,7 +26,7 @@
   const { membership, jobIndex, jobStore } = node
   let nowMs = 0
   const reported: Array<JobEnd> = []
-  const jobEnds = new JobEnds({
+  const jobEnds = new JobEndsWriter({
     shard: SHARD,
     epoch: EPOCH,
     store: store.client,
@@ -36,10 +36,10 @@
       nowMs += 1_000
       return nowMs as MonotonicTime
     },
-    active: () => true,
-    events: { ended: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
+    mayWrite: () => true,
+    events: { jobsEnded: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
   })
-  for (const { id, record, pageKey: page, modRevision } of [...jobIndex.live()]) {
+  for (const { id, record, pageKey: page, modRevision } of [...jobIndex.liveJobs()]) {
     const job = new JobState(id, record, page, modRevision)
     jobIndex.listen((changed, entry) => {
       if (changed === id && entry !== null) job.modRevision = entry.modRevision
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -32,8 +32,8 @@
     store,
     membership: { readBarrier: { wait: Effect.void } } as unknown as Membership,
     now: () => performance.now() as MonotonicTime,
-    active: () => true,
-    events: { durable: () => {}, abandoned: (placement) => abandoned.push(placement) },
+    mayWrite: () => true,
+    events: { placementsDurable: () => {}, placementAbandoned: (placement) => abandoned.push(placement) },
   })
   return { slots, writer, abandoned, fiber: Effect.runFork(writer.run) }
 }
@@ -48,14 +48,14 @@
     for (let index = 0; index < 49; index++) {
       const placement = placeTask(job, index)
       running.push(placement)
-      writer.place(placement)
+      writer.enqueue(placement)
       await eventually(() => placement.durable)
     }
     slots.conditionsFail = true
     for (const placement of running)
       job.stop(placement, { reason: "preempted", gracePeriodS: 0, since: 0 as MonotonicTime })
     const writesBefore = slots.writes.length
-    writer.place(placeTask(job, 49))
+    writer.enqueue(placeTask(job, 49))
     await eventually(() => slots.writes.length > writesBefore + 1)
     await Effect.runPromise(Fiber.interrupt(fiber))
     assert.ok(slots.writes.at(-1)!.placed[0]!.tasks.length > 1, "the write repeats older placements")
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -2,7 +2,7 @@
  * One shard's jobs: restores them in a failover, follows the job index, and has placements and ends written down.
  * Never starts a task whose placement isn't durable, and never ends a job that has one that may still run.
  */
-import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
+import { JobEndsWriter, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
 import {
   type JobId,
@@ -54,7 +54,7 @@
   private readonly node: NodeContext
   private readonly events: JobRegistryEvents
   private readonly placementWriter: PlacementWriter
-  private readonly ends: JobEnds
+  private readonly ends: JobEndsWriter
   private readonly now: () => MonotonicTime
 
   constructor({ shard, epoch, node, mayAct, events }: JobRegistryOptions) {
@@ -70,24 +70,27 @@
       store,
       membership,
       now,
-      active: mayAct,
-      events: { durable: events.durable, abandoned: (placement) => this.unplace(placement) },
+      mayWrite: mayAct,
+      events: {
+        placementsDurable: events.durable,
+        placementAbandoned: (placement) => this.unplace(placement),
+      },
     })
-    this.ends = new JobEnds({
+    this.ends = new JobEndsWriter({
       shard,
       epoch,
       store,
       membership,
       jobIndex,
       now,
-      active: mayAct,
-      events: { ended: (ends) => node.jobsEnded(ends), fold: (page) => node.foldJobs(page) },
+      mayWrite: mayAct,
+      events: { jobsEnded: (ends) => node.jobsEnded(ends), fold: (page) => node.foldJobs(page) },
     })
   }
 
   /** Placement slots that hold a record. */
   get slots(): number {
-    return this.placementWriter.ledger.size
+    return this.placementWriter.ledger.usedSlotCount
   }
   /** Writes placements and ends down, for as long as its fiber runs: the shard's. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
@@ -96,18 +99,18 @@
 
   /** Restores what a former owner left: the jobs in the job index, and the placements that its slots record. */
   restore(slots: ReadonlyArray<Entry<PlacementRecord>>): void {
-    for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
+    for (const job of this.node.jobIndex.liveJobs()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
     for (const { key, value: record, modRevision } of slots) {
       const slot = Number(key.slice(key.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })
+      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, restoredAt: now })
     }
   }
 
   /** Has a placement made durable; only then may its task be started. */
   place(placement: Placement): void {
-    this.placementWriter.place(placement)
+    this.placementWriter.enqueue(placement)
   }
 
   /** The job index changed an entry, of any shard's jobs; null: the job is over. */
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -68,7 +68,7 @@
       agentEpoch: session.agentEpoch,
       attempt,
       durable: false,
-      inherited: false,
+      fromPreviousOwner: false,
       stop: null,
       placedAt: now,
       runningSince: null,
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -82,7 +82,7 @@
   for (const job of bySubmission) {
     if (job.cancelled || job.allFinished) continue
     const { team, cores } = job.spec
-    const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
+    const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.finishedTaskCount) * cores
     // A job that seems to have a mistake holds no guarantee against its team's others.
     if (!shard.failures.isSuspect(job.id)) demandedCores.set(team, demanded)
     views.push(jobView(shard, job, demanded, wall, now))
@@ -107,8 +107,8 @@
     id,
     spec,
     rank: suspect ? SUSPECT_RANK : priorityRank[spec.priority],
-    queued: shard.failures.startable(job, now),
-    running: job.placements.size - job.stopping,
+    queued: shard.failures.startableCount(job, now),
+    running: job.placements.size - job.stoppingCount,
     zones: tasksByZone(shard, job),
     timeLeftS: timeLeftS(shard, spec, ageS, executionS),
     ageS,
@@ -118,7 +118,7 @@
     notStarted: job.notStarted && !suspect,
     withinGuarantee: !suspect && team !== undefined && demandedCores <= team.cpus,
     mayStart: job.retryAfter === null || now >= job.retryAfter,
-    avoids: shard.failures.avoidedBy(id, now),
+    avoids: shard.failures.machinesToAvoid(id, now),
   }
 }
 
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -39,7 +39,7 @@
  * and stopped for it at once, again and again.
  */
 const isFirstOfStarved = ({ job, runningSince }: Placement, wall: WallTime, now: MonotonicTime): boolean =>
-  job.done === 0 &&
+  job.finishedTaskCount === 0 &&
   hasWaitedTooLong((wall - job.submitted) / 1000) &&
   (runningSince === null || now < addMs(runningSince, MIN_FIRST_RUN_MS))
 
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -160,7 +160,7 @@
   for (const job of shard.jobs.values()) {
     const { spec } = job
     if (spec.team !== team.name || job.cancelled) continue
-    const queued = shard.failures.startable(job, now)
+    const queued = shard.failures.startableCount(job, now)
     const tasks = Math.min(queued, slotsInCores(spec, coresLeft))
     if (tasks === 0 || tasksWithinHeadroom(spec, attainable) === 0) continue
     coresLeft -= tasks * spec.cores
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -112,7 +112,7 @@
     const quotaLimitedJobs = this.options.quotaLimitedJobs()
     const requests: Array<JobSpec> = []
     for (const job of shard.jobs.values())
-      if (shard.failures.startable(job, now) > 0 && !job.cancelled && !quotaLimitedJobs.has(job.id))
+      if (shard.failures.startableCount(job, now) > 0 && !job.cancelled && !quotaLimitedJobs.has(job.id))
         requests.push(job.spec)
     return requests
   }
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -134,7 +134,8 @@
   }
   /** Each job's task counts, for display. */
   *taskCounts(): Iterable<TaskCounts> {
-    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
+    for (const job of this.jobs.values())
+      yield { jobId: job.id, done: job.finishedTaskCount, running: job.runningCount }
   }
 
   private get holdsLease(): boolean {
@@ -229,7 +230,7 @@
         release: (placement) => this.machines.get(placement.machine)?.release(placement),
         commandsDue: (machine) => this.workers.commandsDue(machine),
         removed: (job) => {
-          this.failures.forgetJob(job.id)
+          this.failures.removeJob(job.id)
           this.shardMachines.unassign(job.id)
         },
         isReady: () => this.isReady,
--- a/packages/shard/src/shard-machines.ts
+++ b/packages/shard/src/shard-machines.ts
@@ -67,7 +67,7 @@
   private remove(session: WorkerSession, cause: ClearedCause): void {
     this.sessions.delete(session.id)
     this.assignments.delete(session.id)
-    this.options.shard.failures.forgetMachine(session.id)
+    this.options.shard.failures.removeMachine(session.id)
     this.options.removed(session, cause)
   }
 
--- a/packages/shard/src/shard-status.ts
+++ b/packages/shard/src/shard-status.ts
@@ -29,7 +29,7 @@
     cores += view.type.cores
   }
   let queued = 0
-  for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queued
+  for (const job of shard.jobs.values()) queued += job.cancelled ? 0 : job.queuedCount
   shard.node.log.debug("shard status", {
     shard: shard.name,
     jobs: shard.jobs.size,
--- a/packages/shard/src/task-outcomes.ts
+++ b/packages/shard/src/task-outcomes.ts
@@ -73,7 +73,7 @@
     job.finish(placement.index)
     job.startRefusals = 0
     job.retryAfter = null
-    failures.succeeded(job.id, session.id)
+    failures.recordSuccess(job.id, session.id)
     if (placement.runningSince !== null && placement.stop === null)
       node.estimates.learn(job.spec, (now - placement.runningSince) / 1000)
   }
@@ -106,7 +106,7 @@
   private recordFailure(job: JobState, session: WorkerSession, now: MonotonicTime): number {
     const { failures, node } = this.context
     const wasSuspect = failures.isSuspect(job.id)
-    const pauseMs = failures.failed(job.id, session.id, now)
+    const pauseMs = failures.recordFailure(job.id, session.id, now)
     if (!wasSuspect && failures.isSuspect(job.id))
       node.log.info("job fails on every machine", { job: job.id })
     return pauseMs
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -5,7 +5,7 @@
  * text or the bytes that come out; it throws what the decoder says of a bad one.
  */
 import {
-  archiveFinals,
+  archiveFinalStates,
   cancelJob,
   EMPTY_PAGE,
   foldEnds,
@@ -118,7 +118,7 @@
 /** Ends move from a job page that holds too many of them to a page of their own. */
 const archiveAgain: Again = (text) => {
   const finals = decodeRecord(ARCHIVE_PAGE, JSON.parse(text))
-  const { archived } = archiveFinals({ ...EMPTY_PAGE, ...finals }, 0)
+  const { archived } = archiveFinalStates({ ...EMPTY_PAGE, ...finals }, 0)
   return JSON.stringify(encodeRecord(ARCHIVE_PAGE, archived))
 }
 
@@ -143,18 +143,18 @@
     modRevision: 1 as ModRevision,
     record,
     jobOf: known,
-    now: 0 as MonotonicTime,
+    restoredAt: 0 as MonotonicTime,
   })
   const placements = record.placed.flatMap(
     ({ jobId }): Array<Placement> => [...known(jobId).placements.values()],
   )
-  const finished = record.finished.map(({ jobId }) => known(jobId))
-  for (const job of finished)
+  const jobsWithFinishes = record.finished.map(({ jobId }) => known(jobId))
+  for (const job of jobsWithFinishes)
     for (let index = 0; index < job.taskCount; index++)
       if (job.isFinished(index)) job.unsavedFinishes.add(index)
   const { epoch, number } = record.write
   const ledger = new PlacementLedger({ valueKb: MAX_SLOT_KB })
-  const request = { starts: placements, finished, maxJobs: MAX_JOBS, epoch }
+  const request = { starts: placements, jobsWithFinishes, maxJobs: MAX_JOBS, epoch }
   // Each write has the next number.
   for (let n = 1; n < number; n++) ledger.prepareWrite(request)
   const write = ledger.prepareWrite(request)
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -59,10 +59,10 @@
  * may have known more of the task than its record says.
  */
 const commandForPlacement = (placement: Placement, { tasks, now }: CommandInputs): Command | null => {
-  const { task: taskId, attempt, stop, inherited } = placement
+  const { task: taskId, attempt, stop, fromPreviousOwner } = placement
   const reported = tasks.get(taskId)
   const isReported = reported !== undefined && reported.attempt === attempt
-  if (stop === null) return isReported || inherited ? null : { kind: "start", taskId, attempt }
+  if (stop === null) return isReported || fromPreviousOwner ? null : { kind: "start", taskId, attempt }
   if (!isReported || reported.phase === "exited") return null
   // What is left of it: a stop may be repeated, and the task has had the rest.
   const gracePeriodS = Math.max(0, stop.gracePeriodS - (now - stop.since) / 1000)
--- a/packages/workers/src/placement-verdict.ts
+++ b/packages/workers/src/placement-verdict.ts
@@ -67,7 +67,7 @@
 /** For a placement whose attempt the worker doesn't report. */
 const notThere = (placement: Placement, evidence: PlacementEvidence): PlacementVerdict => {
   const { task, attempt } = placement
-  const isLeaving = placement.stop !== null || placement.inherited
+  const isLeaving = placement.stop !== null || placement.fromPreviousOwner
   // Not there, and no start that could still bring it: only then is a
   // task that should leave surely gone.
   if (isLeaving)
--- a/packages/workers/test/builders.ts
+++ b/packages/workers/test/builders.ts
@@ -109,7 +109,7 @@
     agentEpoch: session.agentEpoch!,
     attempt: ATTEMPT,
     durable: true,
-    inherited: false,
+    fromPreviousOwner: false,
     stop: null,
     placedAt: at(0),
     runningSince: null,
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -107,7 +107,7 @@
 test("an inherited placement is never started, and cleared once its machine surely lacks it", () => {
   const session = newSession(false)
   session.observe(heartbeat(1, { fencingToken: FORMER_TOKEN }), "heartbeat", at(1))
-  const placement = { ...place(session), inherited: true }
+  const placement = { ...place(session), fromPreviousOwner: true }
   session.placements.set(placement.task, placement)
   assert.deepEqual(session.commands(at(1), isDurable), [])
   assert.deepEqual(session.observe(heartbeat(2, { fencingToken: FORMER_TOKEN }), "heartbeat", at(2)), [])
--- a/scenarios/ends-known.sexp
+++ b/scenarios/ends-known.sexp
@@ -7,4 +7,4 @@
   (at 80 (stream 200 40 pieces 1 cores 2 run 4 due 60))
   (at 150 (crash-all 1)) (at 165 (resubmit 1) (resubmit 2) (resubmit 40) (resubmit 61) (resubmit 70))
   (expect (all-over) (served) (withdrawn 3) (happened end 10))
-  (guard "packages/jobs/src/job-index.ts" "if (final !== null) return final" ""))
+  (guard "packages/jobs/src/job-index.ts" "if (status !== null) return status" ""))
--- a/scenarios/forgotten.sexp
+++ b/scenarios/forgotten.sexp
@@ -8,5 +8,5 @@
   (at 140 (resubmit 0) (resubmit 1))
   (expect (done 2))
   (guard "packages/jobs/src/job-index.ts"
-    "const end = this.endOf(id)"
-    "const end = this.endOf(`${id}x` as JobId)"))
+    "const endsPageStatus = this.endsPageStatusOf(id)"
+    "const endsPageStatus = this.endsPageStatusOf(`${id}x` as JobId)"))
--- a/scenarios/mistakes.sexp
+++ b/scenarios/mistakes.sexp
@@ -8,5 +8,5 @@
   (at 330 (cancel 2) (cancel 3) (cancel 4))
   (expect (all-over) (served) (begun-within 60) (faulty-returned 0) (rented-at-most 45)
     (happened "tasks failed by their job" 30))
-  (guard "packages/jobs/src/failure-tracker.ts" "if (!this.isSuspect(job.id)) return job.queued" "if (job.queued >= 0) return job.queued")
-  (guard "packages/jobs/src/failure-tracker.ts" "this.provenElsewhere.delete(machine)\n    for (const failedOn of" "this.provenElsewhere.set(machine, new Set([job, machine as never]))\n    for (const failedOn of"))
+  (guard "packages/jobs/src/failure-tracker.ts" "if (!this.isSuspect(job.id)) return job.queuedCount" "if (job.queuedCount >= 0) return job.queuedCount")
+  (guard "packages/jobs/src/failure-tracker.ts" "this.succeededElsewhere.delete(machine)\n    for (const failedOn of" "this.succeededElsewhere.set(machine, new Set([job, machine as never]))\n    for (const failedOn of"))
--- a/scenarios/ran-twice-takeover.sexp
+++ b/scenarios/ran-twice-takeover.sexp
@@ -6,5 +6,5 @@
   (at 60 (crash host-1 0.3) (crash host-2 8))
   (expect (all-over))
   (guard "packages/shard/src/job-registry.ts"
-    "this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })"
+    "this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, restoredAt: now })"
     ""))
--- a/scenarios/slow-all-lost.sexp
+++ b/scenarios/slow-all-lost.sexp
@@ -6,5 +6,5 @@
   (at 75 (submit pieces 12 cores 4 run 20 due 150))
   (expect (all-over) (served) (begun-within 120))
   (guard "packages/shard/src/job-registry.ts"
-    "this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })"
+    "this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, restoredAt: now })"
     ""))
--- a/scenarios/small-jobs.sexp
+++ b/scenarios/small-jobs.sexp
@@ -5,5 +5,5 @@
   (at 45 (crash host-0 4)) (at 60 (crash host-1 4)) (at 75 (crash host-2 4))
   (at 200 (close-polls 20)) (at 201 (resubmit 0) (resubmit 20) (resubmit 40) (resubmit 399))
   (expect (all-over) (served) (happened cancel 60) (happened fold 0) (operations-a-job-at-most 2))
-  (guard "packages/jobs/src/job-ends.ts" "jobIndex.isOnRecord(idOf(digits))" "digits.length === 0")
-  (guard "packages/jobs/src/job-pages.ts" "else if (end === \"done\") done.push(digitsOf(id))" ""))
+  (guard "packages/jobs/src/job-ends.ts" "jobIndex.hasRecord(idFromDigits(digits))" "digits.length === 0")
+  (guard "packages/jobs/src/job-pages.ts" "else if (status === \"done\") done.push(digitsOf(id))" ""))
