--- a/packages/jobs/src/ends-pages.ts
+++ b/packages/jobs/src/ends-pages.ts
@@ -1,7 +1,7 @@
 /**
- * Owns the ends pages as values: which keys a shard has, what of their content
- * is still needed, and what the next write of one adds. It never reads or
- * writes the store.
+ * Pure functions on ends pages: the keys of a shard's pages, the content that is
+ * still needed, and the final states that the next write adds. They neither read
+ * nor write the store.
  */
 import type { ShardName } from "@sorreltally/protocol"
 import { type FinalStates, keys, type StoreKey, type StoreLimits } from "@sorreltally/store"
@@ -10,13 +10,14 @@
 import { CONDITIONS_PER_OPERATION } from "./page-conditions.ts"
 
 const ENDS_PAGES_PER_SHARD = 4
-/** Besides those on job pages: on the shard and on the ends page. */
+/** Conditions of each write besides those on job pages: one on the shard, one on the ends page. */
 const FIXED_CONDITIONS = 2
 
 /**
- * The keys of a shard's ends pages: together they hold the final states that
- * wait to be folded into job pages. A cancellation is conditioned on all of
- * them, and on the page of its job.
+ * Keys of a shard's ends pages, which together hold the final states that are
+ * not folded into job pages yet. A cancellation is conditioned on all of them
+ * and on the job page of its job, so their number is limited by the number of
+ * conditions of a transaction.
  */
 export const endsPageKeys = (shard: ShardName, limits: StoreLimits): ReadonlyArray<StoreKey<FinalStates>> => {
   const maxPageConditions = CONDITIONS_PER_OPERATION * limits.maxOperations - 1
@@ -25,15 +26,18 @@
   )
 }
 
-/** What of an ends page is still needed. */
+/** Part of an ends page's content that is still needed. */
 export interface EndsPageContent {
   readonly key: StoreKey<FinalStates>
   readonly page: FinalStates
-  /** Its size as stored, without the frame. */
+  /** Stored size of the final states, without the page's overhead. */
   readonly bytes: number
 }
 
-/** The content of a page without the final states, given by their ids' digits, that nobody needs. */
+/**
+ * Content of a stored page without the final states that are no longer needed.
+ * `isNeeded` is given the digits of a job's id.
+ */
 export const neededContentOf = (
   key: StoreKey<FinalStates>,
   stored: FinalStates | undefined,
@@ -46,15 +50,21 @@
   return { key, page: { done, cancelled }, bytes }
 }
 
-/** Jobs whose final states fit into an ends page's next write, and the page with them. */
+/** Jobs whose final states fit into the next write of an ends page, and the page that includes them. */
 export interface EndsAddition {
   readonly page: FinalStates
   readonly jobs: ReadonlyArray<JobState>
-  /** Those that are done: the write is conditioned on their pages, lest one is cancelled meanwhile. */
+  /**
+   * Those of the jobs that are done. The write is conditioned on their job
+   * pages, so that it fails if one of them has been cancelled.
+   */
   readonly doneJobs: ReadonlySet<JobState>
 }
 
-/** As many of the jobs as a page of `maxBytes` and a transaction's conditions have room for, in order. */
+/**
+ * Adds final states of waiting jobs, in order, up to a page size of `maxBytes`
+ * and the number of conditions that a transaction may have.
+ */
 export const addEnds = (
   content: EndsPageContent,
   waiting: Iterable<JobState>,
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -1,8 +1,8 @@
 /**
- * Owns the writes of final states for one shard's jobs, and the folding of
- * crowded job pages. It never writes the end of a job on its own word alone:
- * each write is fenced by the shard epoch, by the ends page's revision, and
- * for a job that is done by the revision of its job page.
+ * Writes the final states of one shard's jobs to ends pages, and folds job pages
+ * when the ends pages fill up. Every write of final states is fenced: by the
+ * shard epoch, by the revision of the ends page, and, for each job that is done,
+ * by the revision of its job page.
  */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
@@ -32,52 +32,62 @@
 import { pageConditions } from "./page-conditions.ts"
 import { WritePacer } from "./write-pacer.ts"
 
-/** Ends that come within this time of the last write go together: users expect to hear of one within 3 s. */
+/**
+ * Minimum time between two writes, at low and at high write load. Jobs that end
+ * within it share a write. Users expect the end of a job to be visible within 3 s.
+ */
 const LOW_LOAD_SPACING_MS = 500
 const HIGH_LOAD_SPACING_MS = 1_300
 const RETRY_DELAY_MS = 150
+/** Longest wait for new work before the loops check again. */
 const IDLE_WAIT_MS = 5_000
-/** From this fraction of their capacity on, the owner folds job pages itself instead of leaving that to their next writers. */
+/**
+ * Once the ends pages are filled to this fraction of their capacity, the shard's
+ * owner folds job pages itself instead of leaving it to the next writer of each page.
+ */
 const FOLD_THRESHOLD = 0.6
-/** A page is sent to every controller at each write: it isn't made as large as it may be. */
+/** Below the store's limit on a value, because each write of a page is sent to every controller. */
 const MAX_PAGE_BYTES = 3_072
+/** Bytes of a value that are reserved for the rest of a stored ends page. */
 const PAGE_OVERHEAD_BYTES = 128
 
-/** What becomes of the ends that are written. */
+/** Callbacks of the writer. */
 export interface JobEndsWriterEvents {
-  /** These jobs have durable final states. */
+  /** The final states of these jobs are durable. */
   readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
-  /** Writes a job page anew without the jobs that are over. */
+  /** Rewrites a job page with the jobs that are over folded into final states. */
   readonly fold: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
 
-/** What a shard's writer of final states works with. */
+/** Options of the writer. */
 export interface JobEndsWriterOptions {
   readonly shard: ShardName
-  /** Of the ownership on whose behalf ends are written; it fences every write. */
+  /** Shard epoch under which final states are written; it fences every write. */
   readonly epoch: ModRevision
   readonly store: StoreClient
   readonly membership: Pick<Membership, "replica" | "readBarrier">
   readonly jobIndex: JobIndex
   readonly now: () => MonotonicTime
-  /** False while the node must not write on the shard's behalf. */
+  /** Whether the node may currently write for the shard. */
   readonly mayWrite: () => boolean
   readonly events: JobEndsWriterEvents
 }
 
-/** The next write of an ends page. */
+/** Next write of an ends page. */
 interface EndsPageWrite extends EndsAddition {
   readonly key: EndsPageContent["key"]
-  /** The page's revision that the write is made on. */
+  /** Mod revision of the ends page on which the write is conditioned. */
   readonly baseRevision: ModRevision
 }
 
 /**
- * Writes the final states of one shard's jobs: one put for all that ended of
- * late. An ends page names jobs until their records are off the job pages;
- * what is no longer needed is left out of the next write.
+ * Writes the final states of one shard's jobs, with one put for all jobs that
+ * ended since the last write. An ends page lists a job until the job's record has
+ * been folded; the next write of the ends page omits final states that are no
+ * longer needed.
  */
 export class JobEndsWriter {
+  /** Jobs whose final states aren't known to be durable yet. */
   private readonly waitingJobs = new Set<JobState>()
   private readonly jobAdded = new Signal()
   private readonly endsPagesGrew = new Signal()
@@ -95,13 +105,13 @@
     this.maxPageBytes = Math.min(valueKb * 1024, MAX_PAGE_BYTES) - PAGE_OVERHEAD_BYTES
   }
 
-  /** Nothing is left to do for the job but to write its final state. */
+  /** Adds a job of which only the final state remains to be written. */
   add(job: JobState): void {
     this.waitingJobs.add(job)
     this.jobAdded.notify()
   }
 
-  /** Writes and folds until it is interrupted. */
+  /** Writes final states and folds job pages until it is interrupted. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.all([this.writeLoop(), this.foldLoop()], { concurrency: "unbounded", discard: true }),
   )
@@ -119,7 +129,7 @@
   private writeWaiting() {
     return Effect.gen({ self: this }, function* () {
       yield* this.pacer.awaitTurn
-      // What a watch event or a hint has made known since is over already.
+      // A watch event or a hint may have shown in the meantime that a final state is durable.
       for (const job of this.waitingJobs) if (job.finalized) this.waitingJobs.delete(job)
       const write = this.prepareWrite()
       if (write === null) return yield* Effect.sleep(RETRY_DELAY_MS)
@@ -132,8 +142,9 @@
         membership.replica.applyWrite({ key, value: page, modRevision: written.success.revision })
         this.endsPagesGrew.notify()
       } else {
-        // Without an answer it may have been written, or may be later: not over a newer
-        // write of this page, and beside one of another page it says the same of its jobs.
+        // A write without a response may have been applied, or may still be applied later. A late
+        // write can't replace a newer write of this ends page, because of the condition on its
+        // revision; next to a write of another ends page it states the same final states.
         yield* Effect.sleep(RETRY_DELAY_MS)
         const barrier = yield* Effect.result(membership.readBarrier.wait)
         if (Result.isFailure(barrier)) return
@@ -142,7 +153,7 @@
     })
   }
 
-  /** Null when no job waits. */
+  /** Next write; null if there is nothing to write. */
   private prepareWrite(): EndsPageWrite | null {
     const smallest = this.endsPageContents().reduce((a, b) => (b.bytes < a.bytes ? b : a))
     const { store, membership } = this.options
@@ -162,7 +173,7 @@
     ]
   }
 
-  /** Reports the jobs whose final state is on record, by whichever write. */
+  /** Reports those of the jobs whose final state is durable, whichever write stored it. */
   private reportEnded(jobs: ReadonlyArray<JobState>): void {
     const ends: Array<JobEnd> = []
     for (const job of jobs) {
@@ -174,10 +185,11 @@
     if (ends.length > 0) this.options.events.jobsEnded(ends)
   }
 
-  /** The shard's ends pages, as far as they are still needed. */
+  /** Content of the shard's ends pages that is still needed. */
   private endsPageContents(): ReadonlyArray<EndsPageContent> {
     const { shard, store, membership, jobIndex } = this.options
-    // A final state is needed as long as the job's record stands in its page: without it, the job would seem to live.
+    // A final state is needed while a job page holds the job's record: without it, the job would
+    // appear to be live.
     const isNeeded = (digits: string) => jobIndex.hasRecord(idFromDigits(digits))
     return endsPageKeys(shard, store.limits).map((key) =>
       neededContentOf(key, membership.replica.get(key)?.value, isNeeded),
@@ -198,7 +210,10 @@
     )
   }
 
-  /** The job page that holds most of the jobs that are over; null while the ends pages aren't crowded. */
+  /**
+   * Job page with the largest number of jobs that are over; null while the ends
+   * pages are filled below the threshold.
+   */
   private pageToFold(): StoreKey<JobPage> | null {
     const contents = this.endsPageContents()
     const bytes = contents.reduce((sum, content) => sum + content.bytes, 0)
--- a/packages/jobs/src/job-index.ts
+++ b/packages/jobs/src/job-index.ts
@@ -1,7 +1,7 @@
 /**
- * Owns the view of all jobs by id, kept up with this node's replica of job
- * pages and ends pages. It never changes a page, and knows no more than the
- * replica does: whoever needs what is so now passes the read barrier first.
+ * Index of all jobs by id, updated from this node's replica of job pages and
+ * ends pages. It never changes a page, and may be as stale as the replica: a
+ * caller that needs the current state waits for the read barrier first.
  */
 import type { Replica } from "@sorreltally/membership"
 import type { JobId, ModRevision } from "@sorreltally/protocol"
@@ -18,23 +18,24 @@
 } from "@sorreltally/store"
 import { EMPTY_PAGE, finalStatusIn, idFromDigits } from "./job-pages.ts"
 
-/** A job that isn't over, and the page that holds it. */
+/** A job that isn't over, and the job page that holds its record. */
 export interface LiveJob {
   readonly id: JobId
   readonly record: JobRecord
   readonly pageKey: StoreKey<JobPage>
-  /** The page's revision. */
+  /** Mod revision of the job page. */
   readonly modRevision: ModRevision
 }
 
-/** Is called at each change of a job; null: the job is over. */
+/** Called on each change of a job; `job` is null once the job is over. */
 export type JobListener = (id: JobId, job: LiveJob | null) => void
 
-/** Every job on record, as this node's replica has it. */
+/** All jobs whose records the job pages in this node's replica hold. */
 export class JobIndex {
-  /** Jobs whose records stand in a page, over or not. */
+  /** Jobs whose records are on a job page, whether they are over or not. */
   private readonly recordedJobs = new Map<JobId, LiveJob>()
   private readonly idsByJobPage = new Map<StoreKey<JobPage>, ReadonlyArray<JobId>>()
+  /** Final statuses that the ends pages list. */
   private readonly finalStatuses = new Map<JobId, FinalStatus>()
   private readonly idsByEndsPage = new Map<StoreKey<FinalStates>, ReadonlyArray<JobId>>()
   private readonly listeners = new Set<JobListener>()
@@ -44,7 +45,7 @@
     replica.listen(ENDS_PAGES, (key, entry) => this.applyEndsPage(key, entry))
   }
 
-  /** Returns how to stop listening. */
+  /** Registers a listener. Returns a function that removes it. */
   listen(listener: JobListener): () => void {
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
@@ -55,27 +56,27 @@
     for (const job of this.recordedJobs.values()) if (!this.finalStatuses.has(job.id)) yield job
   }
 
-  /** The job, if it is on record and not over. */
+  /** Job with this id; null if it has no record or is over. */
   get(id: JobId): LiveJob | null {
     return this.finalStatuses.has(id) ? null : (this.recordedJobs.get(id) ?? null)
   }
 
-  /** Whether a page still holds its record, though it may be over. */
+  /** Whether a job page still holds the job's record; the job may be over. */
   hasRecord(id: JobId): boolean {
     return this.recordedJobs.has(id)
   }
 
-  /** The page that holds its record; null when none does. */
+  /** Key of the job page that holds the job's record; null if no page does. */
   pageKeyOf(id: JobId): StoreKey<JobPage> | null {
     return this.recordedJobs.get(id)?.pageKey ?? null
   }
 
-  /** The final status that an ends page gives it; null when none names it. */
+  /** Final status of the job according to the ends pages; null if none lists the job. */
   endsPageStatusOf(id: JobId): FinalStatus | null {
     return this.finalStatuses.get(id) ?? null
   }
 
-  /** The pages of a bucket: there is no gap between them, as none is ever deleted. */
+  /** Job pages of a bucket. They are numbered without gaps, as no page is ever deleted. */
   pagesInBucket(bucket: number): ReadonlyArray<Entry<JobPage>> {
     const pages: Array<Entry<JobPage>> = []
     for (;;) {
@@ -86,7 +87,10 @@
     }
   }
 
-  /** Its final status by the ends pages or the given pages of its bucket; null when neither has one. */
+  /**
+   * Final status of the job according to the ends pages or the given job pages
+   * of its bucket; null if neither lists the job.
+   */
   finalStatusOf(id: JobId, pages: ReadonlyArray<Entry<JobPage>>): FinalStatus | null {
     const endsPageStatus = this.endsPageStatusOf(id)
     if (endsPageStatus !== null) return endsPageStatus
@@ -124,7 +128,7 @@
     for (const digits of page.cancelled)
       currentIds.push(this.addFinalStatus(idFromDigits(digits), "cancelled"))
     this.idsByEndsPage.set(key, currentIds)
-    // An ends page names a job until no job page holds its record.
+    // An ends page lists a job until no job page holds its record.
     const remaining = new Set(currentIds)
     for (const id of previousIds) if (!remaining.has(id)) this.finalStatuses.delete(id)
   }
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -1,9 +1,9 @@
 /**
- * Owns the job pages as values. A job is accepted by adding it to a page of
- * its bucket; once it is over, the next write of that page folds it: its
- * record is replaced by its final state, a few bytes. So neither the end nor
- * the removal of a job costs a write of its own. Nothing here reads or writes
- * the store.
+ * Pure functions on job pages; they neither read nor write the store. A job is
+ * accepted by adding its record to a page of its bucket. Once the job is over,
+ * the next write of that page folds it: the record is replaced by the job's
+ * final state, which takes a few bytes. So neither the end nor the removal of
+ * a job costs a write of its own.
  */
 
 import { hashText, type JobId } from "@sorreltally/protocol"
@@ -17,49 +17,53 @@
 } from "@sorreltally/store"
 
 /**
- * Every controller replicates one page a bucket, and a write repeats what its
- * page holds: few enough to read at a start, many enough that a page mostly
- * holds a job or two, and writes of different jobs hardly ever meet.
+ * Every controller replicates the pages of all buckets, mostly one per bucket,
+ * and each write repeats its whole page. The number is small enough to read all
+ * pages at start-up, and large enough that a page usually holds one or two jobs
+ * and that writes for different jobs rarely conflict.
  */
 const BUCKET_COUNT = 512
-/** Final states beyond this many bytes, or this fraction of a value, leave the replicated page for the archive. */
+/**
+ * Final states that exceed this size, or this fraction of the store's limit on
+ * a value, are moved from the replicated page to the archive.
+ */
 const ARCHIVE_THRESHOLD_BYTES = 1_024
 const ARCHIVE_THRESHOLD_FRACTION = 0.25
-/** Quotes and comma around an id's digits in JSON. */
+/** Quotes and comma around the digits of an id in JSON. */
 const ID_JSON_OVERHEAD_BYTES = 3
-/** Reserved for what encodings may add to a value. */
+/** Bytes of a value that are reserved for the overhead of its encoding. */
 const ENCODING_RESERVE_BYTES = 64
 const ID_PREFIX = "run-"
 
-/** What a bucket's next page holds before its first write. */
+/** Content of a job page before its first write. */
 export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivedPages: 0 }
 
-/** The bucket whose pages hold the job. */
+/** Bucket whose pages hold the job. */
 export const bucketOf = (id: JobId): number => hashText(id) % BUCKET_COUNT
-/** The id without its prefix, as final states are stored. */
+/** Id without its prefix, the form in which final states are stored. */
 export const digitsOf = (id: JobId): string => id.slice(ID_PREFIX.length)
-/** The id that has these digits. */
+/** Id with these digits: the inverse of `digitsOf`. */
 export const idFromDigits = (digits: string): JobId => `${ID_PREFIX}${digits}` as JobId
 /** Size of one final state as stored, in bytes. */
 export const finalStateBytes = (digits: string): number => digits.length + ID_JSON_OVERHEAD_BYTES
 
-/** The job's final state, if it is among these. */
+/** Final status of the job according to these final states; null if they don't contain it. */
 export const finalStatusIn = (states: FinalStates, id: JobId): FinalStatus | null => {
   const digits = digitsOf(id)
   if (states.done.includes(digits)) return "done"
   return states.cancelled.includes(digits) ? "cancelled" : null
 }
 
-/** The page with one more job. */
+/** Returns the page with the job's record added. */
 export const addJob = (page: JobPage, job: JobRecord): JobPage => ({ ...page, jobs: [...page.jobs, job] })
 
-/** The page with that job cancelled, if it holds it. */
+/** Returns the page with the job marked as cancelled, if the page holds its record. */
 export const cancelJob = (page: JobPage, id: JobId): JobPage => ({
   ...page,
   jobs: page.jobs.map((job) => (job.spec.id === id ? { ...job, cancelled: true } : job)),
 })
 
-/** Replaces the records of jobs that are over by their final states. */
+/** Returns the page with the records of jobs that are over replaced by their final states. */
 export const foldEnds = (page: JobPage, finalStatusOf: (id: JobId) => FinalStatus | null): JobPage => {
   const jobs: Array<JobRecord> = []
   const done = [...page.done]
@@ -74,7 +78,10 @@
   return { ...page, jobs, done, cancelled }
 }
 
-/** Moves the final states of a page that holds many of them to an archive page of their own. */
+/**
+ * Moves the final states of a page to a new archive page if they exceed the
+ * archive threshold; otherwise `archived` is null.
+ */
 export const archiveFinalStates = (
   page: JobPage,
   valueKb: number,
@@ -90,6 +97,6 @@
   }
 }
 
-/** Whether the page, as it is stored, is small enough for one value of `valueKb`. */
+/** Whether the encoded page fits in a value of at most `valueKb` KiB. */
 export const fitsValue = (key: StoreKey<JobPage>, page: JobPage, valueKb: number): boolean =>
   Buffer.byteLength(JSON.stringify(encodeRecord(key, page))) <= valueKb * 1024 - ENCODING_RESERVE_BYTES
--- a/packages/jobs/src/job-state.ts
+++ b/packages/jobs/src/job-state.ts
@@ -1,7 +1,7 @@
 /**
- * Owns what one shard's owner knows of a job's tasks. It never does I/O, and
- * never frees a task from its machine: a placement counts until whoever has
- * the proof that the task is off the machine clears it.
+ * State of a job's tasks, as known to the owner of its shard. It does no I/O and
+ * never concludes on its own that a task is off its machine: a placement counts
+ * until the code that has proof of that clears it.
  */
 import type {
   AgentEpoch,
@@ -16,69 +16,71 @@
 } from "@sorreltally/protocol"
 import type { JobPage, JobRecord, StoreKey } from "@sorreltally/store"
 
-/** A task that is, or may be, on a machine. It counts until it is cleared. */
+/** Placement of a task that is or may be on a machine. It counts until it is cleared. */
 export interface Placement {
   readonly job: JobState
-  /** The task's place in its job's array, from 0. */
+  /** Index of the task in its job, from 0. */
   readonly index: number
   readonly task: TaskId
   readonly machine: MachineId
-  /** The machine's agent epoch when the task was placed: once it rises, the task is off the machine. */
+  /** Agent epoch of the machine at the time of placement: once it rises, the task is off the machine. */
   readonly agentEpoch: AgentEpoch
   readonly attempt: Attempt
-  /** Only a durable placement may be started. */
+  /** Whether the store holds the placement; only then may the task be started. */
   durable: boolean
   /**
-   * Made by a former owner. It may be older than what that owner knew, so it
-   * is never started anew: either the machine reports the task, or the task is
-   * surely off it.
+   * Whether a previous owner made the placement. What this owner restored may be
+   * older than what the previous owner knew, so it never starts the task again:
+   * the placement stands until the machine reports the task, or the task is
+   * proven to be off the machine.
    */
   readonly fromPreviousOwner: boolean
-  /** Not null: the task is to leave the machine. */
+  /** Why and how the task is to leave its machine; null if it is to stay. */
   stop: { readonly reason: StopReason; readonly gracePeriodS: number; readonly since: MonotonicTime } | null
-  /** When this owner placed it, or adopted it from a former one. */
+  /** Time at which this owner made the placement, or restored it from a previous owner. */
   readonly placedAt: MonotonicTime
-  /** When the machine first reported that it runs; null: not yet. */
+  /** Time of the machine's first report that the task runs; null before that. */
   runningSince: MonotonicTime | null
-  /** How often the worker was commanded to start it without effect. */
+  /** Number of start commands for the task that had no effect. */
   unacknowledgedStarts: number
 }
-/** Why a task is to leave its machine. */
+/** Reason for which a task is to leave its machine. */
 type StopReason = "cancelled" | "preempted" | "drain"
 
-/** One job's tasks as its owner knows them. Each task is finished, placed, or queued. */
+/** State of one job's tasks. Each task is finished, placed or queued. */
 export class JobState {
   readonly spec: JobSpec
   readonly submitted: WallTime
-  /** By task index; 1: finished. */
+  /** By task index: 1 if the task is finished, else 0. */
   private readonly finishedFlags: Uint8Array
   private finishedCount = 0
-  /** By task index. */
+  /** Placements by task index. */
   readonly placements = new Map<number, Placement>()
-  /** Tasks that were placed once and are to run again. */
+  /** Indexes of tasks that were placed before and are queued again. */
   private readonly requeued: Array<number> = []
-  /** Tasks from this index on were never placed by this owner. */
+  /** Lowest index from which on this owner has placed no task. */
   private nextUnplaced = 0
-  /** Finished tasks that the store doesn't know of yet. */
+  /** Indexes of finished tasks whose finishes aren't durable yet. */
   readonly unsavedFinishes = new Set<number>()
-  /** When a failed or refused task may be tried again; null: at once. */
+  /** Earliest time at which a task may be placed again after a failure or a refused start; null: at once. */
   retryAfter: MonotonicTime | null = null
-  /** How often starts were refused since one succeeded. */
+  /** Number of refused starts since the last successful one. */
   startRefusals = 0
-  /** Its cancellation is durable. */
+  /** Whether the job's cancellation is durable. */
   cancelled: boolean
-  /** Its final state is durable. */
+  /** Whether the job's final state is durable. */
   finalized = false
-  /** Placed tasks that run. */
+  /** Number of placed tasks that run. */
   runningCount = 0
-  /** Placed tasks that are to leave their machine. */
+  /** Number of placed tasks that are to leave their machine. */
   stoppingCount = 0
 
   constructor(
     readonly id: JobId,
     record: JobRecord,
-    /** The job page that holds its record, and that page's latest known revision. */
+    /** Key of the job page that holds the job's record. */
     readonly pageKey: StoreKey<JobPage>,
+    /** Latest known mod revision of that page. */
     public modRevision: ModRevision,
   ) {
     this.spec = record.spec
@@ -91,42 +93,42 @@
     return this.spec.taskCount
   }
 
-  /** How many tasks are finished. */
+  /** Number of finished tasks. */
   get finishedTaskCount(): number {
     return this.finishedCount
   }
 
-  /** How many tasks are neither finished nor placed. */
+  /** Number of tasks that are neither finished nor placed. */
   get queuedCount(): number {
     return this.taskCount - this.finishedCount - this.placements.size
   }
 
-  /** Whether no task of it is placed or finished. */
+  /** Whether no task of the job is placed or finished. */
   get notStarted(): boolean {
     return this.placements.size === 0 && this.finishedCount === 0
   }
 
-  /** Whether every task is finished. */
+  /** Whether all tasks are finished. */
   get allFinished(): boolean {
     return this.finishedCount === this.taskCount
   }
 
-  /** Whether nothing is left to do but to write its final state. */
+  /** Whether only the job's final state remains to be written. */
   get awaitsFinalState(): boolean {
     return this.allFinished || (this.cancelled && this.placements.size === 0)
   }
 
-  /** Whether that task is finished, durably or not. */
+  /** Whether the task is finished, durably or not. */
   isFinished(index: number): boolean {
     return this.finishedFlags[index] === 1
   }
 
-  /** Whether the store knows that the task is finished: the worker may purge it. */
+  /** Whether the task's finish is durable, so that the worker may purge the task. */
   finishIsDurable(index: number): boolean {
     return this.isFinished(index) && !this.unsavedFinishes.has(index)
   }
 
-  /** The next task to place, in order; null when none is queued. */
+  /** Removes the next task to place from the queue and returns its index; null if none is queued. */
   nextQueued(): number | null {
     for (let index = this.requeued.pop(); index !== undefined; index = this.requeued.pop()) {
       if (!this.isFinished(index) && !this.placements.has(index)) return index
@@ -138,30 +140,30 @@
     return null
   }
 
-  /** The task is placed: it counts from now on. */
+  /** Adds a placement, which counts until it is cleared. */
   place(placement: Placement): void {
     this.placements.set(placement.index, placement)
   }
 
-  /** The machine reports that the task runs. */
+  /** Records the machine's first report that the task runs. */
   markRunning(placement: Placement, now: MonotonicTime): void {
     placement.runningSince = now
     this.runningCount++
   }
 
-  /** The task is to leave its machine. */
+  /** Records that the task is to leave its machine. */
   stop(placement: Placement, stop: NonNullable<Placement["stop"]>): void {
     if (placement.stop === null) this.stoppingCount++
     placement.stop = stop
   }
 
-  /** The task is off its machine without having finished. */
+  /** Removes the placement of a task that is off its machine unfinished, and queues the task again. */
   clear(placement: Placement): void {
     if (!this.removePlacement(placement)) return
     this.requeued.push(placement.index)
   }
 
-  /** The task finished; its finish isn't durable yet. */
+  /** Records that the task finished; its finish isn't durable yet. */
   finish(index: number): void {
     const placement = this.placements.get(index)
     if (placement !== undefined) this.removePlacement(placement)
@@ -183,7 +185,7 @@
     this.finishedCount++
   }
 
-  /** Adopts finishes that a former owner wrote. */
+  /** Restores finishes that a previous owner wrote. */
   restoreFinished(first: number, count: number): void {
     for (let index = first; index < Math.min(this.taskCount, first + count); index++) {
       if (this.isFinished(index)) continue
@@ -192,11 +194,11 @@
     }
   }
 
-  /** Adopts a placement that a former owner wrote. */
+  /** Restores a placement that a previous owner wrote. */
   restorePlacement(placement: Placement): void {
     if (this.isFinished(placement.index)) return
     const current = this.placements.get(placement.index)
-    // Attempts only ever rise: the highest is the newest.
+    // Attempt numbers only increase: the highest is the newest.
     if (current === undefined || current.attempt < placement.attempt) this.place(placement)
   }
 }
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -1,13 +1,14 @@
 /**
- * Owns the acceptance, the lookup and the cancellation of jobs, from any node.
- * It never answers from the replica alone where the answer could be older than
- * the question, and never changes a page but on the revision it was read at.
+ * Accepts, looks up and cancels jobs, on any node. It never answers from the
+ * replica alone where the answer could be older than the request, and never
+ * changes a page except on the revision at which the page was read.
  *
  * Why no job is accepted twice, lost or revived: an acceptance is conditioned
- * on every page of the job's bucket, and on there being no further one, so of
- * several nodes that accept the same id one succeeds, and a late copy fails. A
- * cancellation is conditioned on its job page, and on all ends pages of the
- * job's shard: it fails if any node may have reported the job as done.
+ * on every page of the job's bucket, and on the absence of a further page. So
+ * if several nodes accept the same id, one succeeds, and a late copy of an
+ * acceptance fails. A cancellation is conditioned on its job page, and on all
+ * ends pages of the job's shard: it fails if any node may have reported the job
+ * as done.
  */
 import type { Membership } from "@sorreltally/membership"
 import { ABSENT, type JobId, type JobSpec, type ShardName } from "@sorreltally/protocol"
@@ -38,36 +39,36 @@
   foldEnds,
 } from "./job-pages.ts"
 
-/** Operations of a write that moves final states to the archive. */
+/** Number of operations of a write that moves final states to the archive. */
 const ARCHIVING_OPERATIONS = 2
-/** The status of a record that fits no value: the store itself would refuse it so. */
+/** Status of the error for a record that is too large for a value, as the store itself would respond. */
 const VALUE_TOO_LARGE_STATUS = 413
 
-/** A job page as it is to be, and the operations that make it so. */
+/** New content of a job page, and the operations that write it. */
 interface PageWrites {
   readonly page: JobPage
   readonly operations: ReadonlyArray<Operation>
 }
 
-/** What is known of a job: its record while it is live, its final status for good; `none`: never accepted. */
+/** Result of a lookup: the job's record while it is live, later its final status; `none`: never accepted. */
 export type JobLookup =
   | { readonly kind: "live"; readonly record: JobRecord }
   | { readonly kind: "final"; readonly status: FinalStatus }
   | { readonly kind: "none" }
-/** The answer to a submission; `accepted`: just now, by this call. */
+/** Result of a submission; `accepted`: this call accepted the job, otherwise it was known before. */
 export type Acceptance = JobLookup | { readonly kind: "accepted" }
 
-/** What the node does and knows beside the job store. */
+/** Callbacks of the job store. */
 export interface JobStoreEvents {
-  /** A page was written: the owner of this job should know before the watch event comes. */
+  /** A page was written. The owner of this job should be told before it receives the watch event. */
   readonly pageWritten: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
-  /** A final status that was found before; it holds for good. */
+  /** Final status found by an earlier lookup; it never changes. Null if none is cached. */
   readonly cachedFinalStatus: (id: JobId) => FinalStatus | null
   readonly cacheFinalStatus: (id: JobId, status: FinalStatus) => void
   readonly shardOf: (spec: JobSpec) => ShardName
 }
 
-/** What a job store works with. */
+/** Options of the job store. */
 export interface JobStoreOptions {
   readonly store: StoreClient
   readonly membership: Pick<Membership, "readBarrier" | "replica">
@@ -76,10 +77,11 @@
 }
 
 /**
- * Accepts, looks up and cancels jobs in the store. Each write replaces one
- * page on the revision that it was read at, so that of several writers of a
- * bucket one succeeds, and a late copy fails. Its methods fail with what the
- * store's client failed with.
+ * Accepts, looks up and cancels jobs in the store. Each write replaces one job
+ * page on the revision at which it was read, so that of several concurrent
+ * writers of a bucket one succeeds, and a late copy of a write fails. The methods
+ * fail with the store client's errors; `accept` also fails with status 413
+ * (refused) if the record is too large for a value.
  */
 export class JobStore {
   private readonly store: StoreClient
@@ -95,9 +97,10 @@
   }
 
   /**
-   * What is so now, not what the replica had heard before the question. A job only ever moves
-   * from its page's records to an ends page, to its page's final states, to
-   * the archive; looked up in this order, none accepted before is missed.
+   * Looks up the job. The result is at least as recent as the call, because it
+   * waits for the read barrier. A job only ever moves from the records of its job
+   * page to an ends page, then to the final states of its job page, then to the
+   * archive; a lookup in this order misses no job that was accepted before.
    */
   find(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
@@ -111,14 +114,14 @@
   }
 
   /**
-   * Accepts the job unless its id is known. Conditioned on every page of the
-   * bucket: no other node can accept the same id meanwhile.
+   * Accepts the job unless its id is known. The write is conditioned on every
+   * page of the bucket, so that no other node can accept the same id concurrently.
    */
   accept(record: JobRecord): Effect.Effect<Acceptance, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const { spec } = record
       for (;;) {
-        // The replica may lag here: the conditions fail if it does.
+        // The replica may be stale here: in that case the conditions fail.
         const pages = this.jobIndex.pagesInBucket(bucketOf(spec.id))
         const seen = yield* this.lookUp(spec.id)
         if (seen.kind !== "none") return yield* this.find(spec.id)
@@ -139,9 +142,9 @@
   }
 
   /**
-   * Cancels the job unless it is over. Conditioned on the ends pages of the
-   * job's shard too: once any node may have reported that the job is done, it
-   * can't be cancelled any more.
+   * Cancels the job unless it is over. The write is also conditioned on the ends
+   * pages of the job's shard: once any node may have reported the job as done, it
+   * can no longer be cancelled.
    */
   cancel(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.gen({ self: this }, function* () {
@@ -167,7 +170,7 @@
     })
   }
 
-  /** Writes a page anew without the jobs that are over. */
+  /** Rewrites a job page with the jobs that are over folded into final states. */
   fold(key: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const page = this.pageAt(key)
@@ -185,7 +188,7 @@
     return this.jobIndex.pagesInBucket(bucket).find((page) => page.key === key) ?? null
   }
 
-  /** What the replica says, and for jobs long over the archive. */
+  /** Looks up the job in the replica, then in the archive, which holds older final states. */
   private lookUp(id: JobId): Effect.Effect<JobLookup, StoreError> {
     return Effect.suspend((): Effect.Effect<JobLookup, StoreError> => {
       const bucket = bucketOf(id)
@@ -194,7 +197,7 @@
       if (status !== null) return Effect.succeed({ kind: "final", status })
       const live = this.jobIndex.get(id)
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
-      // Read after the pages were: what has left them by then is found there.
+      // The archive is read after the pages, so that it holds the final states that have left them by then.
       if (pages.every(({ value }) => value.archivedPages === 0)) return Effect.succeed({ kind: "none" })
       return this.lookUpInArchive(bucket, id)
     })
@@ -214,7 +217,10 @@
     return foldEnds(value, (id) => this.jobIndex.endsPageStatusOf(id))
   }
 
-  /** The first page of a bucket with room for the job; null when not even an empty one has. */
+  /**
+   * First page of the bucket with room for the job, and its content with the job;
+   * null if the record doesn't even fit into an empty page.
+   */
   private pageFor(
     record: JobRecord,
     pages: ReadonlyArray<Entry<JobPage>>,
@@ -230,7 +236,7 @@
     return fitsValue(key, page, valueKb) ? { key, page } : null
   }
 
-  /** The page's write, and with it that of final states which leave it. */
+  /** Operations that write the page, and the archive page if final states are moved there. */
   private writesForPage(key: StoreKey<JobPage>, next: JobPage): PageWrites {
     const { maxOperations, valueKb } = this.store.limits
     if (maxOperations < ARCHIVING_OPERATIONS) return { page: next, operations: [put(key, next)] }
--- a/packages/jobs/src/page-conditions.ts
+++ b/packages/jobs/src/page-conditions.ts
@@ -1,18 +1,19 @@
 /**
- * Owns the condition that fences a write about jobs by their job pages. It
- * never reads the replica: a condition must say what the jobs' owner knew when
- * it decided, not what has been heard since.
+ * Conditions that fence a write about jobs by the revisions of their job pages.
+ * They come from the job states, never from the replica: a condition must state
+ * the revisions on which the jobs' owner decided, not later ones that the replica
+ * has received since.
  */
 import type { ModRevision } from "@sorreltally/protocol"
 import type { Condition, JobPage, StoreKey } from "@sorreltally/store"
 import type { JobState } from "./job-state.ts"
 
-/** Conditions that a transaction may have for each operation of its limit (protocol, state service). */
+/** Number of conditions that a transaction may have per operation of its limit (protocol, state service). */
 export const CONDITIONS_PER_OPERATION = 4
 
 /**
- * The job pages that hold these jobs, at the revisions that their owner knows
- * of: a write on these conditions fails if one of the jobs was cancelled since.
+ * Conditions on the job pages that hold these jobs, at the revisions that the
+ * jobs' owner last saw: the write fails if one of the jobs was cancelled since.
  */
 export const pageConditions = (jobs: Iterable<JobState>): ReadonlyArray<Condition> => {
   const revisions = new Map<StoreKey<JobPage>, ModRevision>()
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -1,7 +1,7 @@
 /**
- * Owns what one shard's slots in the store say: which are in use, which are
- * free, and what the next write of one holds. It never does I/O: the
- * PlacementWriter writes, and reports what became of each write.
+ * Keeps track of one shard's slots in the store: which are in use, which are
+ * free, and what the next write of a slot contains. It does no I/O:
+ * `PlacementWriter` makes the writes and reports the outcome of each.
  */
 import {
   ABSENT,
@@ -26,55 +26,55 @@
   readonly modRevision: ModRevision
 }
 
-/** One slot's next content, on its way to the store. */
+/** A write of one slot: the new content, and what it is conditioned on. */
 export interface SlotWrite {
   readonly slot: number
-  /** The slot's revision that the write is made on. */
+  /** Mod revision of the slot on which the write is conditioned. */
   readonly baseRevision: ModRevision
   readonly record: PlacementRecord
   readonly starts: ReadonlyArray<Placement>
-  /** Jobs of which it places tasks anew: the write is conditioned on the revisions of their pages. */
+  /** Jobs with new placements in it: the write is conditioned on the revisions of their job pages. */
   readonly jobs: ReadonlySet<JobState>
   readonly finishes: ReadonlyArray<FinishedTasks>
-  /** Slots whose current content it repeats: free once it is written. */
+  /** Slots whose current content the write repeats: they are free once it is durable. */
   readonly compacted: ReadonlyArray<number>
 }
 
-/** What the next write of a slot may hold. */
+/** Input of the next write of a slot. */
 export interface SlotWriteRequest {
-  /** Placements that aren't durable yet; they go before finishes. */
+  /** Placements that aren't durable yet; they take precedence over finishes. */
   readonly starts: Iterable<Placement>
   /** Jobs that may have unsaved finishes. */
   readonly jobsWithFinishes: Iterable<JobState>
-  /** For how many jobs the transaction has room for a condition. */
+  /** Number of jobs for which the transaction has room for a condition. */
   readonly maxJobs: number
-  /** The shard epoch that the write is made under. */
+  /** Shard epoch under which the write is made. */
   readonly epoch: ModRevision
 }
 
-/** A slot as a former owner wrote it. */
+/** A slot that a previous owner wrote, as read from the store. */
 export interface StoredSlot {
   readonly slot: number
   readonly modRevision: ModRevision
   readonly record: PlacementRecord
-  /** Null for jobs that are over. */
+  /** Returns the state of a job; null for jobs that are over. */
   readonly jobOf: (id: JobId) => JobState | null
-  /** When it was restored: its placements count from then. */
+  /** Time of the restoration, used as the time at which its placements were made. */
   readonly restoredAt: MonotonicTime
 }
 
-/** Slots scanned for dead ones at a write: enough to keep up with those that become free. */
+/** Number of slots scanned for dead ones at each write: enough to keep up with those that become free. */
 const SLOTS_SCANNED_PER_WRITE = 12
-/** Beyond this many slots, old ones are compacted into new ones as these have room. */
+/** With more slots in use than this, old ones are compacted into new ones that have room. */
 const COMPACTION_THRESHOLD_SLOTS = 48
 const MAX_COMPACTED_PER_WRITE = 4
 
 /**
- * A shard's placements and finishes in the store, as a log whose segments are
- * used again. Content of many jobs shares a record ("slot"), so that a write
- * costs one put whatever it holds. A slot is written anew once nothing that it
- * says matters any more: the tasks it placed are off their machines, the jobs
- * it speaks of are over.
+ * Placements and finishes of one shard in the store, organised as a log whose
+ * segments ("slots") are reused. A slot is one record with content of many jobs,
+ * so that each write costs one put regardless of its content. A slot is reused
+ * once its content is obsolete: the tasks placed in it are off their machines,
+ * and the jobs with finishes in it are over.
  */
 export class PlacementLedger {
   private readonly slots = new Map<number, Slot>()
@@ -86,12 +86,12 @@
   /** `valueKb`: the store's limit on a value's size. */
   constructor(private readonly options: { readonly valueKb: number }) {}
 
-  /** How many slots are in use. */
+  /** Number of slots in use. */
   get usedSlotCount(): number {
     return this.slots.size
   }
 
-  /** The next write: as many starts as fit, then finishes. Null when there is nothing to write. */
+  /** Prepares the next write: as many starts as fit, then finishes. Null if there is nothing to write. */
   prepareWrite({ starts, jobsWithFinishes: finished, maxJobs, epoch }: SlotWriteRequest): SlotWrite | null {
     const builder = new SlotBuilder(this.options.valueKb)
     const jobs = addStarts(builder, starts, maxJobs)
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The write is durable, at this revision of its slot. */
+  /** Records that the write is durable, at this mod revision of its slot. */
   markCommitted(write: SlotWrite, modRevision: ModRevision): void {
     this.slots.set(write.slot, { modRevision, starts: write.starts, finishes: write.finishes })
     for (const placement of write.starts) placement.durable = true
@@ -124,12 +124,12 @@
     for (const slot of write.compacted) this.freeSlot(slot)
   }
 
-  /** The write surely never was and never will be carried out; its slot has this revision. */
+  /** Records that the write was not applied and never will be; its slot has this mod revision. */
   markAborted(write: SlotWrite, modRevision: ModRevision): void {
     this.freeSlots.push({ slot: write.slot, modRevision })
   }
 
-  /** Adopts a slot that a former owner wrote, and restores the tasks of its jobs. */
+  /** Restores a slot that a previous owner wrote, and the state of the tasks recorded in it. */
   restore({ slot, modRevision, record, jobOf, restoredAt: now }: StoredSlot): void {
     this.nextSlot = Math.max(this.nextSlot, slot + 1)
     const finishes = restoreFinishes(record, jobOf)
@@ -137,7 +137,7 @@
     this.slots.set(slot, { modRevision, starts, finishes })
   }
 
-  /** Frees slots of which nothing matters any more. */
+  /** Frees slots whose content is obsolete. */
   private reclaimDeadSlots(): void {
     const numbers = [...this.slots.keys()]
     for (let i = 0; i < Math.min(SLOTS_SCANNED_PER_WRITE, numbers.length); i++) {
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Repeats what still matters of the oldest slots, as far as there is room. */
+  /** Adds the content of the oldest slots that is still needed, while there is room. Returns these slots. */
   private compactOldest(builder: SlotBuilder): ReadonlyArray<number> {
     const compacted: Array<number> = []
     for (const [number, slot] of this.slots) {
@@ -169,7 +169,7 @@
   }
 }
 
-/** Adds starts until the record is full; those beyond `maxJobs` jobs wait. Returns the jobs. */
+/** Adds starts of at most `maxJobs` jobs until the record is full. Returns the jobs. */
 const addStarts = (
   builder: SlotBuilder,
   starts: Iterable<Placement>,
@@ -233,7 +233,7 @@
   return starts
 }
 
-/** Whether its job still counts this placement. */
+/** Whether the placement still counts for its job. */
 const isCurrent = (placement: Placement): boolean =>
   !placement.job.finalized && placement.job.placements.get(placement.index) === placement
 
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -1,13 +1,13 @@
 /**
- * Owns the writes of one shard's placements and finishes. It never reports a
- * placement as durable before its slot is surely written, nor gives one up
- * while a write that holds it may still be carried out.
+ * Writes one shard's placements and finishes to slots. It never reports a
+ * placement as durable before the write of its slot is confirmed, and never
+ * abandons a placement while a write that contains it may still be applied.
  *
- * Why a lost or late write is harmless: each is made on the shard epoch, on its
- * slot's revision, and on the revisions of the pages of the jobs that it places
- * tasks of. Until it is known what became of it, only the very same write is
- * sent again; and once one of its conditions has failed, it fails for every
- * late copy as well.
+ * Why a lost or late write is harmless: each write is conditioned on the shard
+ * epoch, on the revision of its slot, and on the revisions of the job pages of
+ * all jobs with new placements in it. Until the outcome of a write is known, only
+ * the identical write is sent again; and once one of its conditions has failed,
+ * that condition also fails for every late copy of the write.
  */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
@@ -36,58 +36,61 @@
 import { WritePacer } from "./write-pacer.ts"
 
 const RETRY_DELAY_MS = 150
-/** While finishes wait, it is looked this often whether they are due; else hardly ever. */
+/** Interval of checks whether waiting finishes are due. */
 const FINISHES_CHECK_INTERVAL_MS = 500
+/** Longest wait for new work before the writer checks again. */
 const IDLE_WAIT_MS = 5_000
 /**
- * Finishes wait for the next starts' write, at most this long: the worker
- * keeps an exited task until it is commanded to purge it, so a lost finish is
- * reported again.
+ * Finishes wait at most this long to share a write with starts. The delay is safe:
+ * a worker keeps an exited task until it is commanded to purge it, so a lost
+ * finish is reported again.
  */
 const MAX_FINISH_DELAY_MS = 2_000
 
 /**
- * Fraction of the store's writes that one shard's slots may use: where many
- * small jobs come, starts wait a little so that more of them go together.
+ * Fraction of the store's limit on writes that one shard's slots may use, at low
+ * and at high write load. When many small jobs are submitted, starts wait
+ * briefly so that more of them share a write.
  */
 const LOW_LOAD_WRITE_FRACTION = 0.3
 const HIGH_LOAD_WRITE_FRACTION = 0.12
-/** On the shard and on the slot. */
+/** Conditions of each write besides those on job pages: one on the shard, one on the slot. */
 const FIXED_CONDITIONS = 2
 
-/** What a slot was read to hold. */
+/** State of a slot as read from the store. */
 interface StoredSlotState {
   readonly modRevision: ModRevision
+  /** Whether the slot holds the write in question. */
   readonly isThisWrite: boolean
 }
 
-/** What becomes of placements. */
+/** Callbacks of the writer. */
 export interface PlacementWriterEvents {
-  /** These placements may be started now. */
+  /** These placements are durable: their tasks may be started. */
   readonly placementsDurable: (placements: ReadonlyArray<Placement>) => void
-  /** A placement that won't become durable: its job was cancelled meanwhile. */
+  /** The placement won't become durable: its write failed, and its task is to stop (job cancelled). */
   readonly placementAbandoned: (placement: Placement) => void
 }
 
-/** What a shard's writer of placements works with. */
+/** Options of the writer. */
 export interface PlacementWriterOptions {
   readonly shard: ShardName
-  /** Of the ownership on whose behalf slots are written; it fences every write. */
+  /** Shard epoch under which slots are written; it fences every write. */
   readonly epoch: ModRevision
   readonly store: StoreClient
   readonly membership: Pick<Membership, "readBarrier">
   readonly now: () => MonotonicTime
-  /** False while the node must not write on the shard's behalf. */
+  /** Whether the node may currently write for the shard. */
   readonly mayWrite: () => boolean
   readonly events: PlacementWriterEvents
 }
 
-/** Writes down what became of one shard's tasks: starts at once, finishes along with them. */
+/** Writes one shard's placements as soon as the store has capacity, and finishes along with them. */
 export class PlacementWriter {
   readonly ledger: PlacementLedger
   private readonly pendingStarts = new Set<Placement>()
   private readonly jobsWithUnsavedFinishes = new Set<JobState>()
-  private finishesWaitSince: MonotonicTime = NEVER
+  private unsavedFinishesSince: MonotonicTime = NEVER
   private readonly pacer: WritePacer
   private inFlightStarts: ReadonlySet<Placement> = new Set()
   private readonly workAdded = new Signal()
@@ -104,33 +107,33 @@
     })
   }
 
-  /** Makes the placement durable as soon as the store has capacity. */
+  /** Queues the placement to be made durable as soon as the store has capacity. */
   enqueue(placement: Placement): void {
     this.pendingStarts.add(placement)
     this.workAdded.notify()
   }
 
-  /** Whether its write is on the way to the store: it may become durable any moment. */
+  /** Whether a write with the placement is in flight, so that it may become durable at any moment. */
   isInFlight(placement: Placement): boolean {
     return this.inFlightStarts.has(placement)
   }
 
-  /** A task of the job finished, and others of it have not. */
+  /** Queues the job's unsaved finishes to be written; other tasks of the job are not finished yet. */
   recordFinishes(job: JobState): void {
     if (job.unsavedFinishes.size === 0 || this.jobsWithUnsavedFinishes.has(job)) return
     if (this.jobsWithUnsavedFinishes.size === 0) {
-      this.finishesWaitSince = this.options.now()
+      this.unsavedFinishesSince = this.options.now()
       this.workAdded.notify()
     }
     this.jobsWithUnsavedFinishes.add(job)
   }
 
-  /** The job's final state says all that its finishes would. */
+  /** Drops the job's queued finishes, because its final state replaces them. */
   discardFinishes(job: JobState): void {
     this.jobsWithUnsavedFinishes.delete(job)
   }
 
-  /** Writes until it is interrupted. */
+  /** Writes slots until it is interrupted. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
@@ -147,13 +150,13 @@
   private finishesAreDue(): boolean {
     return (
       this.jobsWithUnsavedFinishes.size > 0 &&
-      this.options.now() > addMs(this.finishesWaitSince, MAX_FINISH_DELAY_MS)
+      this.options.now() > addMs(this.unsavedFinishesSince, MAX_FINISH_DELAY_MS)
     )
   }
 
   private writeSlot() {
     return Effect.gen({ self: this }, function* () {
-      // What becomes ready while this waits for its turn goes along.
+      // Placements and finishes that are queued while this waits are part of the same write.
       yield* this.pacer.awaitTurn
       const write = this.prepareWrite()
       if (write === null) return
@@ -163,11 +166,11 @@
       this.inFlightStarts = new Set()
       for (const job of this.jobsWithUnsavedFinishes)
         if (job.unsavedFinishes.size === 0) this.jobsWithUnsavedFinishes.delete(job)
-      this.finishesWaitSince = this.options.now()
+      this.unsavedFinishesSince = this.options.now()
     })
   }
 
-  /** What is still to be written; null when nothing is. */
+  /** Next write; null if there is nothing to write. */
   private prepareWrite(): SlotWrite | null {
     const { store, epoch } = this.options
     for (const placement of this.pendingStarts) {
@@ -194,8 +197,9 @@
   }
 
   /**
-   * Until the write is durable, or surely never will be. A loop rather than a
-   * Schedule: what the slot was read to hold decides on another attempt.
+   * Sends the write until it is known to be durable, or known never to become so.
+   * This is a loop rather than a Schedule because the content read back from the
+   * slot decides whether the write is sent again.
    */
   private sendUntilResolved(write: SlotWrite) {
     return Effect.gen({ self: this }, function* () {
@@ -208,7 +212,7 @@
         return this.handleAbort(write, write.baseRevision)
       }
       let isResolved = yield* this.resolve(write, first)
-      // As long as it isn't known what became of it, only the very same write is tried again.
+      // While the outcome is unknown, only the identical write is sent again.
       while (!isResolved) {
         const retried = yield* Effect.result(store.compareAndSwap(conditions, operations, 2))
         isResolved = yield* this.resolve(write, retried)
@@ -216,7 +220,10 @@
     })
   }
 
-  /** Whether it is now known what became of the write, by the result of an attempt and by what its slot holds. */
+  /**
+   * Determines the outcome of the write from the result of an attempt and the
+   * content of its slot. Returns whether the outcome is known.
+   */
   private resolve(
     write: SlotWrite,
     attempt: Result.Result<CompareAndSwapResult, StoreError>,
@@ -226,7 +233,7 @@
         this.handleCommit(write, attempt.success.revision)
         return true
       }
-      // Without an answer it may have been written, or may yet be.
+      // A write without a response may have been applied, or may still be.
       const stored = yield* this.readBack(write)
       if (stored === null) return false
       if (stored.isThisWrite) {
@@ -234,14 +241,14 @@
         return true
       }
       if (Result.isFailure(attempt)) return false
-      // A condition failed, and will fail for every late copy of it as well.
+      // A condition failed, and also fails for every late copy of the write.
       yield* Effect.result(this.options.membership.readBarrier.wait)
       this.handleAbort(write, stored.modRevision)
       return true
     })
   }
 
-  /** What the write's slot holds; null, after a pause, when it can't be read. */
+  /** Reads the write's slot. Returns null, after a pause, if the read fails. */
   private readBack(write: SlotWrite): Effect.Effect<StoredSlotState | null> {
     return Effect.gen({ self: this }, function* () {
       const { store, shard } = this.options
@@ -266,8 +273,8 @@
   private handleAbort(write: SlotWrite, modRevision: ModRevision): void {
     this.ledger.markAborted(write, modRevision)
     for (const placement of write.starts) {
-      // What a write only repeated of an older slot is durable there, and may
-      // run: it stays counted until it is surely off its machine.
+      // A placement that the write only repeated from an older slot is durable there, and its
+      // task may run: it counts until the task is proven to be off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
       if (placement.stop === null) this.pendingStarts.add(placement)
       else this.options.events.placementAbandoned(placement)
@@ -275,6 +282,6 @@
   }
 }
 
-/** Whether the slot holds this very write: its epoch and number are never used for another one. */
+/** Whether the slot holds this write. Its epoch and number together identify it: no other write uses them. */
 const isSameWrite = (stored: SlotWrite["record"]["write"] | undefined, { record }: SlotWrite): boolean =>
   stored?.epoch === record.write.epoch && stored.number === record.write.number
--- a/packages/jobs/src/slot-builder.ts
+++ b/packages/jobs/src/slot-builder.ts
@@ -1,25 +1,25 @@
 /**
- * Owns the making of one slot's record: what it holds, and how large it
- * becomes. It never decides what goes into a slot, nor writes it.
+ * Builds the record of one slot within the size limit of a value. It neither
+ * decides what goes into a slot nor writes it.
  */
 import type { MachineId, ModRevision } from "@sorreltally/protocol"
 import type { PlacedTask, PlacementRecord, TaskRun } from "@sorreltally/store"
 import type { JobState, Placement } from "./job-state.ts"
 
-/** What a slot says of one job's finished tasks. */
+/** Finished tasks of one job in a slot. */
 export interface FinishedTasks {
   readonly job: JobState
   readonly indexes: ReadonlyArray<number>
 }
 
-/** Generous sizes in JSON, punctuation included. */
+/** Upper estimates of sizes in JSON, including punctuation. */
 const START_RECORD_BYTES = 30
 const JOB_BYTES = 32
 const MACHINE_BYTES = 6
 const RUN_BYTES = 14
 const RECORD_OVERHEAD_BYTES = 120
 
-/** A slot's record in the making; keeps count of its size. */
+/** Builder of a slot's record that keeps track of its size. */
 export class SlotBuilder {
   readonly starts: Array<Placement> = []
   readonly finishes: Array<FinishedTasks> = []
@@ -33,12 +33,12 @@
     this.freeBytes = valueKb * 1024 - RECORD_OVERHEAD_BYTES
   }
 
-  /** Whether it says nothing yet. */
+  /** Whether nothing has been added. */
   get isEmpty(): boolean {
     return this.starts.length === 0 && this.finishes.length === 0
   }
 
-  /** False: there is no room for this placement. */
+  /** Adds a placement. Returns false if there is no room for it. */
   addStart(placement: Placement): boolean {
     const bytes = this.startBytes(placement)
     if (bytes > this.freeBytes) return false
@@ -52,8 +52,9 @@
   }
 
   /**
-   * False: there is no room for all of the job's finished tasks. A job with
-   * more of them than a whole record holds has them written in several.
+   * Adds finished tasks of a job. Returns false if there is no room for all of
+   * them. If they exceed a whole record, as many as fit are added to an empty
+   * record, and the rest is left to later writes.
    */
   addFinishes(job: JobState, indexes: ReadonlyArray<number>): boolean {
     const runs = runsOf(indexes)
@@ -69,7 +70,7 @@
     return true
   }
 
-  /** Whether there is surely room for all of these. */
+  /** Whether there is room for all of these, by an upper estimate of their size. */
   fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<FinishedTasks>): boolean {
     let bytes = 0
     for (const { machine } of starts) bytes += START_RECORD_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
@@ -77,7 +78,7 @@
     return bytes <= this.freeBytes
   }
 
-  /** The record, with the number of its write under this shard epoch. */
+  /** Returns the record, identified by the shard epoch and the number of its write under that epoch. */
   record(epoch: ModRevision, writeNumber: number): PlacementRecord {
     let firstAttempt = Number.POSITIVE_INFINITY
     for (const { attempt } of this.starts) firstAttempt = Math.min(firstAttempt, attempt)
@@ -110,7 +111,7 @@
   }
 }
 
-/** Runs of consecutive task indexes. */
+/** Groups task indexes into runs of consecutive ones. */
 const runsOf = (indexes: ReadonlyArray<number>): ReadonlyArray<TaskRun> => {
   const runs: Array<{ first: number; count: number }> = []
   for (const index of [...indexes].sort((a, b) => a - b)) {
--- a/packages/jobs/src/write-pacer.ts
+++ b/packages/jobs/src/write-pacer.ts
@@ -1,31 +1,35 @@
 /**
- * Owns the pace of one kind of write: how long after the last one the next may
- * be sent. It never writes anything itself.
+ * Limits the rate of one kind of write by a minimum time between two writes. It
+ * makes no writes itself.
  */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import type { StoreClient } from "@sorreltally/store"
 import { Effect } from "effect"
 
-/** The priority of placements and ends at the store's client. */
+/** Request priority of placements and final states in the store client. */
 const WRITE_PRIORITY = 2
 
-/** What a pacer works with. */
+/** Options of the pacer. */
 export interface WritePacerOptions {
   readonly store: StoreClient
   readonly now: () => MonotonicTime
-  /** How far apart writes are at this load (the fraction of the store's limit on writes that is in use). */
+  /**
+   * Minimum time between two writes in ms. The load is the fraction of the
+   * store's limit on writes that is in use.
+   */
   readonly spacingMs: (writeLoad: number) => number
 }
 
-/** Spaces writes of one operation, so that what becomes ready in between goes with the next one. */
+/** Paces writes of one operation each: what becomes ready between two writes is sent in the next one. */
 export class WritePacer {
   private lastWriteAt: MonotonicTime = NEVER
 
   constructor(private readonly options: WritePacerOptions) {}
 
   /**
-   * Until the last write is long enough ago and the store's client has reserved
-   * capacity: the write is then to be sent at once, as "reserved".
+   * Waits until the minimum time since the last write has passed and the store
+   * client has reserved capacity. The caller then sends the write at once, with
+   * priority "reserved".
    */
   readonly awaitTurn: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { store, now, spacingMs } = this.options
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -1,4 +1,4 @@
-/** Jobs, placements, and a store that keeps its keys in memory. */
+/** Builders of jobs and placements, and an in-memory store. */
 import assert from "node:assert/strict"
 import { Replica } from "@sorreltally/membership"
 import {
@@ -30,7 +30,7 @@
 
 export const jobIdAt = (n: number): JobId => `run-${String(n).padStart(6, "0")}` as JobId
 
-/** The first ids that are in one bucket. */
+/** The first `count` ids that fall into the bucket of id 1. */
 export const idsOfOneBucket = (count: number): ReadonlyArray<JobId> => {
   const ids: Array<JobId> = []
   for (let n = 1; ids.length < count; n++)
@@ -52,11 +52,11 @@
   cancelled: false,
 })
 
-/** A job of that many tasks, on the first page of bucket 1. */
+/** A job with `taskCount` tasks, on the first page of bucket 1. */
 export const jobOf = (id: JobId, taskCount: number): JobState =>
   new JobState(id, jobRecord(id, { taskCount }), keys.jobPage(1, 0), 1 as ModRevision)
 
-/** Places a task of the job on a machine of its own, not durably. */
+/** Places a task of the job on a separate machine; the placement isn't durable. */
 export const placeTask = (job: JobState, index: number): Placement => {
   const placement: Placement = {
     job,
@@ -76,22 +76,22 @@
   return placement
 }
 
-/** A transaction as it was sent. */
+/** A transaction sent to the store. */
 interface Transaction {
   readonly conditions: ReadonlyArray<Condition>
   readonly operations: ReadonlyArray<Operation>
 }
 
-/** A store in memory, which transactions can reach late. */
+/** In-memory store to which transactions can be delivered late. */
 export class MemoryStore {
   readonly entries = new Map<
     StoreKey<unknown>,
     { readonly value: unknown; readonly modRevision: ModRevision }
   >()
-  /** Every put that was made, in order. */
+  /** All puts that were applied, in order. */
   readonly puts: Array<Operation & { readonly kind: "put" }> = []
   revision = 0 as Revision
-  /** While true, transactions get no answer, and are kept. */
+  /** While true, transactions get no response and are kept in `deferred`. */
   deferring = false
   readonly deferred: Array<Transaction> = []
   readonly client: StoreClient
@@ -134,14 +134,14 @@
       .map(([key, entry]) => ({ key, ...entry }))
   }
 
-  /** Writes the shard's first ends page as its owner would. */
+  /** Writes the shard's first ends page, as the shard's owner would. */
   writeEnds(shard: ShardName, done: ReadonlyArray<JobId>): void {
     const page = { done: done.map(digitsOf), cancelled: [] }
     this.apply({ conditions: [], operations: [put(keys.endsPage(shard, 0), page)] })
   }
 }
 
-/** One controller's view of the store; all jobs are of one shard. */
+/** A controller's replica, job index and job store on this store; all jobs belong to one shard. */
 export const nodeOn = (store: MemoryStore, shard: ShardName) => {
   const replica = new Replica()
   const jobIndex = new JobIndex(replica)
@@ -162,9 +162,9 @@
   return { replica, membership, jobIndex, jobStore, refresh }
 }
 
-/** Waits for it to become so. */
-export const eventually = async (isSo: () => boolean, timeoutMs = 2_000): Promise<void> => {
-  for (let waitedMs = 0; waitedMs < timeoutMs && !isSo(); waitedMs += 5)
+/** Waits until the condition holds; fails if it doesn't within the time limit. */
+export const eventually = async (isMet: () => boolean, timeoutMs = 2_000): Promise<void> => {
+  for (let waitedMs = 0; waitedMs < timeoutMs && !isMet(); waitedMs += 5)
     await new Promise((resolve) => setTimeout(resolve, 5))
-  assert.ok(isSo())
+  assert.ok(isMet())
 }
--- a/packages/jobs/test/failure-tracker.test.ts
+++ b/packages/jobs/test/failure-tracker.test.ts
@@ -12,7 +12,7 @@
 const at = (seconds: number) => (seconds * 1000) as MonotonicTime
 
 describe("a job that fails on one machine", () => {
-  it("avoids that machine for a while, and doesn't pause", () => {
+  it("avoids that machine for 30 s, and may retry at once", () => {
     const failures = new FailureTracker()
     assert.equal(failures.recordFailure(redJob, machine1, at(0)), 0)
     assert.ok(!failures.isSuspect(redJob))
@@ -23,7 +23,7 @@
 })
 
 describe("a job that fails on several machines", () => {
-  it("is tried one task at a time, at growing pauses, until one succeeds", () => {
+  it("runs one task at a time, with increasing back-off, until one succeeds", () => {
     const failures = new FailureTracker()
     const job = jobOf(redJob, 60)
     assert.equal(failures.startableCount(job, at(0)), 60)
@@ -37,7 +37,7 @@
     assert.equal(failures.startableCount(job, at(30)), 1)
     placeTask(job, 0)
     assert.equal(failures.startableCount(job, at(30)), 0)
-    // It can go anywhere: all machines are as good.
+    // A suspect job avoids no machine.
     assert.deepEqual([...failures.machinesToAvoid(redJob, at(2))], [])
     failures.recordSuccess(redJob, machine3)
     assert.equal(failures.startableCount(job, at(29)), 59)
@@ -45,7 +45,7 @@
 })
 
 describe("a machine", () => {
-  it("is faulty once several jobs failed there that succeeded elsewhere, until one succeeds there", () => {
+  it("is faulty once several jobs failed on it and succeeded elsewhere, until a job succeeds on it", () => {
     const failures = new FailureTracker()
     for (const job of [redJob, blueJob]) {
       failures.recordFailure(job, machine1, at(0))
@@ -54,13 +54,13 @@
     }
     assert.ok(failures.isFaulty(machine1))
     assert.ok(!failures.isFaulty(machine2))
-    // Whatever completes there says that it works.
+    // Any task that completes on the machine shows that it works.
     failures.recordSuccess(greenJob, machine1)
     assert.ok(!failures.isFaulty(machine1))
   })
 
-  // Guards against healthy machines that are released for the errors of jobs with a mistake.
-  it("is never faulty by jobs that succeed nowhere", () => {
+  // Guards against the release of healthy machines because of jobs with a mistake.
+  it("isn't faulty because of jobs that succeed on no machine", () => {
     const failures = new FailureTracker()
     for (let n = 1; n < 50; n++)
       for (const machine of machines) failures.recordFailure(`run-${n}` as JobId, machine, at(n))
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -8,20 +8,20 @@
 import { eventually, jobIdAt, jobRecord, MemoryStore, nodeOn } from "./builders.ts"
 
 const SHARD = "deadline" as ShardName
-const JOBS = 400
+const JOB_COUNT = 400
 const EPOCH = 1 as ModRevision
 const limits = { valueKb: 1, maxOperations: 8, writesPerSecond: 1e6 }
 
-/** A node that has accepted many jobs of its shard. */
+/** Starts a node and has it accept `JOB_COUNT` jobs of its shard. */
 const nodeWithJobs = async (store: MemoryStore) => {
   store.apply({ conditions: [], operations: [put(keys.shard(SHARD), {} as never)] })
   const node = nodeOn(store, SHARD)
-  for (let n = 0; n < JOBS; n++)
+  for (let n = 0; n < JOB_COUNT; n++)
     await Effect.runPromise(node.jobStore.accept(jobRecord(jobIdAt(n), { deadlineS: 9 })))
   return node
 }
 
-/** Finishes all the jobs at once, and waits for their final states. */
+/** Finishes all jobs at once, waits until they are reported as ended, and returns the reports. */
 const finishAll = async (store: MemoryStore, node: Awaited<ReturnType<typeof nodeWithJobs>>) => {
   const { membership, jobIndex, jobStore } = node
   let nowMs = 0
@@ -39,8 +39,8 @@
     mayWrite: () => true,
     events: { jobsEnded: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
   })
-  for (const { id, record, pageKey: page, modRevision } of [...jobIndex.liveJobs()]) {
-    const job = new JobState(id, record, page, modRevision)
+  for (const { id, record, pageKey, modRevision } of [...jobIndex.liveJobs()]) {
+    const job = new JobState(id, record, pageKey, modRevision)
     jobIndex.listen((changed, entry) => {
       if (changed === id && entry !== null) job.modRevision = entry.modRevision
     })
@@ -48,25 +48,25 @@
     jobEnds.add(job)
   }
   const fiber = Effect.runFork(jobEnds.run)
-  await eventually(() => reported.length >= JOBS, 10_000)
+  await eventually(() => reported.length >= JOB_COUNT, 10_000)
   await Effect.runPromise(Fiber.interrupt(fiber))
   return reported
 }
 
-describe("the ends of many jobs", () => {
-  it("share writes, and are folded into their pages by the owner where nobody else does it", async () => {
+describe("final states of many jobs", () => {
+  it("share writes, and the owner folds them into job pages if no other write does", async () => {
     const store = new MemoryStore(limits)
     const node = await nodeWithJobs(store)
     const putsBefore = store.puts.length
     const reported = await finishAll(store, node)
-    assert.equal(new Set(reported.map(({ id }) => id)).size, JOBS)
+    assert.equal(new Set(reported.map(({ id }) => id)).size, JOB_COUNT)
     assert.ok(reported.every(({ status }) => status === "done"))
     for (const { key, value } of store.puts)
       assert.ok(JSON.stringify(encodeRecord(key, value)).length <= limits.valueKb * 1024)
     const puts = store.puts.slice(putsBefore).map(({ key }) => key)
     const endsPuts = puts.filter((key) => key.startsWith("s/ends/")).length
     const pagePuts = puts.length - endsPuts
-    assert.ok(endsPuts < JOBS / 8, `${endsPuts} puts of ends pages`)
-    assert.ok(pagePuts > 0 && pagePuts < JOBS, `${pagePuts} pages folded by the owner`)
+    assert.ok(endsPuts < JOB_COUNT / 8, `${endsPuts} puts of ends pages`)
+    assert.ok(pagePuts > 0 && pagePuts < JOB_COUNT, `${pagePuts} pages folded by the owner`)
   })
 })
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -11,8 +11,8 @@
 const newStore = () => new MemoryStore(limits)
 const run = <A>(effect: Effect.Effect<A, unknown>) => Effect.runPromise(effect as Effect.Effect<A>)
 
-describe("nodes", () => {
-  it("make one job when they accept the same id at the same moment", async () => {
+describe("concurrent acceptances of one id", () => {
+  it("create one job", async () => {
     const store = newStore()
     const [a, b] = [nodeOn(store, SHARD), nodeOn(store, SHARD)]
     const id = jobIdAt(1)
@@ -22,34 +22,34 @@
 })
 
 describe("an acceptance", () => {
-  it("changes nothing when it comes late, after the job was accepted again and is over", async () => {
+  it("changes nothing if it is delivered late, after the job was accepted again and is over", async () => {
     const store = newStore()
-    const [late, other] = [nodeOn(store, SHARD), nodeOn(store, SHARD)]
+    const [delayedNode, otherNode] = [nodeOn(store, SHARD), nodeOn(store, SHARD)]
     const [id, next] = idsOfOneBucket(2) as [JobId, JobId]
     store.deferring = true
-    const waiting = Effect.runFork(late.jobStore.accept(jobRecord(id)))
+    const unanswered = Effect.runFork(delayedNode.jobStore.accept(jobRecord(id)))
     await new Promise((resolve) => setTimeout(resolve, 5))
     store.deferring = false
-    assert.equal((await run(other.jobStore.accept(jobRecord(id)))).kind, "accepted")
+    assert.equal((await run(otherNode.jobStore.accept(jobRecord(id)))).kind, "accepted")
     store.writeEnds(SHARD, [id])
-    other.refresh()
-    assert.equal((await run(other.jobStore.accept(jobRecord(next)))).kind, "accepted")
+    otherNode.refresh()
+    assert.equal((await run(otherNode.jobStore.accept(jobRecord(next)))).kind, "accepted")
     store.writeEnds(SHARD, [])
     assert.equal(store.deferred.length, 1)
     assert.equal(store.apply(store.deferred[0]!).ok, false)
-    for (const { jobStore } of [late, other])
+    for (const { jobStore } of [delayedNode, otherNode])
       assert.deepEqual(await run(jobStore.find(id)), { kind: "final", status: "done" })
-    waiting.interruptUnsafe()
+    unanswered.interruptUnsafe()
   })
 })
 
 describe("a cancellation", () => {
-  it("is answered with the final state when it races the end of its job", async () => {
+  it("returns the final status if the job ends concurrently", async () => {
     const store = newStore()
     const node = nodeOn(store, SHARD)
     const id = jobIdAt(7)
     await run(node.jobStore.accept(jobRecord(id)))
-    // The end becomes durable after the cancelling node has read the job as live.
+    // The final state becomes durable after the cancelling node has read the job as live.
     const { compareAndSwap } = store.client
     let first = true
     Object.assign(store.client, {
@@ -66,7 +66,7 @@
 })
 
 describe("final states", () => {
-  it("are found in the archive once they outgrow the page; unknown ids stay unknown", async () => {
+  it("are found in the archive once they exceed the page; unknown ids are still unknown", async () => {
     const store = newStore()
     const node = nodeOn(store, SHARD)
     const ids = idsOfOneBucket(260)
@@ -81,17 +81,17 @@
     assert.ok(
       JSON.stringify(encodeRecord(page, store.entries.get(page)!.value)).length < limits.valueKb * 1024,
     )
-    const newcomer = nodeOn(store, SHARD)
+    const freshNode = nodeOn(store, SHARD)
     for (const id of known) {
-      assert.deepEqual(await run(newcomer.jobStore.find(id)), { kind: "final", status: "done" }, id)
-      assert.deepEqual(await run(newcomer.jobStore.accept(jobRecord(id))), { kind: "final", status: "done" })
+      assert.deepEqual(await run(freshNode.jobStore.find(id)), { kind: "final", status: "done" }, id)
+      assert.deepEqual(await run(freshNode.jobStore.accept(jobRecord(id))), { kind: "final", status: "done" })
     }
-    assert.equal((await run(newcomer.jobStore.find(unknown))).kind, "none")
+    assert.equal((await run(freshNode.jobStore.find(unknown))).kind, "none")
   })
 })
 
 describe("live jobs", () => {
-  it("go to further pages when they outgrow one, each id once", async () => {
+  it("are stored on further pages once a page is full, each id once", async () => {
     const store = newStore()
     const [a, b] = [nodeOn(store, SHARD), nodeOn(store, SHARD)]
     const ids = idsOfOneBucket(30)
@@ -104,8 +104,8 @@
   })
 })
 
-describe("a full read", () => {
-  it("revives no job by an ends page that no longer names it, read before the page with its final state", () => {
+describe("a full read of the store", () => {
+  it("revives no job if its ends page no longer lists it and is read before its job page", () => {
     const store = newStore()
     const node = nodeOn(store, SHARD)
     const id = jobIdAt(3)
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -8,8 +8,8 @@
 import { PlacementWriter } from "../src/placement-writer.ts"
 import { eventually, jobIdAt, jobOf, placeTask } from "./builders.ts"
 
-/** A store for slots whose writes succeed until `conditionsFail`, and a running writer on it. */
-const writerOnSlots = () => {
+/** Starts a writer on a store that holds slots only. Its writes succeed while `conditionsFail` is false. */
+const startWriter = () => {
   let modRevision = 10
   const slots = { conditionsFail: false, writes: [] as Array<PlacementRecord> }
   const store = {
@@ -38,12 +38,13 @@
   return { slots, writer, abandoned, fiber: Effect.runFork(writer.run) }
 }
 
-describe("a slot's write whose conditions fail", () => {
-  // Guards against ran_twice: tasks of older slots may run, whatever became of the write that repeats them.
-  it("abandons only placements that were new in it, not those it repeats of older slots", async () => {
-    const { slots, writer, abandoned, fiber } = writerOnSlots()
+describe("a slot write whose conditions fail", () => {
+  // Guards against tasks that run twice (ran_twice): a placement repeated from an older slot is durable,
+  // and its task may run, whatever the outcome of the write that repeats it.
+  it("abandons only its new placements, not those that it repeats from older slots", async () => {
+    const { slots, writer, abandoned, fiber } = startWriter()
     const job = jobOf(jobIdAt(1), 80)
-    // One slot a placement, until old slots are compacted into new ones.
+    // Each placement takes one slot until old slots are compacted into new ones.
     const running: Array<Placement> = []
     for (let index = 0; index < 49; index++) {
       const placement = placeTask(job, index)
