--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -220,12 +220,12 @@
     if (bytes < FOLD_THRESHOLD * contents.length * this.maxPageBytes) return null
     const endedJobsByPage = new Map<StoreKey<JobPage>, number>()
     for (const digits of contents.flatMap(({ page }) => [...page.done, ...page.cancelled])) {
-      const page = this.options.jobIndex.pageKeyOf(idFromDigits(digits))
-      if (page !== null) endedJobsByPage.set(page, (endedJobsByPage.get(page) ?? 0) + 1)
+      const pageKey = this.options.jobIndex.pageKeyOf(idFromDigits(digits))
+      if (pageKey !== null) endedJobsByPage.set(pageKey, (endedJobsByPage.get(pageKey) ?? 0) + 1)
     }
     let fullest: StoreKey<JobPage> | null = null
-    for (const [page, count] of endedJobsByPage) {
-      if (fullest === null || count > endedJobsByPage.get(fullest)!) fullest = page
+    for (const [pageKey, count] of endedJobsByPage) {
+      if (fullest === null || count > endedJobsByPage.get(fullest)!) fullest = pageKey
     }
     return fullest
   }
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -92,10 +92,10 @@
   }
 
   /** Prepares the next write: as many starts as fit, then finishes. Null if there is nothing to write. */
-  prepareWrite({ starts, jobsWithFinishes: finished, maxJobs, epoch }: SlotWriteRequest): SlotWrite | null {
+  prepareWrite({ starts, jobsWithFinishes, maxJobs, epoch }: SlotWriteRequest): SlotWrite | null {
     const builder = new SlotBuilder(this.options.valueKb)
     const jobs = addStarts(builder, starts, maxJobs)
-    for (const job of finished) {
+    for (const job of jobsWithFinishes) {
       if (job.unsavedFinishes.size === 0 || job.finalized) continue
       if (!builder.addFinishes(job, [...job.unsavedFinishes])) break
     }
@@ -130,10 +130,10 @@
   }
 
   /** Restores a slot that a previous owner wrote, and the state of the tasks recorded in it. */
-  restore({ slot, modRevision, record, jobOf, restoredAt: now }: StoredSlot): void {
+  restore({ slot, modRevision, record, jobOf, restoredAt }: StoredSlot): void {
     this.nextSlot = Math.max(this.nextSlot, slot + 1)
     const finishes = restoreFinishes(record, jobOf)
-    const starts = restoreStarts(record, jobOf, now)
+    const starts = restoreStarts(record, jobOf, restoredAt)
     this.slots.set(slot, { modRevision, starts, finishes })
   }
 
--- a/packages/jobs/src/slot-builder.ts
+++ b/packages/jobs/src/slot-builder.ts
@@ -13,7 +13,7 @@
 }
 
 /** Upper estimates of sizes in JSON, including punctuation. */
-const START_RECORD_BYTES = 30
+const START_BYTES = 30
 const JOB_BYTES = 32
 const MACHINE_BYTES = 6
 const RUN_BYTES = 14
@@ -73,7 +73,7 @@
   /** Whether there is room for all of these, by an upper estimate of their size. */
   fits(starts: ReadonlyArray<Placement>, finishes: ReadonlyArray<FinishedTasks>): boolean {
     let bytes = 0
-    for (const { machine } of starts) bytes += START_RECORD_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
+    for (const { machine } of starts) bytes += START_BYTES + JOB_BYTES + MACHINE_BYTES + machine.length
     for (const { indexes } of finishes) bytes += JOB_BYTES + RUN_BYTES * runsOf(indexes).length
     return bytes <= this.freeBytes
   }
@@ -98,7 +98,7 @@
   private startBytes(placement: Placement): number {
     const jobBytes = this.startsByJob.has(placement.job) ? 0 : JOB_BYTES
     const machineBytes = this.machines.has(placement.machine) ? 0 : MACHINE_BYTES + placement.machine.length
-    return START_RECORD_BYTES + jobBytes + machineBytes
+    return START_BYTES + jobBytes + machineBytes
   }
 
   private toPlacedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
