--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -3,7 +3,7 @@
  * written to the store. It never lets a task start whose placement isn't durable, and never ends a job while
  * one of its placements may still run.
  */
-import { JobEnds, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
+import { JobEndsWriter, JobState, type LiveJob, type Placement, PlacementWriter } from "@sorreltally/jobs"
 import { shardOf } from "@sorreltally/membership"
 import {
   type JobId,
@@ -55,7 +55,7 @@
   private readonly node: NodeContext
   private readonly events: JobRegistryEvents
   private readonly placementWriter: PlacementWriter
-  private readonly jobEnds: JobEnds
+  private readonly jobEnds: JobEndsWriter
   private readonly now: () => MonotonicTime
 
   constructor({ shard, epoch, node, mayAct, events }: JobRegistryOptions) {
@@ -71,27 +71,27 @@
       store,
       membership,
       now,
-      active: mayAct,
+      mayWrite: mayAct,
       events: {
-        durable: events.onPlacementsDurable,
-        abandoned: (placement) => this.abandonPlacement(placement),
+        placementsDurable: events.onPlacementsDurable,
+        placementAbandoned: (placement) => this.abandonPlacement(placement),
       },
     })
-    this.jobEnds = new JobEnds({
+    this.jobEnds = new JobEndsWriter({
       shard,
       epoch,
       store,
       membership,
       jobIndex,
       now,
-      active: mayAct,
-      events: { ended: (ends) => node.onJobsEnded(ends), fold: (page) => node.compactJobPage(page) },
+      mayWrite: mayAct,
+      events: { jobsEnded: (ends) => node.onJobsEnded(ends), fold: (page) => node.compactJobPage(page) },
     })
   }
 
   /** Number of placement slots that contain a record. */
   get usedSlotCount(): number {
-    return this.placementWriter.ledger.size
+    return this.placementWriter.ledger.usedSlotCount
   }
   /** Writes placements and final states to the store until it is interrupted; runs in the shard's fiber. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
@@ -100,18 +100,18 @@
 
   /** Restores the jobs from the job index, and the placements that former owners recorded in the slots. */
   restore(slots: ReadonlyArray<Entry<PlacementRecord>>): void {
-    for (const job of this.node.jobIndex.live()) this.jobChanged(job.id, job)
+    for (const job of this.node.jobIndex.liveJobs()) this.jobChanged(job.id, job)
     const jobOf = (id: JobId) => this.jobs.get(id) ?? null
     const now = this.now()
     for (const { key, value: record, modRevision } of slots) {
       const slot = Number(key.slice(key.lastIndexOf("/") + 1))
-      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, now })
+      this.placementWriter.ledger.restore({ slot, modRevision, record, jobOf, restoredAt: now })
     }
   }
 
   /** Queues a placement to be written to the store; its task may start only once the placement is durable. */
   place(placement: Placement): void {
-    this.placementWriter.place(placement)
+    this.placementWriter.enqueue(placement)
   }
 
   /** Handles a change of the job index, for a job of any shard; `entry` is null when the job has ended. */
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -85,7 +85,7 @@
   for (const job of bySubmission) {
     if (job.cancelled || job.allFinished) continue
     const { team, cores } = job.spec
-    const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.done) * cores
+    const demanded = (demandedCores.get(team) ?? 0) + (job.taskCount - job.finishedTaskCount) * cores
     // A suspect job, which probably fails everywhere, takes no guaranteed cores from its team's other jobs.
     if (!shard.failures.isSuspect(job.id)) demandedCores.set(team, demanded)
     views.push(jobView(shard, job, demanded, wallNow, now))
@@ -110,8 +110,8 @@
     id,
     spec,
     rank: isSuspect ? SUSPECT_RANK : priorityRank[spec.priority],
-    queued: shard.failures.startable(job, now),
-    running: job.placements.size - job.stopping,
+    queued: shard.failures.startableCount(job, now),
+    running: job.placements.size - job.stoppingCount,
     tasksByZone: tasksByZone(shard, job),
     timeLeftS: timeLeftS(shard, spec, ageS, executionS),
     ageS,
@@ -121,7 +121,7 @@
     notStarted: job.notStarted && !isSuspect,
     withinGuarantee: !isSuspect && team !== undefined && demandedCores <= team.cpus,
     mayStart: job.retryAfter === null || now >= job.retryAfter,
-    avoidedMachines: shard.failures.avoidedBy(id, now),
+    avoidedMachines: shard.failures.machinesToAvoid(id, now),
   }
 }
 
--- a/packages/shard/src/preemption.ts
+++ b/packages/shard/src/preemption.ts
@@ -46,7 +46,7 @@
   wallNow: WallTime,
   now: MonotonicTime,
 ): boolean =>
-  job.done === 0 &&
+  job.finishedTaskCount === 0 &&
   hasWaitedTooLong((wallNow - job.submitted) / 1000) &&
   (runningSince === null || now < addMs(runningSince, MIN_FIRST_RUN_MS))
 
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -137,7 +137,8 @@
   }
   /** Task counts of each job, for display. */
   *taskCounts(): Iterable<TaskCounts> {
-    for (const job of this.jobs.values()) yield { jobId: job.id, done: job.done, running: job.running }
+    for (const job of this.jobs.values())
+      yield { jobId: job.id, done: job.finishedTaskCount, running: job.runningCount }
   }
 
   private get holdsLease(): boolean {
@@ -232,7 +233,7 @@
         releasePlacement: (placement) => this.machines.get(placement.machine)?.release(placement),
         markCommandsDue: (machine) => this.workers.markCommandsDue(machine),
         onJobRemoved: (job) => {
-          this.failures.forgetJob(job.id)
+          this.failures.removeJob(job.id)
           this.shardMachines.unassign(job.id)
         },
         isReady: () => this.isReady,
