--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -118,8 +118,8 @@
   private makeMembership(): Membership {
     const { platform, operators, nodes, store, clocks, log, fork } = this.options
     const listener: MembershipListener = {
-      acquired: (shard, epoch) => this.shards.start(shard, epoch),
-      lost: (shard) => this.shards.stop(shard),
+      onShardAcquired: (shard, epoch) => this.shards.start(shard, epoch),
+      onShardLost: (shard) => this.shards.stop(shard),
       isBusy: () => this.shards.haveWork,
     }
     return new Membership({
@@ -311,7 +311,7 @@
     return Effect.sync(() => {
       const { platform, peers } = this.options
       this.membership.replica.applyWrite(entry)
-      const owner = this.membership.owner(this.shardOfJob(spec))
+      const owner = this.membership.ownerOf(this.shardOfJob(spec))
       if (owner !== null && owner !== platform.nodeName)
         peers.send({ kind: "jobChanged", page: entry }, owner)
     })
--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -42,7 +42,7 @@
     balancer.recordHeartbeat()
     const name = this.shardOfMachine(heartbeat.machineId)
     const own = shards.get(name)
-    const owner = own === undefined ? membership.owner(name) : self
+    const owner = own === undefined ? membership.ownerOf(name) : self
     if (owner === null || (owner === self && (own === undefined || !membership.holdsLease())))
       return respond(HEARTBEAT_UNAVAILABLE)
     const target = this.redirectTarget(heartbeat.machineId, owner)
--- a/packages/controller/src/machine-handoffs.ts
+++ b/packages/controller/src/machine-handoffs.ts
@@ -28,7 +28,7 @@
     const { shards, membership, machineIndex, peers } = this.options
     const own = shards.get(shard)
     if (own !== undefined) return own.acceptHandoff(id, handoff)
-    const owner = membership.owner(shard)
+    const owner = membership.ownerOf(shard)
     const block = machineIndex.get(id)?.block
     if (owner === null || block === undefined) return
     const entry = membership.replica.get(block)
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,11 +1,11 @@
 /**
- * A node's membership in the cluster: its lease, its replica of the store, and the shards that it owns.
- * Owns the answer to "may this node act?"; never acts for a shard itself (see `MembershipListener`).
+ * Cluster membership of a node: its lease, its replica of the store, and the shards that it owns.
+ * Decides whether the node may act for its shards; acting is left to the `MembershipListener`.
  */
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { NodeLeaseKeeper, type NodeLeaseTimes } from "./node-lease.ts"
+import { NodeLease, type NodeLeaseTimes } from "./node-lease.ts"
 import type { ShardListener } from "./owned-shards.ts"
 import { ReadBarrier } from "./read-barrier.ts"
 import { Replica } from "./replica.ts"
@@ -16,21 +16,21 @@
 /** Settings of a node's membership. */
 export interface MembershipSettings extends NodeLeaseTimes {
   readonly self: NodeName
-  /** All controllers, this one included, in the same order on every node. */
+  /** All controllers including this one, in the same order on every node. */
   readonly nodes: ReadonlyArray<NodeName>
-  /** A node whose replica wasn't refreshed for this long stops acting. */
+  /** A node whose replica has not been refreshed for this long stops acting. */
   readonly watchFreshMs: number
-  /** Requests a second that the store takes of all nodes together. */
+  /** Request rate limit of the store, shared by all nodes. */
   readonly storeRequestsPerSecond: number
 }
 
-/** The rest of the controller, as membership sees it. */
+/** Callbacks from membership to the rest of the controller. */
 export interface MembershipListener extends ShardListener {
-  /** Whether its shards have work, and should learn of changes as soon as can be. */
+  /** Whether this node's shards have work, so that the replica has to follow changes closely. */
   readonly isBusy: () => boolean
 }
 
-/** What a membership needs. */
+/** Options of a membership. */
 export interface MembershipOptions {
   readonly settings: MembershipSettings
   readonly store: StoreClient
@@ -41,39 +41,46 @@
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
-const REJOIN_MS = 400
+const REJOIN_PAUSE_MS = 400
 
 /**
- * Node lease, shards and shard epochs. A node owns a shard from its winning
- * transaction until it can no longer be sure that its lease is valid and that
- * it has learned of every cancellation; see docs/design.md for the argument.
+ * Node lease, shards and shard epochs. A node owns a shard from the transaction that acquired it until
+ * the node can no longer guarantee that its lease is valid and that its replica contains every
+ * cancellation; docs/design.md has the safety argument.
  */
 export class Membership {
   readonly replica = new Replica()
   readonly shards: ReadonlyArray<ShardName>
-  /** For answers that must not be older than their query. */
+  /** Makes reads from the replica linearizable. */
   readonly readBarrier: ReadBarrier
   private readonly store: StoreClient
   private readonly now: () => MonotonicTime
   private readonly log: Log
-  private readonly nodeLease: NodeLeaseKeeper
+  private readonly nodeLease: NodeLease
   private readonly watch: ReplicaWatch
   private readonly ownership: ShardOwnership
 
   constructor({ settings, store, listener, now, log, fork }: MembershipOptions) {
-    const { self, nodes, watchFreshMs: freshMs, storeRequestsPerSecond } = settings
+    const { self, nodes, watchFreshMs: maxStalenessMs, storeRequestsPerSecond } = settings
     const { replica } = this
     this.store = store
     this.now = now
     this.log = log
     this.shards = allShards(nodes)
-    // The store takes few requests, and every node has to watch: at most this
-    // often, and as often again to answer users.
+    // The store accepts few requests, and every node has to watch. Watches and read barriers of a node are
+    // each limited to one request per `spacingMs`.
     const spacingMs = watchSpacingMs(nodes.length, storeRequestsPerSecond)
-    this.nodeLease = new NodeLeaseKeeper({ self, times: settings, store, now, log })
-    this.watch = new ReplicaWatch({ store, replica, spacingMs, freshMs, isBusy: listener.isBusy, now })
-    const caughtUp = (sent: MonotonicTime) => this.watch.markCurrentAsOf(sent)
-    this.readBarrier = new ReadBarrier({ store, replica, spacingMs, caughtUp, now, fork })
+    this.nodeLease = new NodeLease({ self, times: settings, store, now, log })
+    this.watch = new ReplicaWatch({
+      store,
+      replica,
+      spacingMs,
+      maxStalenessMs,
+      isBusy: listener.isBusy,
+      now,
+    })
+    const onCaughtUp = (sentAt: MonotonicTime) => this.watch.markCurrentAsOf(sentAt)
+    this.readBarrier = new ReadBarrier({ store, replica, spacingMs, onCaughtUp, now, fork })
     this.ownership = new ShardOwnership({
       self,
       nodes,
@@ -88,46 +95,46 @@
     })
   }
 
-  /** Whether this node may act for its shards, and answer from its memory. */
+  /** Whether this node may act for its shards and answer from its replica. */
   holdsLease(): boolean {
     const now = this.now()
-    return this.nodeLease.holds(now) && this.watch.isFresh(now)
+    return this.nodeLease.isValid(now) && this.watch.isFresh(now)
   }
-  /** This life of the node; null while it is no member. */
+  /** The current incarnation of this node; null while it is not a member. */
   incarnation(): Incarnation | null {
     return this.nodeLease.current?.incarnation ?? null
   }
-  /** The node that owns a shard by the replica, if its incarnation still lives. */
-  owner(shard: ShardName): NodeName | null {
-    return this.ownership.owner(shard)
+  /** The shard's owner recorded in the replica; null if the owner's incarnation is no longer alive. */
+  ownerOf(shard: ShardName): NodeName | null {
+    return this.ownership.ownerOf(shard)
   }
-  /** This node's controller of the shard can't go on: the shard starts over under a new epoch. */
+  /** Relinquishes a shard whose controller on this node failed; it restarts under a new shard epoch. */
   relinquish(shard: ShardName): void {
-    this.ownership.relinquish(shard, "its controller failed")
+    this.ownership.relinquish(shard, "shard controller failed")
   }
 
-  /** Joins, stays a member until the lease has ended, and joins again. */
+  /** Joins the cluster, remains a member until the node lease ends, then joins again. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
         const joined = yield* Effect.result(this.join())
-        if (Result.isFailure(joined)) return yield* Effect.sleep(REJOIN_MS)
+        if (Result.isFailure(joined)) return yield* Effect.sleep(REJOIN_PAUSE_MS)
         yield* Effect.raceAllFirst([this.nodeLease.renew, this.watch.run, this.ownership.run])
         this.nodeLease.leave()
-        this.ownership.loseAll("node lease lost")
+        this.ownership.relinquishAll("node lease lost")
       }),
     ),
   )
 
   private join() {
     return Effect.gen({ self: this }, function* () {
-      // Obtaining the lease takes time: the replica is as fresh as its read, not as the lease.
-      const listed = this.now()
+      // The replica is as fresh as the list request, which precedes the requests for the lease.
+      const listSentAt = this.now()
       const { items, revision } = yield* this.store.list(REPLICATED)
       const nodeEntry = yield* this.nodeLease.join(items)
       this.replica.loadSnapshot(items, revision)
       this.replica.applyWrite(nodeEntry)
-      this.watch.markCurrentAsOf(listed)
+      this.watch.markCurrentAsOf(listSentAt)
       this.log.info("membership joined", { incarnation: nodeEntry.value.incarnation, revision })
     })
   }
--- a/packages/membership/src/node-lease.ts
+++ b/packages/membership/src/node-lease.ts
@@ -1,6 +1,6 @@
 /**
- * The node's lease in the store, and the node key attached to it. Owns for how long this node may believe
- * that its lease is valid; never counts a validity from anything but the sending of its own request.
+ * The node's lease in the store, and the node key attached to it. Tracks until when this node may treat
+ * its lease as valid; validity is only ever counted from when this node sent its own request.
  */
 import {
   ABSENT,
@@ -16,15 +16,15 @@
 import { type Entry, findEntry, keys, type NodeRecord, put, type StoreClient } from "@sorreltally/store"
 import { Data, Effect, Random, Result } from "effect"
 
-/** How long a node's lease lasts, in milliseconds. */
+/** Durations of a node lease, in milliseconds. */
 export interface NodeLeaseTimes {
-  /** The store ends the lease this long after its last keep-alive. */
+  /** Time after the last keep-alive at which the store ends the lease. */
   readonly leaseTtlMs: number
-  /** The node stops believing in its lease this much earlier. */
+  /** The node treats its lease as expired this long before the TTL has elapsed. */
   readonly leaseMarginMs: number
 }
 
-/** One life of a controller under its name, and the lease that it lasts as long as. */
+/** An incarnation of a controller, and the node lease that bounds its lifetime. */
 export interface MembershipLease {
   readonly incarnation: Incarnation
   readonly leaseId: LeaseId
@@ -33,8 +33,8 @@
 }
 
 /**
- * The node key still exists, attached to the lease of an earlier life of this
- * node: the join was refused and may be repeated once that lease has ended.
+ * The node key still exists, attached to the lease of an earlier incarnation of this node. The join was
+ * refused; it may be retried once that lease has ended.
  */
 export class NodeKeyExistsError extends Data.TaggedError("NodeKeyExistsError")<{
   readonly operation: "join"
@@ -42,11 +42,11 @@
   readonly node: NodeName
 }> {
   override get message(): string {
-    return `join of ${this.node} refused: its node key still exists under an earlier lease; join again once that has ended`
+    return `join of ${this.node} refused: node key exists under an earlier lease; retry after it has ended`
   }
 }
 
-/** What a node lease needs. */
+/** Options of a node lease. */
 export interface NodeLeaseOptions {
   readonly self: NodeName
   readonly times: NodeLeaseTimes
@@ -55,45 +55,45 @@
   readonly log: Log
 }
 
-/** Keep-alives in a lease's TTL while all goes well; one or two may get lost. */
+/** Keep-alives per TTL in normal operation; the lease survives the loss of one or two. */
 const KEEP_ALIVES_PER_TTL = 5
-/** A keep-alive that failed is repeated sooner. */
+/** Retries of a failed keep-alive per TTL; a retry is sent sooner than the next regular keep-alive. */
 const RETRIES_PER_TTL = 10
-const MAX_KEEP_ALIVE_MS = 2_000
+const MAX_KEEP_ALIVE_TIMEOUT_MS = 2_000
 
-/** Obtains the node's lease and node key, and keeps the lease alive until it has ended. */
-export class NodeLeaseKeeper {
+/** Obtains the node lease and the node key, and keeps the lease alive until it ends. */
+export class NodeLease {
   private membershipLease: MembershipLease | null = null
   private validUntil: MonotonicTime = NEVER
 
   constructor(private readonly options: NodeLeaseOptions) {}
 
-  /** The lease since the last join, valid or not; null before and after. */
+  /** The lease obtained by the last join, whether or not it is still valid; null while not a member. */
   get current(): MembershipLease | null {
     return this.membershipLease
   }
-  /** Whether the lease surely lives. */
-  holds(now: MonotonicTime): boolean {
+  /** Whether the lease is certain not to have expired. */
+  isValid(now: MonotonicTime): boolean {
     return this.membershipLease !== null && now < this.validUntil
   }
 
-  /** Begins a new incarnation. Returns the node key as written; `entries` is what a read has just found. */
+  /** Starts a new incarnation and returns its node key entry. `entries` is a recent read of the store. */
   join(entries: ReadonlyArray<Entry>) {
     return Effect.gen({ self: this }, function* () {
       const { self, store, times, now } = this.options
       const key = keys.node(self)
-      const former = findEntry(entries, key)
-      if (former !== undefined) {
-        // The process that wrote this key is dead, for we run under its name now.
-        // Ending its lease frees its shards at once instead of when the lease
-        // expires; writes that it has under way are fenced by the shards' new epochs.
-        yield* store.revokeLease(former.value.leaseId)
+      const previousEntry = findEntry(entries, key)
+      if (previousEntry !== undefined) {
+        // The process that wrote this key is dead, since this process runs under the same node name. Revoking
+        // its lease frees its shards immediately instead of on expiry; its in-flight writes are fenced by the
+        // new shard epochs.
+        yield* store.revokeLease(previousEntry.value.leaseId)
       }
       const incarnation = yield* this.newIncarnation()
-      const sent = now()
+      const sentAt = now()
       const leaseId = yield* store.createLease(times.leaseTtlMs)
       const record: NodeRecord = { incarnation, leaseId }
-      // A copy of this that is carried out late finds the key there, or the lease ended.
+      // A delayed duplicate of this request is rejected: the key exists by then, or the lease has ended.
       const written = yield* store.compareAndSwap(
         [{ key, modRevision: ABSENT }],
         [put(key, record, leaseId)],
@@ -102,7 +102,7 @@
       if (!written.ok)
         return yield* new NodeKeyExistsError({ operation: "join", outcome: "refused", node: self })
       this.membershipLease = { incarnation, leaseId, nodeRevision: written.revision }
-      this.extend(sent)
+      this.extend(sentAt)
       return { key, value: record, modRevision: written.revision }
     })
   }
@@ -110,30 +110,30 @@
     return Effect.gen({ self: this }, function* () {
       const high = yield* Random.nextInt
       const low = yield* Random.nextInt
-      const digits = Math.abs(high).toString(36) + Math.abs(low).toString(36)
-      return `${this.options.self}.${digits}` as Incarnation
+      const suffix = Math.abs(high).toString(36) + Math.abs(low).toString(36)
+      return `${this.options.self}.${suffix}` as Incarnation
     })
   }
-  /** The lease has ended: this node isn't a member until it joins again. */
+  /** Discards the lease after it has ended; this node is not a member until it joins again. */
   leave(): void {
     this.membershipLease = null
     this.validUntil = NEVER
   }
 
   /**
-   * Keeps the lease alive; returns when the store says that it has ended. A
-   * loop rather than a `Schedule`, as each pause depends on the keep-alive before it.
+   * Keeps the lease alive; returns when the store reports that it has ended. A loop rather than a
+   * `Schedule`, because each pause depends on the result of the previous keep-alive.
    */
   readonly renew: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const { store, times, now, log } = this.options
       const { leaseTtlMs } = times
-      const timeoutMs = Math.min(MAX_KEEP_ALIVE_MS, leaseTtlMs / 3)
+      const timeoutMs = Math.min(MAX_KEEP_ALIVE_TIMEOUT_MS, leaseTtlMs / 3)
       let pauseMs = leaseTtlMs / KEEP_ALIVES_PER_TTL
       for (;;) {
         yield* Effect.sleep(pauseMs)
         if (this.membershipLease === null) return
-        const sent = now()
+        const sentAt = now()
         const renewed = yield* Effect.result(store.keepAlive(this.membershipLease.leaseId, timeoutMs))
         if (Result.isFailure(renewed)) {
           log.debug("lease keep-alive failed", { status: renewed.failure.status })
@@ -141,18 +141,18 @@
           continue
         }
         if (!renewed.success) return
-        this.extend(sent)
+        this.extend(sentAt)
         pauseMs = leaseTtlMs / KEEP_ALIVES_PER_TTL
       }
     }),
   )
   /**
-   * Counted from the sending of our own request, never from the end of an
-   * outage: the store then gives the lease its full TTL again, but a node that
-   * was cut off may have missed cancellations meanwhile.
+   * Extends the validity, counted from when this node sent its request, never from the end of a store
+   * outage: after an outage the store restarts the full TTL of every lease, but a node that was
+   * disconnected may have missed cancellations in the meantime.
    */
-  private extend(sent: MonotonicTime): void {
+  private extend(sentAt: MonotonicTime): void {
     const { leaseTtlMs, leaseMarginMs } = this.options.times
-    this.validUntil = addMs(sent, leaseTtlMs - leaseMarginMs)
+    this.validUntil = addMs(sentAt, leaseTtlMs - leaseMarginMs)
   }
 }
--- a/packages/membership/src/owned-shards.ts
+++ b/packages/membership/src/owned-shards.ts
@@ -1,22 +1,22 @@
 /**
- * The shards that this node owns, each with its shard epoch. Owns the rule under which epochs a shard may
- * be held: never under one that this process held before, nor under one that the replica has passed.
+ * The shards that this node owns, each with its shard epoch. A shard is never owned under an epoch that
+ * this process has owned it under before, nor under one older than the shard's mod revision in the replica.
  */
 import type { Log, ModRevision, NodeName, ShardName } from "@sorreltally/protocol"
 import { keys, SHARDS } from "@sorreltally/store"
 import type { Replica } from "./replica.ts"
 
-/** What the rest of the controller does when a shard is acquired or lost. Both are synchronous. */
+/** Callbacks on acquiring and losing a shard. Both are synchronous. */
 export interface ShardListener {
-  readonly acquired: (shard: ShardName, epoch: ModRevision) => void
-  readonly lost: (shard: ShardName) => void
+  readonly onShardAcquired: (shard: ShardName, epoch: ModRevision) => void
+  readonly onShardLost: (shard: ShardName) => void
 }
 
-/** The set of owned shards; its listener learns of every change at once. */
+/** The set of owned shards; calls its listener synchronously on every change. */
 export class OwnedShards {
   private readonly epochs = new Map<ShardName, ModRevision>()
-  /** The last epoch under which this process owned a shard. */
-  private readonly lastEpoch = new Map<ShardName, ModRevision>()
+  /** The last epoch under which this process owned each shard. */
+  private readonly lastEpochs = new Map<ShardName, ModRevision>()
 
   constructor(
     private readonly replica: Replica,
@@ -26,7 +26,8 @@
     replica.listen(SHARDS, (key, entry) => {
       const shard = key.slice(SHARDS.length) as ShardName
       const epoch = this.epochs.get(shard)
-      if (epoch !== undefined && entry !== null && entry.modRevision > epoch) this.lose(shard, "taken over")
+      if (epoch !== undefined && entry !== null && entry.modRevision > epoch)
+        this.remove(shard, "shard record superseded by a newer epoch")
     })
   }
 
@@ -34,31 +35,31 @@
   has(shard: ShardName): boolean {
     return this.epochs.has(shard)
   }
-  /** The owned shards and their epochs. */
+  /** Owned shards and their epochs. */
   entries(): Iterable<readonly [ShardName, ModRevision]> {
     return this.epochs
   }
-  /** Takes in that a transaction of ours was applied which made this node the owner under an epoch. */
-  acquire(shard: ShardName, epoch: ModRevision, from: NodeName | null): void {
-    // An earlier ownership of ours may still have writes under way that only a
-    // new epoch fences, and its attempts and write numbers would be used twice.
-    const former = this.lastEpoch.get(shard)
-    if (former !== undefined && epoch <= former) return
-    // Our response was late, and another node is the owner by now.
+  /** Records that a transaction of this node made it the owner under an epoch. */
+  addAcquired(shard: ShardName, epoch: ModRevision, previousOwner: NodeName | null): void {
+    // An earlier ownership by this process may still have writes in flight that only a new epoch fences, and
+    // its attempt numbers and write numbers would be reused.
+    const previousEpoch = this.lastEpochs.get(shard)
+    if (previousEpoch !== undefined && epoch <= previousEpoch) return
+    // The response was late, and the shard record has changed again since: another node is the owner.
     if (this.replica.modRevision(keys.shard(shard)) > epoch) return
     this.epochs.set(shard, epoch)
-    this.lastEpoch.set(shard, epoch)
-    this.log.info("shard acquired", { shard, epoch, from })
-    this.listener.acquired(shard, epoch)
+    this.lastEpochs.set(shard, epoch)
+    this.log.info("shard acquired", { shard, epoch, previousOwner })
+    this.listener.onShardAcquired(shard, epoch)
   }
-  /** Stops owning a shard, if this node does. The reason is for the log. */
-  lose(shard: ShardName, reason: string): void {
+  /** Stops owning a shard, if this node owns it. The reason is logged. */
+  remove(shard: ShardName, reason: string): void {
     if (!this.epochs.delete(shard)) return
     this.log.info("shard lost", { shard, reason })
-    this.listener.lost(shard)
+    this.listener.onShardLost(shard)
   }
   /** Stops owning all shards. */
-  loseAll(reason: string): void {
-    for (const shard of [...this.epochs.keys()]) this.lose(shard, reason)
+  removeAll(reason: string): void {
+    for (const shard of [...this.epochs.keys()]) this.remove(shard, reason)
   }
 }
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -1,6 +1,6 @@
 /**
- * Linearizable reads from the replica. Owns the requests that bring the replica up to a query's moment;
- * never lets a query pass on a request that was sent before the query arrived.
+ * Linearizable reads from the replica. Sends the requests that bring the replica up to date with a query;
+ * a request that was sent before the query arrived never satisfies it.
  */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import { REPLICATED, type StoreClient, type StoreError } from "@sorreltally/store"
@@ -9,37 +9,36 @@
 
 type Waiter = Deferred.Deferred<void, StoreError>
 
-/** What a read barrier needs. */
+/** Options of a read barrier. */
 export interface ReadBarrierOptions {
   readonly store: StoreClient
   readonly replica: Replica
-  /** The least time between two requests to the store. */
+  /** Minimum time between two requests to the store. */
   readonly spacingMs: number
-  /** Called when the replica holds all that was durable at that moment, at which its request was sent. */
-  readonly caughtUp: (sent: MonotonicTime) => void
+  /** Called when the replica contains every change that was durable when the request was sent. */
+  readonly onCaughtUp: (sentAt: MonotonicTime) => void
   readonly now: () => MonotonicTime
   /** Starts a fiber that the node's scope owns. */
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
 /**
- * Makes sure that the replica is not older than a query. One request to the
- * store, *sent* after the queries arrived, serves all of them: its response
- * brings the replica up to the revision that it names, and whatever anybody was
- * answered before is not newer than that.
+ * Ensures that the replica is at least as recent as a query. One request to the store, *sent* after the
+ * queries arrived, serves all of them: its response brings the replica up to the revision that it names,
+ * and no response that any client received before is based on a newer revision.
  */
 export class ReadBarrier {
-  private waiting: Array<Waiter> = []
+  private waiters: Array<Waiter> = []
   private isServing = false
-  private lastSent: MonotonicTime = NEVER
+  private lastSentAt: MonotonicTime = NEVER
 
   constructor(private readonly options: ReadBarrierOptions) {}
 
-  /** Until the replica holds all that was durable when this was begun; fails when the store can't say. */
+  /** Waits until the replica contains every change durable at the call; fails if the store request fails. */
   readonly wait: Effect.Effect<void, StoreError> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const waiter = yield* Deferred.make<void, StoreError>()
-      this.waiting.push(waiter)
+      this.waiters.push(waiter)
       if (!this.isServing) {
         this.isServing = true
         this.options.fork(this.serve())
@@ -50,19 +49,19 @@
 
   private serve() {
     return Effect.gen({ self: this }, function* () {
-      const { spacingMs, now, caughtUp } = this.options
-      while (this.waiting.length > 0) {
-        const pauseMs = addMs(this.lastSent, spacingMs) - now()
+      const { spacingMs, now, onCaughtUp } = this.options
+      while (this.waiters.length > 0) {
+        const pauseMs = addMs(this.lastSentAt, spacingMs) - now()
         if (pauseMs > 0) yield* Effect.sleep(pauseMs)
-        const served = this.waiting
-        this.waiting = []
-        this.lastSent = now()
-        const done = yield* Effect.result(this.catchUp())
-        if (Result.isSuccess(done)) caughtUp(this.lastSent)
-        for (const waiter of served)
-          yield* Result.isSuccess(done)
+        const batch = this.waiters
+        this.waiters = []
+        this.lastSentAt = now()
+        const result = yield* Effect.result(this.catchUp())
+        if (Result.isSuccess(result)) onCaughtUp(this.lastSentAt)
+        for (const waiter of batch)
+          yield* Result.isSuccess(result)
             ? Deferred.succeed(waiter, undefined)
-            : Deferred.fail(waiter, done.failure)
+            : Deferred.fail(waiter, result.failure)
       }
       this.isServing = false
     })
--- a/packages/membership/src/shard-acquisition.ts
+++ b/packages/membership/src/shard-acquisition.ts
@@ -1,6 +1,6 @@
 /**
- * Failover: which shards without an owner this node should acquire, when, and the transaction that does it.
- * Never acquires on the replica's word alone: the transaction's conditions decide.
+ * Failover: decides which shards without an owner this node should acquire and when, and runs the
+ * transaction that acquires them. The replica may lag, so only the transaction's conditions decide ownership.
  */
 import type { MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
 import {
@@ -13,19 +13,20 @@
 } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { ClusterView } from "./cluster-view.ts"
-import type { MembershipLease, NodeLeaseKeeper } from "./node-lease.ts"
+import type { MembershipLease, NodeLease } from "./node-lease.ts"
 import type { OwnedShards } from "./owned-shards.ts"
 import type { Replica } from "./replica.ts"
 import { homeNodeOf, preferredOwner } from "./shards.ts"
 
-/** How long a shard that never had an owner waits for its home node. */
-const FIRST_START_MS = 4_000
-/** How long a node that isn't the preferred owner leaves a shard to that one, and how much longer for each rank. */
-const RIVAL_WAIT_MS = 1_500
-const RIVAL_RANK_MS = 500
-const RETRY_MS = 300
+/** Time that other nodes wait for the home node to acquire a shard that never had an owner. */
+const HOME_NODE_WAIT_MS = 4_000
+/** Time that a node leaves a shard to its preferred owner before it tries to acquire the shard itself. */
+const NON_PREFERRED_WAIT_MS = 1_500
+/** Additional wait per position in the list of nodes, so that the other nodes don't compete. */
+const WAIT_PER_RANK_MS = 500
+const RETRY_PAUSE_MS = 300
 
-/** What the acquisition of shards needs. */
+/** Options of the shard acquisition. */
 export interface ShardAcquisitionOptions {
   readonly self: NodeName
   /** All controllers, in the same order on every node. */
@@ -33,91 +34,95 @@
   readonly store: StoreClient
   readonly replica: Replica
   readonly cluster: ClusterView
-  readonly nodeLease: NodeLeaseKeeper
-  readonly owned: OwnedShards
+  readonly nodeLease: NodeLease
+  readonly ownedShards: OwnedShards
   readonly now: () => MonotonicTime
 }
 
 /** Acquires shards that have no owner. */
 export class ShardAcquisition {
-  /** Since when this node has seen a shard without an owner. */
+  /** Time at which this node first saw a shard without an owner. */
   private readonly ownerlessSince = new Map<ShardName, MonotonicTime>()
 
   constructor(private readonly options: ShardAcquisitionOptions) {}
 
   /** Whether this node should try to acquire the shard now. */
   isDue(shard: ShardName): boolean {
-    const { self, cluster, owned } = this.options
-    if (owned.has(shard)) return false
+    const { self, cluster, ownedShards } = this.options
+    if (ownedShards.has(shard)) return false
     const owner = cluster.ownerOf(shard)
-    // Ours by the record yet not owned: we relinquished it, and need a new epoch.
+    // A shard recorded as owned by this node but not in `ownedShards` was relinquished and needs a new epoch.
     if (owner !== null && owner !== self) {
       this.ownerlessSince.delete(shard)
       return false
     }
     const now = this.options.now()
-    const since = this.ownerlessSince.get(shard) ?? now
-    this.ownerlessSince.set(shard, since)
-    return now - since >= this.waitMs(shard)
+    const ownerlessFrom = this.ownerlessSince.get(shard) ?? now
+    this.ownerlessSince.set(shard, ownerlessFrom)
+    return now - ownerlessFrom >= this.waitMs(shard)
   }
   /**
-   * The preferred owner goes first and others wait a little, so that it usually
-   * has no rival; a shard that never had an owner waits for its home node to start.
+   * The wait before acquiring a shard without an owner. The preferred owner goes first and the other nodes
+   * wait, so that they rarely compete. For a shard that never had an owner, other nodes wait for its home
+   * node to start.
    */
   private waitMs(shard: ShardName): number {
     const { self, nodes, replica, cluster } = this.options
-    const neverOwned = replica.get(keys.shard(shard)) === null
-    if (neverOwned && homeNodeOf(shard, nodes) !== self) return FIRST_START_MS
+    const wasNeverOwned = replica.get(keys.shard(shard)) === null
+    if (wasNeverOwned && homeNodeOf(shard, nodes) !== self) return HOME_NODE_WAIT_MS
     if (preferredOwner(shard, nodes, cluster.aliveNodes()) === self) return 0
-    return RIVAL_WAIT_MS + RIVAL_RANK_MS * nodes.indexOf(self)
+    return NON_PREFERRED_WAIT_MS + WAIT_PER_RANK_MS * nodes.indexOf(self)
   }
 
-  /** Tries once to acquire the shard. */
+  /** Makes one attempt to acquire the shard. */
   acquire(shard: ShardName) {
     return Effect.gen({ self: this }, function* () {
-      const { self, store, replica, nodeLease, owned } = this.options
+      const { self, store, replica, nodeLease, ownedShards } = this.options
       const membershipLease = nodeLease.current
       if (membershipLease === null) return
       const key = keys.shard(shard)
       const record: ShardRecord = { owner: self, incarnation: membershipLease.incarnation }
-      const from = replica.get(key)?.value.owner ?? null
-      const conditions = this.conditions(shard, membershipLease, from)
+      const previousOwner = replica.get(key)?.value.owner ?? null
+      const conditions = this.conditions(shard, membershipLease, previousOwner)
       const written = yield* Effect.result(store.compareAndSwap(conditions, [put(key, record)], 0))
-      if (Result.isFailure(written) || !written.success.ok) return yield* this.readOwner(shard, from)
+      if (Result.isFailure(written) || !written.success.ok) return yield* this.readOwner(shard, previousOwner)
       replica.applyWrite({ key, value: record, modRevision: written.success.revision })
-      owned.acquire(shard, written.success.revision, from)
+      ownedShards.addAcquired(shard, written.success.revision, previousOwner)
     })
   }
   /**
-   * The former owner's node key must be gone and our own must exist: a late
-   * copy of this transaction changes nothing.
+   * Conditions of the transaction: the shard record is unchanged, this node's node key exists, and the
+   * previous owner's node key is as in the replica, where it is absent or belongs to a newer incarnation.
+   * A delayed duplicate of the transaction therefore changes nothing.
    */
   private conditions(
     shard: ShardName,
     { nodeRevision }: MembershipLease,
-    from: NodeName | null,
+    previousOwner: NodeName | null,
   ): ReadonlyArray<Condition> {
     const { self, replica } = this.options
     const unchanged = (key: StoreKey<unknown>): Condition => ({ key, modRevision: replica.modRevision(key) })
-    const own = { key: keys.node(self), modRevision: nodeRevision }
-    const conditions = [unchanged(keys.shard(shard)), own]
-    return from === null || from === self ? conditions : [...conditions, unchanged(keys.node(from))]
+    const ownNodeExists = { key: keys.node(self), modRevision: nodeRevision }
+    const conditions = [unchanged(keys.shard(shard)), ownNodeExists]
+    return previousOwner === null || previousOwner === self
+      ? conditions
+      : [...conditions, unchanged(keys.node(previousOwner))]
   }
   /**
-   * The transaction was refused, or its outcome is unknown. If it was applied
-   * without our knowing, the record says so; if that is unchanged, the next
-   * attempt gets an epoch of its own.
+   * Reads the shard record after the transaction was refused or its outcome is unknown. If it was applied,
+   * the record names this incarnation; if the record is unchanged, the next attempt gets a new epoch.
    */
-  private readOwner(shard: ShardName, from: NodeName | null) {
+  private readOwner(shard: ShardName, previousOwner: NodeName | null) {
     return Effect.gen({ self: this }, function* () {
-      const { self, store, replica, nodeLease, owned } = this.options
+      const { self, store, replica, nodeLease, ownedShards } = this.options
       const read = yield* Effect.result(store.get(keys.shard(shard)))
-      if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_MS)
+      if (Result.isFailure(read) || read.success === null) return yield* Effect.sleep(RETRY_PAUSE_MS)
       const entry = read.success
       replica.applyWrite(entry)
       const { owner, incarnation } = entry.value
-      const isOurs = owner === self && incarnation === nodeLease.current?.incarnation
-      if (isOurs && !owned.has(shard)) owned.acquire(shard, entry.modRevision, from)
+      const isOwnIncarnation = owner === self && incarnation === nodeLease.current?.incarnation
+      if (isOwnIncarnation && !ownedShards.has(shard))
+        ownedShards.addAcquired(shard, entry.modRevision, previousOwner)
     })
   }
 }
--- a/packages/membership/src/shard-fail-back.ts
+++ b/packages/membership/src/shard-fail-back.ts
@@ -1,6 +1,6 @@
 /**
- * Failing back: when a shard that this node acquired goes back to its home node, and the write that lets
- * it go. Never fails back more than one shard at a time, nor the leader's.
+ * Fail back: decides when a shard that this node acquired returns to its home node, and clears the recorded
+ * owner. At most one shard fails back at a time, and the leader's shard never does.
  */
 import {
   addMs,
@@ -18,16 +18,18 @@
 import type { Replica } from "./replica.ts"
 import { DEADLINE_SHARD, homeNodeOf } from "./shards.ts"
 
-/** How long a node has to be alive before a shard fails back to it, and the pause between two. */
-const MIN_ALIVE_MS = 15_000
-const FAIL_BACK_SPACING_MS = 5_000
+/** Time that a home node must have been alive before a shard fails back to it. */
+const MIN_HOME_ALIVE_MS = 15_000
+/** Minimum time between two shards failing back. */
+const FAIL_BACK_PAUSE_MS = 5_000
 
-interface AliveSince {
+/** The incarnation of a node seen in the replica; null while its node key does not exist. */
+interface ObservedIncarnation {
   readonly incarnation: Incarnation | null
-  readonly at: MonotonicTime
+  readonly firstSeenAt: MonotonicTime
 }
 
-/** What failing back needs. */
+/** Options of the shard fail back. */
 export interface ShardFailBackOptions {
   readonly self: NodeName
   /** All controllers, in the same order on every node. */
@@ -35,58 +37,61 @@
   readonly store: StoreClient
   readonly replica: Replica
   readonly cluster: ClusterView
-  readonly owned: OwnedShards
+  readonly ownedShards: OwnedShards
   readonly now: () => MonotonicTime
 }
 
-/** Lets shards go whose home nodes are alive again. */
+/** Relinquishes shards whose home nodes are alive again. */
 export class ShardFailBack {
-  private readonly aliveSince = new Map<NodeName, AliveSince>()
-  private failedBackAt: MonotonicTime = NEVER
+  private readonly observedIncarnations = new Map<NodeName, ObservedIncarnation>()
+  private lastFailBackAt: MonotonicTime = NEVER
 
   constructor(private readonly options: ShardFailBackOptions) {}
 
   /**
-   * Shards fail back to a home node that has been alive for a while, one at a
-   * time: a node that acquired several does all their work, and all their calls.
+   * Fails back at most one shard to a home node that has been alive for `MIN_HOME_ALIVE_MS`. A node that
+   * acquired several shards carries all of their work and all of their requests, so shards are returned.
    */
   failBackOne() {
     return Effect.gen({ self: this }, function* () {
-      const { owned } = this.options
+      const { ownedShards } = this.options
       const now = this.options.now()
-      this.recordAliveNodes(now)
-      if (now < addMs(this.failedBackAt, FAIL_BACK_SPACING_MS)) return
-      for (const [shard, epoch] of owned.entries()) {
-        const home = this.returnedHomeOf(shard, now)
-        if (home === null) continue
-        this.failedBackAt = now
-        // First we stop, then the record says so: if it never does, we are the
-        // owner on record without being one, and acquire the shard again.
-        owned.lose(shard, `failed back to ${home}`)
-        return yield* this.release(shard, epoch)
+      this.recordIncarnations(now)
+      if (now < addMs(this.lastFailBackAt, FAIL_BACK_PAUSE_MS)) return
+      for (const [shard, epoch] of ownedShards.entries()) {
+        const homeNode = this.failBackTargetOf(shard, now)
+        if (homeNode === null) continue
+        this.lastFailBackAt = now
+        // Stop owning the shard before clearing the recorded owner. If that write is never applied, this node
+        // is the recorded owner without owning the shard, and acquires it again.
+        ownedShards.remove(shard, `failed back to ${homeNode}`)
+        return yield* this.clearOwner(shard, epoch)
       }
     })
   }
-  private recordAliveNodes(now: MonotonicTime): void {
+  private recordIncarnations(now: MonotonicTime): void {
     for (const node of this.options.nodes) {
       const incarnation = this.options.cluster.incarnationOf(node)
-      const known = this.aliveSince.get(node)
-      if (known === undefined || known.incarnation !== incarnation)
-        this.aliveSince.set(node, { incarnation, at: now })
+      const observed = this.observedIncarnations.get(node)
+      if (observed === undefined || observed.incarnation !== incarnation)
+        this.observedIncarnations.set(node, { incarnation, firstSeenAt: now })
     }
   }
-  /** The shard's home node, if that isn't this one and has been alive for long enough. */
-  private returnedHomeOf(shard: ShardName, now: MonotonicTime): NodeName | null {
-    // The leader stays where it is: moving it would delay every job with a deadline.
+  /** The shard's home node if it is another node that has been alive long enough; otherwise null. */
+  private failBackTargetOf(shard: ShardName, now: MonotonicTime): NodeName | null {
+    // The leader's shard does not fail back: moving it would delay every job with a deadline.
     if (shard === DEADLINE_SHARD) return null
-    const home = homeNodeOf(shard, this.options.nodes)
-    if (home === null || home === this.options.self) return null
-    const since = this.aliveSince.get(home)
-    if (since === undefined || since.incarnation === null) return null
-    return now < addMs(since.at, MIN_ALIVE_MS) ? null : home
+    const homeNode = homeNodeOf(shard, this.options.nodes)
+    if (homeNode === null || homeNode === this.options.self) return null
+    const observed = this.observedIncarnations.get(homeNode)
+    if (observed === undefined || observed.incarnation === null) return null
+    return now < addMs(observed.firstSeenAt, MIN_HOME_ALIVE_MS) ? null : homeNode
   }
-  /** Conditioned on our epoch: carried out late, after another node acquired the shard, it does nothing. */
-  private release(shard: ShardName, epoch: ModRevision) {
+  /**
+   * Clears the recorded owner. The write is conditioned on the shard epoch: applied late, after another node
+   * acquired the shard, it has no effect.
+   */
+  private clearOwner(shard: ShardName, epoch: ModRevision) {
     return Effect.gen({ self: this }, function* () {
       const { store, replica } = this.options
       const key = keys.shard(shard)
--- a/packages/membership/test/builders.ts
+++ b/packages/membership/test/builders.ts
@@ -13,21 +13,21 @@
 import { Effect } from "effect"
 import { TestClock } from "effect/testing"
 import { Membership } from "../src/membership.ts"
-import { NodeLeaseKeeper } from "../src/node-lease.ts"
+import { NodeLease } from "../src/node-lease.ts"
 
 export const NODE = "a" as NodeName
-export const LEASE = 7 as LeaseId
+export const LEASE_ID = 7 as LeaseId
 export const LEASE_TTL_MS = 1_000
 export const LEASE_MARGIN_MS = 100
-/** The first keep-alive after a join. */
+/** Time from a join to its first keep-alive. */
 export const KEEP_ALIVE_MS = LEASE_TTL_MS / 5
 
 const silentLog: Log = { error: () => {}, info: () => {}, debug: () => {} }
 
-/** A store that does all that is asked of it; a test replaces the responses that it is about. */
+/** A store client whose requests succeed, with the given responses replaced. */
 export const storeWith = (responses: Partial<StoreClient> = {}): StoreClient =>
   ({
-    createLease: () => Effect.succeed(LEASE),
+    createLease: () => Effect.succeed(LEASE_ID),
     revokeLease: () => Effect.void,
     keepAlive: () => Effect.succeed(true),
     list: () => Effect.succeed({ items: [], revision: 4 as Revision }),
@@ -36,20 +36,20 @@
     ...responses,
   }) as StoreClient
 
-/** A node's lease on the test's clock, and that clock. */
-export const nodeLeaseOn = (store: StoreClient) =>
+/** A node lease that runs on the test clock, and the clock's `now`. */
+export const makeNodeLease = (store: StoreClient) =>
   Effect.gen(function* () {
     const { monotonicNow: now } = yield* processClocks
     const times = { leaseTtlMs: LEASE_TTL_MS, leaseMarginMs: LEASE_MARGIN_MS }
-    const nodeLease = new NodeLeaseKeeper({ self: NODE, times, store, now, log: silentLog })
+    const nodeLease = new NodeLease({ self: NODE, times, store, now, log: silentLog })
     return { nodeLease, now: now as () => MonotonicTime }
   })
 
-/** The only node's membership on the test's clock, and the shards that it owns. */
-export const membershipOn = (store: StoreClient) =>
+/** The membership of a single-node cluster on the test clock, and the shards that the node owns. */
+export const makeMembership = (store: StoreClient) =>
   Effect.gen(function* () {
     const { monotonicNow: now } = yield* processClocks
-    const owned = new Set<ShardName>()
+    const ownedShards = new Set<ShardName>()
     const membership = new Membership({
       settings: {
         self: NODE,
@@ -61,33 +61,33 @@
       },
       store,
       listener: {
-        acquired: (shard) => owned.add(shard),
-        lost: (shard) => owned.delete(shard),
+        onShardAcquired: (shard) => ownedShards.add(shard),
+        onShardLost: (shard) => ownedShards.delete(shard),
         isBusy: () => true,
       },
       now,
       log: silentLog,
       fork: () => {},
     })
-    return { membership, owned }
+    return { membership, ownedShards }
   })
 
-/** Runs a test on a clock that only moves when told to. */
-export const onTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
+/** Runs a test on a clock that advances only through `TestClock.adjust`. */
+export const runOnTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
   Effect.runPromise(Effect.provide(test, TestClock.layer()))
 
-/** The key that the replica's tests write and delete. */
+/** The key written and deleted by the replica tests. */
 export const KEY = keys.node(NODE)
-/** Its entry as a write at this revision left it. */
-export const entry = (revision: number): Entry<NodeRecord> => ({
+/** The key's entry after a write at a revision. */
+export const entryAt = (revision: number): Entry<NodeRecord> => ({
   key: KEY,
-  value: { incarnation: `${NODE}.${revision}` as Incarnation, leaseId: LEASE },
+  value: { incarnation: `${NODE}.${revision}` as Incarnation, leaseId: LEASE_ID },
   modRevision: revision as ModRevision,
 })
-/** That write, as a watch brings it. */
-export const written = (revision: number): WatchEvent => ({ ...entry(revision), deleted: false })
-/** A delete of the key, as a watch brings it. */
-export const deleted = (revision: number): WatchEvent => ({
+/** The watch event of a write at a revision. */
+export const putEvent = (revision: number): WatchEvent => ({ ...entryAt(revision), deleted: false })
+/** The watch event of a delete at a revision. */
+export const deleteEvent = (revision: number): WatchEvent => ({
   key: KEY,
   value: null,
   modRevision: revision as ModRevision,
--- a/packages/membership/test/node-lease.test.ts
+++ b/packages/membership/test/node-lease.test.ts
@@ -7,42 +7,42 @@
   KEEP_ALIVE_MS,
   LEASE_MARGIN_MS,
   LEASE_TTL_MS,
+  makeNodeLease,
   NODE,
-  nodeLeaseOn,
-  onTestClock,
+  runOnTestClock,
   storeWith,
 } from "./builders.ts"
 
-test("a join while the node key exists fails with a typed error, and no lease is held", () =>
-  onTestClock(
+test("a join while the node key exists fails with a typed error and leaves no valid lease", () =>
+  runOnTestClock(
     Effect.gen(function* () {
       const store = storeWith({
         compareAndSwap: () => Effect.succeed({ ok: false, failedKeys: ["s/live/a"] }),
       })
-      const { nodeLease, now } = yield* nodeLeaseOn(store)
+      const { nodeLease, now } = yield* makeNodeLease(store)
       const error = yield* Effect.flip(nodeLease.join([]))
       assert.ok(error instanceof NodeKeyExistsError)
       assert.equal(error.node, NODE)
-      assert.equal(nodeLease.holds(now()), false)
+      assert.equal(nodeLease.isValid(now()), false)
     }),
   ))
 
-test("a lease is held until its TTL less the margin after the request that made it", () =>
-  onTestClock(
+test("a lease is valid for its TTL minus the margin, counted from the request that created it", () =>
+  runOnTestClock(
     Effect.gen(function* () {
-      const { nodeLease, now } = yield* nodeLeaseOn(storeWith())
+      const { nodeLease, now } = yield* makeNodeLease(storeWith())
       yield* nodeLease.join([])
       yield* TestClock.adjust(LEASE_TTL_MS - LEASE_MARGIN_MS - 1)
-      assert.equal(nodeLease.holds(now()), true)
+      assert.equal(nodeLease.isValid(now()), true)
       yield* TestClock.adjust(1)
-      assert.equal(nodeLease.holds(now()), false)
+      assert.equal(nodeLease.isValid(now()), false)
     }),
   ))
 
-test("an expired lease ends its renewal at the next keep-alive", () =>
-  onTestClock(
+test("renewal returns at the next keep-alive after the lease has expired", () =>
+  runOnTestClock(
     Effect.gen(function* () {
-      const { nodeLease, now } = yield* nodeLeaseOn(storeWith({ keepAlive: () => Effect.succeed(false) }))
+      const { nodeLease, now } = yield* makeNodeLease(storeWith({ keepAlive: () => Effect.succeed(false) }))
       yield* nodeLease.join([])
       const joinedAt = now()
       const renewal = yield* Effect.forkChild(nodeLease.renew)
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -54,7 +54,7 @@
     )
       return
     if (!session.isEmpty(this.finishIsDurable) || session.unreachableSince !== null) return
-    if (node.membership.owner(to) === null) return
+    if (node.membership.ownerOf(to) === null) return
     assignment.moving = true
     assignment.assignedJob = null
     const shape = demands.find((demand) => demand.shard === to)?.shape
--- a/scenarios/cancelled-refused-outage-long-lease.sexp
+++ b/scenarios/cancelled-refused-outage-long-lease.sexp
@@ -4,4 +4,4 @@
   (at 40 (state-refuses host-0 80) (cut-peers host-0 80)) (at 40.3 (cancel-at host-1 0) (cancel-at host-2 1)) (at 41 (state-outage 65))
   (expect (withdrawn 2) (happened answersWithoutState 2))
   (guard "packages/membership/src/membership.ts"
-    "return this.nodeLease.holds(now) && this.watch.isFresh(now)" "return this.incarnation() !== null"))
+    "return this.nodeLease.isValid(now) && this.watch.isFresh(now)" "return this.incarnation() !== null"))
--- a/scenarios/close-polls-slow.sexp
+++ b/scenarios/close-polls-slow.sexp
@@ -5,5 +5,5 @@
   (at 15 (cancel 1)) (at 25 (cancel 4)) (at 35 (cancel 20))
   (expect (all-over) (happened closeAfterAccepted 300) (happened slow 1000))
   (guard "packages/membership/src/read-barrier.ts"
-    "const done = yield* Effect.result(this.catchUp())"
-    "const done = yield* Effect.result(this.catchUp()); served.push(...this.waiting); this.waiting = []"))
+    "const result = yield* Effect.result(this.catchUp())"
+    "const result = yield* Effect.result(this.catchUp()); batch.push(...this.waiters); this.waiters = []"))
--- a/scenarios/hand-over-late.sexp
+++ b/scenarios/hand-over-late.sexp
@@ -6,6 +6,6 @@
   (at 140 (lost-answers 0.6 30)) (at 141 (end-each 2 0.3))
   (expect (all-over) (happened handBacks 1) (happened takeOvers 8) (happened lateRefused 2) (happened lateApplied 2) (happened lostAnswers 3))
   (guard "packages/membership/src/owned-shards.ts"
-    "if (former !== undefined && epoch <= former) return" "")
+    "if (previousEpoch !== undefined && epoch <= previousEpoch) return" "")
   (guard "packages/membership/src/shard-acquisition.ts"
-    "[unchanged(keys.shard(shard)), own]" "[own]"))
+    "[unchanged(keys.shard(shard)), ownNodeExists]" "[ownNodeExists]"))
--- a/scenarios/isolated.sexp
+++ b/scenarios/isolated.sexp
@@ -5,4 +5,4 @@
   (at 40 (crash host-1 0.2)) (at 41 (crash host-2 0.3))
   (expect (withdrawn 1) (all-over) (begun-within 60)
     (happened "cancellations confirmed while a controller is isolated" 1) (happened "reports answered by an isolated controller" 1))
-  (guard "packages/membership/src/membership.ts" "return this.nodeLease.holds(now) && this.watch.isFresh(now)" "return this.incarnation() !== null"))
+  (guard "packages/membership/src/membership.ts" "return this.nodeLease.isValid(now) && this.watch.isFresh(now)" "return this.incarnation() !== null"))
--- a/scenarios/ran-cancelled-refused.sexp
+++ b/scenarios/ran-cancelled-refused.sexp
@@ -5,5 +5,5 @@
   (at 31 (cancel 0) (cancel 1))
   (expect (withdrawn 2))
   (guard "packages/membership/src/membership.ts"
-    "return this.nodeLease.holds(now) && this.watch.isFresh(now)"
+    "return this.nodeLease.isValid(now) && this.watch.isFresh(now)"
     "return this.incarnation() !== null"))
--- a/scenarios/slow-state-cancels.sexp
+++ b/scenarios/slow-state-cancels.sexp
@@ -7,5 +7,5 @@
   (at 62 (state-outage 60)) (at 80 (submit pieces 2 cores 1 run 5 due 200)) (at 90 (cancel 20))
   (expect (all-over) (withdrawn 2) (happened slow 300) (happened answersWithoutState 2) (happened closeAfterCancelled 8))
   (guard "packages/membership/src/membership.ts"
-    "return this.nodeLease.holds(now) && this.watch.isFresh(now)"
+    "return this.nodeLease.isValid(now) && this.watch.isFresh(now)"
     "return this.incarnation() !== null"))
