--- a/packages/quota/src/allocation-policy.ts
+++ b/packages/quota/src/allocation-policy.ts
@@ -1,8 +1,7 @@
 /**
- * Owns the decision how much of each team's limit a shard should have
- * allocated, and for how long which condition has held. It never reads or
- * writes the store: that the allocations of all shards stay within the limit
- * is kept by QuotaAllocation.
+ * Decides how much of each team's limit a shard should have allocated, and tracks how long the conditions
+ * of those decisions have held. It never reads or writes the store: QuotaAllocation ensures that the
+ * allocations of all shards stay within the limit.
  */
 import { addMs, type MonotonicTime, NEVER, type TeamName } from "@sorreltally/protocol"
 import type { Team } from "@sorreltally/settings"
@@ -16,84 +15,86 @@
   subtract,
 } from "./quota-amount.ts"
 
-/** What a shard uses and demands of a team's limit. */
+/** Use and demand of a shard within a team's limit. */
 export interface AllocationDemand {
-  /** Quota of all durable placements that aren't cleared yet. */
+  /** Quota used by all durable placements that have not been cleared yet. */
   readonly used: QuotaAmount
-  /** What is used plus what is queued. */
+  /** Quota used plus quota of the queued tasks. */
   readonly demanded: QuotaAmount
-  /** What the smallest queued task takes; null when none is queued. */
+  /** Quota of the smallest queued task; null if no task is queued. */
   readonly smallestTask: QuotaAmount | null
-  /** Whether another shard lacks quota, and how its work compares with this shard's. */
+  /** Whether another shard lacks quota, and the priority of its work relative to this shard's. */
   readonly competingDemand: "none" | "lowerPriority" | "higherPriority"
 }
 
-/** How much of a team's limit is allocated at present. */
+/** Current allocation of a team's limit. */
 export interface AllocationStatus {
-  /** To this shard. */
+  /** Quota allocated to this shard. */
   readonly allocated: QuotaAmount
-  /** To no shard. */
+  /** Quota not allocated to any shard. */
   readonly unallocated: QuotaAmount
 }
 
-/** Both of them, with nothing in them of resources that aren't limited. */
+/** Demand and status of a team; amounts of resources without a limit are 0. */
 interface AllocationInputs extends AllocationDemand, AllocationStatus {
   readonly limit: QuotaAmount
 }
 
-/** How long which condition has held for one team; null: it doesn't hold. */
+/** Start and end times of the conditions of one team; a start is null while its condition does not hold. */
 interface TeamTimers {
-  /** The shard has held quota unused that another one demands. */
+  /** Since when the shard has had unused quota that another shard demands. */
   unusedSince: MonotonicTime | null
-  /** The shard has had much more than its target. */
+  /** Since when the allocation has exceeded its target by more than `SLACK_FRACTION` of the limit. */
   surplusSince: MonotonicTime | null
-  /** Quota that would start a task has been left by the shard of higher priority. */
+  /** Since when the shard of higher priority has left quota unallocated that would let a task start. */
   leftoverSince: MonotonicTime | null
-  /** Until then, leftover quota that was taken is kept. */
+  /** Time until which leftover quota that was taken is kept. */
   leftoverKeptUntil: MonotonicTime
-  /** Until then, the shard demands no more than it uses. */
+  /** Time until which the shard demands no more than it uses. */
   yieldsUntil: MonotonicTime
-  lastTaskStart: MonotonicTime
+  /** Time at which a task of the team was last placed. */
+  lastTaskStartAt: MonotonicTime
 }
 
-/** Cores and accelerators together: a smaller growth isn't worth a write of its own. */
+/** Minimum growth, in cores plus accelerators, that is worth a write of its own. */
 const MIN_GROWTH = 0.5
 /**
  * Fraction of a team's limit that a shard keeps allocated beyond its demand,
  * so that allocations don't change with every task.
  */
 export const SLACK_FRACTION = 1 / 8
-const SURPLUS_KEPT_MS = 10_000
-/** Quota that others demand is held this long for tasks that find no machine. */
-const UNUSED_MS = 6_000
-/** A shard that held quota without starting a task leaves it to the others for this long. */
+/** Time that a shard keeps a surplus before it releases it. */
+const SURPLUS_RETENTION_MS = 10_000
+/** Time that unused quota demanded by other shards is kept for tasks that find no machine. */
+const MAX_UNUSED_MS = 6_000
+/** Time that a shard leaves quota to other shards after it kept quota without starting a task. */
 const YIELD_MS = 6_000
-/** Unallocated quota that the shard of higher priority left alone this long is of no use to it. */
-const LEFTOVER_MS = 30_000
-/** Leftover quota isn't released again before a task had time to start. */
-const LEFTOVER_KEPT_MS = 3_000
+/** Time after which quota left unallocated by the shard of higher priority is considered of no use to it. */
+const MIN_LEFTOVER_AGE_MS = 30_000
+/** Time that leftover quota is kept, so that a task has time to start. */
+const LEFTOVER_RETENTION_MS = 3_000
 
-/** Decides on the allocations of one shard, team by team. */
+/** Decides on the allocations of one shard, separately for each team. */
 export class AllocationPolicy {
   private readonly timersByTeam = new Map<TeamName, TeamTimers>()
 
   constructor(private readonly now: () => MonotonicTime) {}
 
-  /** A task of the team was placed: the shard uses its allocation. */
+  /** Records that a task of the team was placed, so the shard is using its allocation. */
   taskStarted(team: TeamName): void {
-    this.timersOf(team).lastTaskStart = this.now()
+    this.timersOf(team).lastTaskStartAt = this.now()
   }
 
-  /** Whether the shard leaves the team's quota to others for now. */
+  /** Whether the shard currently leaves the team's unused quota to other shards. */
   isYielding(team: TeamName): boolean {
     return this.now() < (this.timersByTeam.get(team)?.yieldsUntil ?? NEVER)
   }
 
-  /** What the shard's allocation should be changed to; null: it stays as it is. */
+  /** The allocation that the shard should change to; null if it should not change. */
   nextAllocation(team: Team, status: AllocationStatus, demand: AllocationDemand): QuotaAmount | null {
     const timers = this.timersOf(team.name)
     const inputs = this.inputsOf(team, status, demand)
-    const reduced = this.yieldUnused(timers, inputs)
+    const reduced = this.releaseUnused(timers, inputs)
     if (reduced !== null) return reduced
     if (inputs.competingDemand === "higherPriority") return this.takeLeftover(timers, inputs)
     timers.leftoverSince = null
@@ -105,15 +106,15 @@
   }
 
   private timersOf(team: TeamName): TeamTimers {
-    const known = this.timersByTeam.get(team)
-    if (known !== undefined) return known
+    const existing = this.timersByTeam.get(team)
+    if (existing !== undefined) return existing
     const timers: TeamTimers = {
       unusedSince: null,
       surplusSince: null,
       leftoverSince: null,
       leftoverKeptUntil: NEVER,
       yieldsUntil: NEVER,
-      lastTaskStart: NEVER,
+      lastTaskStartAt: NEVER,
     }
     this.timersByTeam.set(team, timers)
     return timers
@@ -134,12 +135,11 @@
   }
 
   /**
-   * Another shard can use now what this one only holds for later: it is
-   * released at once if the other's work has the higher priority, else when
-   * this shard hasn't used it for a while. Of any two shards one has priority;
-   * if all kept their quota or all released it, none would start.
+   * Releases quota that this shard does not use and another shard demands: at once if the other shard's work
+   * has the higher priority, otherwise after it was unused for `MAX_UNUSED_MS`. Of any two shards one has
+   * priority; if all kept their quota or all released it, no task would start.
    */
-  private yieldUnused(timers: TeamTimers, inputs: AllocationInputs): QuotaAmount | null {
+  private releaseUnused(timers: TeamTimers, inputs: AllocationInputs): QuotaAmount | null {
     const { allocated, used, competingDemand } = inputs
     const isContended = competingDemand !== "none" && exceeds(allocated, used)
     if (!isContended || this.now() < timers.leftoverKeptUntil) {
@@ -148,30 +148,29 @@
     }
     const since = timers.unusedSince ?? this.now()
     timers.unusedSince = since
-    if (competingDemand === "higherPriority" || this.now() - since > UNUSED_MS) {
+    if (competingDemand === "higherPriority" || this.now() - since > MAX_UNUSED_MS) {
       timers.unusedSince = null
-      this.noteUselessHold(timers, since, inputs)
+      this.yieldIfNothingStarted(timers, since, inputs)
       return minimum(allocated, used)
     }
     return null
   }
 
   /**
-   * Guards against a shard whose work has the higher priority and that acquires
-   * the quota again and again for tasks that fit none of its machines, while
-   * the others wait for ever.
+   * Makes the shard yield if its unused quota was enough for a task but it started none. Guards against a
+   * shard of higher priority that repeatedly acquires quota for tasks that fit none of its machines, while
+   * the other shards starve.
    */
-  private noteUselessHold(timers: TeamTimers, since: MonotonicTime, inputs: AllocationInputs): void {
+  private yieldIfNothingStarted(timers: TeamTimers, since: MonotonicTime, inputs: AllocationInputs): void {
     const { allocated, used, smallestTask } = inputs
-    const startedNothing = timers.lastTaskStart < since
-    if (startedNothing && smallestTask !== null && covers(subtract(allocated, used), smallestTask))
+    const startedNoTask = timers.lastTaskStartAt < since
+    if (startedNoTask && smallestTask !== null && covers(subtract(allocated, used), smallestTask))
       timers.yieldsUntil = addMs(this.now(), YIELD_MS)
   }
 
   /**
-   * Guards against quota that nobody uses while the shard of higher priority
-   * waits for more than is unallocated: what was left long enough lets one of
-   * this shard's tasks start.
+   * Takes quota for one task if it has been left unallocated for `MIN_LEFTOVER_AGE_MS`. Guards against quota
+   * that remains unused while the shard of higher priority waits for more than is unallocated.
    */
   private takeLeftover(timers: TeamTimers, inputs: AllocationInputs): QuotaAmount | null {
     const { allocated, unallocated, used, smallestTask } = inputs
@@ -185,35 +184,35 @@
     }
     const since = timers.leftoverSince ?? this.now()
     timers.leftoverSince = since
-    if (this.now() - since <= LEFTOVER_MS) return null
+    if (this.now() - since <= MIN_LEFTOVER_AGE_MS) return null
     timers.leftoverSince = null
-    timers.leftoverKeptUntil = addMs(this.now(), LEFTOVER_KEPT_MS)
+    timers.leftoverKeptUntil = addMs(this.now(), LEFTOVER_RETENTION_MS)
     return add(allocated, smallestTask)
   }
 
-  /** Much more than is demanded is released after a while. */
+  /** Releases a surplus over the target after it has lasted for `SURPLUS_RETENTION_MS`. */
   private releaseSurplus(
     timers: TeamTimers,
     { allocated, limit }: AllocationInputs,
     target: QuotaAmount,
   ): QuotaAmount | null {
-    const tolerated = {
+    const releaseThreshold = {
       cpus: target.cpus + limit.cpus * SLACK_FRACTION,
       gpus: target.gpus + limit.gpus * SLACK_FRACTION,
     }
-    if (!exceeds(allocated, tolerated)) {
+    if (!exceeds(allocated, releaseThreshold)) {
       timers.surplusSince = null
       return null
     }
     const since = timers.surplusSince ?? this.now()
     timers.surplusSince = since
-    if (this.now() - since < SURPLUS_KEPT_MS) return null
+    if (this.now() - since < SURPLUS_RETENTION_MS) return null
     timers.surplusSince = null
     return minimum(allocated, target)
   }
 }
 
-/** The allocation that would serve the demand, with some slack. */
+/** The allocation that covers the demand plus slack. */
 const targetOf = (inputs: AllocationInputs): QuotaAmount => {
   const withSlack = (used: number, demanded: number, limit: number) =>
     Math.min(limit, Math.max(used, demanded) + limit * SLACK_FRACTION)
@@ -223,7 +222,7 @@
   }
 }
 
-/** A larger allocation out of what no shard has, where that serves the demand; else null. */
+/** A larger allocation taken from unallocated quota if the demand exceeds the allocation; otherwise null. */
 const grow = (inputs: AllocationInputs, target: QuotaAmount): QuotaAmount | null => {
   const { allocated, unallocated, used, demanded, smallestTask } = inputs
   if (!exceeds(demanded, allocated)) return null
@@ -231,11 +230,11 @@
     cpus: allocated.cpus + Math.max(0, Math.min(unallocated.cpus, target.cpus - allocated.cpus)),
     gpus: allocated.gpus + Math.max(0, Math.min(unallocated.gpus, target.gpus - allocated.gpus)),
   }
-  // A small rest of the limit isn't worth a transaction, unless it is what lets a task start.
-  const isWorthAWrite = grown.cpus - allocated.cpus + (grown.gpus - allocated.gpus) > MIN_GROWTH
-  const startsATask =
+  // A small remainder of the limit is not worth a transaction, unless it lets a task start.
+  const isWorthWriting = grown.cpus - allocated.cpus + (grown.gpus - allocated.gpus) > MIN_GROWTH
+  const letsTaskStart =
     smallestTask !== null &&
     covers(subtract(grown, used), smallestTask) &&
     !covers(subtract(allocated, used), smallestTask)
-  return isWorthAWrite || startsATask ? grown : null
+  return isWorthWriting || letsTaskStart ? grown : null
 }
--- a/packages/quota/src/quota-allocation.ts
+++ b/packages/quota/src/quota-allocation.ts
@@ -1,13 +1,12 @@
 /**
- * Owns one shard's entry in the allocation record of each team's limit, and
- * keeps that the entries of all shards never exceed it. It never starts,
- * stops or rents anything: the shard does, by what it reads here.
+ * Manages one shard's entry in the allocation record of each team, and ensures that the entries of all
+ * shards together never exceed the team's limit. It does not start, stop or rent anything: the shard does,
+ * within the amounts that it reads here.
  *
- * Why the limit holds: each owner changes its own shard's entry alone, on
- * condition of the record's revision and of its shard epoch, so a late copy of
- * a change, or a change of a former owner, fails. A growth counts once it is
- * written; a reduction counts from the moment it is asked for, until the
- * record shows it or the change can't be carried out any more.
+ * Why the limit holds: each owner changes only its own shard's entry, conditioned on the record's mod
+ * revision and on its shard epoch, so a delayed duplicate of a change, or a change of a former owner, fails.
+ * A growth takes effect once it is written. A reduction takes effect when it is requested, and stays in
+ * effect until the record shows it or the change can no longer be applied.
  */
 import type { Replica } from "@sorreltally/membership"
 import type { TeamClaim } from "@sorreltally/planner"
@@ -42,43 +41,44 @@
 
 const RETRY_PAUSE_MS = 300
 
-/** Whether a write got no answer, and may have been carried out, or may yet be. */
-const isUnknown = (written: Result.Result<unknown, StoreError>): boolean =>
+/** Whether the outcome of a write is unknown: it may have been applied, or may still be applied. */
+const isOutcomeUnknown = (written: Result.Result<unknown, StoreError>): boolean =>
   Result.isFailure(written) && written.failure.outcome === "unknown"
 
-/** What a shard's quota allocation works with. */
+/** Options of a shard's quota allocation. */
 export interface QuotaAllocationOptions {
   readonly shard: ShardName
-  /** Of the ownership on whose behalf allocations are changed; it fences every write. */
+  /** Shard epoch of the owner, which fences every write. */
   readonly epoch: ModRevision
   readonly teams: ReadonlyArray<Team>
   readonly replica: Replica
   readonly store: StoreClient
   readonly now: () => MonotonicTime
-  /** A change was settled: what the shard may use can be another amount now. */
-  readonly changed: () => void
+  /** Called after a change has settled, when the amount that the shard may use may have changed. */
+  readonly onChangeSettled: () => void
 }
 
 /** A change of this shard's entry in a team's record. */
 interface AllocationChange {
   readonly key: ReturnType<typeof keys.quota>
   readonly record: QuotaRecord
-  /** The record's revision that the change is made on. */
+  /** Mod revision of the record that the change is based on. */
   readonly baseRevision: ModRevision
 }
 
-/** A shard's allocations of the teams' limits. */
+/** Quota allocations of one shard, for all teams. */
 export class QuotaAllocation {
   private readonly policy: AllocationPolicy
-  /** What may be used at most while a change isn't settled. */
+  /** Upper bounds on the quota that may be used while a change is unsettled. */
   private readonly ceilings = new Map<TeamName, QuotaAmount>()
-  private readonly unsettled = new Set<TeamName>()
+  /** Teams with a change whose outcome is not known yet. */
+  private readonly unsettledTeams = new Set<TeamName>()
 
   constructor(private readonly options: QuotaAllocationOptions) {
     this.policy = new AllocationPolicy(options.now)
   }
 
-  /** What this shard's tasks of the team may use; NO_LIMIT where the team has none. */
+  /** Quota that this shard's tasks of the team may use; NO_LIMIT for resources without a limit. */
   allocated(team: Team): QuotaAmount {
     const { cpus, gpus } = this.allocatedOfLimits(team.name)
     return {
@@ -88,11 +88,10 @@
   }
 
   /**
-   * What the team's limit leaves this shard beyond what it uses: machines are
-   * rented by this, before an allocation covers them. Of the other shards count
-   * their claims, or their allocations while they claim nothing. A shard can
-   * always rent for as much as is kept as slack: it demands quota only once
-   * machines have room.
+   * Quota that the team's limit leaves this shard beyond what it uses. Machines are rented within this
+   * amount, before an allocation covers them. Another shard counts with its claim, or with its allocation if
+   * it has no claim. A shard can always rent machines for as much quota as the slack, since it demands quota
+   * only once machines have room.
    */
   rentable(team: Team, used: QuotaAmount, claims: ReadonlyArray<TeamClaim>): QuotaAmount {
     const byShard = new Map<ShardName, QuotaAmount>()
@@ -101,32 +100,33 @@
     for (const { shard, team: claimedTeam, cpus, gpus } of claims)
       if (claimedTeam === team.name) byShard.set(shard, { cpus, gpus })
     byShard.delete(this.options.shard)
-    let others = NO_QUOTA
-    for (const amount of byShard.values()) others = add(others, amount)
-    // Guards against renting for nearly the whole limit in each shard, as counting every shard's slack would.
-    const left = (limit: number, taken: number, ours: number) =>
-      Math.max(0, limit - Math.max(0, taken - limit * SLACK_FRACTION) - ours)
+    let othersTotal = NO_QUOTA
+    for (const amount of byShard.values()) othersTotal = add(othersTotal, amount)
+    // The slack is deducted once, not once per other shard, which would let each shard rent machines for
+    // nearly the whole limit.
+    const remaining = (limit: number, takenByOthers: number, ownUse: number) =>
+      Math.max(0, limit - Math.max(0, takenByOthers - limit * SLACK_FRACTION) - ownUse)
     return {
-      cpus: left(team.maxCpus, others.cpus, used.cpus),
-      gpus: left(team.maxGpus, others.gpus, used.gpus),
+      cpus: remaining(team.maxCpus, othersTotal.cpus, used.cpus),
+      gpus: remaining(team.maxGpus, othersTotal.gpus, used.gpus),
     }
   }
 
-  /** A task of the team was placed: this shard uses its allocation. */
+  /** Records that a task of the team was placed, so this shard is using its allocation. */
   taskStarted(team: TeamName): void {
     this.policy.taskStarted(team)
   }
 
-  /** Whether this shard leaves the team's quota to others for now. */
+  /** Whether this shard currently leaves the team's unused quota to other shards. */
   isYielding(team: TeamName): boolean {
     return this.policy.isYielding(team)
   }
 
-  /** The changes of allocations that are due, each to be run once; a team has one at a time. */
+  /** Allocation changes that are due, each to be run exactly once; a team has at most one at a time. */
   adjust(demandOf: (team: Team) => AllocationDemand): ReadonlyArray<Effect.Effect<void>> {
     const changes: Array<Effect.Effect<void>> = []
     for (const team of this.options.teams) {
-      if (this.unsettled.has(team.name) || !isTeamLimited(team)) continue
+      if (this.unsettledTeams.has(team.name) || !isTeamLimited(team)) continue
       const allocated = this.allocatedOfLimits(team.name)
       const demand = demandOf(team)
       const status = { allocated, unallocated: this.unallocated(team) }
@@ -146,69 +146,68 @@
     return ceiling === undefined ? stored : minimum(stored, ceiling)
   }
 
-  /** What of the limit no shard has. */
+  /** The part of the limit not allocated to any shard. */
   private unallocated(team: Team): QuotaAmount {
-    let free = limitedResources(team, { cpus: team.maxCpus, gpus: team.maxGpus })
-    for (const amount of Object.values(this.allocationsOf(team.name))) free = subtract(free, amount)
-    return free
+    let remaining = limitedResources(team, { cpus: team.maxCpus, gpus: team.maxGpus })
+    for (const amount of Object.values(this.allocationsOf(team.name))) remaining = subtract(remaining, amount)
+    return remaining
   }
 
-  /** Changes the allocation; only the smaller of both amounts counts until it is known which one holds. */
+  /** Changes the allocation; until the outcome is known, only the smaller of both amounts may be used. */
   private change(team: TeamName, next: QuotaAmount, current: QuotaAmount): Effect.Effect<void> {
-    this.unsettled.add(team)
+    this.unsettledTeams.add(team)
     this.ceilings.set(team, minimum(next, current))
     return this.settle(team, next).pipe(
       Effect.ensuring(
         Effect.sync(() => {
           this.ceilings.delete(team)
-          this.unsettled.delete(team)
-          this.options.changed()
+          this.unsettledTeams.delete(team)
+          this.options.onChangeSettled()
         }),
       ),
     )
   }
 
-  private changeOf(team: TeamName, next: QuotaAmount): AllocationChange {
+  private buildChange(team: TeamName, next: QuotaAmount): AllocationChange {
     const key = keys.quota(team)
     const record: QuotaRecord = { shares: { ...this.allocationsOf(team), [this.options.shard]: next } }
     return { key, record, baseRevision: this.options.replica.modRevision(key) }
   }
 
   /**
-   * Returns once the change is in the replica, or surely never will be carried
-   * out. A loop rather than a Schedule: what was read between two attempts
-   * decides whether there is another one.
+   * Returns once the change is in the replica, or is certain never to be applied. A loop rather than a
+   * Schedule, because the record read between two attempts decides whether to retry.
    */
   private settle(team: TeamName, next: QuotaAmount) {
     const { replica, store, epoch } = this.options
     const shardKey = keys.shard(this.options.shard)
-    const { key, record, baseRevision } = this.changeOf(team, next)
+    const { key, record, baseRevision } = this.buildChange(team, next)
     const conditions: ReadonlyArray<Condition> = [
       { key, modRevision: baseRevision },
       { key: shardKey, modRevision: epoch },
     ]
     return Effect.gen({ self: this }, function* () {
-      let unanswered = false
+      let anyOutcomeUnknown = false
       for (;;) {
-        // With the users' priority: without quota nothing can be rented or started, and these writes are few.
+        // Priority 1, as for users: without quota nothing can be rented or started, and these writes are few.
         const written = yield* Effect.result(store.compareAndSwap(conditions, [put(key, record)], 1))
         const result = Result.isSuccess(written) ? written.success : null
         if (result?.ok === true)
           return replica.applyWrite({ key, value: record, modRevision: result.revision })
-        // Another node owns the shard: its epoch fences all that was sent.
+        // The shard has a new epoch, which fences every attempt that was sent.
         if (result?.failedKeys.includes(shardKey)) return
-        // Guards against a change that got no answer and is carried out after a later attempt was refused.
-        unanswered ||= isUnknown(written)
-        // While the record is as it was, the unanswered change may still be carried out.
-        const hasMoved = yield* this.hasMoved(key, baseRevision)
+        // Guards against an attempt of unknown outcome that is applied after a later attempt was refused.
+        anyOutcomeUnknown ||= isOutcomeUnknown(written)
+        // While the record is unchanged, an attempt of unknown outcome may still be applied.
+        const recordHasChanged = yield* this.hasRecordChanged(key, baseRevision)
         yield* Effect.sleep(RETRY_PAUSE_MS)
-        if (!unanswered || hasMoved) return
+        if (!anyOutcomeUnknown || recordHasChanged) return
       }
     })
   }
 
-  /** Reads the record, into the replica as well; whether it is known to be at another revision. */
-  private hasMoved(key: StoreKey<QuotaRecord>, baseRevision: ModRevision): Effect.Effect<boolean> {
+  /** Reads the record and applies it to the replica; true if it is known to have another mod revision. */
+  private hasRecordChanged(key: StoreKey<QuotaRecord>, baseRevision: ModRevision): Effect.Effect<boolean> {
     const { store, replica } = this.options
     return Effect.map(Effect.result(store.get(key)), (read) => {
       if (Result.isFailure(read)) return false
--- a/packages/quota/src/quota-amount.ts
+++ b/packages/quota/src/quota-amount.ts
@@ -1,20 +1,20 @@
 /**
- * Owns the arithmetic of quota: an amount is a pair of resources, each bounded
- * by a limit of its own. It holds no state, and never decides who gets what.
+ * Arithmetic of quota amounts. An amount is a pair of resources, each with its own limit. Stateless; how
+ * quota is allocated is decided elsewhere.
  */
 import { EPSILON } from "@sorreltally/planner"
 import { isLimited, type Team } from "@sorreltally/settings"
 
-/** Quota of one team, in cores and accelerators; fractions of a core occur. */
+/** Quota of one team, in cores and accelerators; cores may be fractional. */
 export interface QuotaAmount {
   readonly cpus: number
   readonly gpus: number
 }
 
-/** No quota at all: what a shard has of a team before its first allocation. */
+/** No quota: the allocation of a shard before its first change. */
 export const NO_QUOTA: QuotaAmount = { cpus: 0, gpus: 0 }
 
-/** The smaller of two amounts, resource by resource. */
+/** The minimum of two amounts for each resource. */
 export const minimum = (a: QuotaAmount, b: QuotaAmount): QuotaAmount => ({
   cpus: Math.min(a.cpus, b.cpus),
   gpus: Math.min(a.gpus, b.gpus),
@@ -26,24 +26,24 @@
   gpus: a.gpus + b.gpus,
 })
 
-/** The difference of two amounts; negative where `b` is the larger. */
+/** The difference of two amounts; negative for a resource where `b` is larger. */
 export const subtract = (a: QuotaAmount, b: QuotaAmount): QuotaAmount => ({
   cpus: a.cpus - b.cpus,
   gpus: a.gpus - b.gpus,
 })
 
-/** Whether any resource of `a` is more than that of `b`. */
+/** Whether `a` is larger than `b` in any resource. */
 export const exceeds = (a: QuotaAmount, b: QuotaAmount): boolean => a.cpus > b.cpus || a.gpus > b.gpus
 
-/** Whether this much quota lets a task of that size start. */
+/** Whether the quota is enough for the task to start. */
 export const covers = (quota: QuotaAmount, task: QuotaAmount): boolean =>
   task.cpus <= quota.cpus + EPSILON && task.gpus <= quota.gpus + EPSILON
 
-/** The amount without resources that the team has no limit for: nothing is allocated of those. */
+/** The amount with resources that have no limit set to 0, because those are not allocated. */
 export const limitedResources = ({ maxCpus, maxGpus }: Team, amount: QuotaAmount): QuotaAmount => ({
   cpus: isLimited(maxCpus) ? amount.cpus : 0,
   gpus: isLimited(maxGpus) ? amount.gpus : 0,
 })
 
-/** Whether any resource of the team is limited. */
+/** Whether the team has a limit for any resource. */
 export const isTeamLimited = ({ maxCpus, maxGpus }: Team): boolean => isLimited(maxCpus) || isLimited(maxGpus)
--- a/packages/quota/test/builders.ts
+++ b/packages/quota/test/builders.ts
@@ -1,4 +1,4 @@
-/** A shard's quota allocation on a replica, a clock and a store that do as a test says. */
+/** Test fixture of a shard's quota allocation with a controllable replica, clock and store. */
 import assert from "node:assert/strict"
 import { Replica } from "@sorreltally/membership"
 import type { ModRevision, MonotonicTime, ShardName, TeamName } from "@sorreltally/protocol"
@@ -22,11 +22,11 @@
 const EPOCH = 5 as ModRevision
 const quotaKey = keys.quota(RED)
 
-/** A team with a limit of 100 cores and none of accelerators. */
+/** A team with a limit of 100 cores and 0 accelerators. */
 export const team = { name: RED, cpus: 50, maxCpus: 100, gpus: 0, maxGpus: 0 } as unknown as Team
 export const cores = (cpus: number): QuotaAmount => ({ cpus, gpus: 0 })
 
-export const unanswered = new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 })
+export const unknownOutcome = new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 })
 export const refused = new StoreError({ operation: "compareAndSwap", outcome: "refused", status: 503 })
 export const written: CompareAndSwapResult = { ok: true, revision: 8 as ModRevision }
 export const conditionFailed = (key: string): CompareAndSwapResult => ({ ok: false, failedKeys: [key] })
@@ -35,11 +35,11 @@
   shares: Object.fromEntries(Object.entries(coresByShard).map(([shard, amount]) => [shard, cores(amount)])),
 })
 
-/** An allocation whose record says so many cores for each shard. */
+/** A quota allocation whose record allocates the given number of cores to each shard. */
 export class AllocationFixture {
   now = 0 as MonotonicTime
-  /** What the store answers to the next writes; beyond these, nothing. */
-  answers: Array<CompareAndSwapResult | StoreError> = []
+  /** Responses of the store to the next writes; further writes get no response. */
+  responses: Array<CompareAndSwapResult | StoreError> = []
   readonly writes: Array<QuotaRecord> = []
   readonly replica = new Replica()
   readonly allocation: QuotaAllocation
@@ -52,9 +52,9 @@
       compareAndSwap: (_: unknown, operations: ReadonlyArray<{ readonly value: QuotaRecord }>) =>
         Effect.suspend(() => {
           this.writes.push(operations[0]!.value)
-          const answer = this.answers.shift()
-          if (answer === undefined) return Effect.never
-          return answer instanceof StoreError ? Effect.fail(answer) : Effect.succeed(answer)
+          const response = this.responses.shift()
+          if (response === undefined) return Effect.never
+          return response instanceof StoreError ? Effect.fail(response) : Effect.succeed(response)
         }),
     } as unknown as StoreClient
     this.allocation = new QuotaAllocation({
@@ -64,22 +64,22 @@
       replica: this.replica,
       store,
       now: () => this.now,
-      changed: () => {},
+      onChangeSettled: () => {},
     })
   }
 
-  /** Cores that the shard's tasks may use. */
+  /** Number of cores that the shard's tasks may use. */
   get allocatedCores(): number {
     return this.allocation.allocated(team).cpus
   }
 
-  /** The record as a watch event brings it. */
+  /** Applies the record to the replica, as a watch event does. */
   receiveRecord(coresByShard: Readonly<Record<string, number>>, modRevision: number): void {
     const value = recordOf(coresByShard)
     this.replica.applyWrite({ key: quotaKey, value, modRevision: modRevision as ModRevision })
   }
 
-  /** Starts the change that is due by this demand; null: none is. */
+  /** Starts the change that is due for the demand; null if none is due. */
   adjust(
     demand: Partial<AllocationDemand> & { readonly usedCores: number; readonly demandedCores: number },
   ): Fiber.Fiber<void> | null {
@@ -95,8 +95,8 @@
   }
 }
 
-/** Waits up to two seconds for it to become so. */
-export const eventually = async (isSo: () => boolean): Promise<void> => {
-  for (let i = 0; i < 400 && !isSo(); i++) await new Promise((resolve) => setTimeout(resolve, 5))
-  assert.ok(isSo())
+/** Waits up to two seconds until the condition holds. */
+export const waitUntil = async (condition: () => boolean): Promise<void> => {
+  for (let i = 0; i < 400 && !condition(); i++) await new Promise((resolve) => setTimeout(resolve, 5))
+  assert.ok(condition())
 }
--- a/packages/quota/test/quota-allocation.test.ts
+++ b/packages/quota/test/quota-allocation.test.ts
@@ -7,52 +7,53 @@
   BLUE,
   conditionFailed,
   cores,
-  eventually,
   OWN_SHARD,
   RED,
   refused,
   team,
-  unanswered,
+  unknownOutcome,
+  waitUntil,
   written,
 } from "./builders.ts"
 
-describe("a change of the allocation", () => {
-  it("counts from the moment it is asked for when it is a reduction", () => {
+describe("a change of an allocation", () => {
+  it("takes effect when it is requested, if it is a reduction", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
     assert.ok(fixture.adjust({ usedCores: 8, demandedCores: 8, competingDemand: "higherPriority" }))
     assert.equal(fixture.allocatedCores, 8)
   })
 
-  it("counts once it is written when it is a growth", async () => {
+  it("takes effect once it is written, if it is a growth", async () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
-    fixture.answers = [written]
+    fixture.responses = [written]
     assert.ok(fixture.adjust({ usedCores: 40, demandedCores: 60 }))
-    await eventually(() => fixture.allocatedCores > 60)
+    await waitUntil(() => fixture.allocatedCores > 60)
   })
 
-  // Guards against quota: a reduction without an answer is carried out late, after another shard was to be trusted with it.
-  it("without an answer counts until the record has moved, also after a refused repetition", async () => {
+  // Guards against exceeding the limit: a reduction of unknown outcome is applied late, and its quota is
+  // allocated to another shard while this shard still uses it.
+  it("of unknown outcome stays in effect until the record changes, even if a retry is refused", async () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
-    fixture.answers = [unanswered, refused, refused]
+    fixture.responses = [unknownOutcome, refused, refused]
     fixture.adjust({ usedCores: 8, demandedCores: 8, competingDemand: "higherPriority" })
-    await eventually(() => fixture.writes.length === 4)
+    await waitUntil(() => fixture.writes.length === 4)
     assert.equal(fixture.allocatedCores, 8)
     assert.equal(fixture.adjust({ usedCores: 8, demandedCores: 40 }), null)
   })
 
-  it("that was surely refused counts no longer", async () => {
+  it("that was refused has no effect", async () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
-    fixture.answers = [refused]
+    fixture.responses = [refused]
     fixture.adjust({ usedCores: 8, demandedCores: 8, competingDemand: "higherPriority" })
-    await eventually(() => fixture.allocatedCores === 40)
+    await waitUntil(() => fixture.allocatedCores === 40)
     assert.equal(fixture.writes.length, 1)
   })
 
-  it("without an answer is given up once another node owns the shard", async () => {
+  it("of unknown outcome is abandoned once another node owns the shard", async () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
-    fixture.answers = [unanswered, conditionFailed(keys.shard(OWN_SHARD))]
+    fixture.responses = [unknownOutcome, conditionFailed(keys.shard(OWN_SHARD))]
     fixture.adjust({ usedCores: 8, demandedCores: 8, competingDemand: "higherPriority" })
-    await eventually(() => fixture.allocatedCores === 40)
+    await waitUntil(() => fixture.allocatedCores === 40)
     assert.equal(fixture.writes.length, 2)
   })
 })
@@ -60,7 +61,7 @@
 describe("rentable quota", () => {
   const allocatedToAll = { [OWN_SHARD]: 10, "part-1": 30, "part-2": 30, "part-3": 30 }
 
-  it("is the limit without what other shards have allocated, but for one shard's slack", () => {
+  it("is the limit minus the allocations of other shards, plus the slack of one shard", () => {
     const { allocation } = new AllocationFixture(allocatedToAll)
     // 100 - (90 - 12.5) = 22.5 in all.
     assert.equal(allocation.rentable(team, cores(0), []).cpus, 22.5)
@@ -69,22 +70,22 @@
     assert.equal(fullyAllocated.allocation.rentable(team, cores(0), []).cpus, 12.5)
   })
 
-  it("counts the claims of other shards instead of their allocations", () => {
+  it("uses the claims of other shards in place of their allocations", () => {
     const { allocation } = new AllocationFixture(allocatedToAll)
     const claim = (shard: string, cpus: number) => ({ shard: shard as ShardName, team: RED, ...cores(cpus) })
     const rentableCores = (...claims: Parameters<typeof allocation.rentable>[2]) =>
       allocation.rentable(team, cores(0), claims).cpus
-    // 100 - (10 + 20 + 30 - 12.5) = 52.5: two shards leave some of their allocations unused.
+    // 100 - (10 + 20 + 30 - 12.5) = 52.5: two shards claim less than their allocations.
     assert.equal(rentableCores(claim("part-1", 10), claim("part-2", 20)), 52.5)
-    // A shard that has rented beyond its allocation counts for that.
+    // A shard that has rented beyond its allocation counts with its claim.
     assert.equal(rentableCores(claim("part-1", 50)), 2.5)
     assert.equal(rentableCores({ ...claim("part-1", 50), team: BLUE }), 22.5)
   })
 })
 
-// Guards against a job left waiting: a shard of higher priority acquires quota again and again for what fits nowhere.
-describe("a shard that held quota which another one demands", () => {
-  it("yields for a while when it started nothing with it", () => {
+// Guards against starvation: a shard of higher priority keeps acquiring quota for tasks that fit no machine.
+describe("a shard with unused quota that another shard demands", () => {
+  it("yields for 6 s if it started no task with it", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
     const demand = { usedCores: 0, demandedCores: 40, competingDemand: "lowerPriority" } as const
     assert.equal(fixture.adjust(demand), null)
@@ -96,7 +97,7 @@
     assert.ok(!fixture.allocation.isYielding(RED))
   })
 
-  it("doesn't yield when a task started meanwhile", () => {
+  it("does not yield if a task has started in the meantime", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40 })
     fixture.adjust({ usedCores: 0, demandedCores: 40, competingDemand: "lowerPriority" })
     fixture.now = 3_000 as MonotonicTime
@@ -106,7 +107,7 @@
     assert.ok(!fixture.allocation.isYielding(RED))
   })
 
-  it("doesn't yield when the quota was too little for a task", () => {
+  it("does not yield if the quota was not enough for a task", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40, "part-1": 60 })
     fixture.adjust({ usedCores: 38, demandedCores: 60, competingDemand: "lowerPriority" })
     fixture.now = 6_001 as MonotonicTime
@@ -115,32 +116,32 @@
   })
 })
 
-describe("the last bit of a limit", () => {
-  it("is allocated when it lets a task start", () => {
+describe("a small remainder of a limit", () => {
+  it("is allocated if it lets a task start", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40, "part-1": 59.75 })
     assert.ok(fixture.adjust({ usedCores: 40, demandedCores: 40.25, smallestTask: cores(0.25) }))
   })
 
-  it("isn't worth a write when it starts no task", () => {
+  it("is not allocated if it lets no task start", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 40, "part-1": 59.75 })
     assert.equal(fixture.adjust({ usedCores: 40, demandedCores: 44 }), null)
   })
 })
 
-// Guards against a rest of a limit that the shard of higher priority waits to see grow, while nobody uses it.
+// Guards against a remainder of a limit that stays unused while the shard of higher priority waits for more.
 describe("quota that the shard of higher priority leaves unallocated", () => {
   const demand = { usedCores: 0, demandedCores: 40, competingDemand: "higherPriority" } as const
 
-  it("lets one task of another shard start after long, and is released if none did", () => {
+  it("lets one task of another shard start after 30 s, and is released if none started", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 0, "part-1": 94 })
-    fixture.answers = [written]
+    fixture.responses = [written]
     assert.equal(fixture.adjust(demand), null)
     fixture.now = 30_000 as MonotonicTime
     assert.equal(fixture.adjust(demand), null)
     fixture.now = 30_001 as MonotonicTime
     assert.ok(fixture.adjust(demand))
     assert.deepEqual(fixture.writes.at(-1)?.shares[OWN_SHARD], cores(4))
-    // It is kept until a task had time to start.
+    // The quota is kept for 3 s, so that a task has time to start.
     fixture.now = 33_000 as MonotonicTime
     assert.equal(fixture.adjust(demand), null)
     fixture.now = 33_001 as MonotonicTime
@@ -148,7 +149,7 @@
     assert.deepEqual(fixture.writes.at(-1)?.shares[OWN_SHARD], cores(0))
   })
 
-  it("stays there when it was allocated in between", () => {
+  it("is not taken if it was allocated in the meantime", () => {
     const fixture = new AllocationFixture({ [OWN_SHARD]: 0, "part-1": 94 })
     fixture.adjust(demand)
     fixture.receiveRecord({ "part-1": 98 }, 8)
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -118,7 +118,7 @@
       replica,
       store,
       now: clocks.monotonicNow,
-      changed,
+      onChangeSettled: changed,
     })
     this.execution = new PlanExecution({ shard, epoch, registry, quotas: this.quotas, rentals })
   }
--- a/scenarios/quota-small.sexp
+++ b/scenarios/quota-small.sexp
@@ -4,4 +4,4 @@
         (submit pieces 4 cores 8 run 12) (submit pieces 4 cores 8 run 12) (submit pieces 4 cores 8 run 12 due 90)
         (submit pieces 4 cores 8 run 12) (submit pieces 4 cores 8 run 12))
   (expect (all-over))
-  (guard "packages/quota/src/allocation-policy.ts" "if (competingDemand === \"higherPriority\" || this.now() - since > UNUSED_MS) {" "if (this.now() < 0) {"))
+  (guard "packages/quota/src/allocation-policy.ts" "if (competingDemand === \"higherPriority\" || this.now() - since > MAX_UNUSED_MS) {" "if (this.now() < 0) {"))
