--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -25,7 +25,7 @@
 /**
  * Ensures that the replica is at least as recent as a query. One request to the store, *sent* after the
  * queries arrived, serves all of them: its response brings the replica up to the revision that it names,
- * and no response that any client received before is based on a newer revision.
+ * and no response that a client received before the queries arrived is based on a newer revision.
  */
 export class ReadBarrier {
   private waiters: Array<Waiter> = []
