--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -56,7 +56,7 @@
     )
       return
     if (!session.isEmpty(this.isFinishDurable) || session.unreachableSince !== null) return
-    if (node.membership.owner(to) === null) return
+    if (node.membership.ownerOf(to) === null) return
     assignment.isMoving = true
     assignment.assignedJob = null
     const shape = demands.find((demand) => demand.shard === to)?.shape
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -122,7 +122,7 @@
       replica,
       store,
       now: clocks.monotonicNow,
-      changed: requestPlan,
+      onChangeSettled: requestPlan,
     })
     this.execution = new PlanExecution({ shard, epoch, registry, quotas: this.quotas, rentals })
   }
