--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,6 +1,7 @@
 /**
- * One controller node: sets up what its shards share, runs it, and dispatches messages from other nodes. It
- * decides nothing about jobs or machines, and owns no shard but those that membership says it holds.
+ * One controller node: creates and runs the services that its shards share, and dispatches messages from
+ * other nodes. It makes no decisions about jobs or machines; which shards it owns is decided by `Membership`
+ * alone.
  */
 import type { CloudClient } from "@sorreltally/cloud"
 import { InFlightLimit } from "@sorreltally/concurrency"
@@ -31,16 +32,16 @@
 import { DemandExchange } from "./demand-exchange.ts"
 import { DemandRegistry } from "./demand-registry.ts"
 import { HeartbeatRouter } from "./heartbeat-router.ts"
-import { JobProgress, type ShownCounts } from "./job-progress.ts"
+import { type DisplayedCounts, JobProgress } from "./job-progress.ts"
 import { MachineHandoffs } from "./machine-handoffs.ts"
 import { MachineListExchange } from "./machine-list-exchange.ts"
 import { RunningShards } from "./running-shards.ts"
 
-/** What a controller is given: its settings, its counterparts and its surroundings. */
+/** Settings and dependencies of a controller. */
 export interface ControllerOptions {
   readonly platform: Platform
   readonly operators: Operators
-  /** All configured controllers, this one included, in the order that shards are numbered by. */
+  /** All configured controllers, this one included, in the order by which shards are numbered. */
   readonly nodes: ReadonlyArray<NodeName>
   readonly store: StoreClient
   readonly cloud: CloudClient
@@ -48,17 +49,17 @@
   readonly peers: PeerChannel
   readonly clocks: Clocks
   readonly log: Log
-  /** Runs an effect beside the others, and logs a failure that nobody expects. */
+  /** Runs an effect in a fiber of its own, and logs an unexpected failure. */
   readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>
 }
 
-/** One controller: the shards that it owns, and what they share. */
+/** One controller node: the shards that it owns, and the services that they share. */
 export class Controller {
-  /** This node's lease, its shards and its replica of the store. */
+  /** This node's lease, its shards, and its replica of the store. */
   readonly membership: Membership
-  /** What this node knows of the cloud. */
+  /** This node's view of the cloud's catalog, offers and machines. */
   readonly inventory: CloudInventory
-  /** Accepts, finds and cancels jobs. */
+  /** Accepts, looks up and cancels jobs. */
   readonly jobStore: JobStore
   private readonly machineIndex: MachineIndex
   private readonly jobIndex: JobIndex
@@ -100,27 +101,27 @@
       recipients: () => this.loads.recipients(),
     })
     this.heartbeatRouter = this.makeHeartbeatRouter()
-    this.forgetMachinesOffRecord()
+    this.dropRemovedMachines()
     this.demandRegistry = new DemandRegistry(clocks)
     this.demandExchange = new DemandExchange({ registry: this.demandRegistry, shards, machineIndex, peers })
     this.handoffs = new MachineHandoffs({ shards, membership, machineIndex, peers })
     this.progress = new JobProgress(peers, () => shards.taskCounts())
     this.jobIndex = new JobIndex(membership.replica)
     this.jobIndex.listen((id, job) => {
-      if (job === null) this.progress.forget(id)
+      if (job === null) this.progress.dropCounts(id)
     })
     this.jobStore = this.makeJobStore()
     this.inventory = this.makeInventory()
   }
 
-  // --- set-up ---------------------------------------------------------------------
+  // --- construction ---------------------------------------------------------------
 
   private makeMembership(): Membership {
     const { platform, operators, nodes, store, clocks, log, fork } = this.options
     const listener: MembershipListener = {
       acquired: (shard, epoch) => this.shards.start(shard, epoch),
       lost: (shard) => this.shards.stop(shard),
-      isBusy: () => this.shards.haveWork,
+      isBusy: () => this.shards.hasWork,
     }
     return new Membership({
       settings: {
@@ -168,14 +169,14 @@
       events: {
         changed: (entry, spec) => this.jobChanged(entry, spec),
         cachedFinal: (id) => this.progress.finalStatus(id),
-        cacheFinal: (id, status) => this.progress.remember(id, status),
+        cacheFinal: (id, status) => this.progress.cacheFinalStatus(id, status),
         shardOf: (spec) => this.shardOfJob(spec),
       },
     })
   }
   private makeInventory(): CloudInventory {
     const { platform, operators, store, cloud, peers, clocks } = this.options
-    const lists = new MachineListExchange({ shards: this.shards, peers, now: clocks.monotonicNow })
+    const listExchange = new MachineListExchange({ shards: this.shards, peers, now: clocks.monotonicNow })
     return new CloudInventory({
       cloud,
       store,
@@ -183,18 +184,18 @@
       now: clocks.monotonicNow,
       refusalMemoryS: operators.provisioning.refusalMemoryS,
       requestsPerSecond: platform.deployment.cloud.requestsPerSecond,
-      shouldList: () => lists.shouldList(this.inventory.listedAt),
-      publishList: (list) => lists.publish(list),
+      shouldList: () => listExchange.shouldList(this.inventory.listedAt),
+      publishList: (list) => listExchange.publish(list),
     })
   }
-  private forgetMachinesOffRecord(): void {
+  private dropRemovedMachines(): void {
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
       this.heartbeatForwarder.forget(id)
       this.heartbeatBalancer.forget(id)
     })
   }
-  /** What the controller of a shard shares with the others of this node. */
+  /** Services that the controllers of this node's shards share. */
   private shardContext(): NodeContext {
     const { platform, operators, nodes, store, cloud, httpClient, clocks, log, fork } = this.options
     return {
@@ -212,25 +213,25 @@
       estimates: this.estimates,
       clocks,
       log,
-      demandOfOthers: (except) => this.demandRegistry.ofOthers(except),
+      demandOfOthers: (except) => this.demandRegistry.demandOfOthers(except),
       publishDemand: (shard, demand) => this.demandExchange.publish(shard, demand),
       handOff: (shard, id, handoff) => this.handoffs.send(shard, id, handoff),
       jobIndex: this.jobIndex,
-      jobsEnded: (ends) => this.progress.ended(ends),
+      jobsEnded: (ends) => this.progress.recordEnds(ends),
       foldJobs: (page) => this.jobStore.fold(page),
       nextRentalRequestId: () => this.nextRentalRequestId(),
       fork,
     }
   }
-  /** Never used before: an incarnation's name is new with each start, and its rentals are counted. */
+  /** A unique request id: each start of the process has a new incarnation name, and numbers its requests. */
   private nextRentalRequestId(): RentalRequestId {
-    const process = this.membership.incarnation() ?? this.options.platform.nodeName
-    return `${process}-${++this.rentalCount}` as RentalRequestId
+    const prefix = this.membership.incarnation() ?? this.options.platform.nodeName
+    return `${prefix}-${++this.rentalCount}` as RentalRequestId
   }
 
   // --- running --------------------------------------------------------------------
 
-  /** Runs all that this node does, until it is interrupted. */
+  /** Runs all services of this node until it is interrupted. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
     Effect.all(
       [
@@ -245,7 +246,7 @@
     ),
   )
 
-  /** Takes in a message from another node. */
+  /** Dispatches a message from another node. */
   private receive(message: PeerMessage, from: NodeName): void {
     switch (message.kind) {
       case "heartbeats":
@@ -257,33 +258,33 @@
       case "commandResults":
         return this.commandForwarder.receivedResults(message)
       case "machineList":
-        // It was asked for a moment ago; as the list itself lags by seconds, that is near enough.
-        return this.inventory.take(message.machines, this.options.clocks.monotonicNow())
+        // The list was requested shortly before; it lags by seconds itself, so the difference is negligible.
+        return this.inventory.applyList(message.machines, this.options.clocks.monotonicNow())
       case "nodeLoad":
         return this.loads.received(from, message.load)
       case "jobChanged":
         return this.membership.replica.applyWrite(message.page)
       case "demand":
-        return this.demandExchange.received(message.demands)
+        return this.demandExchange.receive(message.demands)
       case "machineHandoff":
-        return this.handoffs.received(message)
+        return this.handoffs.receive(message)
       case "jobProgress":
-        return this.progress.received(message)
+        return this.progress.receive(message)
     }
   }
 
-  /** Answers a worker's heartbeat to this node, at once or as soon as there are commands. */
+  /** Answers a worker's heartbeat to this node, immediately or as soon as there are commands. */
   receiveHeartbeat(heartbeat: Heartbeat, respond: Respond): void {
     this.heartbeatRouter.receive(heartbeat, respond)
   }
 
   // --- health ---------------------------------------------------------------------
 
-  /** Whether this node can act for shards and answer users. */
+  /** Whether this node can act for its shards and answer users: it holds its lease and has the catalog. */
   isHealthy(): boolean {
     return this.membership.holdsLease() && this.catalog() !== null
   }
-  /** Whether any other node can act; null: none of them is connected. */
+  /** Whether any other node is healthy; null: none is connected. */
   othersHealthy(): boolean | null {
     return this.loads.othersHealthy()
   }
@@ -296,17 +297,17 @@
     }
   }
 
-  // --- for users' requests --------------------------------------------------------
+  // --- users' requests ------------------------------------------------------------
 
-  /** The machine types; null while they aren't known. */
+  /** Machine types by name; null while they aren't known. */
   catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
     return this.inventory.catalog()
   }
-  /** Tasks done and running, for display. */
-  counts(id: JobId): ShownCounts {
+  /** A job's numbers of done and running tasks, for display only. */
+  counts(id: JobId): DisplayedCounts {
     return this.progress.counts(id)
   }
-  /** A job was accepted or cancelled: its owner should know before the watch brings it. */
+  /** Applies the page of an accepted or cancelled job, and sends it to the job's owner ahead of the watch. */
   private jobChanged(entry: Entry, spec: JobSpec): Effect.Effect<void> {
     return Effect.sync(() => {
       const { platform, peers } = this.options
@@ -321,7 +322,7 @@
   }
 }
 
-/** Makes a controller on this process's clocks and HTTP client. */
+/** Creates a controller with this process's clocks and HTTP client. */
 export const makeController = (
   options: Omit<ControllerOptions, "httpClient" | "clocks" | "fork">,
 ): Effect.Effect<Controller, never, HttpClient> =>
--- a/packages/controller/src/demand-exchange.ts
+++ b/packages/controller/src/demand-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * The demand that shards publish for one another, on this node and between nodes. It only says what is
- * lacking: whoever lends a machine or divides a quota decides by itself, and each message may be lost, late or
- * repeated, since demand is published again before it expires.
+ * Exchange of the demand that shards publish to one another, on this node and between nodes. Demand is only a
+ * hint: the owner of a shard decides by itself whether to lend a machine or how to divide a quota. Each
+ * message may be lost, late or repeated, since demand is published again before it expires.
  */
 import { Signal } from "@sorreltally/concurrency"
 import type { PeerChannel, PublishedDemand } from "@sorreltally/peers"
@@ -13,10 +13,10 @@
 import type { RunningShards } from "./running-shards.ts"
 
 const PUBLISH_INTERVAL_MS = 200
-/** Unchanged demand is published again this often, before the other nodes let it expire. */
-const REPEAT_MS = 1_600
+/** Interval at which unchanged demand is published again; shorter than its validity on the other nodes. */
+const REPUBLISH_INTERVAL_MS = 1_600
 
-/** What the exchange of demand needs of its node. */
+/** Dependencies of the exchange of demand. */
 export interface DemandExchangeOptions {
   readonly registry: DemandRegistry
   readonly shards: RunningShards
@@ -24,13 +24,16 @@
   readonly peers: PeerChannel
 }
 
-/** Publishes the demand of this node's shards, and takes in that of the others. */
+/** Publishes the demand of this node's shards, and receives that of the other nodes' shards. */
 export class DemandExchange {
   private readonly changed = new Signal()
 
   constructor(private readonly options: DemandExchangeOptions) {}
 
-  /** A shard of this node published its demand: the shards beside it plan again where it is news to them. */
+  /**
+   * Records the demand of a shard of this node. If its demand for machines or quota changed, wakes this
+   * node's other shards to plan again.
+   */
   publish(shard: ShardName, demand: ShardDemand): void {
     const change = this.options.registry.update(shard, demand)
     if (change === "none") return
@@ -38,21 +41,21 @@
     if (change === "claims") return
     this.options.shards.wakeAll(shard)
   }
-  /** Demand that another node published. Of our own shards, we know better. */
-  received(demands: ReadonlyArray<PublishedDemand>): void {
+  /** Records demand that another node published; ignores that of shards that this node owns. */
+  receive(demands: ReadonlyArray<PublishedDemand>): void {
     const { shards, registry } = this.options
     for (const { shard, demand } of demands) if (!shards.has(shard)) registry.set(shard, demand)
     shards.wakeAll(null)
   }
 
-  /** Sends this node's demand to the others, when it changed and before it expires. */
-  readonly run: Effect.Effect<never> = Effect.suspend(() => this.publishForever())
-  // A loop and no Schedule: a change ends the second wait early, never the first.
-  private publishForever() {
+  /** Sends the demand of this node's shards to the other nodes when it changes, and before it expires. */
+  readonly run: Effect.Effect<never> = Effect.suspend(() => this.publishLoop())
+  // A loop instead of a Schedule: a change ends the second wait early, but never the first.
+  private publishLoop() {
     return Effect.gen({ self: this }, function* () {
       for (;;) {
         yield* Effect.sleep(PUBLISH_INTERVAL_MS)
-        yield* this.changed.wait(REPEAT_MS - PUBLISH_INTERVAL_MS)
+        yield* this.changed.wait(REPUBLISH_INTERVAL_MS - PUBLISH_INTERVAL_MS)
         this.send()
       }
     })
@@ -60,15 +63,18 @@
   private send(): void {
     const { shards, registry, peers } = this.options
     const demands = [...shards.names()].map(
-      (shard): PublishedDemand => ({ shard, demand: registry.of(shard) }),
+      (shard): PublishedDemand => ({ shard, demand: registry.demandOf(shard) }),
     )
     if (demands.length === 0 || !this.concernsOthers(demands)) return
     peers.send({ kind: "demand", demands })
   }
-  /** A node without machines can lend none, and quota is asked for only where it lacks. */
+  /**
+   * Whether other nodes can act on the demand: some machines belong to other nodes' shards, which could lend
+   * them, or quota is demanded. A node without machines can lend none.
+   */
   private concernsOthers(demands: ReadonlyArray<PublishedDemand>): boolean {
     const { machineIndex } = this.options
-    const owned = demands.reduce((sum, { shard }) => sum + machineIndex.size(shard), 0)
-    return owned !== machineIndex.total || demands.some(({ demand }) => demand.quotas.length > 0)
+    const ownMachines = demands.reduce((sum, { shard }) => sum + machineIndex.size(shard), 0)
+    return ownMachines !== machineIndex.total || demands.some(({ demand }) => demand.quotas.length > 0)
   }
 }
--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -1,7 +1,7 @@
 /**
- * Routes workers' heartbeats to the shard that owns their machine: on this node, by a redirect, or forwarded.
- * It never answers 200 by itself: acceptance comes from the shard's owner alone, for this very heartbeat, and
- * only while that owner holds its lease.
+ * Routes each heartbeat to the shard that owns the worker's machine: on this node, by a redirect to another
+ * node, or by forwarding. The router itself never answers 200: only the shard's owner accepts a heartbeat,
+ * each one individually, and only while that owner holds its lease.
  */
 import type { HeartbeatBalancer, HeartbeatForwarder, NodeLoads } from "@sorreltally/forwarding"
 import { DEADLINE_SHARD, type Membership } from "@sorreltally/membership"
@@ -20,7 +20,7 @@
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import type { RunningShards } from "./running-shards.ts"
 
-/** What the routing of heartbeats needs of its node. */
+/** Dependencies of the heartbeat router. */
 export interface HeartbeatRouterOptions {
   readonly self: NodeName
   readonly shards: RunningShards
@@ -32,40 +32,43 @@
   readonly forwarder: HeartbeatForwarder
 }
 
-/** Hands each heartbeat to the shard that may answer it. */
+/** Routes each heartbeat to the shard that may answer it. */
 export class HeartbeatRouter {
   constructor(private readonly options: HeartbeatRouterOptions) {}
 
-  /** Answers a worker's heartbeat to this node, at once or as soon as there are commands. */
+  /** Answers a worker's heartbeat to this node, immediately or as soon as there are commands. */
   receive(heartbeat: Heartbeat, respond: Respond): void {
     const { self, shards, membership, balancer, loads, peers, forwarder } = this.options
     balancer.recordHeartbeat()
-    const name = this.shardOfMachine(heartbeat.machineId)
-    const own = shards.get(name)
-    const owner = own === undefined ? membership.owner(name) : self
-    if (owner === null || (owner === self && (own === undefined || !membership.holdsLease())))
+    const shard = this.shardOfMachine(heartbeat.machineId)
+    const ownController = shards.get(shard)
+    const owner = ownController === undefined ? membership.owner(shard) : self
+    if (owner === null || (owner === self && (ownController === undefined || !membership.holdsLease())))
       return respond(HEARTBEAT_UNAVAILABLE)
     const target = this.redirectTarget(heartbeat.machineId, owner)
     if (target !== null) return respond({ status: 421, body: encodeRedirect(target) })
-    if (own !== undefined) return own.receiveHeartbeat(heartbeat, null, respond)
-    // An owner that no node reaches may still be reached by its workers.
+    if (ownController !== undefined) return ownController.receiveHeartbeat(heartbeat, null, respond)
+    // Workers may still reach an owner that this node can't reach.
     if (!loads.sharesHeartbeats(owner) || !peers.isReachable(owner))
       return forwarder.redirect(heartbeat, owner, respond)
     forwarder.forward(heartbeat, owner, respond)
   }
-  /** Another node's message with heartbeats of machines whose shards this node owns. */
+  /** Answers heartbeats that another node forwarded, for machines whose shards this node owns. */
   receiveForwarded(from: NodeName, message: ForwardedHeartbeats): void {
-    const take = (heartbeat: Heartbeat, respond: Respond) => {
-      const shard = this.shardControllerOf(heartbeat.machineId)
-      if (shard === undefined) respond(HEARTBEAT_UNAVAILABLE)
-      else shard.receiveHeartbeat(heartbeat, from, respond)
+    const deliver = (heartbeat: Heartbeat, respond: Respond) => {
+      const controller = this.shardControllerOf(heartbeat.machineId)
+      if (controller === undefined) respond(HEARTBEAT_UNAVAILABLE)
+      else controller.receiveHeartbeat(heartbeat, from, respond)
     }
-    const whole = (repeat: RepeatedHeartbeat) =>
+    const expandRepeated = (repeat: RepeatedHeartbeat) =>
       this.shardControllerOf(repeat.machineId)?.repeated(repeat) ?? null
-    this.options.forwarder.receivedHeartbeats(from, message, take, whole)
+    this.options.forwarder.receivedHeartbeats(from, message, deliver, expandRepeated)
   }
 
-  /** The node that this worker should send its heartbeats to instead, where an owner shares them; null: this one. */
+  /**
+   * The node to which this worker should send its heartbeats instead, so that nodes share an owner's
+   * heartbeat load; null: this one.
+   */
   private redirectTarget(machineId: MachineId, owner: NodeName): NodeName | null {
     const { self, balancer, loads } = this.options
     if (owner === self) return balancer.redirectTarget(machineId)
@@ -74,7 +77,7 @@
   private shardControllerOf(machine: MachineId): ShardController | undefined {
     return this.options.shards.get(this.shardOfMachine(machine))
   }
-  /** A machine that nobody has on record is the leader's to adopt. */
+  /** The shard of a machine; one that isn't on record belongs to the leader's shard, which may adopt it. */
   private shardOfMachine(machine: MachineId): ShardName {
     return this.options.machineIndex.get(machine)?.shard ?? DEADLINE_SHARD
   }
--- a/packages/controller/src/machine-handoffs.ts
+++ b/packages/controller/src/machine-handoffs.ts
@@ -1,7 +1,7 @@
 /**
- * Hand-off of machines that moved to another shard: its owner learns of them before the watch brings the
- * record. A hand-off is a hint: the machine's record alone says whose it is, and a lost, late or repeated
- * hand-off is made good by the machine's next heartbeat.
+ * Hand-off of machines that moved to another shard: the new owner receives them before the watch delivers
+ * their records. A hand-off is only a hint: the machine's record alone determines its shard, and the
+ * machine's next heartbeat makes up for a hand-off that was lost, late or repeated.
  */
 import type { Membership } from "@sorreltally/membership"
 import type { MachineHandoffMessage, PeerChannel } from "@sorreltally/peers"
@@ -10,7 +10,7 @@
 import type { MachineHandoff } from "@sorreltally/workers"
 import type { RunningShards } from "./running-shards.ts"
 
-/** What the hand-off of machines needs of its node. */
+/** Dependencies of the hand-off of machines. */
 export interface MachineHandoffsOptions {
   readonly shards: RunningShards
   readonly membership: Membership
@@ -18,16 +18,16 @@
   readonly peers: PeerChannel
 }
 
-/** Hands machines off to the shards that they moved to, here or on another node. */
+/** Hands machines off to the shards to which they moved, on this node or on another one. */
 export class MachineHandoffs {
   constructor(private readonly options: MachineHandoffsOptions) {}
 
-  /** Hands a machine off; null: its worker was not heard of, so there is nothing to hand on. */
+  /** Hands a machine off to a shard; null: no state of its worker is known, so nothing is sent. */
   send(shard: ShardName, id: MachineId, handoff: MachineHandoff | null): void {
     if (handoff === null) return
     const { shards, membership, machineIndex, peers } = this.options
-    const own = shards.get(shard)
-    if (own !== undefined) return own.acceptHandoff(id, handoff)
+    const ownController = shards.get(shard)
+    if (ownController !== undefined) return ownController.acceptHandoff(id, handoff)
     const owner = membership.owner(shard)
     const block = machineIndex.get(id)?.block
     if (owner === null || block === undefined) return
@@ -35,11 +35,11 @@
     if (entry === null) return
     peers.send({ kind: "machineHandoff", shard, block: entry, machines: [{ machineId: id, handoff }] }, owner)
   }
-  /** Takes in machines that another node hands off to a shard of this one. */
-  received({ shard, block, machines }: MachineHandoffMessage): void {
+  /** Accepts machines that another node hands off to a shard of this node. */
+  receive({ shard, block, machines }: MachineHandoffMessage): void {
     const { shards, membership } = this.options
     membership.replica.applyWrite(block)
-    const own = shards.get(shard)
-    for (const { machineId, handoff } of machines) own?.acceptHandoff(machineId, handoff)
+    const ownController = shards.get(shard)
+    for (const { machineId, handoff } of machines) ownController?.acceptHandoff(machineId, handoff)
   }
 }
--- a/packages/controller/src/running-shards.ts
+++ b/packages/controller/src/running-shards.ts
@@ -1,6 +1,6 @@
 /**
- * The shards that this node owns at present, each with the fiber that runs it. Membership alone decides which
- * they are: this module starts and stops shards at its word, and never acquires one by itself.
+ * The shards that this node owns, each with the fiber that runs it. `Membership` alone decides which shards
+ * these are: this module starts and stops shards when told to, and never acquires one by itself.
  */
 
 import type { TaskCounts } from "@sorreltally/peers"
@@ -8,6 +8,7 @@
 import { type NodeContext, ShardController } from "@sorreltally/shard"
 import { Cause, Effect, Fiber } from "effect"
 
+/** Delay before a shard whose controller failed is relinquished; limits the rate of restarts. */
 const RELINQUISH_DELAY_MS = 1_000
 
 interface RunningShard {
@@ -15,11 +16,11 @@
   readonly fiber: Fiber.Fiber<unknown>
 }
 
-/** What the shards of a node need of it. */
+/** Dependencies of a node's shards. */
 export interface RunningShardsOptions {
-  /** What each shard's controller shares with the others of this node. */
+  /** Services that the controllers of this node's shards share. */
   readonly context: () => NodeContext
-  /** Gives a shard up, so that it is acquired anew with a new epoch. */
+  /** Relinquishes a shard, so that it is acquired again with a new epoch. */
   readonly relinquish: (shard: ShardName) => void
   readonly log: Log
   readonly fork: (effect: Effect.Effect<unknown>) => Fiber.Fiber<unknown>
@@ -31,30 +32,31 @@
 
   constructor(private readonly options: RunningShardsOptions) {}
 
-  /** Starts a shard that this node acquired, under the epoch that its transaction drew. */
+  /** Starts a shard that this node acquired; `epoch` is the revision of the acquiring transaction. */
   start(name: ShardName, epoch: ModRevision): void {
     const { context, fork, log, relinquish } = this.options
     const shard = new ShardController(name, epoch, context())
-    const guarded = shard.run.pipe(
+    const supervised = shard.run.pipe(
       Effect.catchCause((cause) => {
         if (Cause.hasInterruptsOnly(cause)) return Effect.void
-        // A bug must not leave a shard with an owner that does nothing: start over with a new epoch.
-        log.error("shard failed", { shard: name, cause: Cause.pretty(cause) })
+        // After a bug, relinquish the shard, so that it doesn't stay with an owner that does nothing. It is
+        // then acquired again with a new epoch.
+        log.error("shard controller failed", { shard: name, cause: Cause.pretty(cause) })
         return Effect.andThen(
           Effect.sleep(RELINQUISH_DELAY_MS),
           Effect.sync(() => relinquish(name)),
         )
       }),
     )
-    this.running.set(name, { shard, fiber: fork(guarded) })
+    this.running.set(name, { shard, fiber: fork(supervised) })
   }
-  /** Stops a shard that this node no longer owns; from this moment on it acts no more. */
+  /** Stops a shard that this node no longer owns; it stops acting before this returns. */
   stop(name: ShardName): void {
-    const held = this.running.get(name)
-    if (held === undefined) return
+    const running = this.running.get(name)
+    if (running === undefined) return
     this.running.delete(name)
-    held.shard.stop()
-    this.options.fork(Fiber.interrupt(held.fiber))
+    running.shard.stop()
+    this.options.fork(Fiber.interrupt(running.fiber))
   }
 
   has(name: ShardName): boolean {
@@ -66,21 +68,21 @@
   names(): Iterable<ShardName> {
     return this.running.keys()
   }
-  /** Lets every shard but the named one plan again soon. */
-  wakeAll(except: ShardName | null): void {
-    for (const [name, { shard }] of this.running) if (name !== except) shard.wake()
+  /** Wakes every shard but the excluded one, so that it soon plans again. */
+  wakeAll(excluded: ShardName | null): void {
+    for (const [name, { shard }] of this.running) if (name !== excluded) shard.wake()
   }
   /** Whether any shard has jobs or machines. */
-  get haveWork(): boolean {
+  get hasWork(): boolean {
     return [...this.running.values()].some(({ shard }) => shard.jobs.size + shard.machines.size > 0)
   }
-  /** Machines of all shards. */
+  /** Number of machines of all shards. */
   get machineCount(): number {
     let machines = 0
     for (const { shard } of this.running.values()) machines += shard.machines.size
     return machines
   }
-  /** The task counts of all shards' jobs. */
+  /** Task counts of all shards' jobs. */
   *taskCounts(): Iterable<TaskCounts> {
     for (const { shard } of this.running.values()) yield* shard.taskCounts()
   }
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -1,6 +1,6 @@
 /**
- * What this node knows of the cloud: machine types and prices, refusals, and the last list of machines. All of
- * it may lag: no machine is taken for gone because a list lacks it.
+ * This node's view of the cloud: machine types and prices, refused rental requests, and the last list of
+ * machines. All of it may be out of date: that a machine is missing from a list does not prove it deleted.
  */
 import { type CloudClient, LIST_PAGE } from "@sorreltally/cloud"
 import type { Replica } from "@sorreltally/membership"
@@ -18,131 +18,133 @@
 } from "@sorreltally/protocol"
 import { type CatalogRecord, keys, put, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
-import { remember } from "./machine-index.ts"
+import { addBounded } from "./machine-index.ts"
 
-/** Share of the cloud's calls that requests to refused pools may use. */
+/** Share of the cloud's request rate that repeated requests to refused pools may use. */
 const RETRY_RATE_SHARE = 0.25
-/** A pool that refuses again and again is left alone for at most this many times as long as at first. */
-const MAX_REFUSAL_BACKOFF = 2
+/** Limit of the factor by which consecutive refusals lengthen a pool's first back-off. */
+const MAX_REFUSAL_BACKOFF_FACTOR = 2
 
-/** A capacity pool as a key: machine type, zone, and whether it is spot. */
+/** Map key of a capacity pool: machine type, zone, and whether it is spot. */
 type PoolKey = `${MachineTypeName}|${ZoneName}|${boolean}`
 const poolKey = (type: MachineTypeName, zone: ZoneName, spot: boolean): PoolKey => `${type}|${zone}|${spot}`
 
 const CATALOG_INTERVAL_MS = 30_000
-/** Whoever lists checks this often whether a list is due, the others whether it is for them to list. */
+/** Interval at which a node that lists machines checks whether the next list is due. */
 const LISTING_CHECK_MS = 300
+/** Interval at which a node that doesn't list machines checks whether it should. */
 const IDLE_CHECK_MS = 1_000
-/** Share of the cloud's calls that lists may use. */
+/** Share of the cloud's request rate that lists may use. */
 const LIST_RATE_SHARE = 0.25
 
-/** What a node's knowledge of the cloud is drawn from. */
+/** Dependencies and settings of a node's cloud inventory. */
 export interface CloudInventoryOptions {
   readonly cloud: CloudClient
   readonly store: StoreClient
   readonly replica: Replica
   readonly now: () => MonotonicTime
-  /** For how many seconds the operators let a refusal be remembered. */
+  /** Operators' limit, in seconds, of the first back-off after a refusal. */
   readonly refusalMemoryS: number
   /** The cloud's rate limit, shared by all nodes. */
   readonly requestsPerSecond: number
-  /** Whether this node lists machines; otherwise it receives what another one listed. */
+  /** Whether this node lists machines; otherwise it receives the lists that another node requested. */
   readonly shouldList: () => boolean
-  /** Hands on a list that this node asked for. */
+  /** Sends a list that this node requested to the other nodes. */
   readonly publishList: (list: ReadonlyArray<ListedMachine>) => void
 }
 
 /**
- * What this node knows of the cloud: the types, what was refused lately, and
- * the last list of machines. The list lags; see `listedAt`.
+ * This node's view of the cloud: the machine types, recently refused rental requests, and the last list of
+ * machines. The list lags; see `listedAt`.
  */
 export class CloudInventory {
-  private types = new Map<MachineTypeName, MachineType>()
-  private catalogAt: MonotonicTime = EARLIEST_TIME
-  private readonly refusals = new Map<PoolKey, { readonly until: MonotonicTime; readonly times: number }>()
-  /** Rental requests under way. */
-  private readonly requested = new Map<PoolKey, number>()
-  /** The last list, whichever node asked for it. */
-  listed: ReadonlyMap<MachineId, ListedMachineState> = new Map()
-  /** The last list that this node asked for itself. */
-  listedHere: ReadonlyArray<ListedMachine> = []
+  private machineTypes = new Map<MachineTypeName, MachineType>()
+  private catalogReadAt: MonotonicTime = EARLIEST_TIME
+  /** Consecutive refusals of each pool, and the end of its back-off. */
+  private readonly refusals = new Map<PoolKey, { readonly until: MonotonicTime; readonly count: number }>()
+  /** Number of rental requests in flight, by pool. */
+  private readonly requestsInFlight = new Map<PoolKey, number>()
+  /** The last list, whichever node requested it. */
+  listedMachines: ReadonlyMap<MachineId, ListedMachineState> = new Map()
+  /** The last list that this node requested itself. */
+  lastOwnList: ReadonlyArray<ListedMachine> = []
   private readonly countByZone = new Map<ZoneName, number>()
-  /** Machines that any list has shown; bounded, the oldest are forgotten. */
+  /** Machines that appeared in any list; bounded, the oldest entries are evicted. */
   readonly everListed = new Set<MachineId>()
-  /** When the last list was asked for. */
+  /** Time at which the last list was requested. */
   listedAt: MonotonicTime = EARLIEST_TIME
-  private catalogStored = false
+  private isCatalogStored = false
 
   constructor(private readonly options: CloudInventoryOptions) {}
 
-  /** Pause between two lists, each of as many calls as it has pages. */
-  get pollMs(): number {
-    const pages = Math.ceil((this.listed.size + 1) / LIST_PAGE)
+  /** Interval between two lists; each list takes one request per page. */
+  get listIntervalMs(): number {
+    const pages = Math.ceil((this.listedMachines.size + 1) / LIST_PAGE)
     return Math.max(1_000, (1000 * pages) / (LIST_RATE_SHARE * this.options.requestsPerSecond))
   }
-  /** A list, asked for at that moment, by this node or by the one that published it. */
-  take(list: ReadonlyArray<ListedMachineState>, asked: MonotonicTime): void {
-    this.listed = new Map(list.map((machine) => [machine.id, machine]))
+  /** Replaces the last list; the new one was requested at `requestedAt`, by this node or by its publisher. */
+  applyList(machines: ReadonlyArray<ListedMachineState>, requestedAt: MonotonicTime): void {
+    this.listedMachines = new Map(machines.map((machine) => [machine.id, machine]))
     this.countByZone.clear()
-    for (const machine of list) {
-      if (!this.everListed.has(machine.id)) remember(this.everListed, machine.id)
+    for (const machine of machines) {
+      if (!this.everListed.has(machine.id)) addBounded(this.everListed, machine.id)
       this.countByZone.set(machine.zone, (this.countByZone.get(machine.zone) ?? 0) + 1)
     }
-    this.listedAt = asked
+    this.listedAt = requestedAt
   }
 
-  /** Null while the machine types aren't known. */
+  /** Machine types by name; null while they aren't known. */
   catalog(): ReadonlyMap<MachineTypeName, MachineType> | null {
-    if (this.types.size > 0) return this.types
+    if (this.machineTypes.size > 0) return this.machineTypes
     const stored = this.options.replica.get(keys.catalog)
     if (stored === null) return null
     this.setTypes(stored.value.machineTypes)
-    return this.types
+    return this.machineTypes
   }
   private setTypes(machineTypes: ReadonlyArray<MachineType>): void {
-    this.types = new Map(machineTypes.map((type) => [type.name, type]))
+    this.machineTypes = new Map(machineTypes.map((type) => [type.name, type]))
   }
 
   /**
-   * A pool that refuses again and again is asked ever less often. However long
-   * the operators let refusals be remembered, it is asked as soon as the
-   * cloud's rate allows it for all pools: room that opens is taken by others.
+   * Records that a pool refused a rental request, and starts its back-off, which grows with consecutive
+   * refusals. The first back-off is the operators' limit, or less if the cloud's request rate allows requests
+   * to all pools sooner, since other customers take capacity that becomes available.
    */
-  refuse(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
+  recordRefusal(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
     const pool = poolKey(type, zone, spot)
-    const times = (this.refusals.get(pool)?.times ?? 0) + 1
-    let pools = 0
-    for (const { zones } of this.types.values()) pools += 2 * zones.length
-    const roundS = Math.min(
+    const count = (this.refusals.get(pool)?.count ?? 0) + 1
+    let poolCount = 0
+    for (const { zones } of this.machineTypes.values()) poolCount += 2 * zones.length
+    const retryIntervalS = Math.min(
       this.options.refusalMemoryS,
-      pools / (RETRY_RATE_SHARE * this.options.requestsPerSecond),
+      poolCount / (RETRY_RATE_SHARE * this.options.requestsPerSecond),
     )
-    const pauseS = roundS * Math.min(MAX_REFUSAL_BACKOFF, 1.5 ** (times - 1))
-    this.refusals.set(pool, { until: addMs(this.options.now(), pauseS * 1000), times })
+    const pauseS = retryIntervalS * Math.min(MAX_REFUSAL_BACKOFF_FACTOR, 1.5 ** (count - 1))
+    this.refusals.set(pool, { until: addMs(this.options.now(), pauseS * 1000), count })
   }
-  /** There was room a moment ago, or one of its machines went back: it is worth asking. */
-  granted(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
+  /** Ends a pool's back-off: it granted a request, or one of its machines was released. */
+  clearRefusal(type: MachineTypeName, zone: ZoneName, spot: boolean): void {
     this.refusals.delete(poolKey(type, zone, spot))
   }
-  /** Counts the requests under way of each pool; returns how to end one, which may be called again. */
-  asking(type: MachineTypeName, zone: ZoneName, spot: boolean): () => void {
+  /** Counts a request to a pool as in flight; returns an idempotent function that ends this. */
+  trackRequest(type: MachineTypeName, zone: ZoneName, spot: boolean): () => void {
     const pool = poolKey(type, zone, spot)
-    this.requested.set(pool, (this.requested.get(pool) ?? 0) + 1)
-    let open = true
+    this.requestsInFlight.set(pool, (this.requestsInFlight.get(pool) ?? 0) + 1)
+    let isInFlight = true
     return () => {
-      if (open) this.requested.set(pool, (this.requested.get(pool) ?? 1) - 1)
-      open = false
+      if (isInFlight) this.requestsInFlight.set(pool, (this.requestsInFlight.get(pool) ?? 1) - 1)
+      isInFlight = false
     }
   }
-  /** Whether a pool refused a request lately, and should be left alone. */
+  /** Whether a pool is in its back-off after a refusal, so that no request should be sent to it. */
   isRefused(type: MachineTypeName, zone: ZoneName, spot: boolean): boolean {
     return this.options.now() < (this.refusals.get(poolKey(type, zone, spot))?.until ?? EARLIEST_TIME)
   }
 
-  /** What may be rented at present. Spot counts while it is cheaper than on-demand; refusing pools are left out. */
-  market(): ReadonlyArray<Offer> {
+  /** Offers that can be rented now: spot only while cheaper than on-demand; no pools in their back-off. */
+  currentOffers(): ReadonlyArray<Offer> {
     const offers: Array<Offer> = []
-    for (const type of this.types.values())
+    for (const type of this.machineTypes.values())
       for (const zone of type.zones)
         for (const spot of [true, false])
           if (this.isOffered(type, zone, spot)) offers.push(this.offer(type, zone, spot))
@@ -158,22 +160,22 @@
       zone,
       spot,
       price: spot ? type.spotPrice : type.onDemandPrice,
-      hasPendingRequest: (this.requested.get(poolKey(type.name, zone, spot)) ?? 0) > 0,
+      hasPendingRequest: (this.requestsInFlight.get(poolKey(type.name, zone, spot)) ?? 0) > 0,
       machinesInZone: this.countByZone.get(zone) ?? 0,
     }
   }
 
-  /** Reads the catalog now and then, and the list where this node is the one to do so. */
+  /** Reads the catalog periodically, and lists machines while this node should. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.options.now() >= addMs(this.catalogAt, CATALOG_INTERVAL_MS)) yield* this.readCatalog()
-        if (this.options.shouldList() && this.options.now() >= addMs(this.listedAt, this.pollMs)) {
-          const asked = this.options.now()
+        if (this.options.now() >= addMs(this.catalogReadAt, CATALOG_INTERVAL_MS)) yield* this.readCatalog()
+        if (this.options.shouldList() && this.options.now() >= addMs(this.listedAt, this.listIntervalMs)) {
+          const requestedAt = this.options.now()
           const list = yield* Effect.result(this.options.cloud.list)
           if (Result.isSuccess(list)) {
-            this.listedHere = list.success
-            this.take(list.success, asked)
+            this.lastOwnList = list.success
+            this.applyList(list.success, requestedAt)
             this.options.publishList(list.success)
           }
         }
@@ -187,10 +189,10 @@
       const read = yield* Effect.result(this.options.cloud.catalog)
       if (Result.isFailure(read)) return
       this.setTypes(read.success)
-      this.catalogAt = this.options.now()
-      // Kept so that a node that starts while the cloud is away knows the types.
+      this.catalogReadAt = this.options.now()
+      // Stored so that a node that starts while the cloud is unreachable has the machine types.
       if (
-        !this.catalogStored &&
+        !this.isCatalogStored &&
         this.options.shouldList() &&
         this.options.replica.get(keys.catalog) === null
       ) {
@@ -201,7 +203,7 @@
         const stored = yield* Effect.result(
           this.options.store.compareAndSwap(conditions, [put(keys.catalog, record)], 3),
         )
-        this.catalogStored = Result.isSuccess(stored)
+        this.isCatalogStored = Result.isSuccess(stored)
       }
     })
   }
--- a/packages/provisioning/src/codec-block-series.ts
+++ b/packages/provisioning/src/codec-block-series.ts
@@ -1,21 +1,21 @@
 /**
- * Codec of the names under which blocks of machine records are numbered. They are part of stored keys: an
- * earlier version's blocks must be found under the same names.
+ * Codec of the names of block series, in which blocks of machine records are numbered. The names are part of
+ * stored keys: blocks written by an earlier version must be found under the same names.
  */
 import type { MachineTypeName, ShardName, ZoneName } from "@sorreltally/protocol"
 
-/** Machines that the cloud rents out alike: one type, in one zone, spot or on-demand. */
+/** Machines that the cloud offers on the same terms: one type, in one zone, spot or on-demand. */
 export interface CapacityPool {
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
 }
 
-/** Blocks of adopted machines are numbered apart from those of every shard. */
-export const ADOPTED = "adopted"
+/** Prefix in place of a shard's name: blocks of adopted machines have series of their own. */
+export const ADOPTED_SERIES_PREFIX = "adopted"
 
-/** Name of the series in which the blocks of one shard, or the adopted ones, and of one pool are numbered. */
+/** Name of the series that numbers a shard's blocks, or those of adopted machines, in one capacity pool. */
 export const blockSeries = (
-  by: ShardName | typeof ADOPTED,
+  prefix: ShardName | typeof ADOPTED_SERIES_PREFIX,
   { machineType, zone, spot }: CapacityPool,
-): string => `${by}~${machineType}~${zone}~${spot ? "spot" : "steady"}`
+): string => `${prefix}~${machineType}~${zone}~${spot ? "spot" : "steady"}`
--- a/packages/provisioning/src/index.ts
+++ b/packages/provisioning/src/index.ts
@@ -1,4 +1,4 @@
 export * from "./cloud-inventory.ts"
-export { ADOPTED, blockSeries } from "./codec-block-series.ts"
+export { ADOPTED_SERIES_PREFIX, blockSeries } from "./codec-block-series.ts"
 export * from "./machine-index.ts"
 export * from "./machine-records.ts"
--- a/packages/provisioning/src/machine-additions.ts
+++ b/packages/provisioning/src/machine-additions.ts
@@ -1,6 +1,6 @@
 /**
- * Machines that come on record: which of them go into one block, and the conditions under which that block
- * may be written. It only builds the transaction, from the replica; the writer sends it.
+ * Plans how machines are added to the records: which of them go into one block, and under which conditions
+ * that block may be written. Only builds the transaction, from the replica; `MachineRecordWriter` sends it.
  */
 import type { Replica } from "@sorreltally/membership"
 import {
@@ -18,47 +18,49 @@
   type MachineBlock,
   type StoreKey,
 } from "@sorreltally/store"
-import { ADOPTED, blockSeries, type CapacityPool } from "./codec-block-series.ts"
+import { ADOPTED_SERIES_PREFIX, blockSeries, type CapacityPool } from "./codec-block-series.ts"
 import type { MachineIndex } from "./machine-index.ts"
 
-/** Bytes of one machine in a block, and of a block without machines; generous. */
+/** Upper estimate of the encoded size of one machine in a block. */
 const MACHINE_BYTES = 42
+/** Upper estimate of the encoded size of a block without machines. */
 const BLOCK_BYTES = 300
 
-/** Machines that fit into one block, where the store's values may have so many KiB. */
+/** Number of machines that fit into one block, where the store's values are limited to `valueKb` KiB. */
 export const maxBlockMachines = (valueKb: number): number =>
   Math.max(1, Math.floor((valueKb * 1024 - BLOCK_BYTES) / MACHINE_BYTES))
 
-/** Machines rented by one call, or found in the cloud's list. */
+/** Machines of one pool, rented by one request or found in the cloud's list. */
 export interface NewMachines extends CapacityPool {
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly rentedAt: number
   readonly ids: ReadonlyArray<MachineId>
 }
-/** Machines about to come on record, no more than fit into one block. */
+/** Machines to be added to the records, no more than fit into one block. */
 export interface PendingAddition extends NewMachines {
-  /** Found in the cloud's list, not rented by this shard. */
+  /** Whether the machines were found in the cloud's list, not rented by this shard. */
   readonly adopted: boolean
-  readonly settled: () => void
+  /** Called once the machines are on record, or were removed. */
+  readonly onSettled: () => void
 }
 
-/** Divides machines into additions of at most one block each; the last one says that all are settled. */
+/** Divides machines into additions of at most one block each; only the last one calls `onSettled`. */
 export const divideAddition = (
   machines: NewMachines,
   adopted: boolean,
-  settled: () => void,
+  onSettled: () => void,
   maxMachines: number,
 ): ReadonlyArray<PendingAddition> => {
   const additions: Array<PendingAddition> = []
   for (let i = 0; i < machines.ids.length; i += maxMachines) {
     const isLast = i + maxMachines >= machines.ids.length
     const ids = machines.ids.slice(i, i + maxMachines)
-    additions.push({ ...machines, ids, adopted, settled: isLast ? settled : () => {} })
+    additions.push({ ...machines, ids, adopted, onSettled: isLast ? onSettled : () => {} })
   }
   return additions
 }
 
-/** What additions are conditioned on, and drawn from. */
+/** Inputs of an addition's plan: the shard whose ownership it requires, and the records as known here. */
 export interface AdditionOptions {
   readonly shard: ShardName
   readonly epoch: ModRevision
@@ -69,24 +71,27 @@
   readonly maxMachines: number
 }
 
-/** A machine that is not yet on record, and the time of day at which it was rented. */
+/** A machine that is not yet on record, and the wall-clock time in milliseconds at which it was rented. */
 interface NewMachine {
   readonly id: MachineId
   readonly rentedAt: number
 }
-/** A block to be written, and what must hold for it. */
+/** A block to be written, and the conditions of the write. */
 export interface BlockWrite {
   readonly conditions: ReadonlyArray<Condition>
   readonly key: StoreKey<MachineBlock>
   readonly block: MachineBlock
 }
-/** The additions that one write settles; without a write, all of them are on record, or gone, already. */
+/**
+ * The additions that one write settles; null in place of the write: all their machines are on record, or were
+ * removed, already.
+ */
 export interface AdditionPlan {
   readonly batch: ReadonlyArray<PendingAddition>
   readonly write: BlockWrite | null
 }
 
-/** Plans the first addition, with those after it that can go into its block. */
+/** Plans the write of the first addition, together with later ones that can go into the same block. */
 export const planAddition = (
   first: PendingAddition,
   pending: ReadonlyArray<PendingAddition>,
@@ -105,19 +110,19 @@
   const machines: Array<NewMachine> = []
   const series = blockSeries(shard, first)
   for (const addition of pending) {
-    const alike = addition.adopted === first.adopted && blockSeries(shard, addition) === series
-    if (!alike || machines.length + addition.ids.length > maxMachines) continue
+    const sharesSeries = addition.adopted === first.adopted && blockSeries(shard, addition) === series
+    if (!sharesSeries || machines.length + addition.ids.length > maxMachines) continue
     batch.push(addition)
     for (const id of addition.ids)
-      if (machineIndex.get(id) === undefined && !machineIndex.gone.has(id))
+      if (machineIndex.get(id) === undefined && !machineIndex.removedMachines.has(id))
         machines.push({ id, rentedAt: addition.rentedAt })
   }
   return { batch, machines }
 }
 
 /**
- * Machines of one pool come on record: rented ones in the latest block of
- * their shard and pool while it has room, adopted ones always in a new block.
+ * Builds the write that adds machines of one pool: rented ones go into the latest block of their shard and
+ * pool while it has room, adopted ones always into a new block.
  */
 const blockWrite = (
   pool: PendingAddition,
@@ -126,14 +131,14 @@
 ): BlockWrite => {
   const { shard, machineIndex, replica, maxMachines } = options
   const conditions = [...seriesConditions(pool, options)]
-  const series = blockSeries(pool.adopted ? ADOPTED : shard, pool)
+  const series = blockSeries(pool.adopted ? ADOPTED_SERIES_PREFIX : shard, pool)
   const latest = pool.adopted ? null : machineIndex.latestBlock(series)
-  const hasRoom = latest !== null && latest.machines + added.length <= maxMachines
+  const hasRoom = latest !== null && latest.machineCount + added.length <= maxMachines
   const key = hasRoom ? latest.key : machineIndex.nextBlock(series)
-  const before = replica.get(key)
-  conditions.push({ key, modRevision: before?.modRevision ?? ABSENT_KEY_REVISION })
-  const rentedAt = before?.value.rentedAt ?? Math.min(...added.map((machine) => machine.rentedAt))
-  const machines: Array<BlockMachine> = [...(before?.value.machines ?? [])]
+  const existing = replica.get(key)
+  conditions.push({ key, modRevision: existing?.modRevision ?? ABSENT_KEY_REVISION })
+  const rentedAt = existing?.value.rentedAt ?? Math.min(...added.map((machine) => machine.rentedAt))
+  const machines: Array<BlockMachine> = [...(existing?.value.machines ?? [])]
   for (const machine of added) {
     const rentedAfterS = Math.round((machine.rentedAt - rentedAt) / 1000)
     machines.push({ machineId: machine.id, shard, token: 0 as FencingToken, rentedAfterS })
@@ -143,17 +148,18 @@
 }
 
 /**
- * An addition is conditioned on our ownership of the shard. An adoption is, besides, conditioned on the latest
- * blocks of every shard being as we know them, a rental on no adoption that we haven't seen: so no machine
- * comes to stand in two blocks.
+ * Conditions that keep a machine from being recorded in two blocks. Every addition requires that this node
+ * owns the shard under the given epoch. An adoption also requires that the latest block of every shard's
+ * series is unchanged and that no newer block exists; a rental, that there is no block of adopted machines
+ * that the replica doesn't show.
  */
 const seriesConditions = (
   pool: PendingAddition,
   { shard, epoch, shards, machineIndex, replica }: AdditionOptions,
 ): ReadonlyArray<Condition> => {
   const conditions: Array<Condition> = [{ key: keys.shard(shard), modRevision: epoch }]
-  for (const other of pool.adopted ? shards : ([ADOPTED] as const)) {
-    const series = blockSeries(other, pool)
+  for (const prefix of pool.adopted ? shards : ([ADOPTED_SERIES_PREFIX] as const)) {
+    const series = blockSeries(prefix, pool)
     const latest = pool.adopted ? machineIndex.latestBlock(series) : null
     if (latest !== null) conditions.push({ key: latest.key, modRevision: replica.modRevision(latest.key) })
     conditions.push({ key: machineIndex.nextBlock(series), modRevision: ABSENT_KEY_REVISION })
--- a/packages/provisioning/src/machine-edits.ts
+++ b/packages/provisioning/src/machine-edits.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of machines on record: which are still open, and the transaction that carries them out. It only
- * builds the transaction, from the replica; the writer sends it.
+ * Changes of machine records: whether a change is still open, and the transaction that carries changes out.
+ * Only builds the transaction, from the replica; `MachineRecordWriter` sends it.
  */
 import type { Replica } from "@sorreltally/membership"
 import type { FencingToken, MachineId, ModRevision, ShardName } from "@sorreltally/protocol"
@@ -20,49 +20,50 @@
 
 /** A change of one machine's record. */
 export type MachineEdit =
-  /** To another shard. */
+  /** Moves the machine to another shard, with a higher fencing token. */
   | { readonly kind: "move"; readonly to: ShardName }
-  /** Only its token rises. */
+  /** Raises only the machine's fencing token. */
   | { readonly kind: "fence" }
-  /** The cloud deleted it. */
+  /** Removes the record of a machine that the cloud deleted. */
   | { readonly kind: "remove" }
 
 /** A change that the replica does not yet show. */
 export interface PendingEdit {
   readonly edit: MachineEdit
-  /** The machine's token when this was asked for: every move and fence raises it. */
+  /** The machine's fencing token when the change was requested: every move and fence raises it. */
   readonly token: FencingToken
-  /** False: the machine wasn't ours any more. */
-  readonly settled: (done: boolean) => void
+  /** Called with whether the change was carried out; false: it is no longer possible. */
+  readonly onSettled: (done: boolean) => void
 }
 
-/** What became of a change: not yet carried out, carried out, or no longer possible. */
-export type EditOutcome = "open" | "done" | "void"
+/** Outcome of a change: `open` is not yet carried out, `superseded` is no longer possible. */
+export type EditOutcome = "open" | "done" | "superseded"
 
 /**
- * Has this happened, or can't it happen any more? A move whose answer was lost
- * may have been carried out, and the machine lent back to us since: repeated then, it would
- * take the machine from under the tasks that were placed meanwhile (`ran_twice`).
+ * Outcome of a change, judged by the machine's current entry. A move whose reply was lost may have been
+ * carried out, and the machine lent back to this shard since. A repeated move would then take the machine
+ * away from tasks that were placed on it in between, so that they run twice (`ran_twice`); a token that
+ * differs from the one at the request shows this.
  */
 export const editOutcome = (
   { edit, token }: PendingEdit,
   entry: MachineEntry | undefined,
   shard: ShardName,
 ): EditOutcome => {
-  const ours = entry !== undefined && entry.shard === shard
-  if (edit.kind === "remove") return ours ? "open" : "done"
-  if (!ours) return "void"
+  const isOwned = entry !== undefined && entry.shard === shard
+  if (edit.kind === "remove") return isOwned ? "open" : "done"
+  if (!isOwned) return "superseded"
   if (entry.token === token) return "open"
-  return edit.kind === "fence" ? "done" : "void"
+  return edit.kind === "fence" ? "done" : "superseded"
 }
 
-/** What a transaction of changes is conditioned on, and drawn from. */
+/** Inputs of a transaction of changes: the shard whose ownership it requires, and the known records. */
 export interface BlockEditsOptions {
   readonly shard: ShardName
   readonly epoch: ModRevision
   readonly machineIndex: MachineIndex
   readonly replica: Replica
-  /** At most so many blocks go in one transaction: its capacity was awaited before. */
+  /** Maximum number of blocks in the transaction: the write capacity awaited before covers no more. */
   readonly maxBlocks: number
 }
 
@@ -73,7 +74,7 @@
   readonly machines: Map<MachineId, BlockMachine>
 }
 
-/** Collects changes of machines by their blocks, for one transaction. */
+/** Collects changes of machine records, grouped by block, for one transaction. */
 export class BlockEdits {
   private readonly blocks = new Map<StoreKey<MachineBlock>, EditedBlock>()
 
@@ -82,7 +83,7 @@
   get isEmpty(): boolean {
     return this.blocks.size === 0
   }
-  /** Adds a change of a machine; false: its block has no room in this transaction, or isn't known. */
+  /** Adds a change of a machine; false: the transaction is full, or the replica lacks the machine's block. */
   add(entry: MachineEntry, edit: MachineEdit): boolean {
     const block = this.blockOf(entry)
     if (block === null) return false
@@ -91,7 +92,7 @@
       machines.delete(entry.id)
       return true
     }
-    // Above every token used for this machine so far, and below every epoch to come.
+    // Higher than every token used for this machine so far, and lower than every later epoch.
     const token = (Math.max(this.options.epoch, entry.token) + 1) as FencingToken
     const shard = edit.kind === "move" ? edit.to : this.options.shard
     const rentedAfterS = machines.get(entry.id)?.rentedAfterS ?? 0
@@ -99,8 +100,8 @@
     return true
   }
   private blockOf({ block: key }: MachineEntry): EditedBlock | null {
-    const known = this.blocks.get(key)
-    if (known !== undefined) return known
+    const collected = this.blocks.get(key)
+    if (collected !== undefined) return collected
     const { replica, maxBlocks } = this.options
     if (this.blocks.size >= maxBlocks) return null
     const entry = replica.get(key)
@@ -113,8 +114,8 @@
   }
 
   /**
-   * Conditioned on our ownership of the shard, and on each block being as it was read: a late copy of this
-   * transaction, or one of an earlier owner, changes nothing.
+   * The transaction requires that this node owns the shard under its epoch, and that each block is at the
+   * revision that was read. So a late copy of it, or a transaction of an earlier owner, changes nothing.
    */
   transaction(): {
     readonly conditions: ReadonlyArray<Condition>
--- a/packages/provisioning/src/machine-records.ts
+++ b/packages/provisioning/src/machine-records.ts
@@ -1,7 +1,7 @@
 /**
- * Writes what changes about one shard's machines. Every write is conditioned on the shard's epoch and on the
- * blocks being as this node read them: it may be lost, late or repeated without harm. Only this module writes
- * machine records.
+ * Writes the changes of one shard's machine records. Every write is conditioned on the shard's epoch and on
+ * the revisions at which this node read the blocks, so it may be lost, late or repeated without harm. No
+ * other module writes machine records.
  */
 import { Signal } from "@sorreltally/concurrency"
 import type { Membership } from "@sorreltally/membership"
@@ -25,16 +25,17 @@
 } from "./machine-edits.ts"
 import type { MachineIndex } from "./machine-index.ts"
 
-const PAUSE_MS = 150
-/** With nothing pending there is nothing to do: each wake-up of each shard is paid by all nodes, all day. */
-const IDLE_MS = 5_000
-/** Machines that are gone can wait for others of their block. */
+/** Pause after a failed write, and while this node may not act for the shard. */
+const RETRY_INTERVAL_MS = 150
+/** Longest wait while nothing is pending: every wake-up of every shard costs all nodes CPU time, all day. */
+const IDLE_WAIT_MS = 5_000
+/** Minimum interval between writes that only remove machines, so that removals of a block are batched. */
 const REMOVE_INTERVAL_MS = 1_500
 
-/** What the writer of machine records needs of its shard. */
+/** Options of a shard's writer of machine records. */
 export interface MachineRecordWriterOptions {
   readonly shard: ShardName
-  /** The shard's epoch: every write is conditioned on it, which fences an earlier owner's. */
+  /** The shard's epoch: every write is conditioned on it, which fences writes of earlier owners. */
   readonly epoch: ModRevision
   /** All shards, this one included. */
   readonly shards: ReadonlyArray<ShardName>
@@ -48,54 +49,53 @@
 }
 
 /**
- * Writes what changes about one shard's machines: one put for all that changes
- * in a block, one transaction for several blocks. What is pending stays so
- * until the replica shows that it happened.
+ * Writes the changes of one shard's machine records: one put for all changes in a block, one transaction for
+ * several blocks. A change stays pending until its write succeeds or the replica shows its outcome.
  */
 export class MachineRecordWriter {
   private readonly edits = new Map<MachineId, PendingEdit>()
   private additions: ReadonlyArray<PendingAddition> = []
   private readonly signal = new Signal()
-  private removedAt = Number.NEGATIVE_INFINITY
+  private lastRemovalAt = Number.NEGATIVE_INFINITY
 
   constructor(private readonly options: MachineRecordWriterOptions) {}
 
   /**
-   * Asks for a change of a machine's record; while an earlier one of this machine is open, it is dropped.
-   * `settled` is called with whether it was carried out.
+   * Requests a change of a machine's record; `onSettled` is called with whether it was carried out. While an
+   * earlier change of the same machine is open, the request is ignored and `onSettled` not called.
    */
-  edit(id: MachineId, edit: MachineEdit, settled: (done: boolean) => void = () => {}): void {
+  edit(id: MachineId, edit: MachineEdit, onSettled: (done: boolean) => void = () => {}): void {
     const entry = this.options.machineIndex.get(id)
     const pending = this.edits.get(id)
     if (pending !== undefined) {
       const outcome = this.outcomeOf(pending, entry)
       if (outcome === "open") return
-      pending.settled(outcome === "done")
+      pending.onSettled(outcome === "done")
     }
-    this.edits.set(id, { edit, token: entry?.token ?? (0 as FencingToken), settled })
+    this.edits.set(id, { edit, token: entry?.token ?? (0 as FencingToken), onSettled })
     this.signal.notify()
   }
-  /** Whether a change is still open: one that was overtaken must not block what is decided next. */
+  /** Whether a change of the machine is open; a superseded one must not block later decisions. */
   isEditing(id: MachineId): boolean {
     const pending = this.edits.get(id)
     return pending !== undefined && this.outcomeOf(pending, this.options.machineIndex.get(id)) === "open"
   }
-  /** Asks for machines to be put on record; `settled` is called once all of them are, or are gone. */
-  add(machines: NewMachines, adopted: boolean, settled: () => void): void {
+  /** Requests that machines be put on record; `onSettled` is called once all of them are, or were removed. */
+  add(machines: NewMachines, adopted: boolean, onSettled: () => void): void {
     const maxMachines = maxBlockMachines(this.options.store.limits.valueKb)
-    this.additions = [...this.additions, ...divideAddition(machines, adopted, settled, maxMachines)]
+    this.additions = [...this.additions, ...divideAddition(machines, adopted, onSettled, maxMachines)]
     this.signal.notify()
   }
 
-  /** Writes what is pending, for as long as the shard is owned. */
+  /** Writes pending changes while this node may act for the shard, until it is interrupted. */
   readonly run: Effect.Effect<never> = Effect.suspend(() =>
     Effect.forever(
       Effect.gen({ self: this }, function* () {
-        if (this.additions.length === 0 && !this.editsDue())
-          yield* this.signal.wait(this.edits.size > 0 ? PAUSE_MS * 2 : IDLE_MS)
-        if (!this.options.mayAct()) return yield* Effect.sleep(PAUSE_MS)
+        if (this.additions.length === 0 && !this.hasDueEdits())
+          yield* this.signal.wait(this.edits.size > 0 ? RETRY_INTERVAL_MS * 2 : IDLE_WAIT_MS)
+        if (!this.options.mayAct()) return yield* Effect.sleep(RETRY_INTERVAL_MS)
         if (this.additions.length > 0) yield* this.writeAdditions()
-        if (this.editsDue()) yield* this.writeEdits()
+        if (this.hasDueEdits()) yield* this.writeEdits()
       }),
     ),
   )
@@ -104,18 +104,18 @@
     for (const { edit } of this.edits.values()) if (edit.kind !== "remove") return true
     return false
   }
-  private editsDue(): boolean {
+  private hasDueEdits(): boolean {
     if (this.hasUrgentEdits) return true
-    return this.edits.size > 0 && this.options.now() > this.removedAt + REMOVE_INTERVAL_MS
+    return this.edits.size > 0 && this.options.now() > this.lastRemovalAt + REMOVE_INTERVAL_MS
   }
   private outcomeOf(pending: PendingEdit, entry: MachineEntry | undefined): EditOutcome {
     return editOutcome(pending, entry, this.options.shard)
   }
 
-  /** After a write that failed, or whose answer was lost: brings the replica up to what the store holds now. */
+  /** Brings the replica up to date with the store, after a write that failed or whose reply was lost. */
   private catchUp() {
     return Effect.gen({ self: this }, function* () {
-      yield* Effect.sleep(PAUSE_MS)
+      yield* Effect.sleep(RETRY_INTERVAL_MS)
       yield* Effect.result(this.options.membership.readBarrier.wait)
     })
   }
@@ -131,32 +131,32 @@
       const { batch, write } = planAddition(first, this.additions, { ...this.options, replica, maxMachines })
       if (write !== null) {
         const { conditions, key, block } = write
-        const done = yield* Effect.result(store.compareAndSwap(conditions, [put(key, block)], "reserved"))
-        if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-        replica.applyWrite({ key, value: block, modRevision: done.success.revision })
+        const swap = yield* Effect.result(store.compareAndSwap(conditions, [put(key, block)], "reserved"))
+        if (Result.isFailure(swap) || !swap.success.ok) return yield* this.catchUp()
+        replica.applyWrite({ key, value: block, modRevision: swap.success.revision })
       }
       this.additions = this.additions.filter((addition) => !batch.includes(addition))
-      for (const { settled } of batch) settled()
+      for (const { onSettled } of batch) onSettled()
     })
   }
 
   private writeEdits() {
     return Effect.gen({ self: this }, function* () {
       const { store, membership, now } = this.options
-      const urgent = this.hasUrgentEdits
+      const isUrgent = this.hasUrgentEdits
       const maxBlocks = this.countEditedBlocks()
-      yield* store.awaitWriteCapacity(Math.max(1, maxBlocks), urgent ? 2 : 3)
-      if (!urgent) this.removedAt = now()
+      yield* store.awaitWriteCapacity(Math.max(1, maxBlocks), isUrgent ? 2 : 3)
+      if (!isUrgent) this.lastRemovalAt = now()
       const blocks = new BlockEdits({ ...this.options, replica: membership.replica, maxBlocks })
       const written = this.collectEdits(blocks)
       if (blocks.isEmpty) return
       const { conditions, operations } = blocks.transaction()
-      const done = yield* Effect.result(store.compareAndSwap(conditions, operations, "reserved"))
-      if (Result.isFailure(done) || !done.success.ok) return yield* this.catchUp()
-      this.settleWritten(written, operations, done.success.revision)
+      const swap = yield* Effect.result(store.compareAndSwap(conditions, operations, "reserved"))
+      if (Result.isFailure(swap) || !swap.success.ok) return yield* this.catchUp()
+      this.settleWritten(written, operations, swap.success.revision)
     })
   }
-  /** How many blocks the pending edits concern, as far as one transaction may change. */
+  /** Number of blocks that the pending edits change, up to the limit of one transaction. */
   private countEditedBlocks(): number {
     const { machineIndex, store } = this.options
     const blocks = new Set<StoreKey<MachineBlock>>()
@@ -166,7 +166,7 @@
     }
     return blocks.size
   }
-  /** Settles edits that are no longer open, and collects the open ones; returns those of this transaction. */
+  /** Settles edits that are no longer open, and adds open ones to `blocks`; returns those that were added. */
   private collectEdits(blocks: BlockEdits): ReadonlyArray<readonly [MachineId, PendingEdit]> {
     const collected: Array<readonly [MachineId, PendingEdit]> = []
     for (const [id, pending] of [...this.edits]) {
@@ -174,7 +174,7 @@
       const outcome = this.outcomeOf(pending, entry)
       if (entry === undefined || outcome !== "open") {
         this.edits.delete(id)
-        pending.settled(outcome === "done")
+        pending.onSettled(outcome === "done")
       } else if (blocks.add(entry, pending.edit)) collected.push([id, pending])
     }
     return collected
@@ -193,6 +193,6 @@
         replica.applyWrite({ key: operation.key, value: operation.value, modRevision })
       else replica.applyDelete(operation.key, modRevision)
     }
-    for (const [, { settled }] of current) settled(true)
+    for (const [, { onSettled }] of current) onSettled(true)
   }
 }
--- a/packages/provisioning/test/builders.ts
+++ b/packages/provisioning/test/builders.ts
@@ -1,4 +1,4 @@
-/** One machine of ours on record, and a writer of its record whose store answers as a test says. */
+/** Fixture: one machine on record, and the writer of its record with a simulated store. */
 import assert from "node:assert/strict"
 import { type Membership, Replica } from "@sorreltally/membership"
 import type {
@@ -15,43 +15,43 @@
 import { MachineIndex } from "../src/machine-index.ts"
 import { MachineRecordWriter } from "../src/machine-records.ts"
 
-export const ours = "part-0" as ShardName
-export const theirs = "part-1" as ShardName
-export const machine = "i-000001" as MachineId
+export const ownShard = "part-0" as ShardName
+export const otherShard = "part-1" as ShardName
+export const machineId = "i-000001" as MachineId
 
 const pool = { machineType: "small" as MachineTypeName, zone: "a" as ZoneName, spot: true }
-const key = keys.machineBlock(blockSeries(ours, pool), 1)
+const key = keys.machineBlock(blockSeries(ownShard, pool), 1)
 
-/** The outcome of a write whose answer was lost. */
-export const lostAnswer = Effect.fail(
+/** Result of a write whose reply was lost. */
+export const lostReply = Effect.fail(
   new StoreError({ operation: "compareAndSwap", outcome: "unknown", status: 0 }),
 )
 
-/** What a test says of the store and the time. */
+/** Behavior of the fixture's store and clock. */
 export interface FixtureOptions {
-  /** Carries out and answers a write of the block. */
+  /** Performs a write of the block, and returns its result. */
   readonly write: (block: MachineBlock) => ReturnType<StoreClient["compareAndSwap"]>
-  /** What the replica takes in when the writer has it brought up to date. */
+  /** Called when the writer waits for the read barrier; applies the updates that the replica receives. */
   readonly catchUp?: () => void
   readonly now: () => number
 }
 
-export const machineOnRecord = ({ write, catchUp = () => {}, now }: FixtureOptions) => {
+export const makeWriterFixture = ({ write, catchUp = () => {}, now }: FixtureOptions) => {
   const replica = new Replica()
   const machineIndex = new MachineIndex(replica)
   const written: Array<MachineBlock> = []
   let revision = 10
-  /** Has the replica show a block; returns its revision. */
-  const show = (value: MachineBlock): ModRevision => {
+  /** Applies a block to the replica; returns its revision. */
+  const applyBlock = (value: MachineBlock): ModRevision => {
     const modRevision = ++revision as ModRevision
     replica.applyWrite({ key, value, modRevision })
     return modRevision
   }
-  const showMachine = (shard: ShardName, token: number): void => {
-    const machines = [{ machineId: machine, shard, token: token as FencingToken, rentedAfterS: 0 }]
-    show({ ...pool, rentedAt: 0, machines })
+  const applyMachine = (shard: ShardName, token: number): void => {
+    const machines = [{ machineId, shard, token: token as FencingToken, rentedAfterS: 0 }]
+    applyBlock({ ...pool, rentedAt: 0, machines })
   }
-  showMachine(ours, 7)
+  applyMachine(ownShard, 7)
   const store = {
     limits: { writesPerSecond: 100, valueKb: 4, maxOperations: 8 },
     awaitWriteCapacity: () => Effect.void,
@@ -65,20 +65,20 @@
   } as unknown as StoreClient
   const membership = { replica, readBarrier: { wait: Effect.sync(catchUp) } } as unknown as Membership
   const writer = new MachineRecordWriter({
-    shard: ours,
+    shard: ownShard,
     epoch: 5 as ModRevision,
-    shards: [ours, theirs],
+    shards: [ownShard, otherShard],
     store,
     membership,
     machineIndex,
     now,
     mayAct: () => true,
   })
-  /** Runs the writer until something holds, or for some seconds. */
-  const runUntil = async (holds: () => boolean): Promise<void> => {
+  /** Runs the writer until `isDone` returns true, at most for some 2 s. */
+  const runUntil = async (isDone: () => boolean): Promise<void> => {
     const fiber = Effect.runFork(writer.run)
-    for (let i = 0; i < 200 && !holds(); i++) await new Promise((resolve) => setTimeout(resolve, 10))
+    for (let i = 0; i < 200 && !isDone(); i++) await new Promise((resolve) => setTimeout(resolve, 10))
     await Effect.runPromise(Fiber.interrupt(fiber))
   }
-  return { writer, machineIndex, written, show, showMachine, runUntil }
+  return { writer, machineIndex, written, applyBlock, applyMachine, runUntil }
 }
--- a/packages/provisioning/test/machine-records.test.ts
+++ b/packages/provisioning/test/machine-records.test.ts
@@ -3,63 +3,67 @@
 import type { MachineBlock } from "@sorreltally/store"
 import { Effect } from "effect"
 import type { MachineEdit } from "../src/machine-edits.ts"
-import { lostAnswer, machine, machineOnRecord, ours, theirs } from "./builders.ts"
+import { lostReply, machineId, makeWriterFixture, otherShard, ownShard } from "./builders.ts"
 
 /**
- * What a change of the machine is settled as where its first write is carried out or not, its answer lost, and
- * the block then shows the machine as these shards' in turn; null: it is still open after the second write.
+ * Requests a change whose first write loses its reply; the replica then shows the machine in each of
+ * `laterShards` in turn (none: the write was not performed). Returns the number of writes and what the change
+ * was settled with; null: it is still open after the second write.
  */
-const settleAfterLostAnswer = async (edit: MachineEdit, meanwhile: ReadonlyArray<typeof ours>) => {
-  const { writer, written, showMachine, runUntil } = machineOnRecord({
-    write: () => (written.length === 1 ? lostAnswer : Effect.never),
+const settleAfterLostReply = async (edit: MachineEdit, laterShards: ReadonlyArray<typeof ownShard>) => {
+  const { writer, written, applyMachine, runUntil } = makeWriterFixture({
+    write: () => (written.length === 1 ? lostReply : Effect.never),
     catchUp: () => {
-      for (const [i, shard] of meanwhile.entries()) showMachine(shard, 8 + i)
+      for (const [i, shard] of laterShards.entries()) applyMachine(shard, 8 + i)
     },
     now: () => 0,
   })
   let settled: boolean | null = null
-  writer.edit(machine, edit, (done) => {
+  writer.edit(machineId, edit, (done) => {
     settled = done
   })
   await runUntil(() => settled !== null || written.length >= 2)
   return { settled: settled as boolean | null, writes: written.length }
 }
 
-// Guards against ran_twice: repeated, the move would take the machine from under tasks placed meanwhile.
-test("a move whose answer was lost isn't repeated once the machine was lent back", async () => {
-  const outcome = await settleAfterLostAnswer({ kind: "move", to: theirs }, [theirs, ours])
+// Guards against ran_twice: a repeated move would take the machine away from tasks placed on it since.
+test("a move whose reply was lost isn't repeated once the machine was lent back", async () => {
+  const outcome = await settleAfterLostReply({ kind: "move", to: otherShard }, [otherShard, ownShard])
   assert.deepEqual(outcome, { settled: false, writes: 1 })
 })
 
-test("a fence whose answer was lost is done when the token was raised", async () => {
-  const outcome = await settleAfterLostAnswer({ kind: "fence" }, [ours])
+test("a fence whose reply was lost is settled as done once the token is raised", async () => {
+  const outcome = await settleAfterLostReply({ kind: "fence" }, [ownShard])
   assert.deepEqual(outcome, { settled: true, writes: 1 })
 })
 
-test("a move that wasn't carried out is tried again", async () => {
-  const outcome = await settleAfterLostAnswer({ kind: "move", to: theirs }, [])
+test("a move that wasn't performed is retried", async () => {
+  const outcome = await settleAfterLostReply({ kind: "move", to: otherShard }, [])
   assert.deepEqual(outcome, { settled: null, writes: 2 })
 })
 
-test("a move that was overtaken, its machine lent back, doesn't block what is decided next", async () => {
+test("a move superseded when the machine was lent back doesn't block a later change", async () => {
   let removed: boolean | null = null
-  const carryOut = (block: MachineBlock) => Effect.succeed({ ok: true, revision: show(block) } as const)
-  /** Carries the move out, loses its answer, and sees the machine lent back and removed before that is known. */
-  const overtake = (block: MachineBlock) => {
-    show(block)
-    showMachine(ours, machineIndex.get(machine)!.token + 1)
-    assert.equal(writer.isEditing(machine), false)
-    writer.edit(machine, { kind: "remove" }, (done) => {
+  const performWrite = (block: MachineBlock) =>
+    Effect.succeed({ ok: true, revision: applyBlock(block) } as const)
+  /**
+   * Performs the move and loses its reply; the machine is lent back, and its removal requested, before that.
+   */
+  const writeAndLoseReply = (block: MachineBlock) => {
+    applyBlock(block)
+    applyMachine(ownShard, machineIndex.get(machineId)!.token + 1)
+    assert.equal(writer.isEditing(machineId), false)
+    writer.edit(machineId, { kind: "remove" }, (done) => {
       removed = done
     })
-    return lostAnswer
+    return lostReply
   }
-  const fixture = machineOnRecord({
-    write: (block) => (written.length === 1 ? overtake(block) : carryOut(block)),
+  const fixture = makeWriterFixture({
+    write: (block) => (written.length === 1 ? writeAndLoseReply(block) : performWrite(block)),
     now: () => performance.now(),
   })
-  const { writer, machineIndex, written, show, showMachine, runUntil } = fixture
-  writer.edit(machine, { kind: "move", to: theirs })
+  const { writer, machineIndex, written, applyBlock, applyMachine, runUntil } = fixture
+  writer.edit(machineId, { kind: "move", to: otherShard })
   await runUntil(() => removed !== null)
   assert.equal(removed, true)
   assert.deepEqual(written.at(-1)?.machines, [])
--- a/packages/shard/src/machine-adoption.ts
+++ b/packages/shard/src/machine-adoption.ts
@@ -4,7 +4,7 @@
  * don't adopt the same machine; a record that is written twice all the same is refused by its condition.
  */
 import type { ListedMachine, MachineId } from "@sorreltally/protocol"
-import { ADOPTED, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
+import { ADOPTED_SERIES_PREFIX, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
 import { Effect, Result } from "effect"
 import type { ShardView } from "./shard-context.ts"
 
@@ -27,14 +27,14 @@
   readonly adopt: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const { inventory, membership } = this.shard.node
-      if (!inventory.listedHere.some((machine) => this.isUnknown(machine))) return
+      if (!inventory.lastOwnList.some((machine) => this.isUnknown(machine))) return
       // A record may have been written that the replica doesn't show yet.
       const barrier = yield* Effect.result(membership.readBarrier.wait)
       if (Result.isFailure(barrier)) return
       const groups = new Map<string, Array<ListedMachine>>()
-      for (const machine of inventory.listedHere) {
+      for (const machine of inventory.lastOwnList) {
         if (!this.isUnknown(machine)) continue
-        const origin = blockSeries(ADOPTED, machine)
+        const origin = blockSeries(ADOPTED_SERIES_PREFIX, machine)
         const group = groups.get(origin)
         if (group === undefined) groups.set(origin, [machine])
         else group.push(machine)
@@ -48,7 +48,7 @@
     return (
       !this.recording.has(machine.id) &&
       machineIndex.get(machine.id) === undefined &&
-      !machineIndex.gone.has(machine.id) &&
+      !machineIndex.removedMachines.has(machine.id) &&
       (machine.ageS >= MIN_ADOPTION_AGE_S || machine.status === "running")
     )
   }
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -26,15 +26,15 @@
 ): FaultReason | null => {
   const { inventory, platform } = shard.node
   const listLagMs = platform.deployment.cloud.listLagS * 1000
-  const listed = inventory.listed.get(session.id)
+  const listed = inventory.listedMachines.get(session.id)
   const ageMs = now - rentedAt
   const isListFresh =
-    inventory.listedAt > addMs(now, -3 * listLagMs - LIST_FRESHNESS_SLACK_MS - inventory.pollMs)
+    inventory.listedAt > addMs(now, -3 * listLagMs - LIST_FRESHNESS_SLACK_MS - inventory.listIntervalMs)
   // Neither listed nor heard: the response to its deletion proves it gone, which the list alone doesn't.
   if (listed === undefined && isListFresh && session.silentMs(now) > MIN_VANISHED_SILENCE_MS) {
     const shouldBeListed =
       inventory.everListed.has(session.id) ||
-      ageMs > 4 * listLagMs + FIRST_LISTING_SLACK_MS + inventory.pollMs
+      ageMs > 4 * listLagMs + FIRST_LISTING_SLACK_MS + inventory.listIntervalMs
     if (shouldBeListed) return "vanished"
   }
   if (listed?.status === "failed") return "failed"
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -103,7 +103,7 @@
     this.releasing.delete(session.id)
     // Whether we released it or the cloud preempted it: its capacity is free now.
     const { machineType, zone, spot } = session.entry
-    shard.node.inventory.granted(machineType, zone, spot)
+    shard.node.inventory.clearRefusal(machineType, zone, spot)
     deleted(session)
     machineRecords.edit(session.id, { kind: "remove" })
   }
--- a/packages/shard/src/rental-requests.ts
+++ b/packages/shard/src/rental-requests.ts
@@ -49,7 +49,7 @@
     const { node } = this.options.shard
     const requestId = node.nextRentalRequestId()
     const { type, zone, spot } = rental.offer
-    const answered = node.inventory.asking(type.name, zone, spot)
+    const answered = node.inventory.trackRequest(type.name, zone, spot)
     this.pending.set(requestId, rental)
     const settled = Effect.sync(() => {
       answered()
@@ -102,8 +102,8 @@
     ids: ReadonlyArray<MachineId>,
   ): void {
     const { inventory, log } = this.options.shard.node
-    if (ids.length < count) inventory.refuse(type.name, zone, spot)
-    else inventory.granted(type.name, zone, spot)
+    if (ids.length < count) inventory.recordRefusal(type.name, zone, spot)
+    else inventory.clearRefusal(type.name, zone, spot)
     const logRental = ids.length > 0 ? log.info : log.debug
     logRental("machines rented", {
       requestId,
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -270,7 +270,7 @@
       reserve,
       otherShardsWait: others.machines.length > 0,
       load: () => this.load(now),
-      offers: node.inventory.market(),
+      offers: node.inventory.currentOffers(),
       maxMachinesPerRental: MAX_MACHINES_PER_RENTAL,
       deploymentS: node.operators.provisioning.deploymentS,
     })
--- a/scenarios/fast-boots.sexp
+++ b/scenarios/fast-boots.sexp
@@ -5,4 +5,4 @@
   (at 10 (submit pieces 12 cores 4 run 20 due 100) (submit pieces 8 cores 4 run 20) (submit pieces 8 cores 4 run 20))
   (at 12 (crash host-0 0.2) (crash host-1 0.2)) (at 13.5 (crash host-0 0.2)) (at 15 (crash host-2 0.2)) (at 30 (submit pieces 20 cores 4 run 10 due 100)) (at 31 (crash host-0 0.3)) (at 33 (crash host-0 0.3))
   (expect (all-over) (served) (no-machine) (happened "machines up without a record at a take-over" 2))
-  (guard "packages/shard/src/machine-adoption.ts" "if (!inventory.listedHere.some((machine) => this.isUnknown(machine))) return" "if (this.shard.node.clocks.monotonicNow() > 0) return"))
+  (guard "packages/shard/src/machine-adoption.ts" "if (!inventory.lastOwnList.some((machine) => this.isUnknown(machine))) return" "if (this.shard.node.clocks.monotonicNow() > 0) return"))
