--- a/packages/shard/src/machine-adoption.ts
+++ b/packages/shard/src/machine-adoption.ts
@@ -5,7 +5,7 @@
  * the condition of the second write fails.
  */
 import type { ListedMachine, MachineId } from "@sorreltally/protocol"
-import { ADOPTED, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
+import { ADOPTED_SERIES_PREFIX, blockSeries, type MachineRecordWriter } from "@sorreltally/provisioning"
 import { Effect, Result } from "effect"
 import type { ShardView } from "./shard-context.ts"
 
@@ -29,14 +29,14 @@
   readonly adopt: Effect.Effect<void> = Effect.suspend(() =>
     Effect.gen({ self: this }, function* () {
       const { inventory, membership } = this.shard.node
-      if (!inventory.listedHere.some((machine) => this.isAdoptable(machine))) return
+      if (!inventory.lastOwnList.some((machine) => this.isAdoptable(machine))) return
       // A record may have been written that the replica doesn't contain yet.
       const barrierResult = yield* Effect.result(membership.readBarrier.wait)
       if (Result.isFailure(barrierResult)) return
       const groups = new Map<string, Array<ListedMachine>>()
-      for (const machine of inventory.listedHere) {
+      for (const machine of inventory.lastOwnList) {
         if (!this.isAdoptable(machine)) continue
-        const series = blockSeries(ADOPTED, machine)
+        const series = blockSeries(ADOPTED_SERIES_PREFIX, machine)
         const group = groups.get(series)
         if (group === undefined) groups.set(series, [machine])
         else group.push(machine)
@@ -50,7 +50,7 @@
     return (
       !this.beingRecorded.has(machine.id) &&
       machineIndex.get(machine.id) === undefined &&
-      !machineIndex.gone.has(machine.id) &&
+      !machineIndex.removedMachines.has(machine.id) &&
       (machine.ageS >= MIN_ADOPTION_AGE_S || machine.status === "running")
     )
   }
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -26,16 +26,16 @@
 ): FaultReason | null => {
   const { inventory, platform } = shard.node
   const listLagMs = platform.deployment.cloud.listLagS * 1000
-  const listed = inventory.listed.get(session.id)
+  const listed = inventory.listedMachines.get(session.id)
   const ageMs = now - rentedAt
   const isListFresh =
-    inventory.listedAt > addMs(now, -3 * listLagMs - LIST_FRESHNESS_SLACK_MS - inventory.pollMs)
+    inventory.listedAt > addMs(now, -3 * listLagMs - LIST_FRESHNESS_SLACK_MS - inventory.listIntervalMs)
   // Neither listed nor sending heartbeats. The list alone doesn't prove that the machine is gone; the
   // response to its deletion does.
   if (listed === undefined && isListFresh && session.silentMs(now) > MIN_VANISHED_SILENCE_MS) {
     const shouldBeListed =
       inventory.everListed.has(session.id) ||
-      ageMs > 4 * listLagMs + FIRST_LISTING_SLACK_MS + inventory.pollMs
+      ageMs > 4 * listLagMs + FIRST_LISTING_SLACK_MS + inventory.listIntervalMs
     if (shouldBeListed) return "vanished"
   }
   if (listed?.status === "failed") return "failed"
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -107,7 +107,7 @@
     this.releasing.delete(session.id)
     // Whether it was released or preempted by the cloud, its pool has free capacity now.
     const { machineType, zone, spot } = session.entry
-    shard.node.inventory.granted(machineType, zone, spot)
+    shard.node.inventory.clearRefusal(machineType, zone, spot)
     onDeleted(session)
     machineRecords.edit(session.id, { kind: "remove" })
   }
