--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -60,10 +60,17 @@
     const { clocks, peers, fork } = options
     this.life = Math.floor(clocks.wallNow())
     const sendCommands = (to: NodeName, commands: ReadonlyArray<ForwardedCommand>) =>
-      peers.send({ kind: "commands", senderLife: this.life, sentAt: clocks.wallNow(), commands }, to)
+      peers.send({ kind: "commands", senderStartedAt: this.life, sentAt: clocks.wallNow(), commands }, to)
     const sendResults = (to: NodeName, results: ReadonlyArray<ForLife<CommandResult>>) => {
       const recipientLife = this.lives.get(to) ?? 0
-      peers.send({ kind: "commandResults", recipientLife, results: ofLife(results, recipientLife) }, to)
+      peers.send(
+        {
+          kind: "commandResults",
+          recipientStartedAt: recipientLife,
+          results: ofLife(results, recipientLife),
+        },
+        to,
+      )
     }
     this.commands = new Outbox(GATHER_MS, sendCommands, fork)
     this.results = new Outbox(GATHER_MS, sendResults, fork)
@@ -98,7 +105,10 @@
   }
 
   /** Another node's commands, to be sent to workers that report here. */
-  receivedCommands(from: NodeName, { senderLife, sentAt, commands }: ForwardedCommands): void {
+  receivedCommands(
+    from: NodeName,
+    { senderStartedAt: senderLife, sentAt, commands }: ForwardedCommands,
+  ): void {
     const { clocks, clockSkewMs, inFlight, fork } = this.options
     this.lives.set(from, senderLife)
     const ageMs = clocks.wallNow() - sentAt
@@ -120,7 +130,7 @@
     )
   }
   /** What came of commands that another node sent for us. */
-  receivedResults({ recipientLife, results }: CommandResults): void {
+  receivedResults({ recipientStartedAt: recipientLife, results }: CommandResults): void {
     // A result meant for an earlier life of this process is nobody's.
     if (recipientLife !== this.life) return
     for (const { id, ...outcome } of results) {
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -3,11 +3,11 @@
   type ForwardedHeartbeats,
   type ForwardedReplies,
   type ForwardedReply,
+  FULL_HEARTBEAT_NEEDED,
   HEARTBEAT_BYTES,
   HEARTBEAT_TASK_BYTES,
   isRepeat,
   type PeerChannel,
-  SEND_WHOLE,
 } from "@sorreltally/peers"
 import {
   addMs,
@@ -104,7 +104,14 @@
     this.heartbeats = new Outbox(GATHER_MS, (to, items) => this.sendHeartbeats(to, items), fork)
     const sendReplies = (to: NodeName, replies: ReadonlyArray<ForLife<ForwardedReply>>) => {
       const recipientLife = this.lives.get(to) ?? 0
-      peers.send({ kind: "heartbeatReplies", recipientLife, replies: ofLife(replies, recipientLife) }, to)
+      peers.send(
+        {
+          kind: "heartbeatReplies",
+          recipientStartedAt: recipientLife,
+          replies: ofLife(replies, recipientLife),
+        },
+        to,
+      )
     }
     this.replies = new Outbox(GATHER_MS, sendReplies, fork)
   }
@@ -164,18 +171,18 @@
         else heartbeats.push({ id, heartbeat })
       }
       const sentAt = clocks.wallNow()
-      peers.send({ kind: "heartbeats", senderLife: this.life, sentAt, heartbeats, repeats }, owner)
+      peers.send({ kind: "heartbeats", senderStartedAt: this.life, sentAt, heartbeats, repeats }, owner)
     }
   }
   /** The owner's replies to heartbeats that we forwarded. */
-  receivedReplies({ recipientLife, replies }: ForwardedReplies): void {
+  receivedReplies({ recipientStartedAt: recipientLife, replies }: ForwardedReplies): void {
     // A reply meant for an earlier life of this process is nobody's.
     if (recipientLife !== this.life) return
     for (const { id, status, body } of replies) {
       const waiting = this.waiting.get(id)
       if (waiting === undefined) continue
       const { heartbeat, owner } = waiting
-      if (status === SEND_WHOLE) {
+      if (status === FULL_HEARTBEAT_NEEDED) {
         this.answered.delete(heartbeat.machineId)
         this.heartbeats.put(owner, { id, heartbeat, whole: true })
         continue
@@ -189,7 +196,7 @@
   /** Heartbeats of our machines that came to another node. What is too old isn't answered. */
   receivedHeartbeats(
     from: NodeName,
-    { senderLife: life, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
+    { senderStartedAt: life, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
     take: (heartbeat: Heartbeat, respond: Respond) => void,
     whole: (repeat: RepeatedHeartbeat) => Heartbeat | null,
   ): void {
@@ -203,7 +210,8 @@
     for (const { id, heartbeat } of heartbeats) take(heartbeat, respondTo(id))
     for (const { id, repeat } of repeats) {
       const heartbeat = whole(repeat)
-      if (heartbeat === null) this.replies.put(from, { life, item: { id, status: SEND_WHOLE, body: {} } })
+      if (heartbeat === null)
+        this.replies.put(from, { life, item: { id, status: FULL_HEARTBEAT_NEEDED, body: {} } })
       else take(heartbeat, respondTo(id))
     }
   }
--- a/packages/forwarding/test/builders.ts
+++ b/packages/forwarding/test/builders.ts
@@ -35,7 +35,7 @@
 export const repeated = (id: number): ForwardedHeartbeats =>
   ({
     kind: "heartbeats",
-    senderLife: 5,
+    senderStartedAt: 5,
     sentAt: 1_000_000,
     heartbeats: [],
     repeats: [{ id, repeat: { machineId: "i-1", agentEpoch: 1, sequence: 9, fencingToken: 7, since: 8 } }],
--- a/packages/forwarding/test/heartbeat-forwarder.test.ts
+++ b/packages/forwarding/test/heartbeat-forwarder.test.ts
@@ -36,7 +36,7 @@
 }
 const repliesTo = (message: ForwardedHeartbeats, status: number): ForwardedReplies => ({
   kind: "heartbeatReplies",
-  recipientLife: message.senderLife,
+  recipientStartedAt: message.senderStartedAt,
   replies: [...message.heartbeats, ...message.repeats].map(({ id }) => ({ id, status, body: acceptance(7) })),
 })
 const bodyOf = (message: PeerMessage | undefined): unknown =>
@@ -78,7 +78,7 @@
   await settle()
   const message = sent[0] as ForwardedHeartbeats
   const replies = repliesTo(message, 200)
-  forwarder.receivedReplies({ ...replies, recipientLife: message.senderLife - 1 })
+  forwarder.receivedReplies({ ...replies, recipientStartedAt: message.senderStartedAt - 1 })
   assert.equal(answered.length, 0)
   forwarder.receivedReplies(replies)
   assert.equal(answered.length, 1)
@@ -122,7 +122,7 @@
   const deferred: Array<Respond> = []
   const forwardedIn = (life: number): ForwardedHeartbeats => ({
     kind: "heartbeats",
-    senderLife: life,
+    senderStartedAt: life,
     sentAt: 1_000_000,
     heartbeats: [{ id: 5, heartbeat: heartbeat(1) }],
     repeats: [],
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -32,7 +32,7 @@
 const ID_PREFIX = "run-"
 
 /** What a bucket's next page holds before its first write. */
-export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivedPages: 0 }
+export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivePageCount: 0 }
 
 /** The bucket whose pages hold the job. */
 export const bucketOf = (id: JobId): number => hashText(id) % BUCKETS
@@ -84,7 +84,7 @@
   for (const digits of [...done, ...cancelled]) bytes += finalStateBytes(digits)
   if (bytes <= Math.min(ARCHIVE_BYTES, ARCHIVE_FRACTION * valueKb * 1024)) return { page, archived: null }
   return {
-    page: { ...page, done: [], cancelled: [], archivedPages: page.archivedPages + 1 },
+    page: { ...page, done: [], cancelled: [], archivePageCount: page.archivePageCount + 1 },
     archived: { done, cancelled },
   }
 }
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -195,7 +195,7 @@
       const live = this.jobIndex.get(id)
       if (live !== null) return Effect.succeed({ kind: "live", record: live.record })
       // Read after the pages were: what has left them by then is found there.
-      if (pages.every(({ value }) => value.archivedPages === 0)) return Effect.succeed({ kind: "none" })
+      if (pages.every(({ value }) => value.archivePageCount === 0)) return Effect.succeed({ kind: "none" })
       return this.lookUpInArchive(bucket, id)
     })
   }
@@ -237,7 +237,7 @@
     const { page, archived } = archiveFinals(next, valueKb)
     if (archived === null) return { page, operations: [put(key, page)] }
     const [bucket, number] = key.slice(key.lastIndexOf("/") + 1).split(".")
-    const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivedPages)
+    const archiveKey = keys.archivePage(Number(bucket), Number(number), next.archivePageCount)
     return { page, operations: [put(key, page), put(archiveKey, archived)] }
   }
 
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -214,12 +214,12 @@
   for (const { jobId, tasks } of record.placed) {
     const job = jobOf(jobId)
     if (job === null) continue
-    for (const { index, machine, agentEpoch, attemptOffset } of tasks) {
+    for (const { index, machineIndex, agentEpoch, attemptOffset } of tasks) {
       const placement: Placement = {
         job,
         index,
         task: makeTaskId(job.id, index),
-        machine: record.machines[machine]!,
+        machine: record.machines[machineIndex]!,
         agentEpoch,
         attempt: (record.firstAttempt + attemptOffset) as Attempt,
         durable: true,
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -242,7 +242,7 @@
       const entry = read.success
       return {
         modRevision: entry?.modRevision ?? ABSENT_KEY_REVISION,
-        isThisWrite: isSameWrite(entry?.value.write, write),
+        isThisWrite: isSameWrite(entry?.value.writeId, write),
       }
     })
   }
@@ -265,5 +265,5 @@
 }
 
 /** Whether the slot holds this very write: its epoch and number are never used for another one. */
-const isSameWrite = (stored: SlotWrite["record"]["write"] | undefined, { record }: SlotWrite): boolean =>
-  stored?.epoch === record.write.epoch && stored.number === record.write.number
+const isSameWrite = (stored: SlotWrite["record"]["writeId"] | undefined, { record }: SlotWrite): boolean =>
+  stored?.epoch === record.writeId.epoch && stored.number === record.writeId.number
--- a/packages/jobs/src/slot-builder.ts
+++ b/packages/jobs/src/slot-builder.ts
@@ -83,7 +83,7 @@
     for (const { attempt } of this.starts) firstAttempt = Math.min(firstAttempt, attempt)
     if (this.starts.length === 0) firstAttempt = 0
     return {
-      write: { epoch, number: writeNumber },
+      writeId: { epoch, number: writeNumber },
       firstAttempt,
       machines: [...this.machines.keys()],
       placed: [...this.startsByJob].map(([job, placements]) => ({
@@ -103,7 +103,7 @@
   private placedTask({ index, machine, agentEpoch, attempt }: Placement, firstAttempt: number): PlacedTask {
     return {
       index,
-      machine: this.machines.get(machine)!,
+      machineIndex: this.machines.get(machine)!,
       agentEpoch,
       attemptOffset: attempt - firstAttempt,
     }
--- a/packages/jobs/test/job-store.test.ts
+++ b/packages/jobs/test/job-store.test.ts
@@ -112,7 +112,7 @@
     const pageKey = keys.jobPage(bucketOf(id), 0)
     store.apply({
       conditions: [],
-      operations: [put(pageKey, { jobs: [jobRecord(id)], done: [], cancelled: [], archivedPages: 0 })],
+      operations: [put(pageKey, { jobs: [jobRecord(id)], done: [], cancelled: [], archivePageCount: 0 })],
     })
     store.writeEnds(SHARD, [id])
     node.refresh()
@@ -123,7 +123,7 @@
     })
     store.apply({
       conditions: [],
-      operations: [put(pageKey, { jobs: [], done: [digitsOf(id)], cancelled: [], archivedPages: 0 })],
+      operations: [put(pageKey, { jobs: [], done: [digitsOf(id)], cancelled: [], archivePageCount: 0 })],
     })
     store.writeEnds(SHARD, [])
     node.refresh()
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -3,7 +3,7 @@
  * Owns the answer to "may this node act?"; never acts for a shard itself (see `MembershipListener`).
  */
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
-import { REPLICATED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED_KEYS, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { NodeLeaseKeeper, type NodeLeaseTimes } from "./node-lease.ts"
 import type { ShardListener } from "./owned-shards.ts"
@@ -123,7 +123,7 @@
     return Effect.gen({ self: this }, function* () {
       // Obtaining the lease takes time: the replica is as fresh as its read, not as the lease.
       const listed = this.now()
-      const { items, revision } = yield* this.store.list(REPLICATED)
+      const { items, revision } = yield* this.store.list(REPLICATED_KEYS)
       const nodeEntry = yield* this.nodeLease.join(items)
       this.replica.loadSnapshot(items, revision)
       this.replica.applyWrite(nodeEntry)
--- a/packages/membership/src/read-barrier.ts
+++ b/packages/membership/src/read-barrier.ts
@@ -3,7 +3,7 @@
  * never lets a query pass on a request that was sent before the query arrived.
  */
 import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
-import { REPLICATED, type StoreClient, type StoreError } from "@sorreltally/store"
+import { REPLICATED_KEYS, type StoreClient, type StoreError } from "@sorreltally/store"
 import { Deferred, Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
@@ -70,9 +70,9 @@
   private catchUp(): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const { store, replica } = this.options
-      const watched = yield* store.watch(REPLICATED, replica.revision, 0)
+      const watched = yield* store.watch(REPLICATED_KEYS, replica.revision, 0)
       if (watched.kind === "events") return replica.applyEvents(watched.events, watched.revision)
-      const { items, revision } = yield* store.list(REPLICATED)
+      const { items, revision } = yield* store.list(REPLICATED_KEYS)
       replica.loadSnapshot(items, revision)
     })
   }
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -3,7 +3,7 @@
  * counts an answer as fresher than the moment when its request was sent.
  */
 import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
-import { REPLICATED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED_KEYS, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
@@ -73,7 +73,7 @@
       const blockMs = freshMs / WATCHES_PER_FRESHNESS
       const responseMs = Math.min(MAX_RESPONSE_MS, blockMs)
       const watched = yield* Effect.result(
-        store.watch(REPLICATED, replica.revision, Math.floor(blockMs), Math.floor(responseMs)),
+        store.watch(REPLICATED_KEYS, replica.revision, Math.floor(blockMs), Math.floor(responseMs)),
       )
       if (Result.isFailure(watched)) return yield* Effect.sleep(RETRY_MS)
       if (watched.success.kind === "compacted") return yield* this.readAll()
@@ -90,7 +90,7 @@
   private readAll() {
     return Effect.gen({ self: this }, function* () {
       const { store, replica } = this.options
-      const read = yield* Effect.result(store.list(REPLICATED))
+      const read = yield* Effect.result(store.list(REPLICATED_KEYS))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_MS)
       replica.loadSnapshot(read.success.items, read.success.revision)
     })
--- a/packages/peers/src/channel.ts
+++ b/packages/peers/src/channel.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between controllers: sent and not answered, directly or through a third node. The channel promises
- * neither arrival nor order: a message may be lost, late or repeated, and whoever takes one in must be safe
- * against all three.
+ * One-way messages between controllers, sent directly or relayed by a third node. The channel guarantees
+ * neither delivery nor order: a message may be lost, late or repeated, and every handler must be safe against
+ * all three.
  */
 import { type Clocks, type Log, type NodeName, processClocks } from "@sorreltally/protocol"
 import { Effect } from "effect"
@@ -10,30 +10,32 @@
 import type { PeerMessage } from "./messages.ts"
 import { Reachability } from "./reachability.ts"
 
-/** Carries frames to other controllers; may lose them, or deliver them minutes late. */
+/** Transport of frames to other controllers; may lose them, or deliver them minutes late. */
 export interface Links {
   readonly send: (to: NodeName, frame: Uint8Array) => void
   readonly receive: (handler: (frame: Uint8Array) => void) => void
 }
 
-/** Takes in a message from another controller. */
+/** Handles a message from another controller. */
 export type PeerHandler = (message: PeerMessage, from: NodeName) => void
 
-/** The other controllers, as one controller sends messages to them. */
+/** One controller's channel to all other controllers. */
 export interface PeerChannel {
   /** All other controllers. */
   readonly nodes: ReadonlyArray<NodeName>
-  /** Sends without an answer, and without knowing whether it arrives; to all others if none is named. */
+  /** Sends a message to one node, or to all others if `to` is omitted; delivery is not confirmed. */
   readonly send: (message: PeerMessage, to?: NodeName) => void
-  /** True when pings arrived in both directions within the last few seconds, directly. */
+  /** True if pings arrived directly in both directions within the last few seconds. */
   readonly isConnected: (node: NodeName) => boolean
-  /** The same, or some connected node says that it is connected to that one. */
+  /** True if the node is connected, or if some connected node reports that it is connected to it. */
   readonly isReachable: (node: NodeName) => boolean
-  /** Hands every message to the handler, and says every second that this node is there. */
+  /** Passes every received message to the handler, and pings all other nodes every second. */
   readonly serve: (handler: PeerHandler) => Effect.Effect<never>
 }
 
-/** A ping says whose pings arrive, so that none needs an answer: each one is paid by both nodes, all day. */
+/**
+ * A ping lists the nodes whose pings arrive, so none needs a reply, which would cost both nodes every second.
+ */
 const PING_INTERVAL_MS = 1_000
 
 interface ChannelOptions {
@@ -61,12 +63,12 @@
     return this.reachability.isConnected(node)
   }
   isReachable(node: NodeName): boolean {
-    return this.isConnected(node) || this.reachability.relayTo(node) !== undefined
+    return this.isConnected(node) || this.reachability.findRelayTo(node) !== undefined
   }
   send(message: PeerMessage, to?: NodeName): void {
     const encoded = encodeMessage(message)
     for (const node of to === undefined ? this.nodes : [to]) {
-      const via = this.isConnected(node) ? node : (this.reachability.relayTo(node) ?? node)
+      const via = this.isConnected(node) ? node : (this.reachability.findRelayTo(node) ?? node)
       this.emit(via, { kind: "message", from: this.options.self, to: node, message: encoded })
     }
   }
@@ -87,12 +89,12 @@
   }
   private receive(frame: Frame): void {
     if (frame.to !== this.options.self) {
-      // This node is the third one; a message is relayed once only.
+      // This node is the relay. A message is relayed at most once.
       if (frame.kind === "message" && this.isConnected(frame.to)) this.emit(frame.to, frame)
       return
     }
     if (frame.kind === "message") return this.deliver(frame)
-    // The next round would do, but a node that is back should be of use at once.
+    // Pings at once instead of in the next round, so that a node that is back can be used without delay.
     if (this.reachability.recordPing(frame)) this.ping([frame.from])
   }
   private deliver({ from, message: encoded }: MessageFrame): void {
@@ -101,7 +103,7 @@
       if (message !== null) this.handler?.(message, from)
     } catch (cause) {
       const { kind } = encoded
-      this.options.log.error("peer message failed", {
+      this.options.log.error("peer message could not be decoded or handled", {
         kind,
         from,
         cause: String((cause as Error).stack ?? cause),
@@ -111,9 +113,9 @@
 }
 
 /**
- * A channel to the other controllers. A node that can't be reached directly is sent messages
- * through a third one that says it is connected to it: two zones may be cut from each
- * other while both still reach the third.
+ * Creates a channel to the other controllers. Messages to a node that can't be reached directly go through a
+ * third node that reports a connection to it: two zones may be partitioned from each other while both still
+ * reach the third.
  */
 export const makePeerChannel = (
   self: NodeName,
--- a/packages/peers/src/codec-demand.ts
+++ b/packages/peers/src/codec-demand.ts
@@ -1,4 +1,4 @@
-/** Codec of the demand that shards publish: what they lack of machines and quota. */
+/** Codec of the demand that shards publish: the machines and quota that they lack. */
 import type { MachineDemand, QuotaDemand, TaskShape, TeamClaim } from "@sorreltally/planner"
 import type { ImageName, MachineTypeName, ShardName, TeamName, ZoneName } from "@sorreltally/protocol"
 import type { PublishedDemand } from "./messages.ts"
@@ -95,7 +95,7 @@
   gpus,
 })
 const decodeClaim = ({ part, ...claim }: WireTeamClaim): TeamClaim => ({ shard: part, ...claim })
-/** A shard's demand, as a message of kind `wants` carries it. */
+/** Encodes a shard's demand as an entry of a message of kind `wants`. */
 export const encodeDemand = ({ shard, demand }: PublishedDemand): WireDemand => ({
   part: shard,
   wants: {
@@ -104,7 +104,7 @@
     claims: demand.claims.map(encodeClaim),
   },
 })
-/** Decodes what `encodeDemand` made. */
+/** Decodes a shard's demand encoded by `encodeDemand`. */
 export const decodeDemand = ({ part, wants }: WireDemand): PublishedDemand => ({
   shard: part,
   demand: {
--- a/packages/peers/src/codec-frames.ts
+++ b/packages/peers/src/codec-frames.ts
@@ -1,29 +1,29 @@
 /**
- * Codec of the frames that carry messages and pings between controllers. A frame's body is decoded by its
- * recipient alone; a node that only relays a frame leaves it as it is.
+ * Codec of the frames that carry messages and pings between controllers. Only the recipient of a frame
+ * decodes its body; a node that relays the frame forwards the body unchanged.
  */
 import type { NodeName } from "@sorreltally/protocol"
 import { pack, unpack } from "msgpackr"
 import type { EncodedMessage } from "./codec.ts"
 
-/** Says that its sender is there, and which nodes it is connected to. */
+/** Periodic sign of life of a controller, with the nodes that it is connected to. */
 export interface PingFrame {
   readonly kind: "ping"
   readonly from: NodeName
   readonly to: NodeName
   /** Nodes whose pings reach the sender. */
   readonly receivesFrom: ReadonlyArray<NodeName>
-  /** Those of them that, besides, say that the sender's pings reach them. */
+  /** Those of `receivesFrom` that also report that the sender's pings reach them. */
   readonly connectedTo: ReadonlyArray<NodeName>
 }
-/** A message on its way. */
+/** An encoded message with its sender and its recipient. */
 export interface MessageFrame {
   readonly kind: "message"
   readonly from: NodeName
   readonly to: NodeName
   readonly message: EncodedMessage
 }
-/** What goes over a link between two controllers. */
+/** Unit of transfer on a link between two controllers. */
 export type Frame = PingFrame | MessageFrame
 
 type WireFrame =
@@ -49,10 +49,13 @@
   return { t: "tell", from, to, kind: frame.message.kind, body: frame.message.body }
 }
 
-/** A frame's bytes. */
+/** Encodes a frame as MessagePack. */
 export const encodeFrame = (frame: Frame): Uint8Array => pack(toWire(frame))
 
-/** Decodes what `encodeFrame` made; throws on bytes that are no MessagePack. Frames come from controllers alone. */
+/**
+ * Decodes a frame encoded by `encodeFrame`; throws if the bytes are not MessagePack. Fields are not
+ * validated, as frames come only from controllers.
+ */
 export const decodeFrame = (bytes: Uint8Array): Frame => {
   const wire = unpack(bytes) as WireFrame
   const { from, to } = wire
--- a/packages/peers/src/codec-heartbeats.ts
+++ b/packages/peers/src/codec-heartbeats.ts
@@ -1,7 +1,7 @@
 /**
- * Codec of heartbeats and commands as controllers forward them to a machine's owner, and of what comes
- * back. Most bytes of a heartbeat are the names of its fields, so forwarded ones go as tuples, and one
- * that repeats an earlier one goes as its counters.
+ * Codec of the heartbeats and commands that controllers forward to each other, and of the replies and
+ * results. Most bytes of a heartbeat are the names of its fields, so forwarded heartbeats are encoded as
+ * tuples, and a heartbeat that repeats an earlier one is reduced to its counters.
  */
 import {
   type Address,
@@ -24,13 +24,20 @@
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import type { CommandResults, ForwardedCommands, ForwardedHeartbeats, ForwardedReplies } from "./messages.ts"
 
-/** About what a forwarded heartbeat and each of its tasks take in a message, in bytes. */
+/** Approximate encoded size of a forwarded heartbeat without its tasks. */
 export const HEARTBEAT_BYTES = 120
+/** Approximate encoded size of each task in a forwarded heartbeat. */
 export const HEARTBEAT_TASK_BYTES = 48
 
-// --- frames' forms --------------------------------------------------------------
+// --- wire forms -----------------------------------------------------------------
 
-type PackedTask = readonly [TaskId, Attempt, status: string, cause: string | null, stored: boolean | null]
+type PackedTask = readonly [
+  TaskId,
+  Attempt,
+  phase: string,
+  exitReason: string | null,
+  checkpointed: boolean | null,
+]
 type PackedHeartbeat = readonly [
   MachineId,
   Address,
@@ -43,7 +50,13 @@
   preemptionNoticeS: number | null,
   tasks: ReadonlyArray<PackedTask>,
 ]
-type PackedRepeat = readonly [MachineId, AgentEpoch, SequenceNumber, FencingToken, since: SequenceNumber]
+type PackedRepeat = readonly [
+  MachineId,
+  AgentEpoch,
+  SequenceNumber,
+  FencingToken,
+  repeatedSequence: SequenceNumber,
+]
 /** The body of a message of kind `reports`. */
 export interface PackedHeartbeats {
   readonly life: number
@@ -91,11 +104,17 @@
   exitReason == null ? null : exitReasonToWire(exitReason),
   checkpointed ?? null,
 ]
-const unpackTask = ([taskId, attempt, status, cause, checkpointed]: PackedTask): ReportedTask => ({
+const unpackTask = ([
+  taskId,
+  attempt,
+  wirePhase,
+  wireExitReason,
+  checkpointed,
+]: PackedTask): ReportedTask => ({
   taskId,
   attempt,
-  phase: phaseFromWire(status),
-  exitReason: cause === null ? null : exitReasonFromWire(cause),
+  phase: phaseFromWire(wirePhase),
+  exitReason: wireExitReason === null ? null : exitReasonFromWire(wireExitReason),
   checkpointed,
 })
 
@@ -150,48 +169,48 @@
   repeatedSequence,
 ]: PackedRepeat): RepeatedHeartbeat => ({ machineId, agentEpoch, sequence, fencingToken, repeatedSequence })
 
-/** The body of a message that forwards heartbeats. */
+/** Encodes the body of a message that forwards heartbeats. */
 export const packHeartbeats = (message: ForwardedHeartbeats): PackedHeartbeats => ({
-  life: message.senderLife,
+  life: message.senderStartedAt,
   at: message.sentAt,
   reports: message.heartbeats.map(({ id, heartbeat }) => [id, packHeartbeat(heartbeat)]),
   repeats: message.repeats.map(({ id, repeat }) => [id, packRepeat(repeat)]),
 })
-/** Decodes what `packHeartbeats` made. */
+/** Decodes a message body encoded by `packHeartbeats`. */
 export const unpackHeartbeats = ({ life, at, reports, repeats }: PackedHeartbeats): ForwardedHeartbeats => ({
   kind: "heartbeats",
-  senderLife: life,
+  senderStartedAt: life,
   sentAt: at,
   heartbeats: reports.map(([id, packed]) => ({ id, heartbeat: unpackHeartbeat(packed) })),
   repeats: repeats.map(([id, packed]) => ({ id, repeat: unpackRepeat(packed) })),
 })
 
-/** The body of a message with replies to heartbeats. */
-export const packReplies = ({ recipientLife, replies }: ForwardedReplies): PackedReplies => ({
-  life: recipientLife,
+/** Encodes the body of a message with replies to heartbeats. */
+export const packReplies = ({ recipientStartedAt, replies }: ForwardedReplies): PackedReplies => ({
+  life: recipientStartedAt,
   answers: replies.map(({ id, status, body }) => [id, status, body.baton ?? null, body.orders ?? []]),
 })
-/** Decodes what `packReplies` made. */
+/** Decodes a message body encoded by `packReplies`. */
 export const unpackReplies = ({ life, answers }: PackedReplies): ForwardedReplies => ({
   kind: "heartbeatReplies",
-  recipientLife: life,
-  replies: answers.map(([id, status, token, orders]) => ({
+  recipientStartedAt: life,
+  replies: answers.map(([id, status, fencingToken, orders]) => ({
     id,
     status,
-    body: token === null ? {} : { baton: token, orders },
+    body: fencingToken === null ? {} : { baton: fencingToken, orders },
   })),
 })
 
-/** The body of a message that forwards commands. */
-export const packCommands = ({ senderLife, sentAt, commands }: ForwardedCommands): PackedCommands => ({
-  life: senderLife,
+/** Encodes the body of a message that forwards commands. */
+export const packCommands = ({ senderStartedAt, sentAt, commands }: ForwardedCommands): PackedCommands => ({
+  life: senderStartedAt,
   at: sentAt,
   commands: commands.map(({ id, address, batch }) => [id, address, batch.baton, batch.tenure, batch.orders]),
 })
-/** Decodes what `packCommands` made. */
+/** Decodes a message body encoded by `packCommands`. */
 export const unpackCommands = ({ life, at, commands }: PackedCommands): ForwardedCommands => ({
   kind: "commands",
-  senderLife: life,
+  senderStartedAt: life,
   sentAt: at,
   commands: commands.map(([id, address, baton, tenure, orders]) => ({
     id,
@@ -200,19 +219,19 @@
   })),
 })
 
-/** The body of a message with results of commands. */
-export const packResults = ({ recipientLife, results }: CommandResults): PackedResults => ({
-  life: recipientLife,
+/** Encodes the body of a message with results of commands. */
+export const packResults = ({ recipientStartedAt, results }: CommandResults): PackedResults => ({
+  life: recipientStartedAt,
   replies: results.map(({ id, status, heartbeat }) => [
     id,
     status,
     heartbeat === null ? null : packHeartbeat(heartbeat),
   ]),
 })
-/** Decodes what `packResults` made. */
+/** Decodes a message body encoded by `packResults`. */
 export const unpackResults = ({ life, replies }: PackedResults): CommandResults => ({
   kind: "commandResults",
-  recipientLife: life,
+  recipientStartedAt: life,
   results: replies.map(([id, status, packed]) => ({
     id,
     status,
@@ -220,17 +239,17 @@
   })),
 })
 
-const sameTask = (a: ReportedTask, b: ReportedTask): boolean =>
+const isSameTaskState = (a: ReportedTask, b: ReportedTask): boolean =>
   a.taskId === b.taskId &&
   a.attempt === b.attempt &&
   a.phase === b.phase &&
   (a.exitReason ?? null) === (b.exitReason ?? null) &&
   (a.checkpointed ?? null) === (b.checkpointed ?? null)
-/** Does a heartbeat say what an earlier one of the same agent epoch said, but for its counters? */
+/** Returns whether a heartbeat differs only by its counters from an earlier one of the same agent epoch. */
 export const isRepeat = (heartbeat: Heartbeat, earlier: Heartbeat): boolean =>
   heartbeat.agentEpoch === earlier.agentEpoch &&
   heartbeat.address === earlier.address &&
   (heartbeat.preemptionNoticeS ?? null) === null &&
   (earlier.preemptionNoticeS ?? null) === null &&
   heartbeat.tasks.length === earlier.tasks.length &&
-  heartbeat.tasks.every((task, i) => sameTask(task, earlier.tasks[i]!))
+  heartbeat.tasks.every((task, i) => isSameTaskState(task, earlier.tasks[i]!))
--- a/packages/peers/src/codec.ts
+++ b/packages/peers/src/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Codec of the messages between controllers. Controllers of the former and the present version send messages
- * to each other while they are replaced one by one, so kinds and bodies keep the names that they had.
+ * Codec of the messages between controllers. During a rolling upgrade, controllers of the previous and the
+ * present version exchange messages, so the kinds and the field names of bodies must not change.
  */
 import type {
   Address,
@@ -32,15 +32,15 @@
 } from "./codec-heartbeats.ts"
 import type { JobProgressMessage, MachineHandoffMessage, NodeLoad, PeerMessage } from "./messages.ts"
 
-/** A message as a frame carries it. */
+/** Wire form of a message: the kind and body that a frame carries. */
 export interface EncodedMessage {
   readonly kind: string
   readonly body: unknown
 }
 
-// --- bodies' forms --------------------------------------------------------------
+// --- wire forms of bodies -------------------------------------------------------
 
-type WireListedState = readonly [MachineId, status: string, ZoneName]
+type WireListedMachine = readonly [MachineId, status: string, ZoneName]
 interface WireNodeLoad {
   readonly well: boolean
   readonly changes: number
@@ -59,12 +59,12 @@
   readonly silentMs: number
   readonly images: ReadonlyArray<readonly [ImageName, gb: number]>
 }
-interface WireMachines {
+interface WireMachineHandoffs {
   readonly part: ShardName
   readonly block: WireEntry
   readonly machines: ReadonlyArray<readonly [MachineId, WireHandoff]>
 }
-interface WireProgress {
+interface WireJobProgress {
   readonly counts: ReadonlyArray<readonly [JobId, done: number, running: number]>
   readonly ends: ReadonlyArray<readonly [JobId, "done" | "withdrawn"]>
 }
@@ -110,7 +110,7 @@
   images: wire.images,
 })
 
-/** The kind and body that a frame carries for a message. */
+/** Encodes a message as its wire kind and body. */
 export const encodeMessage = (message: PeerMessage): EncodedMessage => {
   switch (message.kind) {
     case "heartbeats":
@@ -124,7 +124,7 @@
     case "machineList":
       return {
         kind: "list",
-        body: message.machines.map(({ id, status, zone }): WireListedState => [id, status, zone]),
+        body: message.machines.map(({ id, status, zone }): WireListedMachine => [id, status, zone]),
       }
     case "nodeLoad":
       return { kind: "load", body: encodeLoad(message.load) }
@@ -134,7 +134,7 @@
       return { kind: "wants", body: message.demands.map(encodeDemand) }
     case "machineHandoff": {
       const { shard, block, machines } = message
-      const body: WireMachines = {
+      const body: WireMachineHandoffs = {
         part: shard,
         block: encodeEntry(block),
         machines: machines.map(({ machineId, handoff }) => [machineId, encodeHandoff(handoff)]),
@@ -142,7 +142,7 @@
       return { kind: "machines", body }
     }
     case "jobProgress": {
-      const body: WireProgress = {
+      const body: WireJobProgress = {
         counts: message.counts.map(({ jobId, done, running }) => [jobId, done, running]),
         ends: message.ends.map(({ id, status }) => [id, status === "done" ? "done" : "withdrawn"]),
       }
@@ -151,25 +151,25 @@
   }
 }
 
-const decodeProgress = ({ counts, ends }: WireProgress): JobProgressMessage => ({
+const decodeProgress = ({ counts, ends }: WireJobProgress): JobProgressMessage => ({
   kind: "jobProgress",
   counts: counts.map(([jobId, done, running]) => ({ jobId, done, running })),
   ends: ends.map(([id, status]) => ({ id, status: status === "done" ? "done" : "cancelled" })),
 })
-const decodeHandoffs = ({ part, block, machines }: WireMachines): MachineHandoffMessage => ({
+const decodeHandoffs = ({ part, block, machines }: WireMachineHandoffs): MachineHandoffMessage => ({
   kind: "machineHandoff",
   shard: part,
   block: decodeEntry(block),
   machines: machines.map(([machineId, handoff]) => ({ machineId, handoff: decodeHandoff(handoff) })),
 })
 
-/** Decoders by the kind that a frame names; bodies come from controllers of this program alone. */
+/** Decoders by wire kind. Bodies are not validated, as they come only from controllers. */
 const decoders: Readonly<Record<string, (body: never) => PeerMessage>> = {
   reports: (body: PackedHeartbeats) => unpackHeartbeats(body),
   answers: (body: PackedReplies) => unpackReplies(body),
   commands: (body: PackedCommands) => unpackCommands(body),
   replies: (body: PackedResults) => unpackResults(body),
-  list: (body: ReadonlyArray<WireListedState>) => ({
+  list: (body: ReadonlyArray<WireListedMachine>) => ({
     kind: "machineList",
     machines: body.map(([id, status, zone]) => ({ id, status, zone })),
   }),
@@ -180,7 +180,7 @@
   counts: decodeProgress,
 }
 
-/** The message that a frame carries; null for a kind of a later version. */
+/** Decodes a message; returns null for an unknown kind, which a later version may send. */
 export const decodeMessage = ({ kind, body }: EncodedMessage): PeerMessage | null => {
   const decode = Object.hasOwn(decoders, kind) ? decoders[kind] : undefined
   return decode === undefined ? null : decode(body as never)
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -1,6 +1,6 @@
 /**
- * The messages between controllers, by their kinds. None is answered, and each may be lost, late or repeated.
- * Only the codecs know how they look in a frame.
+ * The messages between controllers, by kind. All are one-way, and each may be lost, late or repeated. Their
+ * wire form is defined in the codecs alone.
  */
 import type { ShardDemand } from "@sorreltally/planner"
 import type {
@@ -16,19 +16,24 @@
 import type { Entry, JobEnd } from "@sorreltally/store"
 import type { MachineHandoff, RepeatedHeartbeat } from "@sorreltally/workers"
 
-/** Heartbeats that came to one node and are for the owner to answer; each has a number. */
+/**
+ * Heartbeats that one node received and that the machines' owner is to answer; each has an id for its reply.
+ */
 export interface ForwardedHeartbeats {
   readonly kind: "heartbeats"
-  /** The life of the sending process: a later one counts from the start again. */
-  readonly senderLife: number
-  /** Time of day at which they were forwarded, in milliseconds. */
+  /**
+   * Time of day at which the sending process started, in milliseconds. It identifies the process: ids start
+   * over in a later process of the node.
+   */
+  readonly senderStartedAt: number
+  /** Time of day at which the heartbeats were forwarded, in milliseconds. */
   readonly sentAt: number
   readonly heartbeats: ReadonlyArray<{ readonly id: number; readonly heartbeat: Heartbeat }>
   readonly repeats: ReadonlyArray<{ readonly id: number; readonly repeat: RepeatedHeartbeat }>
 }
 
-/** Status of a forwarded reply by which the owner asks for the whole heartbeat. */
-export const SEND_WHOLE = 0
+/** Status of a forwarded reply in which the owner asks for the full heartbeat instead of a repeat. */
+export const FULL_HEARTBEAT_NEEDED = 0
 /** The owner's reply to one forwarded heartbeat; the body of a refusal is empty. */
 export interface ForwardedReply {
   readonly id: number
@@ -38,86 +43,94 @@
 /** The owner's replies to forwarded heartbeats. */
 export interface ForwardedReplies {
   readonly kind: "heartbeatReplies"
-  /** The life of the process that forwarded them. */
-  readonly recipientLife: number
+  /** `senderStartedAt` of the message that forwarded the heartbeats. */
+  readonly recipientStartedAt: number
   readonly replies: ReadonlyArray<ForwardedReply>
 }
 
-/** Commands to one worker that another node is to send. */
+/** Commands to one worker, for another node to send. */
 export interface ForwardedCommand {
   readonly id: number
   readonly address: Address
   readonly batch: WireCommandBatch
 }
-/** Commands that another node is to send. */
+/** Commands for another node to send. */
 export interface ForwardedCommands {
   readonly kind: "commands"
-  readonly senderLife: number
+  /** Start time of the sending process; see `ForwardedHeartbeats`. */
+  readonly senderStartedAt: number
+  /** Time of day at which the commands were forwarded, in milliseconds. */
   readonly sentAt: number
   readonly commands: ReadonlyArray<ForwardedCommand>
 }
-/** Status of commands that were surely not sent. */
+/** Status of commands that are known not to have been sent. */
 export const NOT_SENT = -1
-/** What came of forwarded commands: the worker's status, 0 for no answer, and its heartbeat. */
+/**
+ * Result of forwarded commands to one worker: its heartbeat, and its status, 0 without a response, or
+ * `NOT_SENT`.
+ */
 export interface CommandResult {
   readonly id: number
   readonly status: number
   readonly heartbeat: Heartbeat | null
 }
-/** What came of forwarded commands. */
+/** Results of forwarded commands. */
 export interface CommandResults {
   readonly kind: "commandResults"
-  readonly recipientLife: number
+  /** `senderStartedAt` of the message that forwarded the commands. */
+  readonly recipientStartedAt: number
   readonly results: ReadonlyArray<CommandResult>
 }
 
-/** A machine of the cloud's list, as far as every node needs to know it. */
+/** A machine in the cloud's list, reduced to the fields that every node needs. */
 export interface ListedMachineState {
   readonly id: MachineId
   readonly status: string
   readonly zone: ZoneName
 }
-/** The cloud's list, as the leader publishes it. */
+/** The cloud's list of machines, published by the leader. */
 export interface MachineListMessage {
   readonly kind: "machineList"
   readonly machines: ReadonlyArray<ListedMachineState>
 }
 
-/** One node's load, as it publishes it. */
+/** Load that a node publishes. */
 export interface NodeLoad {
-  /** It can act for its shards and answer users. */
+  /** True if the node can act for its shards and answer users. */
   readonly healthy: boolean
-  /** Writes to the store that it makes a second. */
+  /** Writes to the store per second by this node. */
   readonly writesPerSecond: number
-  /** Heartbeats of workers that come to it a second. */
+  /** Heartbeats per second that this node receives from workers. */
   readonly heartbeatsPerSecond: number
-  /** It has more workers than it should answer alone: the others forward their heartbeats to it. */
+  /**
+   * True if the node owns more workers than it should answer alone, so that others forward heartbeats to it.
+   */
   readonly sharesHeartbeats: boolean
 }
-/** One node's load. */
+/** Publishes the load of the sending node. */
 export interface NodeLoadMessage {
   readonly kind: "nodeLoad"
   readonly load: NodeLoad
 }
 
-/** A job page that was written: the job's owner should know before the watch brings it. */
+/** A job page that was written, sent so that the job's owner receives it before its watch delivers it. */
 export interface JobChangedMessage {
   readonly kind: "jobChanged"
   readonly page: Entry
 }
 
-/** What a shard lacks, as its owner publishes it. */
+/** Demand of one shard, published by its owner. */
 export interface PublishedDemand {
   readonly shard: ShardName
   readonly demand: ShardDemand
 }
-/** What the sender's shards lack. */
+/** Demand of the sender's shards. */
 export interface DemandMessage {
   readonly kind: "demand"
   readonly demands: ReadonlyArray<PublishedDemand>
 }
 
-/** Machines that moved to a shard of the receiver, and the record that says so. */
+/** Machines handed off to a shard of the recipient, with the stored machine block that assigns them to it. */
 export interface MachineHandoffMessage {
   readonly kind: "machineHandoff"
   readonly shard: ShardName
@@ -125,20 +138,20 @@
   readonly machines: ReadonlyArray<{ readonly machineId: MachineId; readonly handoff: MachineHandoff }>
 }
 
-/** A job's tasks that are done and that run, for display. */
+/** Numbers of a job's finished and running tasks, for display. */
 export interface TaskCounts {
   readonly jobId: JobId
   readonly done: number
   readonly running: number
 }
-/** How far the sender's jobs are, and which have ended. */
+/** Progress of the sender's jobs, and the jobs that have ended. */
 export interface JobProgressMessage {
   readonly kind: "jobProgress"
   readonly counts: ReadonlyArray<TaskCounts>
   readonly ends: ReadonlyArray<JobEnd>
 }
 
-/** All messages between controllers. None is answered, and each may be lost, late or repeated. */
+/** Any message between controllers. All are one-way, and each may be lost, late or repeated. */
 export type PeerMessage =
   | ForwardedHeartbeats
   | ForwardedReplies
--- a/packages/peers/src/reachability.ts
+++ b/packages/peers/src/reachability.ts
@@ -1,18 +1,19 @@
 /**
- * Which other controllers this one can reach, by the pings that arrive. Hints only: a link may break at any
- * moment, so no decision that safety rests on may be taken from them.
+ * Reachability of the other controllers, judged by the pings that arrive. The result is only a hint: a link
+ * may break at any moment, so safety must not depend on it.
  */
 import { addMs, type Clocks, EARLIEST_TIME, type MonotonicTime, type NodeName } from "@sorreltally/protocol"
 import type { PingFrame } from "./codec-frames.ts"
 
-/** A ping older than this no longer counts: three in a row were lost. */
+/** Age up to which a ping counts. An older one means that three in a row were lost. */
 const PING_VALID_MS = 3_200
 
-/** What the pings of the other nodes say of the links between them and this one. */
+/** State of the links between this node and the others, judged by the pings of the other nodes. */
 export class Reachability {
   private readonly pingedAt = new Map<NodeName, MonotonicTime>()
-  /** When a node last said that our pings arrive. */
+  /** Time at which a node last reported that this node's pings arrive. */
   private readonly confirmedAt = new Map<NodeName, MonotonicTime>()
+  /** Connected nodes that each node reported in its latest ping. */
   private readonly connectionsOf = new Map<NodeName, ReadonlyArray<NodeName>>()
 
   constructor(
@@ -24,29 +25,29 @@
   private isRecent(at: MonotonicTime | undefined): boolean {
     return this.clocks.monotonicNow() < addMs(at ?? EARLIEST_TIME, PING_VALID_MS)
   }
-  /** True when pings of that node arrive. */
+  /** True if pings from the node arrive. */
   receivesFrom(node: NodeName): boolean {
     return this.isRecent(this.pingedAt.get(node))
   }
-  /** True when pings arrive in both directions, directly. */
+  /** True if pings arrive directly in both directions. */
   isConnected(node: NodeName): boolean {
     return this.isRecent(this.confirmedAt.get(node))
   }
-  /** A connected node that says it is connected to that one. */
-  relayTo(node: NodeName): NodeName | undefined {
+  /** Returns a connected node that reports a connection to `node`. */
+  findRelayTo(node: NodeName): NodeName | undefined {
     return this.others.find(
       (other) =>
         other !== node && this.isConnected(other) && this.connectionsOf.get(other)?.includes(node) === true,
     )
   }
-  /** What this node's own pings say. */
+  /** Returns the status that this node's own pings report. */
   status(): Pick<PingFrame, "receivesFrom" | "connectedTo"> {
     return {
       receivesFrom: this.others.filter((node) => this.receivesFrom(node)),
       connectedTo: this.others.filter((node) => this.isConnected(node)),
     }
   }
-  /** Takes in a ping; true when its sender's pings did not arrive before. */
+  /** Records a received ping; returns true if no recent ping from its sender was on record. */
   recordPing({ from, receivesFrom, connectedTo }: PingFrame): boolean {
     this.connectionsOf.set(from, connectedTo)
     if (receivesFrom.includes(this.self)) this.confirmedAt.set(from, this.clocks.monotonicNow())
--- a/packages/peers/src/socket-frames.ts
+++ b/packages/peers/src/socket-frames.ts
@@ -1,40 +1,41 @@
 /**
- * Frames on a byte stream: each is preceded by its length. What arrives is not trusted to be whole or well
- * formed: a connection may end inside a frame, or name a length that no controller sends.
+ * Length-prefixed frames on a byte stream. Received bytes may be truncated or malformed: a connection may end
+ * within a frame, or a prefix may state a length that no controller sends.
  */
 import type { Socket } from "node:net"
 import type { Log } from "@sorreltally/protocol"
 
-/** A frame's length is sent before it, as four bytes, big-endian. */
-const LENGTH_BYTES = 4
-/** Longer frames end the connection: they are garbage, or would fill this node's memory. */
+/** Each frame is preceded by its length as a big-endian 32-bit integer. */
+const LENGTH_PREFIX_BYTES = 4
+/** A longer frame ends the connection: it is malformed, or would exhaust this node's memory. */
 export const MAX_FRAME_BYTES = 1 << 20
 
-/** The bytes that precede a frame. */
-export const frameLength = (frame: Uint8Array): Buffer => {
-  const length = Buffer.allocUnsafe(LENGTH_BYTES)
-  length.writeUInt32BE(frame.length)
-  return length
+/** Encodes the length prefix of a frame. */
+export const encodeLengthPrefix = (frame: Uint8Array): Buffer => {
+  const prefix = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES)
+  prefix.writeUInt32BE(frame.length)
+  return prefix
 }
 
 /**
- * Delivers the frames that arrive on a connection, each once it is whole; one that is cut off is dropped with
- * its connection. Closes the connection on a frame that is too long, as the start of the next isn't known then.
+ * Delivers each frame that arrives on a connection once it is complete; a truncated frame is dropped with its
+ * connection. Closes the connection on a frame longer than `MAX_FRAME_BYTES`, as its end, where the next
+ * frame starts, can't be trusted.
  */
 export const receiveFrames = (socket: Socket, deliver: (frame: Uint8Array) => void, log: Log): void => {
   let buffered: Buffer = Buffer.alloc(0)
   socket.on("data", (data: Buffer) => {
     buffered = buffered.length === 0 ? data : Buffer.concat([buffered, data])
-    while (buffered.length >= LENGTH_BYTES) {
+    while (buffered.length >= LENGTH_PREFIX_BYTES) {
       const length = buffered.readUInt32BE(0)
       if (length > MAX_FRAME_BYTES) {
         socket.destroy()
         return
       }
-      const end = LENGTH_BYTES + length
-      if (buffered.length < end) break
-      const frame = buffered.subarray(LENGTH_BYTES, end)
-      buffered = buffered.subarray(end)
+      const frameEnd = LENGTH_PREFIX_BYTES + length
+      if (buffered.length < frameEnd) break
+      const frame = buffered.subarray(LENGTH_PREFIX_BYTES, frameEnd)
+      buffered = buffered.subarray(frameEnd)
       try {
         deliver(frame)
       } catch (cause) {
--- a/packages/peers/src/sockets.ts
+++ b/packages/peers/src/sockets.ts
@@ -1,35 +1,39 @@
 /**
- * Links between controllers over TCP: each node dials every other and sends on what it dialled; what it
- * accepts, it only receives on. Nothing here waits for an answer, and frames for a node without a connection
- * are dropped: the channel's messages may be lost anyway.
+ * Links between controllers over TCP. Each node dials every other node, sends only on the connections that it
+ * dialled, and receives only on those that it accepted. Nothing here waits for a reply, and frames for a node
+ * without a connection are dropped, as messages of the channel may be lost anyway.
  *
- * Sockets are plain callbacks with timers and no effects: hundreds of frames a second pass here, and a
- * connection's life is one of events. A closed connection is dialled again by a timer of a fixed pause, as a cut
- * ends without a sign and a growing pause would outlive it. The dialling node closes a connection that does not
- * connect or is stalled, the accepting node one whose frames are malformed; all the others, the listener and the
- * timers last as long as the process and end with it, so there is nothing to release.
+ * The code uses plain callbacks and timers instead of effects: it handles hundreds of frames per second, and
+ * sockets are driven by events. A closed connection is redialled after a fixed delay: nothing signals the end
+ * of a network partition, and an increasing delay would outlast it. The dialling node closes a connection
+ * that times out while connecting or is stalled, and the accepting node closes one with an oversized frame.
+ * All other connections, the listener and the timers live until the process ends, so there is nothing to
+ * release.
  */
 import { createConnection, createServer, type Socket } from "node:net"
 import { type Address, type Log, type NodeName, splitAddress } from "@sorreltally/protocol"
 import type { Links } from "./channel.ts"
-import { frameLength, receiveFrames } from "./socket-frames.ts"
+import { encodeLengthPrefix, receiveFrames } from "./socket-frames.ts"
 
-/** With more bytes than this unsent, a node's frames are dropped: it is cut off, or too slow to be of use. */
+/**
+ * With more unsent bytes than this, frames to a node are dropped: it is partitioned, or too slow to be
+ * useful.
+ */
 const MAX_UNSENT_BYTES = 1 << 20
 const REDIAL_DELAY_MS = 500
-/** A dialled connection that stays silent this long is dropped: a cut gives no error. */
+/** Time limit for connecting. A network partition causes no error, so the attempt would hang otherwise. */
 const CONNECT_TIMEOUT_MS = 2_000
-/** Bytes that stay unsent for longer than this mean a cut. */
+/** Bytes that stay unsent for longer than this indicate a network partition. */
 const STALL_TIMEOUT_MS = 6_000
 const STALL_CHECK_MS = 1_000
 
-/** Another controller, and where it listens. */
+/** Another controller, and the address that it listens on. */
 export interface PeerAddress {
   readonly node: NodeName
   readonly address: Address
 }
 
-/** Length-prefixed frames over TCP, from and to every other controller. */
+/** Opens links over TCP to and from every other controller; frames are length-prefixed. */
 export const openSockets = (listen: Address, peers: ReadonlyArray<PeerAddress>, log: Log): Links => {
   let deliver: (frame: Uint8Array) => void = () => {}
   listenForPeers(listen, (frame) => deliver(frame), log)
@@ -54,7 +58,7 @@
   server.listen(port, host)
 }
 
-/** Keeps a connection to a peer, for as long as the process lives. */
+/** Maintains a connection to a peer until the process ends. */
 const dial = ({ node, address }: PeerAddress, connections: Map<NodeName, Socket>): void => {
   const { host, port } = splitAddress(address)
   const socket = createConnection({ host, port, noDelay: true })
@@ -64,9 +68,9 @@
     clearTimeout(connectTimer)
     connections.set(node, socket)
   })
-  // "close" follows every error.
+  // Every "error" event is followed by "close", which redials.
   socket.on("error", () => {})
-  // Nothing is sent back on it, but its end is only seen while it is read.
+  // The peer sends nothing on this connection, but its end is detected only while it is being read.
   socket.on("data", () => {})
   socket.on("close", () => {
     clearTimeout(connectTimer)
@@ -75,7 +79,9 @@
     setTimeout(() => dial({ node, address }, connections), REDIAL_DELAY_MS)
   })
 }
-/** Unsent bytes that stay unsent mean a cut; a new connection then finds out when it heals. */
+/**
+ * Destroys a connection whose bytes stay unsent, so that redialling detects when the partition has healed.
+ */
 const destroyWhenStalled = (socket: Socket): NodeJS.Timeout => {
   let drainedAt = performance.now()
   socket.on("drain", () => {
@@ -87,7 +93,7 @@
   }, STALL_CHECK_MS)
 }
 
-/** Gathers the frames for each node until the end of this turn of the event loop: one write and one packet for all. */
+/** Batches the frames to each node within one iteration of the event loop into a single write and packet. */
 const makeSender = (connections: ReadonlyMap<NodeName, Socket>): Links["send"] => {
   const pending = new Map<NodeName, Array<Uint8Array>>()
   const writePending = (to: NodeName): void => {
@@ -100,10 +106,10 @@
     if (!connections.has(to)) return
     const chunks = pending.get(to)
     if (chunks !== undefined) {
-      chunks.push(frameLength(frame), frame)
+      chunks.push(encodeLengthPrefix(frame), frame)
       return
     }
-    pending.set(to, [frameLength(frame), frame])
+    pending.set(to, [encodeLengthPrefix(frame), frame])
     setImmediate(writePending, to)
   }
 }
--- a/packages/peers/test/builders.ts
+++ b/packages/peers/test/builders.ts
@@ -1,4 +1,4 @@
-/** Real loopback connections whose frames are caught, and channels whose links are the test's. */
+/** Loopback connections with recorded frames, and channels over links that the test controls. */
 import { once } from "node:events"
 import { type AddressInfo, createConnection, createServer, type Socket } from "node:net"
 import type { Log, NodeName } from "@sorreltally/protocol"
@@ -7,21 +7,21 @@
 import type { PeerMessage } from "../src/messages.ts"
 import { receiveFrames } from "../src/socket-frames.ts"
 
-const SILENT: Log = { error: () => {}, info: () => {}, debug: () => {} }
+const SILENT_LOG: Log = { error: () => {}, info: () => {}, debug: () => {} }
 
-/** Resolves once it holds, or fails after two seconds. */
-export const until = async (holds: () => boolean): Promise<void> => {
-  for (let i = 0; i < 200 && !holds(); i++) await new Promise((resolve) => setTimeout(resolve, 10))
-  if (!holds()) throw new Error("it doesn't hold within two seconds")
+/** Resolves once the condition is met, or fails after two seconds. */
+export const waitUntil = async (isMet: () => boolean): Promise<void> => {
+  for (let i = 0; i < 200 && !isMet(); i++) await new Promise((resolve) => setTimeout(resolve, 10))
+  if (!isMet()) throw new Error("condition not met within 2 s")
 }
 
-/** A listener on loopback that receives frames, and connections to it. */
+/** Listens on loopback, records the received frames, and opens connections to the listener. */
 export const listenOnLoopback = async () => {
   const frames: Array<Buffer> = []
   const accepted: Array<Socket> = []
   const server = createServer((socket) => {
     accepted.push(socket)
-    receiveFrames(socket, (frame) => frames.push(Buffer.from(frame)), SILENT)
+    receiveFrames(socket, (frame) => frames.push(Buffer.from(frame)), SILENT_LOG)
   }).listen(0, "127.0.0.1")
   await once(server, "listening")
   const { port } = server.address() as AddressInfo
@@ -31,14 +31,16 @@
     await once(socket, "connect")
     return socket
   }
-  const end = () => {
+  const close = () => {
     for (const socket of accepted) socket.destroy()
     server.close()
   }
-  return { frames, accepted, connect, end }
+  return { frames, accepted, connect, close }
 }
 
-/** A node's channel to one other; frames are handed to it, and the messages that it delivers are kept. */
+/**
+ * Opens a node's channel to one other node; `receive` feeds it frames, and delivered messages are recorded.
+ */
 export const openChannel = async (self: NodeName, other: NodeName) => {
   const delivered: Array<PeerMessage> = []
   const errors: Array<string> = []
@@ -49,9 +51,9 @@
       receive = handler
     },
   }
-  const log: Log = { ...SILENT, error: (message) => errors.push(message) }
+  const log: Log = { ...SILENT_LOG, error: (message) => errors.push(message) }
   const channel = Effect.runSync(makePeerChannel(self, [other], links, log))
-  const end = Effect.runCallback(channel.serve((message) => delivered.push(message)))
+  const stop = Effect.runCallback(channel.serve((message) => delivered.push(message)))
   await new Promise(setImmediate)
-  return { delivered, errors, receive: (frame: Uint8Array) => receive(frame), end }
+  return { delivered, errors, receive: (frame: Uint8Array) => receive(frame), stop }
 }
--- a/packages/peers/test/channel.test.ts
+++ b/packages/peers/test/channel.test.ts
@@ -7,10 +7,10 @@
 
 const [self, other] = ["host-0" as NodeName, "host-1" as NodeName]
 
-// Guards against a rolling upgrade in which a later version's messages disturb the present one.
-test("a message of an unknown kind is passed over, and the next one is delivered", async (t) => {
-  const { delivered, errors, receive, end } = await openChannel(self, other)
-  t.after(() => end())
+// Guards against a rolling upgrade in which messages of a later version make controllers of this one fail.
+test("a message of an unknown kind is ignored, and the next message is delivered", async (t) => {
+  const { delivered, errors, receive, stop } = await openChannel(self, other)
+  t.after(() => stop())
   const frame = { kind: "message", from: other, to: self } as const
   for (const kind of ["of-a-later-version", "constructor"])
     receive(encodeFrame({ ...frame, message: { kind, body: { any: 1 } } }))
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * The store as one controller uses it: a key-value store with compare-and-swap transactions, leases and
- * watches. Everything here may fail with an unknown outcome; only conditions make a repetition safe.
+ * Client interface of the store: a key-value store with compare-and-swap transactions, leases and watches.
+ * Every request may fail with an unknown outcome; only conditions make it safe to repeat a transaction.
  */
 import type { LeaseId, Revision } from "@sorreltally/protocol"
 import type { RequestPriority } from "@sorreltally/rate-limit"
@@ -9,26 +9,27 @@
 import type { CompareAndSwapResult, Condition, Entry, Operation, WatchResult } from "./model.ts"
 import type { KeyFamily, StoreKey } from "./records/keys.ts"
 
-/** Limits of the store for all controllers together. */
+/** Limits of the store, shared by all controllers. */
 export interface StoreLimits {
   readonly writesPerSecond: number
-  /** Size of one stored value in KiB. */
+  /** Largest size of one stored value in KiB. */
   readonly valueKb: number
-  /** Changes in one transaction. */
+  /** Largest number of operations in one transaction. */
   readonly maxOperations: number
 }
 
-/** The store, as one controller uses it. */
+/** Client of the store. */
 export interface StoreClient {
-  /** The entry under a key; null when there is none. */
+  /** Returns the entry of a key, or null if the key doesn't exist. */
   readonly get: <A>(key: StoreKey<A>, timeoutMs?: number) => Effect.Effect<Entry<A> | null, StoreError>
-  /** Every key under a prefix; the revision is the one that the first page was read at, and no page is older. */
+  /** Lists all keys with a prefix. `revision` is that of the first page, and no page is older. */
   readonly list: <A>(
     family: KeyFamily<A>,
   ) => Effect.Effect<{ readonly items: ReadonlyArray<Entry<A>>; readonly revision: Revision }, StoreError>
   /**
-   * Applies all operations, or none. Priority 0: leases and shards; 1: users and rentals;
-   * 2: placements and ends; 3: cleaning up; "reserved": its capacity was awaited before.
+   * Applies all operations, or none. Priority 0: leases and shards; 1: users and rentals; 2: placements and
+   * final states; 3: cleanup; "reserved": the caller has awaited the write capacity with
+   * `awaitWriteCapacity`.
    */
   readonly compareAndSwap: (
     conditions: ReadonlyArray<Condition>,
@@ -36,27 +37,32 @@
     priority: RequestPriority | "reserved",
     timeoutMs?: number,
   ) => Effect.Effect<CompareAndSwapResult, StoreError>
-  /** Waits for capacity for that many operations, which are then sent as "reserved", with what is ready by then. */
+  /**
+   * Waits for the write capacity for this number of operations. The caller then sends the operations that are
+   * ready by that time with priority "reserved".
+   */
   readonly awaitWriteCapacity: (operations: number, priority: RequestPriority) => Effect.Effect<void>
-  /** A new lease, which ends `ttlMs` after its last keep-alive. */
+  /** Creates a lease, which expires `ttlMs` after its last keep-alive. */
   readonly createLease: (ttlMs: number) => Effect.Effect<LeaseId, StoreError>
-  /** Gives the lease its full TTL again. False: the lease has expired. */
+  /** Renews the lease for its full TTL; returns false if the lease has expired. */
   readonly keepAlive: (lease: LeaseId, timeoutMs: number) => Effect.Effect<boolean, StoreError>
-  /** Succeeds as well when the lease has expired before. */
+  /** Revokes the lease; also succeeds if the lease has already expired. */
   readonly revokeLease: (lease: LeaseId) => Effect.Effect<void, StoreError>
-  /** Waits up to `blockMs` for a change; given up when no response has come `responseMs` after that. */
+  /**
+   * Waits up to `blockMs` for a change; fails if no response arrives within `responseTimeoutMs` after that.
+   */
   readonly watch: (
     prefix: string,
     after: Revision,
     blockMs: number,
-    responseMs?: number,
+    responseTimeoutMs?: number,
   ) => Effect.Effect<WatchResult, StoreError>
-  /** The limits that the platform announced. */
+  /** Limits from the settings. */
   readonly limits: StoreLimits
-  /** Writes a second that this node made of late. */
+  /** Recent writes per second by this node. */
   readonly writeRate: () => number
-  /** Takes in how many writes a second the other nodes make together. */
+  /** Sets the writes per second that all other nodes together report. */
   readonly setPeerWriteRate: (perSecond: number) => void
-  /** Share of the limit on writes that all nodes together use. */
+  /** Share of the write limit that all nodes together use. */
   readonly writeLoad: () => number
 }
--- a/packages/store/src/codec.ts
+++ b/packages/store/src/codec.ts
@@ -1,7 +1,7 @@
 /**
  * Codec of the store's requests and responses (protocol, "Controller nodes -> state service"); records have
- * their own. Responses are taken as the protocol says: the store is trusted, and every watch event is
- * decoded by every node, so that a second look at each field would be paid all day.
+ * codecs of their own. Responses are not validated: the store is trusted to follow the protocol, and as every
+ * node decodes every watch event, checking each field would be a permanent cost.
  */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
 import type { Condition, Entry, Operation, WatchEvent, WatchResult } from "./model.ts"
@@ -24,18 +24,18 @@
   readonly v?: unknown
   readonly stamp: ModRevision
 }
-interface WireNews {
+interface WireEvents {
   readonly epoch: Revision
   readonly news: ReadonlyArray<WireChange>
 }
 
-/** Where each request goes. */
+/** Paths of the requests. */
 export const paths = {
   key: (key: string) => `/kv/${key}`,
-  /** A page of the keys under a prefix, after a key; from the first one after "". */
+  /** Path of a page of the keys with a prefix that follow the key `after`; "" starts at the first key. */
   page: (prefix: string, after: string, size: number) => {
-    const from = after === "" ? "" : `&after=${encodeURIComponent(after)}`
-    return `/kv?starts=${encodeURIComponent(prefix)}${from}&page=${size}`
+    const afterParameter = after === "" ? "" : `&after=${encodeURIComponent(after)}`
+    return `/kv?starts=${encodeURIComponent(prefix)}${afterParameter}&page=${size}`
   },
   transaction: "/multi",
   leases: "/grants",
@@ -45,19 +45,19 @@
     `/watch?starts=${encodeURIComponent(prefix)}&after=${after}&block_ms=${blockMs}`,
 }
 
-const entryOf = ({ path, v, stamp }: WireEntry): Entry => ({
+const decodeWireEntry = ({ path, v, stamp }: WireEntry): Entry => ({
   key: path,
   value: decodeRecord(path, v),
   modRevision: stamp,
 })
 /** Decodes the response to a read of one key. */
-export const decodeEntry = (body: unknown): Entry => entryOf(body as WireEntry)
+export const decodeEntry = (body: unknown): Entry => decodeWireEntry(body as WireEntry)
 
 /** One page of a list. */
 export interface EntryPage {
   readonly entries: ReadonlyArray<Entry>
   readonly revision: Revision
-  /** The key after which the next page begins; null after the last page. */
+  /** Key to pass as `after` for the next page; null on the last page. */
   readonly next: string | null
 }
 /** Decodes one page of a list. */
@@ -65,13 +65,13 @@
   const { items, more, epoch } = body as WirePage
   const last = items.at(-1)
   return {
-    entries: items.map(entryOf),
+    entries: items.map(decodeWireEntry),
     revision: epoch,
     next: more && last !== undefined ? last.path : null,
   }
 }
 
-const eventOf = (change: WireChange): WatchEvent => {
+const decodeEvent = (change: WireChange): WatchEvent => {
   const { stamp: modRevision } = change
   if (change.delete !== undefined) return { key: change.delete, value: null, modRevision, deleted: true }
   const key = change.set!
@@ -79,8 +79,8 @@
 }
 /** Decodes the response to a watch. */
 export const decodeEvents = (body: unknown): WatchResult => {
-  const { epoch, news } = body as WireNews
-  return { kind: "events", revision: epoch, events: news.map(eventOf) }
+  const { epoch, news } = body as WireEvents
+  return { kind: "events", revision: epoch, events: news.map(decodeEvent) }
 }
 
 const encodeCondition = ({ key, modRevision }: Condition) => ({ path: key, stamp: modRevision })
@@ -95,13 +95,15 @@
   conditions: ReadonlyArray<Condition>,
   operations: ReadonlyArray<Operation>,
 ) => ({ when: conditions.map(encodeCondition), apply: operations.map(encodeOperation) })
-/** Decodes the response to a transaction that was applied: the revision that it wrote. */
+/** Returns the revision that an applied transaction wrote, from the body of the response. */
 export const decodeCommit = (body: unknown): ModRevision => (body as { readonly epoch: ModRevision }).epoch
-/** Decodes the response to a transaction some of whose conditions did not hold: their keys. */
+/**
+ * Returns the keys whose conditions did not hold, from the response to a transaction that was not applied.
+ */
 export const decodeConflict = (body: unknown): ReadonlyArray<string> =>
   (body as { readonly failed: ReadonlyArray<string> }).failed
 
 /** Encodes the request for a lease. */
 export const encodeLeaseRequest = (ttlMs: number) => ({ ttl_ms: ttlMs })
-/** Decodes the response to it. */
+/** Decodes the response to the request for a lease. */
 export const decodeLease = (body: unknown): LeaseId => (body as { readonly permit: LeaseId }).permit
--- a/packages/store/src/errors.ts
+++ b/packages/store/src/errors.ts
@@ -1,7 +1,7 @@
-/** What can go wrong between a controller and the store. */
+/** Errors of requests to the store. */
 import { Data } from "effect"
 
-/** What was asked of the store. */
+/** Kind of request to the store. */
 export type StoreOperation =
   | "get"
   | "list"
@@ -11,19 +11,21 @@
   | "revokeLease"
   | "watch"
 
-/** The store did not do what was asked of it. */
+/** A request to the store was refused, or got no response. */
 export class StoreError extends Data.TaggedError("StoreError")<{
   readonly operation: StoreOperation
-  /** `unknown`: it may have been done, or may be done at any later time; `refused`: it was not done. */
+  /**
+   * `unknown`: the request may have been applied, or may be applied at any later time; `refused`: it was not.
+   */
   readonly outcome: "refused" | "unknown"
   /** HTTP status; 0 without a response. */
   readonly status: number
-  /** Why there was no response. */
+  /** Reason why there was no response. */
   readonly cause?: unknown
 }> {
   override get message(): string {
     return this.outcome === "refused"
       ? `store: ${this.operation} refused with status ${this.status}; nothing was changed`
-      : `store: ${this.operation} without a response; it may have been applied, or may be later`
+      : `store: ${this.operation} without a response; it may have been applied, or may be applied later`
   }
 }
--- a/packages/store/src/make-client.ts
+++ b/packages/store/src/make-client.ts
@@ -1,11 +1,11 @@
-/** Puts a store client together: requests over HTTP, and a limit on writes that all controllers share. */
+/** Construction of the store client: requests over HTTP, with a write limit that all controllers share. */
 import { type Address, HttpClient, processClocks } from "@sorreltally/protocol"
 import { SharedRateLimit } from "@sorreltally/rate-limit"
 import { Effect } from "effect"
 import type { StoreClient, StoreLimits } from "./client.ts"
 import { compareAndSwap, createLease, get, keepAlive, list, revokeLease, sendTo, watch } from "./requests.ts"
 
-/** A client of the store at this address that shares the store's limits with `nodes` controllers. */
+/** Creates a client of the store at `address`; `nodes` controllers, this one included, share its limits. */
 export const makeStoreClient = (
   address: Address,
   limits: StoreLimits,
--- a/packages/store/src/model.ts
+++ b/packages/store/src/model.ts
@@ -1,24 +1,24 @@
-/** What the store holds and what can be asked of it, in the terms of a key-value store. */
+/** Data model of the store: entries, conditions, operations, and results of transactions and watches. */
 import type { LeaseId, ModRevision, Revision } from "@sorreltally/protocol"
 import type { StoreKey } from "./records/keys.ts"
 
-/** A record, its key, and the revision that wrote it. */
+/** A record with its key and its mod revision. */
 export interface Entry<A = unknown> {
   readonly key: StoreKey<A>
   readonly value: A
   readonly modRevision: ModRevision
 }
-/** The entry of one key among those of a list. */
+/** Finds the entry of a key in a list. */
 export const findEntry = <A>(entries: ReadonlyArray<Entry>, key: StoreKey<A>): Entry<A> | undefined =>
-  // The key's type says what its codec decoded.
+  // The type of the key states the type that its codec decoded.
   entries.find((entry) => entry.key === key) as Entry<A> | undefined
 
-/** Holds while the key's last change is this revision; `ABSENT_KEY_REVISION`: while the key doesn't exist. */
+/** Requires that the key has this mod revision or, with `ABSENT_KEY_REVISION`, that it doesn't exist. */
 export interface Condition {
   readonly key: StoreKey<unknown>
   readonly modRevision: ModRevision
 }
-/** A change of one key. A record put without a lease stays until it is deleted. */
+/** A change of one key. A record put without a lease persists until it is deleted. */
 export type Operation =
   | {
       readonly kind: "put"
@@ -28,26 +28,29 @@
     }
   | { readonly kind: "delete"; readonly key: StoreKey<unknown> }
 
-/** Writes a record under its key. */
+/** Creates an operation that writes a record under its key. */
 export const put = <A>(
   key: StoreKey<A>,
   value: A,
   leaseId?: LeaseId,
 ): Operation & { readonly kind: "put" } =>
   leaseId === undefined ? { kind: "put", key, value } : { kind: "put", key, value, leaseId }
-/** Deletes a key. */
+/** Creates an operation that deletes a key. */
 export const remove = (key: StoreKey<unknown>): Operation => ({ kind: "delete", key })
 
-/** Not `ok`: some conditions did not hold, and nothing was changed. */
+/** Result of a transaction. If not `ok`, the conditions on `failedKeys` did not hold and nothing changed. */
 export type CompareAndSwapResult =
   | { readonly ok: true; readonly revision: ModRevision }
   | { readonly ok: false; readonly failedKeys: ReadonlyArray<string> }
 
-/** `compacted`: the store no longer knows all changes since then; the keys have to be listed again. */
+/**
+ * Result of a watch. `compacted`: the store no longer has all changes since the requested revision, so the
+ * keys must be listed again.
+ */
 export type WatchResult =
   | { readonly kind: "events"; readonly revision: Revision; readonly events: ReadonlyArray<WatchEvent> }
   | { readonly kind: "compacted" }
-/** One change of a watched key; the value of a deleted key means nothing. */
+/** One change of a watched key. The value of a deleted key has no meaning. */
 export interface WatchEvent extends Entry {
   readonly deleted: boolean
 }
--- a/packages/store/src/records/catalog.ts
+++ b/packages/store/src/records/catalog.ts
@@ -1,4 +1,4 @@
-/** The cloud's machine types. */
+/** Record of the cloud's machine types. */
 import {
   type MachineType,
   machineTypeFromWire,
@@ -7,7 +7,7 @@
 } from "@sorreltally/protocol"
 import type { RecordCodec } from "./record-codec.ts"
 
-/** The machine types, for nodes that start while the cloud is away. */
+/** The cloud's machine types, stored for nodes that start while the cloud is unavailable. */
 export interface CatalogRecord {
   readonly machineTypes: ReadonlyArray<MachineType>
 }
@@ -16,7 +16,7 @@
   readonly builds: ReadonlyArray<WireMachineType>
 }
 
-/** Codec of the catalog. */
+/** Codec of the catalog record. */
 export const catalogCodec: RecordCodec<CatalogRecord, StoredCatalog> = {
   decode: ({ builds }) => ({ machineTypes: builds.map(machineTypeFromWire) }),
   encode: ({ machineTypes }) => ({ builds: machineTypes.map(machineTypeToWire) }),
--- a/packages/store/src/records/job-page.ts
+++ b/packages/store/src/records/job-page.ts
@@ -1,4 +1,4 @@
-/** Accepted jobs, and how earlier ones ended. */
+/** Records of accepted jobs and of the final states of ended jobs. */
 import { type JobId, type JobSpec, jobSpecFromWire, jobSpecToWire, type WireJob } from "@sorreltally/protocol"
 import type { RecordCodec } from "./record-codec.ts"
 
@@ -10,29 +10,31 @@
   readonly cancelled: boolean
 }
 
-/** How a job ended. */
+/** Final status of a job. */
 export type FinalStatus = "done" | "cancelled"
 
-/** A job that ended, and how. */
+/** A job that has ended, with its final status. */
 export interface JobEnd {
   readonly id: JobId
   readonly status: FinalStatus
 }
 
-/** Jobs that are over, each as the digits of its id. An ends page holds those that job pages don't show yet. */
+/**
+ * Ended jobs by final status, each as the digits of its id. An ends page holds those not yet in job pages.
+ */
 export interface FinalStates {
   readonly done: ReadonlyArray<string>
   readonly cancelled: ReadonlyArray<string>
 }
 
 /**
- * Jobs whose ids fall into one bucket: those accepted and not yet folded, and
- * the final states of earlier ones. Any controller writes it, on its revision.
+ * Jobs of one bucket of job ids: accepted jobs whose final states are not folded in yet, and the final states
+ * of earlier jobs. Any controller may write it, with a compare-and-swap on its mod revision.
  */
 export interface JobPage extends FinalStates {
   readonly jobs: ReadonlyArray<JobRecord>
-  /** How many archive pages this page's older final states were moved to. */
-  readonly archivedPages: number
+  /** Number of archive pages that older final states of this page were moved to. */
+  readonly archivePageCount: number
 }
 
 interface StoredJob {
@@ -40,17 +42,17 @@
   readonly submitted: number
   readonly withdrawn?: boolean
 }
-interface StoredFinals {
+interface StoredFinalStates {
   readonly done: ReadonlyArray<string>
   readonly withdrawn: ReadonlyArray<string>
 }
-interface StoredJobPage extends StoredFinals {
+interface StoredJobPage extends StoredFinalStates {
   readonly jobs: ReadonlyArray<StoredJob>
   readonly archived: number
 }
 
-/** Codec of final states: ends pages and archive pages. */
-export const finalsCodec: RecordCodec<FinalStates, StoredFinals> = {
+/** Codec of the final states in ends pages and archive pages. */
+export const finalStatesCodec: RecordCodec<FinalStates, StoredFinalStates> = {
   decode: ({ done, withdrawn }) => ({ done, cancelled: withdrawn }),
   encode: ({ done, cancelled }) => ({ done, withdrawn: cancelled }),
 }
@@ -71,12 +73,12 @@
     jobs: jobs.map(decodeJob),
     done,
     cancelled: withdrawn,
-    archivedPages: archived,
+    archivePageCount: archived,
   }),
-  encode: ({ jobs, done, cancelled, archivedPages }) => ({
+  encode: ({ jobs, done, cancelled, archivePageCount }) => ({
     jobs: jobs.map(encodeJob),
     done,
     withdrawn: cancelled,
-    archived: archivedPages,
+    archived: archivePageCount,
   }),
 }
--- a/packages/store/src/records/machine-block.ts
+++ b/packages/store/src/records/machine-block.ts
@@ -1,4 +1,4 @@
-/** Which machines there are, and which shard each belongs to. */
+/** Records of the rented machines and of the shard that each belongs to. */
 import type { FencingToken, MachineId, MachineTypeName, ShardName, ZoneName } from "@sorreltally/protocol"
 import type { RecordCodec } from "./record-codec.ts"
 
@@ -6,22 +6,25 @@
 export interface BlockMachine {
   readonly machineId: MachineId
   readonly shard: ShardName
-  /** Every command to the machine carries a higher token than it had before its last move or fence. */
+  /**
+   * Fencing token, raised at every move to another shard and at every fence. Commands carry at least this
+   * token, so that each command after a move or fence carries a higher one than all commands before.
+   */
   readonly token: FencingToken
-  /** Seconds from the block's first rental to this machine's. */
+  /** Seconds from the first rental of the block to the rental of this machine. */
   readonly rentedAfterS: number
 }
-/** Machines of one type, zone and kind that one shard rented, or that were adopted. */
+/** Machines of one type and zone, all spot or all on-demand, that one shard rented or that were adopted. */
 export interface MachineBlock {
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
   readonly spot: boolean
-  /** Time of day of the first rental in milliseconds, by the renter's clock. */
+  /** Time of day of the first rental in milliseconds, by the clock of the node that rented. */
   readonly rentedAt: number
-  /** Grouped by shard, as they are stored; see `groupByShard`. */
+  /** Grouped by shard as in the stored form; see `groupByShard`. */
   readonly machines: ReadonlyArray<BlockMachine>
 }
-/** The machines in the order in which a block stores them. */
+/** Returns the machines in the order in which a block stores them. */
 export const groupByShard = (machines: Iterable<BlockMachine>): ReadonlyArray<BlockMachine> => {
   const groups = new Map<ShardName, Array<BlockMachine>>()
   for (const machine of machines) {
@@ -38,7 +41,7 @@
   readonly site: ZoneName
   readonly loaners: boolean
   readonly rented: number
-  /** By shard. */
+  /** Machines by shard. */
   readonly at: Readonly<Record<string, ReadonlyArray<StoredBlockMachine>>>
 }
 
--- a/packages/store/src/records/node.ts
+++ b/packages/store/src/records/node.ts
@@ -1,8 +1,8 @@
-/** A controller's presence in the store. */
+/** Record of a controller that is alive. */
 import type { Incarnation, LeaseId } from "@sorreltally/protocol"
 import type { RecordCodec } from "./record-codec.ts"
 
-/** One life of a controller; the key is attached to the node's lease. */
+/** One incarnation of a controller; the key is attached to its node lease. */
 export interface NodeRecord {
   readonly incarnation: Incarnation
   readonly leaseId: LeaseId
--- a/packages/store/src/records/placements.ts
+++ b/packages/store/src/records/placements.ts
@@ -1,14 +1,15 @@
-/** Which tasks run where, and which have finished. */
+/** Records of task placements and finished tasks. */
 import type { AgentEpoch, JobId, MachineId, ModRevision } from "@sorreltally/protocol"
 import type { RecordCodec } from "./record-codec.ts"
 
-/** One task that was placed, as a placement record tells it. */
+/** A placed task in a placement record. */
 export interface PlacedTask {
+  /** Index of the task in its job. */
   readonly index: number
-  /** Place of its machine in the record's list. */
-  readonly machine: number
+  /** Index of the task's machine in the record's `machines`. */
+  readonly machineIndex: number
   readonly agentEpoch: AgentEpoch
-  /** The attempt, counted from the record's first. */
+  /** The attempt, relative to the record's `firstAttempt`. */
   readonly attemptOffset: number
 }
 /** Consecutive finished tasks of a job. */
@@ -18,8 +19,8 @@
 }
 /** Placements and finished tasks of many jobs of one shard; see `PlacementLedger`. */
 export interface PlacementRecord {
-  /** Which write this is: an owner that got no answer recognizes its own. */
-  readonly write: { readonly epoch: ModRevision; readonly number: number }
+  /** Identifies the write: an owner that got no response recognizes by it whether its write was applied. */
+  readonly writeId: { readonly epoch: ModRevision; readonly number: number }
   readonly firstAttempt: number
   readonly machines: ReadonlyArray<MachineId>
   readonly placed: ReadonlyArray<{ readonly jobId: JobId; readonly tasks: ReadonlyArray<PlacedTask> }>
@@ -30,20 +31,20 @@
   readonly w: readonly [ModRevision, number]
   readonly a: number
   readonly m: ReadonlyArray<MachineId>
-  /** A job's id, then four numbers a task: index, machine, agent epoch, attempt. */
+  /** A job id, then four numbers per task: index, machine index, agent epoch, attempt offset. */
   readonly s: ReadonlyArray<readonly [JobId, ...Array<number>]>
-  /** A job's id, then two numbers a run: first task and count. */
+  /** A job id, then two numbers per run: index of the first task, and count. */
   readonly d: ReadonlyArray<readonly [JobId, ...Array<number>]>
 }
-const NUMBERS_A_TASK = 4
-const NUMBERS_A_RUN = 2
+const NUMBERS_PER_TASK = 4
+const NUMBERS_PER_RUN = 2
 
 const decodePlacedTasks = (numbers: ReadonlyArray<number>): ReadonlyArray<PlacedTask> => {
   const tasks: Array<PlacedTask> = []
-  for (let i = 0; i + NUMBERS_A_TASK <= numbers.length; i += NUMBERS_A_TASK) {
+  for (let i = 0; i + NUMBERS_PER_TASK <= numbers.length; i += NUMBERS_PER_TASK) {
     tasks.push({
       index: numbers[i]!,
-      machine: numbers[i + 1]!,
+      machineIndex: numbers[i + 1]!,
       agentEpoch: numbers[i + 2]! as AgentEpoch,
       attemptOffset: numbers[i + 3]!,
     })
@@ -52,7 +53,7 @@
 }
 const decodeRuns = (numbers: ReadonlyArray<number>): ReadonlyArray<TaskRun> => {
   const runs: Array<TaskRun> = []
-  for (let i = 0; i + NUMBERS_A_RUN <= numbers.length; i += NUMBERS_A_RUN)
+  for (let i = 0; i + NUMBERS_PER_RUN <= numbers.length; i += NUMBERS_PER_RUN)
     runs.push({ first: numbers[i]!, count: numbers[i + 1]! })
   return runs
 }
@@ -60,19 +61,19 @@
 /** Codec of placement records. */
 export const placementsCodec: RecordCodec<PlacementRecord, StoredPlacements> = {
   decode: ({ w: [epoch, number], a, m, s, d }) => ({
-    write: { epoch, number },
+    writeId: { epoch, number },
     firstAttempt: a,
     machines: m,
     placed: s.map(([jobId, ...numbers]) => ({ jobId, tasks: decodePlacedTasks(numbers) })),
     finished: d.map(([jobId, ...numbers]) => ({ jobId, runs: decodeRuns(numbers) })),
   }),
-  encode: ({ write, firstAttempt, machines, placed, finished }) => ({
-    w: [write.epoch, write.number],
+  encode: ({ writeId, firstAttempt, machines, placed, finished }) => ({
+    w: [writeId.epoch, writeId.number],
     a: firstAttempt,
     m: machines,
     s: placed.map(({ jobId, tasks }) => [
       jobId,
-      ...tasks.flatMap((task) => [task.index, task.machine, task.agentEpoch, task.attemptOffset]),
+      ...tasks.flatMap((task) => [task.index, task.machineIndex, task.agentEpoch, task.attemptOffset]),
     ]),
     d: finished.map(({ jobId, runs }) => [jobId, ...runs.flatMap(({ first, count }) => [first, count])]),
   }),
--- a/packages/store/src/records/quota.ts
+++ b/packages/store/src/records/quota.ts
@@ -1,6 +1,6 @@
-/** How a team's limit is divided. */
+/** Record of a team's quota. */
 
-/** A team's limit in CPUs and GPUs, divided among the shards. Stored as it is. */
+/** A team's quota in CPUs and GPUs, divided among the shards. Stored without a codec. */
 export interface QuotaRecord {
   readonly shares: Readonly<Record<string, { readonly cpus: number; readonly gpus: number }>>
 }
--- a/packages/store/src/records/record-codec.ts
+++ b/packages/store/src/records/record-codec.ts
@@ -1,6 +1,6 @@
-/** What the codec of one family of records does. */
+/** Interface of the codecs of records. */
 
-/** Turns a stored value into its record and back; a record that wasn't changed is stored in the same bytes. */
+/** Codec of one family of records. Encoding an unchanged decoded record gives the same bytes. */
 export interface RecordCodec<Record, Stored> {
   readonly decode: (stored: Stored) => Record
   readonly encode: (record: Record) => Stored
--- a/packages/store/src/records/shard.ts
+++ b/packages/store/src/records/shard.ts
@@ -1,10 +1,10 @@
-/** Who owns a shard. */
+/** Record of a shard's owner. */
 import type { Incarnation, NodeName } from "@sorreltally/protocol"
 
 /**
- * A shard's owner; null for both after a release. The modification revision of
- * this record is the shard's epoch: it is written at failovers and releases
- * only. Stored as it is.
+ * A shard's owner; both fields are null after the owner has relinquished the shard. The mod revision of this
+ * record is the shard epoch: the record is written only when the shard is acquired, also in a failover, or
+ * relinquished. Stored without a codec.
  */
 export interface ShardRecord {
   readonly owner: NodeName | null
--- a/packages/store/src/requests.ts
+++ b/packages/store/src/requests.ts
@@ -1,6 +1,6 @@
 /**
- * One function for each request to the store: what it sends, and what each status means. Only a transaction
- * is repeated, and only after 429, which says that it was not applied.
+ * One function for each request to the store, which sends it and interprets the status of the response. Only
+ * transactions are retried, and only after status 429, which means that the transaction was not applied.
  */
 import type {
   Address,
@@ -33,12 +33,13 @@
 const TOO_MANY_REQUESTS = 429
 const LIST_TIMEOUT_MS = 5_000
 const LIST_PAGE_ITEMS = 1_000
-const WATCH_RESPONSE_MS = 2_000
-/** How often a transaction that exceeded the store's rate is sent again, and the pause before. */
+const WATCH_RESPONSE_TIMEOUT_MS = 2_000
+/** Limit on the retries of a transaction that exceeded the store's rate. */
 const MAX_RETRIES = 5
+/** Delay before the first retry; the n-th retry waits n times as long. */
 const RETRY_PAUSE_MS = 70
 
-/** A request without its address; the time limit is that of most requests unless it says otherwise. */
+/** A request without its address; the time limit defaults to `REQUEST_TIMEOUT_MS`. */
 interface StoreRequest extends Omit<HttpRequest, "address" | "timeoutMs"> {
   readonly operation: StoreOperation
   readonly timeoutMs?: number
@@ -46,7 +47,7 @@
 /** Sends a request to the store. */
 export type Send = (request: StoreRequest) => Effect.Effect<HttpResponse, StoreError>
 
-/** Sends requests to the store at this address. */
+/** Returns a function that sends requests to the store at `address`. */
 export const sendTo =
   (httpClient: HttpClient["Service"], address: Address): Send =>
   ({ operation, method, path, body, timeoutMs = REQUEST_TIMEOUT_MS }) =>
@@ -54,7 +55,7 @@
       httpClient.call({ address, method, path, body, timeoutMs }),
       (cause: NoResponseError) => new StoreError({ operation, outcome: "unknown", status: 0, cause }),
     )
-const refused = (operation: StoreOperation, { status }: HttpResponse) =>
+const failRefused = (operation: StoreOperation, { status }: HttpResponse) =>
   Effect.fail(new StoreError({ operation, outcome: "refused", status }))
 
 /** Reads one key. */
@@ -64,9 +65,9 @@
     Effect.flatMap(
       send({ operation: "get", method: "GET", path: paths.key(key), timeoutMs }),
       (response): Effect.Effect<Entry<A> | null, StoreError> => {
-        // The key's type says what its codec decodes.
+        // The type of the key states the type that its codec decodes.
         if (response.status === 200) return Effect.succeed(decodeEntry(response.body) as Entry<A>)
-        return response.status === 404 ? Effect.succeed(null) : refused("get", response)
+        return response.status === 404 ? Effect.succeed(null) : failRefused("get", response)
       },
     )
 
@@ -79,9 +80,9 @@
       timeoutMs: LIST_TIMEOUT_MS,
     }),
     (response) =>
-      response.status === 200 ? Effect.succeed(decodePage(response.body)) : refused("list", response),
+      response.status === 200 ? Effect.succeed(decodePage(response.body)) : failRefused("list", response),
   )
-/** Reads all keys under a prefix, page by page. */
+/** Reads all keys with a prefix, page by page. */
 export const list =
   (send: Send): StoreClient["list"] =>
   <A>(family: KeyFamily<A>) =>
@@ -91,7 +92,7 @@
       let after = ""
       for (;;) {
         const page = yield* readPage(send, family, after)
-        // The family's type says what its codec decodes.
+        // The type of the family states the type that its codec decodes.
         for (const entry of page.entries) items.push(entry as Entry<A>)
         revision ??= page.revision
         if (page.next === null) return { items, revision }
@@ -99,18 +100,18 @@
       }
     })
 
-const transactionResult = (response: HttpResponse): Effect.Effect<CompareAndSwapResult, StoreError> => {
+const toCompareAndSwapResult = (response: HttpResponse): Effect.Effect<CompareAndSwapResult, StoreError> => {
   switch (response.status) {
     case 200:
       return Effect.succeed({ ok: true, revision: decodeCommit(response.body) })
     case 409:
       return Effect.succeed({ ok: false, failedKeys: decodeConflict(response.body) })
     default:
-      return refused("compareAndSwap", response)
+      return failRefused("compareAndSwap", response)
   }
 }
 
-/** Sends a transaction, again after a pause when it exceeded the store's rate. */
+/** Sends a transaction; retries it after a delay if it exceeded the store's rate. */
 export const compareAndSwap =
   (send: Send, rateLimit: SharedRateLimit): StoreClient["compareAndSwap"] =>
   (conditions, operations, priority, timeoutMs) =>
@@ -126,7 +127,7 @@
       return sendWithinRate(send, rateLimit, request, operations.length, priority)
     })
 
-/** Waits for the store's write rate; a transaction that writes nothing doesn't count against it. */
+/** Waits for write capacity; a transaction without writes doesn't count against the write rate. */
 const acquireWrites = (rateLimit: SharedRateLimit, writes: number, priority: RequestPriority) =>
   writes === 0 ? Effect.void : rateLimit.acquire(writes, priority)
 
@@ -138,20 +139,20 @@
   priority: RequestPriority | "reserved",
 ): Effect.Effect<CompareAndSwapResult, StoreError> =>
   Effect.gen(function* () {
-    // A loop rather than a `Schedule`, as capacity is awaited before each sending but a reserved first.
+    // A loop rather than a `Schedule`: each attempt waits for capacity, except the first of a reserved write.
     for (let retries = 0; ; retries++) {
       if (priority !== "reserved") yield* acquireWrites(rateLimit, writes, priority)
       else if (retries > 0) yield* acquireWrites(rateLimit, writes, 2)
       const response = yield* send(request)
-      if (response.status !== TOO_MANY_REQUESTS) return yield* transactionResult(response)
+      if (response.status !== TOO_MANY_REQUESTS) return yield* toCompareAndSwapResult(response)
       rateLimit.rejected()
-      if (retries >= MAX_RETRIES) return yield* transactionResult(response)
-      // Over the rate at this moment, and surely not applied: it waits for capacity again.
+      if (retries >= MAX_RETRIES) return yield* toCompareAndSwapResult(response)
+      // Rejected by the store's rate limit and therefore not applied: wait for capacity again, then retry.
       yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
     }
   })
 
-/** Asks for a lease. */
+/** Requests a new lease. */
 export const createLease =
   (send: Send): StoreClient["createLease"] =>
   (ttlMs) =>
@@ -165,10 +166,10 @@
       (response) =>
         response.status === 200
           ? Effect.succeed(decodeLease(response.body))
-          : refused("createLease", response),
+          : failRefused("createLease", response),
     )
 
-/** Keeps a lease alive; 404 says that it has expired. */
+/** Sends a keep-alive of a lease; status 404 means that the lease has expired. */
 export const keepAlive =
   (send: Send): StoreClient["keepAlive"] =>
   (lease, timeoutMs) =>
@@ -176,35 +177,37 @@
       send({ operation: "keepAlive", method: "POST", path: paths.keepAlive(lease), body: {}, timeoutMs }),
       (response) => {
         if (response.status === 200) return Effect.succeed(true)
-        return response.status === 404 ? Effect.succeed(false) : refused("keepAlive", response)
+        return response.status === 404 ? Effect.succeed(false) : failRefused("keepAlive", response)
       },
     )
 
-/** Ends a lease; 404 says that it has expired before. */
+/** Revokes a lease; status 404 means that it had already expired. */
 export const revokeLease =
   (send: Send): StoreClient["revokeLease"] =>
   (lease) =>
     Effect.flatMap(
       send({ operation: "revokeLease", method: "DELETE", path: paths.lease(lease) }),
       (response) =>
-        response.status === 200 || response.status === 404 ? Effect.void : refused("revokeLease", response),
+        response.status === 200 || response.status === 404
+          ? Effect.void
+          : failRefused("revokeLease", response),
     )
 
-/** Waits for changes; 410 says that the store no longer knows all of them. */
+/** Waits for changes; status 410 means that the store has discarded some of those since `after`. */
 export const watch =
   (send: Send): StoreClient["watch"] =>
-  (prefix, after, blockMs, responseMs = WATCH_RESPONSE_MS) =>
+  (prefix, after, blockMs, responseTimeoutMs = WATCH_RESPONSE_TIMEOUT_MS) =>
     Effect.flatMap(
       send({
         operation: "watch",
         method: "GET",
         path: paths.watch(prefix, after, blockMs),
-        timeoutMs: blockMs + responseMs,
+        timeoutMs: blockMs + responseTimeoutMs,
       }),
       (response): Effect.Effect<WatchResult, StoreError> => {
         if (response.status === 410) return Effect.succeed({ kind: "compacted" })
         return response.status === 200
           ? Effect.succeed(decodeEvents(response.body))
-          : refused("watch", response)
+          : failRefused("watch", response)
       },
     )
--- a/packages/store/test/builders.ts
+++ b/packages/store/test/builders.ts
@@ -12,15 +12,15 @@
 import { type Operation, put } from "../src/model.ts"
 import { keys } from "../src/records/keys.ts"
 
-/** Writes a second that the store takes; a rejected write waits for the share of it that is left. */
+/** The store's write limit; a rejected write waits for the capacity left at the reduced rate. */
 const WRITES_PER_SECOND = 10
 
-/** A response of the store, or none. */
-export type Response = HttpResponse | "none"
-export const response = (status: number, body: unknown = null): HttpResponse => ({ status, body })
+/** A response of the store, or "none" if the request times out. */
+export type StubResponse = HttpResponse | "none"
+export const stubResponse = (status: number, body: unknown = null): HttpResponse => ({ status, body })
 
-/** The only node's client of a store that gives these responses in turn, and the requests that it got. */
-export const clientWith = (...responses: ReadonlyArray<Response>) =>
+/** A single node's client of a store that gives these responses in turn, with the requests that were sent. */
+export const makeClientWithResponses = (...responses: ReadonlyArray<StubResponse>) =>
   Effect.gen(function* () {
     const requests: Array<HttpRequest> = []
     const call = (request: HttpRequest) =>
@@ -28,7 +28,7 @@
         requests.push(request)
         const next = responses[requests.length - 1]
         return next === undefined || next === "none"
-          ? Effect.fail(new NoResponseError({ reason: "no answer in time" }))
+          ? Effect.fail(new NoResponseError({ reason: "request timed out" }))
           : Effect.succeed(next)
       })
     const limits = { writesPerSecond: WRITES_PER_SECOND, valueKb: 4, maxOperations: 8 }
@@ -40,9 +40,12 @@
     return { client, requests }
   })
 
-/** Some write. */
-export const write: Operation = put(keys.shard("deadline" as ShardName), { owner: null, incarnation: null })
+/** An arbitrary write. */
+export const sampleWrite: Operation = put(keys.shard("deadline" as ShardName), {
+  owner: null,
+  incarnation: null,
+})
 
-/** Runs a test on a clock that only moves when told to. */
-export const onTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
+/** Runs a test on a clock that advances only by `TestClock.adjust`. */
+export const runOnTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
   Effect.runPromise(Effect.provide(test, TestClock.layer()))
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -54,7 +54,13 @@
 /** A worker's heartbeat in the short form in which controllers forward it. */
 export const packedHeartbeat = (body: unknown): unknown => {
   const heartbeats = [{ id: 0, heartbeat: orThrow(decodeHeartbeat(body)) }]
-  const message = encodeMessage({ kind: "heartbeats", senderLife: 0, sentAt: 0, heartbeats, repeats: [] })
+  const message = encodeMessage({
+    kind: "heartbeats",
+    senderStartedAt: 0,
+    sentAt: 0,
+    heartbeats,
+    repeats: [],
+  })
   const { reports } = message.body as { readonly reports: ReadonlyArray<readonly [number, unknown]> }
   return reports[0]![1]
 }
@@ -152,7 +158,7 @@
   for (const job of finished)
     for (let index = 0; index < job.taskCount; index++)
       if (job.isFinished(index)) job.unsavedFinishes.add(index)
-  const { epoch, number } = record.write
+  const { epoch, number } = record.writeId
   const ledger = new PlacementLedger({ valueKb: MAX_SLOT_KB })
   const request = { starts: placements, finished, maxJobs: MAX_JOBS, epoch }
   // Each write has the next number.
