--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -36,7 +36,7 @@
 const ID_PREFIX = "run-"
 
 /** Content of a job page before its first write. */
-export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivedPages: 0 }
+export const EMPTY_PAGE: JobPage = { jobs: [], done: [], cancelled: [], archivePageCount: 0 }
 
 /** Bucket whose pages hold the job. */
 export const bucketOf = (id: JobId): number => hashText(id) % BUCKET_COUNT
@@ -92,7 +92,7 @@
   if (bytes <= Math.min(ARCHIVE_THRESHOLD_BYTES, ARCHIVE_THRESHOLD_FRACTION * valueKb * 1024))
     return { page, archived: null }
   return {
-    page: { ...page, done: [], cancelled: [], archivedPages: page.archivedPages + 1 },
+    page: { ...page, done: [], cancelled: [], archivePageCount: page.archivePageCount + 1 },
     archived: { done, cancelled },
   }
 }
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -260,7 +260,7 @@
       const entry = read.success
       return {
         modRevision: entry?.modRevision ?? ABSENT_KEY_REVISION,
-        isThisWrite: isSameWrite(entry?.value.write, write),
+        isThisWrite: isSameWrite(entry?.value.writeId, write),
       }
     })
   }
@@ -283,5 +283,5 @@
 }
 
 /** Whether the slot holds this write. Its epoch and number together identify it: no other write uses them. */
-const isSameWrite = (stored: SlotWrite["record"]["write"] | undefined, { record }: SlotWrite): boolean =>
-  stored?.epoch === record.write.epoch && stored.number === record.write.number
+const isSameWrite = (stored: SlotWrite["record"]["writeId"] | undefined, { record }: SlotWrite): boolean =>
+  stored?.epoch === record.writeId.epoch && stored.number === record.writeId.number
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -3,7 +3,7 @@
  * Decides whether the node may act for its shards; acting is left to the `MembershipListener`.
  */
 import type { Incarnation, Log, MonotonicTime, NodeName, ShardName } from "@sorreltally/protocol"
-import { REPLICATED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED_KEYS, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import { NodeLease, type NodeLeaseTimes } from "./node-lease.ts"
 import type { ShardListener } from "./owned-shards.ts"
@@ -130,7 +130,7 @@
     return Effect.gen({ self: this }, function* () {
       // The replica is as fresh as the list request, which precedes the requests for the lease.
       const listSentAt = this.now()
-      const { items, revision } = yield* this.store.list(REPLICATED)
+      const { items, revision } = yield* this.store.list(REPLICATED_KEYS)
       const nodeEntry = yield* this.nodeLease.join(items)
       this.replica.loadSnapshot(items, revision)
       this.replica.applyWrite(nodeEntry)
--- a/packages/membership/src/replica-watch.ts
+++ b/packages/membership/src/replica-watch.ts
@@ -3,7 +3,7 @@
  * is counted from when a request was sent, never from when its response arrived.
  */
 import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
-import { REPLICATED, type StoreClient } from "@sorreltally/store"
+import { REPLICATED_KEYS, type StoreClient } from "@sorreltally/store"
 import { Effect, Result } from "effect"
 import type { Replica } from "./replica.ts"
 
@@ -73,7 +73,7 @@
       const blockMs = maxStalenessMs / WATCHES_PER_MAX_STALENESS
       const responseTimeoutMs = Math.min(MAX_RESPONSE_TIMEOUT_MS, blockMs)
       const watched = yield* Effect.result(
-        store.watch(REPLICATED, replica.revision, Math.floor(blockMs), Math.floor(responseTimeoutMs)),
+        store.watch(REPLICATED_KEYS, replica.revision, Math.floor(blockMs), Math.floor(responseTimeoutMs)),
       )
       if (Result.isFailure(watched)) return yield* Effect.sleep(RETRY_PAUSE_MS)
       if (watched.success.kind === "compacted") return yield* this.readAll()
@@ -90,7 +90,7 @@
   private readAll() {
     return Effect.gen({ self: this }, function* () {
       const { store, replica } = this.options
-      const read = yield* Effect.result(store.list(REPLICATED))
+      const read = yield* Effect.result(store.list(REPLICATED_KEYS))
       if (Result.isFailure(read)) return yield* Effect.sleep(RETRY_PAUSE_MS)
       replica.loadSnapshot(read.success.items, read.success.revision)
     })
