--- a/packages/cloud/src/client.ts
+++ b/packages/cloud/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the cloud that rents machines (protocol, "Controller nodes -> cloud"). It sends each request once: whether
- * one without an answer is repeated, and under which request id, is its caller's to decide.
+ * Client of the cloud that rents out machines (protocol, "Controller nodes -> cloud"). It sends each request
+ * once: callers decide whether to retry a request that got no response, and under which request id.
  */
 
 import {
@@ -21,60 +21,63 @@
 import { type RequestPriority, SharedRateLimit } from "@sorreltally/rate-limit"
 import { Data, Effect, Result } from "effect"
 
-/** What was asked of the cloud. */
+/** Operation requested of the cloud. */
 export type CloudOperation = "catalog" | "rent" | "delete" | "list"
 
-/** The cloud did not do what was asked of it. */
+/** A cloud operation that was refused, or whose outcome is unknown. */
 export class CloudError extends Data.TaggedError("CloudError")<{
   readonly operation: CloudOperation
-  /** `unknown`: the request may have been, or may yet be, carried out; `refused`: it was not. */
+  /** `refused`: not carried out; `unknown`: may have been carried out, or may still be. */
   readonly outcome: "refused" | "unknown"
   /** HTTP status; 0 without a response. */
   readonly status: number
 }> {}
 
-/** What came of a rental request. */
+/** Outcome of a rental request. */
 export type RentalOutcome =
   | { readonly kind: "rented"; readonly machines: ReadonlyArray<MachineId> }
   | { readonly kind: "no-capacity" }
-  /** Not wanted any more when its turn came. */
+  /** No longer needed when the rate limit admitted it; it was not sent. */
   | { readonly kind: "dropped" }
 
-/** The cloud, as one controller uses it. */
+/** Operations of the cloud used by a controller. */
 export interface CloudClient {
-  /** The machine types that it rents out, with their zones and prices. */
+  /** Machine types offered for rent, with their zones and prices. */
   readonly catalog: Effect.Effect<ReadonlyArray<MachineType>, CloudError>
-  /** Rents machines; repeated under the same request id, it rents nothing twice. Asks `stillWanted` before sending. */
+  /**
+   * Rents machines. Repeating a request under the same request id rents no further machines.
+   * @param isStillNeeded Checked just before sending; if false, the request is dropped.
+   */
   readonly rent: (
     request: RentalRequest,
-    stillWanted: () => boolean,
+    isStillNeeded: () => boolean,
   ) => Effect.Effect<RentalOutcome, CloudError>
-  /** Once this succeeds, the machines and all that ran on them are gone. */
+  /** Deletes machines. Once this succeeds, the machines and everything that ran on them are gone. */
   readonly remove: (machines: ReadonlyArray<MachineId>) => Effect.Effect<void, CloudError>
-  /** All machines; the list lags. */
+  /** All rented machines; the list may lag behind rentals and deletions. */
   readonly list: Effect.Effect<ReadonlyArray<ListedMachine>, CloudError>
 }
 
-const TIMEOUT_MS = 3_000
-/** Machines asked for in one page of the list. */
-export const LIST_PAGE = 500
-/** Renting and deleting go first, then the list of machines and the catalog. */
-const CHANGE: RequestPriority = 2
-const READ: RequestPriority = 3
+const REQUEST_TIMEOUT_MS = 3_000
+/** Number of machines requested per page of the list. */
+export const LIST_PAGE_MACHINES = 500
+/** Rentals and deletions take precedence over reading the list of machines and the catalog. */
+const CHANGE_PRIORITY: RequestPriority = 2
+const READ_PRIORITY: RequestPriority = 3
 
-/** Error text of a refusal by which the cloud says that a pool has no machines left. */
+/** Error text of the cloud's 503 response when a pool has no machines left. */
 const NO_CAPACITY = "no capacity"
 const errorText = (body: unknown): unknown =>
   typeof body === "object" && body !== null && "error" in body ? body.error : undefined
 
-/** What the cloud's answer to an operation means; fails if it is a refusal. */
+/** Turns the cloud's response to an operation into its result; fails if it is a refusal. */
 type Interpreter<A> = (response: HttpResponse) => Effect.Effect<A, CloudError>
 
 const refused = (operation: CloudOperation, { status }: HttpResponse) =>
   Effect.fail(new CloudError({ operation, outcome: "refused", status }))
 
-/** Takes a 200 with a body that decodes; all else is a refusal. */
-const decodedBy =
+/** Accepts a 200 response with a valid body; any other response is a refusal. */
+const decodeWith =
   <A>(operation: CloudOperation, decode: (body: unknown) => Result.Result<A, unknown>): Interpreter<A> =>
   (response) => {
     const decoded = decode(response.body)
@@ -82,7 +85,7 @@
       ? Effect.succeed(decoded.success)
       : refused(operation, response)
   }
-const rentalOutcome: Interpreter<RentalOutcome> = (response) => {
+const interpretRental: Interpreter<RentalOutcome> = (response) => {
   const decoded = decodeRental(response.body)
   if (response.status === 200 && Result.isSuccess(decoded))
     return Effect.succeed({ kind: "rented", machines: decoded.success })
@@ -100,77 +103,82 @@
 
   readonly catalog: CloudClient["catalog"] = Effect.suspend(() =>
     Effect.flatMap(
-      Effect.andThen(this.rateLimit.acquire(1, READ), this.send("catalog", "GET", "/catalog")),
-      decodedBy("catalog", decodeCatalog),
+      Effect.andThen(this.rateLimit.acquire(1, READ_PRIORITY), this.send("catalog", "GET", "/catalog")),
+      decodeWith("catalog", decodeCatalog),
     ),
   )
 
-  readonly rent: CloudClient["rent"] = (request, stillWanted) =>
+  readonly rent: CloudClient["rent"] = (request, isStillNeeded) =>
     Effect.andThen(
-      this.rateLimit.acquire(1, CHANGE),
+      this.rateLimit.acquire(1, CHANGE_PRIORITY),
       Effect.suspend((): Effect.Effect<RentalOutcome, CloudError> => {
-        if (!stillWanted()) return Effect.succeed({ kind: "dropped" })
+        if (!isStillNeeded()) return Effect.succeed({ kind: "dropped" })
         const sent = this.send("rent", "POST", "/machines", encodeRentalRequest(request))
-        return Effect.flatMap(sent, rentalOutcome)
+        return Effect.flatMap(sent, interpretRental)
       }),
     )
 
   readonly remove: CloudClient["remove"] = (machines) =>
     Effect.flatMap(
       Effect.andThen(
-        this.rateLimit.acquire(1, CHANGE),
+        this.rateLimit.acquire(1, CHANGE_PRIORITY),
         this.send("delete", "POST", "/machines/delete", encodeMachineDeletion(machines)),
       ),
       (response) => (response.status === 200 ? Effect.void : refused("delete", response)),
     )
 
   readonly list: CloudClient["list"] = Effect.gen({ self: this }, function* () {
-    const all: Array<ListedMachine> = []
+    const machines: Array<ListedMachine> = []
     let after = ""
     for (;;) {
       const page = yield* this.readPage(after)
-      all.push(...page.machines)
+      machines.push(...page.machines)
       const last = page.machines.at(-1)
-      if (!page.hasMore || last === undefined) return all
+      if (!page.hasMore || last === undefined) return machines
       after = last.id
     }
   })
   private readPage(after: string) {
     return Effect.flatMap(
       Effect.andThen(
-        this.rateLimit.acquire(1, READ),
-        this.send("list", "GET", `/machines?after=${after}&page=${LIST_PAGE}`),
+        this.rateLimit.acquire(1, READ_PRIORITY),
+        this.send("list", "GET", `/machines?after=${after}&page=${LIST_PAGE_MACHINES}`),
       ),
-      decodedBy("list", decodeMachinePage),
+      decodeWith("list", decodeMachinePage),
     )
   }
 
-  /** Sends a request once. Without an answer its outcome is unknown: it may be carried out yet. */
+  /** Sends a request once. Without a response its outcome is unknown: it may still be carried out. */
   private send(operation: CloudOperation, method: "GET" | "POST", path: string, body?: unknown) {
-    return this.httpClient.call({ address: this.address, method, path, body, timeoutMs: TIMEOUT_MS }).pipe(
-      Effect.mapError(() => new CloudError({ operation, outcome: "unknown", status: 0 })),
-      Effect.tap((response) =>
-        Effect.sync(() => {
-          if (response.status === 429) this.rateLimit.rejected()
-        }),
-      ),
-    )
+    return this.httpClient
+      .call({ address: this.address, method, path, body, timeoutMs: REQUEST_TIMEOUT_MS })
+      .pipe(
+        Effect.mapError(() => new CloudError({ operation, outcome: "unknown", status: 0 })),
+        Effect.tap((response) =>
+          Effect.sync(() => {
+            if (response.status === 429) this.rateLimit.recordRejection()
+          }),
+        ),
+      )
   }
 }
 
-/** A client that shares the cloud's rate limit with `nodes` controllers. */
+/**
+ * Creates a client that shares the cloud's rate limit with the other controllers.
+ * @param nodeCount Number of controllers that share the limit, including this one.
+ */
 export const makeCloudClient = (
   address: Address,
   limits: { readonly requestsPerSecond: number },
-  nodes: number,
+  nodeCount: number,
 ): Effect.Effect<CloudClient, never, HttpClient> =>
   Effect.gen(function* () {
     const httpClient = yield* HttpClient
     const clocks = yield* processClocks
-    // The cloud allows bursts worth two seconds: one of them is for the other nodes.
+    // The cloud allows bursts worth two seconds of the limit: one second's worth is left to the other nodes.
     const rateLimit = new SharedRateLimit({
       limit: limits.requestsPerSecond,
-      nodes,
+      nodeCount,
       burst: limits.requestsPerSecond,
       now: clocks.monotonicNow,
     })
--- a/packages/cloud/test/builders.ts
+++ b/packages/cloud/test/builders.ts
@@ -1,4 +1,4 @@
-/** A cloud that answers as a test says, and the client under test. */
+/** Test fixtures: the client under test, connected to a cloud with scripted responses. */
 import {
   type Address,
   HttpClient,
@@ -21,8 +21,8 @@
   count: 2,
 }
 
-/** Answers requests in turn; "lost": the request arrives, its answer doesn't. */
-export const cloudAnswering = async (...answers: ReadonlyArray<HttpResponse | "lost">) => {
+/** A client whose requests get these responses in turn; "lost": the request arrives, its response doesn't. */
+export const cloudClientWithAnswers = async (...answers: ReadonlyArray<HttpResponse | "lost">) => {
   const requests: Array<HttpRequest> = []
   const call = (request: HttpRequest) =>
     Effect.suspend(() => {
@@ -32,7 +32,7 @@
         ? Effect.fail(new NoResponseError({ reason: "no answer in time" }))
         : Effect.succeed(answer)
     })
-  const making = makeCloudClient("127.0.0.1:1" as Address, { requestsPerSecond: 1_000 }, 1)
-  const client = await Effect.runPromise(Effect.provideService(making, HttpClient, { call }))
+  const makeClient = makeCloudClient("127.0.0.1:1" as Address, { requestsPerSecond: 1_000 }, 1)
+  const client = await Effect.runPromise(Effect.provideService(makeClient, HttpClient, { call }))
   return { client, requests }
 }
--- a/packages/cloud/test/client.test.ts
+++ b/packages/cloud/test/client.test.ts
@@ -3,18 +3,18 @@
 import type { HttpResponse } from "@sorreltally/protocol"
 import { Effect, Result } from "effect"
 import type { CloudError } from "../src/client.ts"
-import { cloudAnswering, rentalRequest } from "./builders.ts"
+import { cloudClientWithAnswers, rentalRequest } from "./builders.ts"
 
 const rented: HttpResponse = { status: 200, body: { hosts: ["i-000001", "i-000002"] } }
-/** How a rental request fails that is answered like this. */
+/** The error of a rental request that gets this response. */
 const rentalError = async (answer: HttpResponse | "lost"): Promise<CloudError> => {
-  const { client } = await cloudAnswering(answer)
+  const { client } = await cloudClientWithAnswers(answer)
   return Effect.runPromise(Effect.flip(client.rent(rentalRequest, () => true)))
 }
 
-// Guards against a rental that is paid twice: the cloud knows a repeated request by its id and body.
-test("a rental request repeated after a lost answer is the same request, byte for byte", async () => {
-  const { client, requests } = await cloudAnswering("lost", rented)
+// Guards against renting twice: the cloud recognises a repeated request by its request id and body.
+test("a rental request retried after a lost response is identical byte for byte", async () => {
+  const { client, requests } = await cloudClientWithAnswers("lost", rented)
   const first = await Effect.runPromise(Effect.result(client.rent(rentalRequest, () => true)))
   assert.ok(Result.isFailure(first))
   const second = await Effect.runPromise(client.rent(rentalRequest, () => true))
@@ -24,14 +24,14 @@
   assert.equal(sent[1], sent[0])
 })
 
-test("a 503 that names no capacity is an outcome and no error", async () => {
-  const { client } = await cloudAnswering({ status: 503, body: { error: "no capacity" } })
+test('a 503 response with "no capacity" is an outcome, not an error', async () => {
+  const { client } = await cloudClientWithAnswers({ status: 503, body: { error: "no capacity" } })
   const outcome = await Effect.runPromise(client.rent(rentalRequest, () => true))
   assert.deepEqual(outcome, { kind: "no-capacity" })
 })
 
-// Guards against a rental taken for refused that the cloud has carried out, or may yet carry out.
-test("a rental request without an answer has an unknown outcome", async () => {
+// Guards against treating a rental as refused that the cloud has carried out, or may still carry out.
+test("a rental request without a response has an unknown outcome", async () => {
   const { operation, outcome, status } = await rentalError("lost")
   assert.deepEqual({ operation, outcome, status }, { operation: "rent", outcome: "unknown", status: 0 })
 })
@@ -41,7 +41,7 @@
   { status: 429, body: null },
   { status: 503, body: { error: "busy" } },
 ])
-  test(`a rental request answered ${answer.status} is refused, with its status`, async () => {
+  test(`a rental request answered with ${answer.status} fails as refused, with that status`, async () => {
     const { operation, outcome, status } = await rentalError(answer)
     assert.deepEqual(
       { operation, outcome, status },
@@ -49,8 +49,8 @@
     )
   })
 
-test("a rental that isn't wanted any more when its turn comes is not sent", async () => {
-  const { client, requests } = await cloudAnswering(rented)
+test("a rental request that is no longer needed when the rate limit admits it is not sent", async () => {
+  const { client, requests } = await cloudClientWithAnswers(rented)
   const outcome = await Effect.runPromise(client.rent(rentalRequest, () => false))
   assert.deepEqual([outcome, requests], [{ kind: "dropped" }, []])
 })
--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -2,7 +2,7 @@
  * What this node knows of the cloud: machine types and prices, refusals, and the last list of machines. All of
  * it may lag: no machine is taken for gone because a list lacks it.
  */
-import { type CloudClient, LIST_PAGE } from "@sorreltally/cloud"
+import { type CloudClient, LIST_PAGE_MACHINES } from "@sorreltally/cloud"
 import type { Replica } from "@sorreltally/membership"
 import type { ListedMachineState } from "@sorreltally/peers"
 import type { Offer } from "@sorreltally/planner"
@@ -77,7 +77,7 @@
 
   /** Pause between two lists, each of as many calls as it has pages. */
   get pollMs(): number {
-    const pages = Math.ceil((this.listed.size + 1) / LIST_PAGE)
+    const pages = Math.ceil((this.listed.size + 1) / LIST_PAGE_MACHINES)
     return Math.max(1_000, (1000 * pages) / (LIST_RATE_SHARE * this.options.requestsPerSecond))
   }
   /** A list, asked for at that moment, by this node or by the one that published it. */
--- a/packages/rate-limit/src/shared-rate-limit.ts
+++ b/packages/rate-limit/src/shared-rate-limit.ts
@@ -1,73 +1,85 @@
 /**
- * Rate limits that all controllers share without a coordinator: each node takes what it needs and
- * backs off when the service rejects a request (adaptive, AIMD). Owns when a request may be sent, and
- * never sends or repeats one itself.
+ * Rate limits shared by all controllers without a coordinator: each node takes what it needs and backs off
+ * when the service rejects a request (additive increase, multiplicative decrease). A limiter decides only
+ * when a request may be sent; callers send and retry it.
  */
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import { Effect } from "effect"
 
-/** Lower goes first when requests have to queue; the meaning of each is the caller's. */
+/**
+ * Priority of a request: lower numbers leave the queue first. Callers define what each number is used for.
+ */
 export type RequestPriority = 0 | 1 | 2 | 3
 
-/** Requests of this priority or a lower number don't queue: they go at once, at the expense of the others. */
-const IMMEDIATE: RequestPriority = 1
+/** Requests with this priority number or a lower one bypass the queue and may overdraw the token bucket. */
+const MAX_IMMEDIATE_PRIORITY: RequestPriority = 1
 
+/** A request waiting in the queue. */
 interface WaitingRequest {
   readonly cost: number
   readonly priority: RequestPriority
 }
 
-/** Share of the limit by which a node raises its rate each second in which requests wait. */
+/** Fraction of the limit by which a node raises its rate per second while requests are queued. */
 const RATE_INCREASE = 0.15
-/** Factor by which it lowers its rate after a rejection. */
+/** Factor applied to a node's rate after a rejection. */
 const RATE_DECREASE = 0.75
-/** Rejections this close together are one: requests sent before the first was heard. */
-const SAME_REJECTION_MS = 300
+/**
+ * Rejections within this time of the first lower the rate only once: their requests were sent before the
+ * first rejection was received.
+ */
+const REJECTION_COALESCING_MS = 300
+/** Bounds of a queued request's pause between two checks for tokens. */
 const MIN_PAUSE_MS = 5
 const MAX_PAUSE_MS = 200
-/** Pause of a request that isn't the first of the queue. */
+/** Pause of a request that is not at the head of the queue. */
 const QUEUED_PAUSE_MS = 10
-/** Usage is averaged over about this time. */
+/** Time constant of the exponentially decaying average of usage. */
 const USAGE_WINDOW_MS = 2_000
-/** Share of the limit that all nodes together try to use: the rest is for whoever comes unexpectedly. */
-const HEADROOM = 0.92
-/** A node starts with this many times an even share. */
+/** Fraction of the limit that all nodes together aim to use; the rest absorbs unexpected requests. */
+const TARGET_UTILIZATION = 0.92
+/** Initial rate of a node, as a multiple of its even share of the limit. */
 const INITIAL_EVEN_SHARES = 1.5
-/** A node may use this much of an even share, whatever the others report. */
+/** Rate that a node may always use, as a fraction of its even share, whatever the other nodes report. */
 const GUARANTEED_EVEN_SHARE = 0.6
-/** Rejections lower a node's rate no further than to this much of an even share. */
+/** Lower bound of a node's rate after rejections, as a fraction of its even share. */
 const MIN_EVEN_SHARE = 0.5
-/** Tokens missing because of rounding. */
-const EPSILON = 1e-9
+/** Shortfall in tokens that is attributed to rounding. */
+const TOKEN_EPSILON = 1e-9
 
-/** Load up to which delay counts more than batching, and from which on batching counts most. */
-const CALM_LOAD = 0.35
-const BUSY_LOAD = 0.5
-/** A value between one for a calm service and one for a busy one; `load` is the share of its limit that is used. */
-export const interpolateByLoad = (load: number, calm: number, busy: number): number => {
-  const share = Math.min(1, Math.max(0, (load - CALM_LOAD) / (BUSY_LOAD - CALM_LOAD)))
-  return calm + share * (busy - calm)
+/**
+ * Up to the low load, short delays matter more than batching; from the high load on, batching matters most.
+ */
+const LOW_LOAD = 0.35
+const HIGH_LOAD = 0.5
+/**
+ * Interpolates linearly between a value for a lightly loaded service and one for a heavily loaded service.
+ * @param load Fraction of the service's limit in use.
+ */
+export const interpolateByLoad = (load: number, atLowLoad: number, atHighLoad: number): number => {
+  const share = Math.min(1, Math.max(0, (load - LOW_LOAD) / (HIGH_LOAD - LOW_LOAD)))
+  return atLowLoad + share * (atHighLoad - atLowLoad)
 }
 
-/** What a shared rate limit needs: the service's limit, and how many controllers share it. */
+/** Options of a shared rate limit. */
 export interface SharedRateLimitOptions {
-  /** Requests, or other units of cost, a second of all nodes together. */
+  /** Requests, or other units of cost, per second for all nodes together. */
   readonly limit: number
-  /** Controllers that share the limit, this one included. */
-  readonly nodes: number
-  /** Cost that may go at once after a pause. */
+  /** Number of controllers that share the limit, including this one. */
+  readonly nodeCount: number
+  /** Capacity of the token bucket: the cost that may be sent at once after an idle time. */
   readonly burst: number
   readonly now: () => MonotonicTime
 }
 
 /**
- * A limit on requests a second that all controllers share. Their demand is
- * uneven and nobody divides the limit among them: a token bucket's rate rises
- * while requests wait, and is lowered when the service rejects one with 429.
+ * A limit on requests per second shared by all controllers. Their demand is uneven and the limit is not
+ * divided among them in advance: the rate of each node's token bucket rises while requests are queued, and is
+ * lowered when the service rejects one with 429.
  */
 export class SharedRateLimit {
   private readonly limit: number
-  private readonly nodes: number
+  private readonly nodeCount: number
   private readonly burst: number
   private readonly now: () => MonotonicTime
   private rate: number
@@ -76,37 +88,42 @@
   private rejectedAt: MonotonicTime
   private usagePerSecond = 0
   private usageAt: MonotonicTime
-  private peerUsage = 0
+  private peerUsagePerSecond = 0
   private readonly waiting: Array<WaitingRequest> = []
 
-  constructor({ limit, nodes, burst, now }: SharedRateLimitOptions) {
+  constructor({ limit, nodeCount, burst, now }: SharedRateLimitOptions) {
     this.limit = limit
-    this.nodes = nodes
+    this.nodeCount = nodeCount
     this.burst = burst
     this.now = now
-    this.rate = Math.min(limit, (INITIAL_EVEN_SHARES * limit) / nodes)
+    this.rate = Math.min(limit, (INITIAL_EVEN_SHARES * limit) / nodeCount)
     this.tokens = burst
     this.refilledAt = now()
     this.usageAt = this.refilledAt
-    this.rejectedAt = addMs(this.refilledAt, -SAME_REJECTION_MS)
+    this.rejectedAt = addMs(this.refilledAt, -REJECTION_COALESCING_MS)
   }
 
-  /** Cost a second that this node used, averaged over about two seconds. */
+  /** Cost per second used by this node, averaged over about two seconds. */
   get usage(): number {
     this.decayUsage(this.now())
     return this.usagePerSecond
   }
-  /** Share of the limit that all nodes together use, by what the others last reported. */
+  /** Fraction of the limit used by all nodes together, from the other nodes' last reports. */
   get load(): number {
-    return (this.usage + this.peerUsage) / this.limit
+    return (this.usage + this.peerUsagePerSecond) / this.limit
   }
-  /** Takes in the cost a second that the other nodes report to use together: the rest is ours. */
+  /**
+   * Sets the cost per second reported by all other nodes together; this node may use the rest of the limit.
+   */
   setPeerUsage(perSecond: number): void {
-    this.peerUsage = perSecond
+    this.peerUsagePerSecond = perSecond
     this.rate = Math.min(this.rate, this.maxRate)
   }
   private get maxRate(): number {
-    return Math.max((GUARANTEED_EVEN_SHARE * this.limit) / this.nodes, HEADROOM * this.limit - this.peerUsage)
+    return Math.max(
+      (GUARANTEED_EVEN_SHARE * this.limit) / this.nodeCount,
+      TARGET_UTILIZATION * this.limit - this.peerUsagePerSecond,
+    )
   }
   private recordUsage(cost: number): void {
     this.decayUsage(this.now())
@@ -117,54 +134,56 @@
     this.usageAt = now
   }
 
-  /** Waits until a request of this cost may be sent. Interrupted, it leaves the queue. */
+  /** Waits until a request of this cost may be sent. An interrupted wait is removed from the queue. */
   acquire(cost: number, priority: RequestPriority): Effect.Effect<void> {
     return Effect.suspend(() =>
-      priority <= IMMEDIATE ? this.spendAtOnce(cost) : this.queue({ cost, priority }),
+      priority <= MAX_IMMEDIATE_PRIORITY ? this.spendImmediately(cost) : this.waitInQueue({ cost, priority }),
     )
   }
-  private spendAtOnce(cost: number): Effect.Effect<void> {
+  private spendImmediately(cost: number): Effect.Effect<void> {
     this.refill(this.now())
     this.tokens = Math.max(-this.burst, this.tokens - cost)
     this.recordUsage(cost)
     return Effect.void
   }
-  private queue(request: WaitingRequest): Effect.Effect<void> {
-    const behind = this.waiting.findIndex(({ priority }) => priority > request.priority)
-    this.waiting.splice(behind < 0 ? this.waiting.length : behind, 0, request)
-    const leave = Effect.sync(() => {
-      const at = this.waiting.indexOf(request)
-      if (at >= 0) this.waiting.splice(at, 1)
+  private waitInQueue(request: WaitingRequest): Effect.Effect<void> {
+    const insertAt = this.waiting.findIndex(({ priority }) => priority > request.priority)
+    this.waiting.splice(insertAt < 0 ? this.waiting.length : insertAt, 0, request)
+    const leaveQueue = Effect.sync(() => {
+      const index = this.waiting.indexOf(request)
+      if (index >= 0) this.waiting.splice(index, 1)
     })
-    const step: Effect.Effect<void> = Effect.suspend(() => {
+    const sendOrWait: Effect.Effect<void> = Effect.suspend(() => {
       const pauseMs = this.pauseMs(request)
-      if (pauseMs > 0) return Effect.andThen(Effect.sleep(pauseMs), step)
+      if (pauseMs > 0) return Effect.andThen(Effect.sleep(pauseMs), sendOrWait)
       this.waiting.shift()
       this.tokens -= request.cost
       this.recordUsage(request.cost)
       return Effect.void
     })
-    return Effect.onInterrupt(step, () => leave)
+    return Effect.onInterrupt(sendOrWait, () => leaveQueue)
   }
 
-  /** The service rejected a request with 429: the others use more than they reported. */
-  rejected(): void {
+  /**
+   * Lowers the rate after the service rejected a request with 429: other nodes use more than they reported.
+   */
+  recordRejection(): void {
     const now = this.now()
     this.refill(now)
     this.tokens = Math.min(this.tokens, 0)
-    if (now < addMs(this.rejectedAt, SAME_REJECTION_MS)) return
+    if (now < addMs(this.rejectedAt, REJECTION_COALESCING_MS)) return
     this.rejectedAt = now
-    this.rate = Math.max((MIN_EVEN_SHARE * this.limit) / this.nodes, this.rate * RATE_DECREASE)
+    this.rate = Math.max((MIN_EVEN_SHARE * this.limit) / this.nodeCount, this.rate * RATE_DECREASE)
   }
 
   private pauseMs(request: WaitingRequest): number {
     this.refill(this.now())
-    // What costs more than a full bucket goes when the bucket is full.
-    const missing = Math.min(request.cost, this.burst) - this.tokens
-    const first = this.waiting[0] === request
-    if (first && missing <= EPSILON) return 0
-    const wanted = first ? (missing / this.rate) * 1000 : QUEUED_PAUSE_MS
-    return Math.max(MIN_PAUSE_MS, Math.min(MAX_PAUSE_MS, wanted))
+    // A request that costs more than the bucket's capacity is sent when the bucket is full.
+    const missingTokens = Math.min(request.cost, this.burst) - this.tokens
+    const isFirst = this.waiting[0] === request
+    if (isFirst && missingTokens <= TOKEN_EPSILON) return 0
+    const waitMs = isFirst ? (missingTokens / this.rate) * 1000 : QUEUED_PAUSE_MS
+    return Math.max(MIN_PAUSE_MS, Math.min(MAX_PAUSE_MS, waitMs))
   }
   private refill(now: MonotonicTime): void {
     const elapsedS = (now - this.refilledAt) / 1000
--- a/packages/rate-limit/test/builders.ts
+++ b/packages/rate-limit/test/builders.ts
@@ -3,21 +3,21 @@
 import { TestClock } from "effect/testing"
 import { type RequestPriority, SharedRateLimit } from "../src/shared-rate-limit.ts"
 
-/** Requests a second of the only node, which uses 92% of them. */
-const LIMIT = 10
-/** So long it takes until there is capacity for one request more. */
-export const REQUEST_MS = 1000 / (0.92 * LIMIT)
-/** And a little longer until a request that waits for it looks again. */
-export const LOOK_AGAIN_MS = 6
-export const BURST = 5
+/** Limit on requests per second; the single node uses up to 92% of it. */
+const LIMIT_PER_SECOND = 10
+/** Time until there is capacity for one more request. */
+export const REQUEST_INTERVAL_MS = 1000 / (0.92 * LIMIT_PER_SECOND)
+/** Additional time within which a queued request checks for capacity again. */
+export const RECHECK_MS = 6
+export const BURST_REQUESTS = 5
 
-/** The only node's rate limit, and how many requests it has let go. */
+/** The rate limit of a single node, and the number of requests it has admitted. */
 export const rateLimitOnTestClock = Effect.gen(function* () {
   const { monotonicNow: now } = yield* processClocks
-  const rateLimit = new SharedRateLimit({ limit: LIMIT, nodes: 1, burst: BURST, now })
+  const rateLimit = new SharedRateLimit({ limit: LIMIT_PER_SECOND, nodeCount: 1, burst: BURST_REQUESTS, now })
   const sent = { count: 0 }
-  /** Makes requests of cost 1, each of which is let go when its turn comes. */
-  const request = (count: number, priority: RequestPriority) =>
+  /** Queues requests of cost 1 and counts each one when it is admitted. */
+  const sendRequests = (count: number, priority: RequestPriority) =>
     Effect.gen(function* () {
       for (let i = 0; i < count; i++)
         yield* Effect.forkChild(
@@ -28,9 +28,9 @@
         )
       yield* TestClock.adjust(0)
     })
-  return { rateLimit, sent, request }
+  return { rateLimit, sent, sendRequests }
 })
 
-/** Runs a test on a clock that only moves when told to. */
+/** Runs a test on a clock that the test advances explicitly. */
 export const onTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
   Effect.runPromise(Effect.provide(test, TestClock.layer()))
--- a/packages/rate-limit/test/shared-rate-limit.test.ts
+++ b/packages/rate-limit/test/shared-rate-limit.test.ts
@@ -2,43 +2,49 @@
 import { test } from "node:test"
 import { Effect } from "effect"
 import { TestClock } from "effect/testing"
-import { BURST, LOOK_AGAIN_MS, onTestClock, REQUEST_MS, rateLimitOnTestClock } from "./builders.ts"
+import {
+  BURST_REQUESTS,
+  onTestClock,
+  RECHECK_MS,
+  REQUEST_INTERVAL_MS,
+  rateLimitOnTestClock,
+} from "./builders.ts"
 
-test("after a pause a burst goes at once, and the next request when there is capacity", () =>
+test("an idle node sends a burst at once, and the next request when there is capacity", () =>
   onTestClock(
     Effect.gen(function* () {
-      const { sent, request } = yield* rateLimitOnTestClock
-      yield* request(BURST + 1, 2)
-      assert.equal(sent.count, BURST)
-      yield* TestClock.adjust(REQUEST_MS - 1)
-      assert.equal(sent.count, BURST)
-      yield* TestClock.adjust(1 + LOOK_AGAIN_MS)
-      assert.equal(sent.count, BURST + 1)
+      const { sent, sendRequests } = yield* rateLimitOnTestClock
+      yield* sendRequests(BURST_REQUESTS + 1, 2)
+      assert.equal(sent.count, BURST_REQUESTS)
+      yield* TestClock.adjust(REQUEST_INTERVAL_MS - 1)
+      assert.equal(sent.count, BURST_REQUESTS)
+      yield* TestClock.adjust(1 + RECHECK_MS)
+      assert.equal(sent.count, BURST_REQUESTS + 1)
     }),
   ))
 
-test("a request of an immediate priority goes at once, at the expense of those that queue", () =>
+test("a request of an immediate priority is sent at once and delays the queued ones", () =>
   onTestClock(
     Effect.gen(function* () {
-      const { sent, request } = yield* rateLimitOnTestClock
-      yield* request(BURST + 1, 2)
-      yield* request(1, 1)
-      assert.equal(sent.count, BURST + 1)
-      yield* TestClock.adjust(2 * REQUEST_MS - 1)
-      assert.equal(sent.count, BURST + 1)
-      yield* TestClock.adjust(1 + LOOK_AGAIN_MS)
-      assert.equal(sent.count, BURST + 2)
+      const { sent, sendRequests } = yield* rateLimitOnTestClock
+      yield* sendRequests(BURST_REQUESTS + 1, 2)
+      yield* sendRequests(1, 1)
+      assert.equal(sent.count, BURST_REQUESTS + 1)
+      yield* TestClock.adjust(2 * REQUEST_INTERVAL_MS - 1)
+      assert.equal(sent.count, BURST_REQUESTS + 1)
+      yield* TestClock.adjust(1 + RECHECK_MS)
+      assert.equal(sent.count, BURST_REQUESTS + 2)
     }),
   ))
 
-test("a rejection takes what is left of the burst and lowers the rate, once for several together", () =>
+test("rejections in quick succession empty the token bucket and lower the rate once", () =>
   onTestClock(
     Effect.gen(function* () {
-      const { rateLimit, sent, request } = yield* rateLimitOnTestClock
-      rateLimit.rejected()
-      rateLimit.rejected()
-      yield* request(1, 2)
-      // At three quarters of the rate it takes 133 ms; at 9/16 of it, it would take 178.
+      const { rateLimit, sent, sendRequests } = yield* rateLimitOnTestClock
+      rateLimit.recordRejection()
+      rateLimit.recordRejection()
+      yield* sendRequests(1, 2)
+      // One token takes 133 ms at 3/4 of the rate, and would take 178 ms at 9/16 (lowered twice).
       yield* TestClock.adjust(130)
       assert.equal(sent.count, 0)
       yield* TestClock.adjust(10)
--- a/packages/store/src/make-client.ts
+++ b/packages/store/src/make-client.ts
@@ -16,7 +16,7 @@
     const clocks = yield* processClocks
     const rateLimit = new SharedRateLimit({
       limit: limits.writesPerSecond,
-      nodes,
+      nodeCount: nodes,
       burst: Math.max(limits.maxOperations, limits.writesPerSecond / 2),
       now: clocks.monotonicNow,
     })
--- a/packages/store/src/requests.ts
+++ b/packages/store/src/requests.ts
@@ -144,7 +144,7 @@
       else if (retries > 0) yield* acquireWrites(rateLimit, writes, 2)
       const response = yield* send(request)
       if (response.status !== TOO_MANY_REQUESTS) return yield* transactionResult(response)
-      rateLimit.rejected()
+      rateLimit.recordRejection()
       if (retries >= MAX_RETRIES) return yield* transactionResult(response)
       // Over the rate at this moment, and surely not applied: it waits for capacity again.
       yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
