--- a/deploy/operators.sexp
+++ b/deploy/operators.sexp
@@ -1,4 +1,4 @@
-; Operators' own settings. What isn't named keeps its default; see README.md.
+; Operators' settings. Settings not listed here keep their defaults; see README.md.
 (provisioning
   (window-s 30)
   (deployment-s 40))
--- a/packages/api/src/admissibility.ts
+++ b/packages/api/src/admissibility.ts
@@ -1,9 +1,11 @@
-/** Whether a submitted job can ever run here: a judgement on the settings and the machine types alone. */
+/**
+ * Admissibility of submitted jobs: whether a job can ever run, from the settings and the machine types alone.
+ */
 import { isEligible } from "@sorreltally/planner"
 import type { JobSpec, MachineType, MachineTypeName, ZoneName } from "@sorreltally/protocol"
 import type { DeploymentSettings, Team } from "@sorreltally/settings"
 
-/** `inadmissible`: no change of the fleet would let it run. `undecided`: can't be judged now. */
+/** `inadmissible`: no fleet could run the job. `undecided`: the machine types are not known yet. */
 export type Admissibility =
   | { readonly kind: "admissible" }
   | { readonly kind: "inadmissible"; readonly reason: string }
@@ -31,7 +33,7 @@
 }
 
 /**
- * Judges a submission.
+ * Checks whether a submitted job can ever run.
  * @param machineTypes The cloud's machine types; null: not known yet.
  */
 export const judgeAdmissibility = (
--- a/packages/api/src/api.ts
+++ b/packages/api/src/api.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP interface for users, workers and health checks (protocol, "Users -> controller nodes" and
- * "Workers -> controller nodes"), apart from the sockets: routes requests, admits those of users within a
- * limit, and sees that each is answered in time. It decides nothing about jobs or machines.
+ * The HTTP interface for users, workers and health checks (protocol, "Users -> controller nodes" and "Workers
+ * -> controller nodes"), without the sockets: routes requests, limits the concurrent requests of users, and
+ * bounds the response time of each. Decisions about jobs and machines are left to `ApiBackend`.
  */
 import {
   type Clocks,
@@ -18,14 +18,17 @@
 import { JobRequests } from "./job-requests.ts"
 import { badRequest, notFound, parseJson, unavailable } from "./responses.ts"
 
-/** Users wait 5 s for a submission and 2 s for a poll; a final "no" in time is worth more than silence. */
+/**
+ * Users wait 5 s for a submission and 2 s for a poll: a 503 before that is more useful to them than a
+ * time-out.
+ */
 const SUBMIT_TIMEOUT_MS = 3_500
 const POLL_TIMEOUT_MS = 1_500
-/** Where workers send their heartbeats, with POST. */
+/** Path to which workers POST their heartbeats. */
 export const HEARTBEAT_PATH = "/v1/report"
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/cancel)?$/
 
-/** Serves requests; none of its methods throws or fails, every outcome is a response. */
+/** Serves requests. No method throws or fails: every outcome is a response. */
 export class Api {
   private readonly admission: AdmissionSettings
   private readonly limiter: ConcurrencyLimiter
@@ -43,24 +46,28 @@
     this.jobs = new JobRequests(platform, backend, clocks, retryAfterS)
   }
 
-  /** The response to any request; interrupting it gives the request up, not what it has already written. */
+  /**
+   * Handles any request. Interruption abandons the request but doesn't undo what it has already written to
+   * the store.
+   */
   handle(request: IncomingRequest): Effect.Effect<OutgoingResponse> {
     const path = request.path.split("?")[0] ?? request.path
-    if (path === "/ready") return onlyFor("GET", request, () => Effect.succeed(this.readiness()))
-    if (path === HEARTBEAT_PATH) return onlyFor("POST", request, () => this.heartbeatResponse(request.body))
+    if (path === "/ready") return allowOnlyMethod("GET", request, () => Effect.succeed(this.readiness()))
+    if (path === HEARTBEAT_PATH)
+      return allowOnlyMethod("POST", request, () => this.heartbeatResponse(request.body))
     if (path === "/v1/jobs")
-      return onlyFor("POST", request, () =>
+      return allowOnlyMethod("POST", request, () =>
         this.admit(() => this.jobs.submit(request.body), SUBMIT_TIMEOUT_MS),
       )
     const [, id, cancel] = JOB_PATH.exec(path) ?? []
     if (id === undefined) return Effect.succeed(notFound("no such path"))
     return cancel === undefined
-      ? onlyFor("GET", request, () => this.admit(() => this.jobs.poll(id), POLL_TIMEOUT_MS))
-      : onlyFor("POST", request, () => this.admit(() => this.jobs.cancel(id), SUBMIT_TIMEOUT_MS))
+      ? allowOnlyMethod("GET", request, () => this.admit(() => this.jobs.poll(id), POLL_TIMEOUT_MS))
+      : allowOnlyMethod("POST", request, () => this.admit(() => this.jobs.cancel(id), SUBMIT_TIMEOUT_MS))
   }
 
   /**
-   * Answers a worker's heartbeat. No fiber is made for it: heartbeats are by far the most of a node's requests.
+   * Answers a worker's heartbeat, without creating a fiber: heartbeats are by far the most frequent requests.
    * @param body The request's raw text.
    */
   receiveHeartbeat(body: string, respond: Respond): void {
@@ -79,8 +86,8 @@
   }
 
   /**
-   * Within the limit on requests in progress, and with a response in time whatever happens. What isn't
-   * admitted is never begun: not even its body is decoded.
+   * Runs a request within the limit on requests in progress, and responds within the time-out in every case.
+   * A request that is not admitted is not started; its body is not decoded either.
    */
   private admit(
     respond: () => Effect.Effect<OutgoingResponse, StoreError>,
@@ -104,8 +111,8 @@
   }
 }
 
-/** 405 for any other method. */
-const onlyFor = (
+/** Responds 405 to any method other than `method`. */
+const allowOnlyMethod = (
   method: IncomingRequest["method"],
   request: IncomingRequest,
   respond: () => Effect.Effect<OutgoingResponse>,
--- a/packages/api/src/index.ts
+++ b/packages/api/src/index.ts
@@ -1,3 +1,3 @@
-/** The HTTP interface for users, workers and health checks, without its sockets. */
+/** HTTP API for users, workers and health checks, without its sockets. */
 export * from "./api.ts"
 export type * from "./backend.ts"
--- a/packages/api/src/job-requests.ts
+++ b/packages/api/src/job-requests.ts
@@ -1,7 +1,6 @@
 /**
- * Users' requests about jobs: submissions, polls and cancellations, each from its body or id to its response.
- * Users only get what is durable, and nothing older than their question: whatever is answered here comes
- * from `JobService`, never from a memory of this node.
+ * Users' requests about jobs: submissions, polls and cancellations. Job states in responses are durable and
+ * at least as recent as the request: they are read from `JobService`, never from a cache of this node.
  */
 import {
   type Clocks,
@@ -24,7 +23,7 @@
 
 type JobResponse = Effect.Effect<OutgoingResponse, StoreError>
 
-/** Answers users' requests about jobs. Fails with `StoreError` where the store can't be used now. */
+/** Answers users' requests about jobs. Fails with `StoreError` if the store is unavailable. */
 export class JobRequests {
   constructor(
     private readonly platform: Platform,
@@ -33,7 +32,7 @@
     private readonly retryAfterS: number,
   ) {}
 
-  /** A submission; repeated, it gets the state of the job accepted before. */
+  /** Submits a job. A repeated submission gets the state of the job that was accepted before. */
   submit(body: string): JobResponse {
     const json = parseJson(body)
     if (json === undefined) return Effect.succeed(badRequest("not JSON"))
@@ -48,16 +47,16 @@
       case "admissible":
         return this.accept(spec)
       case "inadmissible":
-        return this.knownOr(spec.id, unprocessable(verdict.reason))
+        return this.existingJobOr(spec.id, unprocessable(verdict.reason))
       case "undecided":
-        return this.knownOr(spec.id, unavailable(503, verdict.reason, this.retryAfterS))
+        return this.existingJobOr(spec.id, unavailable(503, verdict.reason, this.retryAfterS))
     }
   }
 
-  /** A job once accepted stays accepted, whatever its submission would be answered today. */
-  private knownOr(id: JobId, refusal: OutgoingResponse): JobResponse {
+  /** Responds with the job if it was accepted before, even if its submission would now be refused. */
+  private existingJobOr(id: JobId, refusal: OutgoingResponse): JobResponse {
     return Effect.map(this.backend.jobs.find(id), (found) =>
-      found.kind === "none" ? refusal : this.view(id, found),
+      found.kind === "none" ? refusal : this.viewResponse(id, found),
     )
   }
 
@@ -69,28 +68,28 @@
           return { status: 201, body: encodeJobView({ id: spec.id, status: "queued" }) }
         if (found.kind === "none")
           return unavailable(503, "the job's state can't be read now", this.retryAfterS)
-        return this.view(spec.id, found)
+        return this.viewResponse(spec.id, found)
       })
     })
   }
 
-  /** A poll: the job's status, with its task counts while it is live. */
+  /** Responds with a job's status, and with its task counts while it is live. */
   poll(id: string): JobResponse {
     if (!isJobId(id)) return NO_SUCH_JOB
-    return Effect.map(this.backend.jobs.find(id), (found) => this.view(id, found))
+    return Effect.map(this.backend.jobs.find(id), (found) => this.viewResponse(id, found))
   }
 
-  /** A cancellation; a job that has ended is answered as it ended. */
+  /** Cancels a job. For a job that has ended, responds with its final state. */
   cancel(id: string): JobResponse {
     if (!isJobId(id)) return NO_SUCH_JOB
     return Effect.map(this.backend.jobs.cancel(id), (found) =>
       found.kind === "live"
         ? { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
-        : this.view(id, found),
+        : this.viewResponse(id, found),
     )
   }
 
-  private view(id: JobId, found: JobLookup): OutgoingResponse {
+  private viewResponse(id: JobId, found: JobLookup): OutgoingResponse {
     if (found.kind === "none") return notFound("no such job")
     if (found.kind === "final") return { status: 200, body: encodeJobView({ id, status: found.status }) }
     if (found.record.cancelled) return { status: 200, body: encodeJobView({ id, status: "cancelled" }) }
--- a/packages/api/src/responses.ts
+++ b/packages/api/src/responses.ts
@@ -1,20 +1,20 @@
-/** The HTTP responses to users that carry no job; statuses and bodies are the protocol's. */
+/** HTTP responses to users without a job; statuses and bodies are defined by the protocol. */
 import type { OutgoingResponse } from "@sorreltally/protocol"
 
-/** 400: the request isn't in the protocol's form. */
+/** 400: the request doesn't conform to the protocol. */
 export const badRequest = (error: string): OutgoingResponse => ({ status: 400, body: { error } })
-/** 404: no such job or path. */
+/** 404: the job or path doesn't exist. */
 export const notFound = (error: string): OutgoingResponse => ({ status: 404, body: { error } })
-/** 422: a job that can never run here. */
+/** 422: the job can never run in this deployment. */
 export const unprocessable = (error: string): OutgoingResponse => ({ status: 422, body: { error } })
-/** 429 or 503: can't be served now, but may be when it is repeated after `retryAfterS` seconds. */
+/** 429 or 503: the request can't be served now and may be retried after `retryAfterS` seconds. */
 export const unavailable = (status: 429 | 503, error: string, retryAfterS: number): OutgoingResponse => ({
   status,
   body: { error },
   retryAfterS,
 })
 
-/** A request's JSON; undefined, which JSON can't be, for any other text. */
+/** Parses a request's JSON; undefined, which no JSON text yields, if the text is not valid JSON. */
 export const parseJson = (text: string): unknown => {
   try {
     return JSON.parse(text)
--- a/packages/api/test/api.test.ts
+++ b/packages/api/test/api.test.ts
@@ -3,14 +3,14 @@
 import { buildApi, statusOf, submission } from "./builders.ts"
 
 describe("a submission", () => {
-  it("is accepted once and known ever after", async () => {
+  it("is accepted once, and repeated submissions get the same job", async () => {
     const { send, submit } = buildApi()
     assert.deepEqual(await submit({ ...submission, colour: "unknown fields are ignored" }), {
       status: 201,
       body: { id: submission.id, status: "queued" },
     })
     assert.equal(await statusOf(submit(submission)), 200)
-    // What would be refused today was accepted before: that stands.
+    // A repeated submission gets the accepted job even if its own content would be refused.
     assert.equal(await statusOf(submit({ ...submission, owner: "nobody" })), 200)
     assert.deepEqual((await send("GET", `/v1/jobs/${submission.id}`)).body, {
       id: submission.id,
@@ -20,7 +20,7 @@
     })
   })
 
-  it("gets 400 where it is malformed", async () => {
+  it("gets 400 if it is malformed", async () => {
     const { submit } = buildApi()
     const malformed = [
       "{",
@@ -35,23 +35,23 @@
     for (const body of malformed) assert.equal(await statusOf(submit(body)), 400, JSON.stringify(body))
     const required = ["lane", "owner", "shape", "cores", "together", "expected_s", "image_gb", "urgency"]
     for (const field of required) {
-      const { [field as keyof typeof submission]: _, ...without } = submission
-      assert.equal(await statusOf(submit(without)), 400, `without ${field}`)
+      const { [field as keyof typeof submission]: _, ...incomplete } = submission
+      assert.equal(await statusOf(submit(incomplete)), 400, `without ${field}`)
     }
-    const wrong = [
+    const invalidFields = [
       { pieces: 1.5 },
       { pieces: 100_001 },
       { shape: "other" },
       { urgency: "now" },
       { cores: "8" },
     ]
-    for (const fields of wrong)
+    for (const fields of invalidFields)
       assert.equal(await statusOf(submit({ ...submission, ...fields })), 400, JSON.stringify(fields))
   })
 
-  it("gets 422 where it can never run", async () => {
+  it("gets 422 if the job can never run", async () => {
     const { submit } = buildApi()
-    const impossible = [
+    const impossibleFields = [
       { owner: "nobody" },
       { cores: 17 },
       { builds: ["g9"] },
@@ -59,19 +59,19 @@
       { cores: 33 },
       { accelerators: 1 },
     ]
-    for (const fields of impossible)
+    for (const fields of impossibleFields)
       assert.equal(await statusOf(submit({ ...submission, ...fields })), 422, JSON.stringify(fields))
   })
 
-  it("gets 503 with a time to retry, at once, where it can't be decided now", async () => {
-    const typesUnknown = await buildApi({ knowsMachineTypes: false }).submit(submission)
-    assert.equal(typesUnknown.status, 503)
-    assert.ok((typesUnknown.retryAfterS ?? 0) > 0)
-    const storeDown = buildApi({ storeDown: true })
-    const refused = await storeDown.submit(submission)
+  it("gets 503 with retry-after if machine types are unknown or the store refuses requests", async () => {
+    const machineTypesUnknown = await buildApi({ machineTypesKnown: false }).submit(submission)
+    assert.equal(machineTypesUnknown.status, 503)
+    assert.ok((machineTypesUnknown.retryAfterS ?? 0) > 0)
+    const apiWithoutStore = buildApi({ storeDown: true })
+    const refused = await apiWithoutStore.submit(submission)
     assert.equal(refused.status, 503)
     assert.ok((refused.retryAfterS ?? 0) > 0)
-    assert.equal(await statusOf(storeDown.send("GET", `/v1/jobs/${submission.id}`)), 503)
+    assert.equal(await statusOf(apiWithoutStore.send("GET", `/v1/jobs/${submission.id}`)), 503)
   })
 })
 
@@ -89,7 +89,7 @@
 })
 
 describe("a cancellation", () => {
-  it("stands for a live job, and leaves a job that is done as it is", async () => {
+  it("is durable for a live job, and doesn't change a job that is done", async () => {
     const { send, finals, submit } = buildApi()
     await submit(submission)
     assert.deepEqual((await send("POST", `/v1/jobs/${submission.id}/cancel`)).body, {
--- a/packages/api/test/builders.ts
+++ b/packages/api/test/builders.ts
@@ -1,4 +1,4 @@
-/** What the tests of this package share: a submission that is accepted, and an API over jobs in memory. */
+/** Test fixtures: an admissible submission, and an API with jobs kept in memory. */
 import type {
   MachineType,
   MachineTypeName,
@@ -35,7 +35,7 @@
   due_s: 900,
 }
 
-/** Jobs kept in memory; `storeDown`: every call fails as if the store refused it. */
+/** A job service that keeps jobs in memory; with `storeDown`, every call fails as if the store refused it. */
 const jobsInMemory = (storeDown: boolean) => {
   const live = new Map<string, JobRecord>()
   const finals = new Map<string, FinalStatus>()
@@ -44,14 +44,14 @@
     if (status !== undefined) return { kind: "final", status } as const
     return record === undefined ? ({ kind: "none" } as const) : ({ kind: "live", record } as const)
   }
-  const unlessDown = <A>(result: () => A) =>
+  const unlessStoreDown = <A>(result: () => A) =>
     storeDown
       ? Effect.fail(new StoreError({ operation: "get", outcome: "refused", status: 503 }))
       : Effect.sync(result)
   const jobs: JobService = {
-    find: (id) => unlessDown(() => lookup(id)),
+    find: (id) => unlessStoreDown(() => lookup(id)),
     accept: (record) =>
-      unlessDown(() => {
+      unlessStoreDown(() => {
         const { id } = record.spec
         const found = lookup(id)
         if (found.kind !== "none") return found
@@ -59,7 +59,7 @@
         return { kind: "accepted" } as const
       }),
     cancel: (id) =>
-      unlessDown(() => {
+      unlessStoreDown(() => {
         const found = lookup(id)
         if (found.kind === "live") live.set(id, { ...found.record, cancelled: true })
         return lookup(id)
@@ -68,14 +68,18 @@
   return { jobs, finals }
 }
 
+/** State of the services behind the API. */
 interface ApiOptions {
-  /** Whether the machine types are known; they are by default. */
-  readonly knowsMachineTypes?: boolean
+  /** Whether the machine types are known; true by default. */
+  readonly machineTypesKnown?: boolean
+  /** Whether the store refuses every request; false by default. */
   readonly storeDown?: boolean
 }
 
-/** An API, its requests, and the final states that its jobs may be given. */
-export const buildApi = ({ knowsMachineTypes = true, storeDown = false }: ApiOptions = {}) => {
+/**
+ * Builds an API; returns functions that send it requests, and the map in which tests set final job states.
+ */
+export const buildApi = ({ machineTypesKnown = true, storeDown = false }: ApiOptions = {}) => {
   const { jobs, finals } = jobsInMemory(storeDown)
   const platform = {
     deployment: {
@@ -86,7 +90,7 @@
   const type = { name: "g8", cores: 16, accelerators: 0, memGb: 64, zones: ["a"] } as unknown as MachineType
   const backend = {
     isReady: () => true,
-    machineTypes: () => (knowsMachineTypes ? new Map([["g8" as MachineTypeName, type]]) : null),
+    machineTypes: () => (machineTypesKnown ? new Map([["g8" as MachineTypeName, type]]) : null),
     jobs,
     taskCounts: () => ({ done: 1, running: 2 }),
     receiveHeartbeat: (_: unknown, respond: Respond) => respond({ status: 200, body: {} }),
--- a/packages/daemon/src/connection-pools.ts
+++ b/packages/daemon/src/connection-pools.ts
@@ -1,21 +1,21 @@
 /**
- * Pools of connections, each within its share of the file descriptors (`socketBudget`): those accepted from
- * workers and users, those kept to workers, and those to a service. They own their sockets; nothing here knows
- * what is sent on them.
+ * Connection pools, each limited to its part of the file descriptors (`socketBudget`): inbound connections
+ * from workers and users, outbound connections to workers, and outbound connections to a service. The pools
+ * own their sockets and are independent of the data sent on them.
  */
 import { Agent, type AgentOptions, type ClientRequest } from "node:http"
 import type { Socket } from "node:net"
 import type { Duplex } from "node:stream"
 
-/** What is needed of a socket to make room for another. */
+/** A socket that the pool can close to make room for another one. */
 interface Destroyable {
   readonly destroy: () => unknown
 }
 
 /**
- * Inbound connections, least recently used first. Workers and users that are gone notify nobody: behind a
- * network cut, or with their power off, their connections stay. At the limit the least recently used idle one
- * is closed, so that whoever connects next isn't refused, health checks among them.
+ * Inbound connections, least recently used first. A worker or user that is cut off from the network or loses
+ * power doesn't close its connection, so it stays open here. At the limit, the least recently used idle
+ * connection is closed so that new connections, including health checks, are not refused.
  */
 export class InboundConnections<S extends Destroyable = Socket> {
   private readonly idle = new Set<S>()
@@ -23,11 +23,11 @@
 
   constructor(private readonly maxConnections: number) {}
 
-  /** How many are open. */
+  /** Number of open connections. */
   get size(): number {
     return this.idle.size + this.busy.size
   }
-  /** A connection was accepted; closes another, or this one where all others are busy, at the limit. */
+  /** Adds an accepted connection. At the limit, closes an idle one, or this one if all others are busy. */
   add(socket: S): void {
     this.idle.add(socket)
     if (this.size <= this.maxConnections) return
@@ -36,59 +36,60 @@
     this.remove(leastRecentlyUsed)
     leastRecentlyUsed.destroy()
   }
-  /** A request came on it. */
+  /** Marks a connection on which a request was received. */
   markBusy(socket: S): void {
     if (this.idle.delete(socket)) this.busy.add(socket)
   }
-  /** Its request was answered. */
+  /** Marks a connection whose request was answered. */
   markIdle(socket: S): void {
     if (this.busy.delete(socket)) this.idle.add(socket)
   }
-  /** It was closed, by whichever side. */
+  /** Removes a connection that was closed by either side. */
   remove(socket: S): void {
     this.idle.delete(socket)
     this.busy.delete(socket)
   }
 }
 
-/** An idle outbound connection is closed after this. */
+/** Time after which an idle outbound connection is closed. */
 const IDLE_TIMEOUT_MS = 20_000
-const MAX_IDLE_PER_SERVICE = 4
+const MAX_IDLE_CONNECTIONS_PER_SERVICE = 4
 
 /**
- * An agent for many hosts, each sent a request now and then: connections are kept for the next request while
- * there are few; at the limit the least recently used idle one is closed for a new one. The limit is on what
- * is kept: with none idle a new connection is opened all the same, and closed after its request. Node's own
- * limit on an agent's sockets would queue requests to new hosts behind idle connections to others.
+ * HTTP agent for many hosts that each get occasional requests. Connections are kept alive for the next
+ * request below the limit; at the limit, the least recently used idle connection is closed before a new one
+ * is opened. The limit applies to kept connections only: if none is idle, a new connection is still opened,
+ * and closed after its request. Node's own `maxSockets` and `maxTotalSockets` are not used, since they would
+ * queue requests to new hosts behind idle connections to other hosts.
  */
 export class LruAgent extends Agent {
-  private open = 0
+  private openConnections = 0
   private readonly idle = new Set<Duplex>()
 
   constructor(private readonly maxConnections: number) {
-    // A worker is never sent two requests at a time.
+    // Requests to a worker are sent one at a time.
     super({ keepAlive: true, maxFreeSockets: 1, timeout: IDLE_TIMEOUT_MS })
   }
   override createConnection(
     options: AgentOptions,
     callback?: (error: Error | null, stream: Duplex) => void,
   ): Duplex | null | undefined {
-    if (this.open >= this.maxConnections) {
+    if (this.openConnections >= this.maxConnections) {
       const [leastRecentlyUsed] = this.idle
       leastRecentlyUsed?.destroy()
     }
     const socket = super.createConnection(options, callback)
-    this.open++
+    this.openConnections++
     socket?.once("close", () => {
-      this.open--
+      this.openConnections--
       this.idle.delete(socket)
     })
     return socket
   }
   override keepSocketAlive(socket: Duplex): boolean {
-    // Node's types don't say that it returns a boolean.
+    // Node returns a boolean, but its type declaration says void.
     const isKept: unknown = super.keepSocketAlive(socket)
-    if (this.open > this.maxConnections || isKept !== true) return false
+    if (this.openConnections > this.maxConnections || isKept !== true) return false
     this.idle.add(socket)
     return true
   }
@@ -98,11 +99,13 @@
   }
 }
 
-/** An agent for one service that answers many requests at a time; requests beyond its connections queue. */
+/**
+ * HTTP agent for one service with many concurrent requests; requests beyond the connection limit are queued.
+ */
 export const serviceAgent = (maxConnections: number): Agent =>
   new Agent({
     keepAlive: true,
     maxSockets: maxConnections,
-    maxFreeSockets: Math.min(MAX_IDLE_PER_SERVICE, maxConnections),
+    maxFreeSockets: Math.min(MAX_IDLE_CONNECTIONS_PER_SERVICE, maxConnections),
     timeout: IDLE_TIMEOUT_MS,
   })
--- a/packages/daemon/src/http-client.ts
+++ b/packages/daemon/src/http-client.ts
@@ -1,4 +1,4 @@
-/** The HTTP client on Node's sockets: JSON requests to the store, the cloud and workers. */
+/** HTTP client for JSON requests to the store, the cloud and workers. */
 import { type Agent, request as httpRequest, type IncomingMessage } from "node:http"
 import {
   type Address,
@@ -17,25 +17,26 @@
   try {
     return JSON.parse(Buffer.concat(chunks).toString("utf8"))
   } catch {
-    // A response without JSON still has its status.
+    // The status is meaningful even when the body is not valid JSON.
     return null
   }
 }
 
 /**
- * Sends one request. Fails with `NoResponseError` whenever no whole response came: the request may have been
- * carried out, or may be yet. Interruption, also by the time-out, closes the request's connection.
+ * Sends one request. Fails with `NoResponseError` if no complete response was received: the request may have
+ * been carried out, or may still be. Interruption, including by the time-out, closes the request's
+ * connection.
  */
-const send = (call: HttpRequest, agent: Agent): Effect.Effect<HttpResponse, NoResponseError> =>
+const send = (request: HttpRequest, agent: Agent): Effect.Effect<HttpResponse, NoResponseError> =>
   Effect.callback<HttpResponse, NoResponseError>((resume) => {
-    const { host, port } = splitAddress(call.address)
-    const text = call.body === undefined ? undefined : JSON.stringify(call.body)
+    const { host, port } = splitAddress(request.address)
+    const text = request.body === undefined ? undefined : JSON.stringify(request.body)
     const headers =
       text === undefined
         ? {}
         : { "content-type": "application/json", "content-length": String(Buffer.byteLength(text)) }
     const fail = (cause: Error) => resume(Effect.fail(new NoResponseError({ reason: cause.message })))
-    const receive = (incoming: IncomingMessage) => {
+    const receiveResponse = (incoming: IncomingMessage) => {
       const chunks: Array<Buffer> = []
       incoming.on("data", (chunk: Buffer) => chunks.push(chunk))
       incoming.on("error", fail)
@@ -44,8 +45,8 @@
       )
     }
     const outgoing = httpRequest(
-      { agent, host, port, method: call.method, path: call.path, headers },
-      receive,
+      { agent, host, port, method: request.method, path: request.path, headers },
+      receiveResponse,
     )
     outgoing.setNoDelay(true)
     outgoing.on("error", fail)
@@ -54,18 +55,19 @@
   })
 
 /**
- * An HTTP client whose connections are closed with the scope.
- * @param services Addresses that are sent many requests at a time; every other address is a worker's.
+ * Creates an HTTP client whose connections are closed with the scope.
+ * @param services Addresses of services that get many concurrent requests; any other address is a worker's.
  */
 export const makeHttpClient = (
   services: ReadonlyArray<Address>,
   sockets: SocketBudget,
 ): Effect.Effect<HttpClient["Service"], never, Scope.Scope> =>
   Effect.gen(function* () {
-    const destroyed = <A extends Agent>(agent: A) =>
+    const destroyedWithScope = <A extends Agent>(agent: A) =>
       Effect.acquireRelease(Effect.succeed(agent), () => Effect.sync(() => agent.destroy()))
-    const workers = yield* destroyed(new LruAgent(sockets.commands))
+    const workers = yield* destroyedWithScope(new LruAgent(sockets.commands))
     const agents = new Map<Address, Agent>()
-    for (const address of services) agents.set(address, yield* destroyed(serviceAgent(sockets.services)))
+    for (const address of services)
+      agents.set(address, yield* destroyedWithScope(serviceAgent(sockets.services)))
     return withTimeout((call) => send(call, agents.get(call.address) ?? workers))
   })
--- a/packages/daemon/src/http-server.ts
+++ b/packages/daemon/src/http-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP listener: turns Node's requests into the service's and its responses back. Decides nothing. */
+/** HTTP listener: converts Node's requests and responses to and from the types of the protocol package. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http"
 import type { Socket } from "node:net"
 import {
@@ -12,22 +12,22 @@
 import { Effect, type Scope } from "effect"
 import { InboundConnections } from "./connection-pools.ts"
 
-/** A request whose headers and body aren't complete by then is answered 408 by Node. */
+/** Node answers 408 to a request whose headers and body are not complete within this time. */
 const REQUEST_TIMEOUT_MS = 30_000
 
-/** What a listener serves, and within which bounds. */
+/** Options of the HTTP listener. */
 export interface HttpServerOptions {
   readonly listen: Address
-  /** Longer bodies are answered 400 and never kept in memory. */
+  /** Requests with longer bodies get 400, and their bodies are not kept in memory. */
   readonly maxBodyBytes: number
-  /** At most this many connections are open; see `InboundConnections`. */
+  /** Maximum number of open connections; see `InboundConnections`. */
   readonly maxConnections: number
-  /** Answers a request, once. */
+  /** Answers a request by calling `respond` once. */
   readonly serve: (request: IncomingRequest, respond: Respond) => void
   readonly log: Log
 }
 
-const write = (response: ServerResponse, outgoing: OutgoingResponse): void => {
+const writeResponse = (response: ServerResponse, outgoing: OutgoingResponse): void => {
   const text = JSON.stringify(outgoing.body)
   response.writeHead(outgoing.status, {
     "content-type": "application/json",
@@ -37,8 +37,8 @@
   response.end(text)
 }
 
-/** Collects a request's body and hands it on, unless it is too long. */
-const receive = (
+/** Reads a request's body and serves the request, or responds 400 if the body is too long. */
+const receiveRequest = (
   incoming: IncomingMessage,
   { maxBodyBytes, serve }: HttpServerOptions,
   respond: Respond,
@@ -67,8 +67,8 @@
     const { socket } = incoming
     connections.markBusy(socket)
     incoming.on("error", () => response.destroy())
-    receive(incoming, options, (outgoing) => {
-      write(response, outgoing)
+    receiveRequest(incoming, options, (outgoing) => {
+      writeResponse(response, outgoing)
       connections.markIdle(socket)
     })
   })
@@ -76,14 +76,17 @@
     connections.add(socket)
     socket.once("close", () => connections.remove(socket))
   })
-  // A connection stays open until one side closes it, or another one needs its place.
+  // Idle connections don't time out: they stay open until the client or `InboundConnections` closes them.
   server.keepAliveTimeout = 0
   server.requestTimeout = REQUEST_TIMEOUT_MS
   server.on("error", (cause) => options.log.error("HTTP listener failed", { cause: String(cause) }))
   return server
 }
 
-/** Listens until the scope ends, which closes the listener and its connections. Errors are logged, not thrown. */
+/**
+ * Listens until the scope ends, which closes the listener and its connections. Errors of the listener are
+ * logged, not thrown.
+ */
 export const serveHttp = (options: HttpServerOptions): Effect.Effect<void, never, Scope.Scope> =>
   Effect.acquireRelease(
     Effect.sync(() => {
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,17 +1,17 @@
-/** The log on standard error; docs/operations.md lists every line. */
+/** Logging to standard error; docs/operations.md lists every line. */
 import type { Log } from "@sorreltally/protocol"
 
 const LEVELS = ["error", "info", "debug"] as const
-/** Each level writes its own lines and those of the levels before it. */
+/** Log level: each level includes the levels before it. */
 export type LogLevel = (typeof LEVELS)[number]
 
-/** The level of an environment variable's text; `info` for any other text, and for none. */
+/** Parses the value of LOG_LEVEL, in any letter case; `info` if it is unset or unknown. */
 export const parseLogLevel = (text: string | undefined): LogLevel =>
   LEVELS.find((level) => level === text?.toLowerCase()) ?? "info"
 
 const formatValue = (value: unknown): string => (typeof value === "string" ? value : JSON.stringify(value))
 
-/** One line an event on standard error: time, level, message, then fields as name=value. */
+/** Creates a log that writes one line per event: time, level, message, then fields as name=value. */
 export const makeLog = (maxLevel: LogLevel): Log => {
   const enabled = LEVELS.slice(0, LEVELS.indexOf(maxLevel) + 1)
   const writer =
--- a/packages/daemon/src/node.ts
+++ b/packages/daemon/src/node.ts
@@ -1,4 +1,7 @@
-/** Puts one controller together, without the sockets that it is reached by: the tests give it simulated ones. */
+/**
+ * Assembles one controller node. Its network links and HTTP client are injected, so that tests can simulate
+ * them.
+ */
 import { Api, type ApiBackend, HEARTBEAT_PATH } from "@sorreltally/api"
 import { makeCloudClient } from "@sorreltally/cloud"
 import { type Controller, makeController } from "@sorreltally/controller"
@@ -15,28 +18,28 @@
 import { Effect, Exit } from "effect"
 import { makeReadiness } from "./readiness.ts"
 
-/** One controller of the deployment. */
+/** One controller node of the deployment. */
 export interface Node {
-  /** Answers a request of a worker, a user or a health check, once. Doesn't throw. */
+  /** Answers a request of a worker, a user or a health check by calling `respond` once. Doesn't throw. */
   readonly serve: (request: IncomingRequest, respond: Respond) => void
-  /** Runs until it is interrupted; the owner of its fiber ends everything that the node started. */
+  /** Runs the node until interrupted. Interrupting its fiber ends everything that the node started. */
   readonly run: Effect.Effect<void>
 }
 
 const buildController = (platform: Platform, operators: Operators, links: Links, log: Log) =>
   Effect.gen(function* () {
     const { deployment, services, peers, nodeName } = platform
-    const others = peers.map((peer) => peer.nodeName)
-    const nodes = [nodeName, ...others].sort()
+    const peerNames = peers.map((peer) => peer.nodeName)
+    const nodes = [nodeName, ...peerNames].sort()
     const { writesPerSecond, valueKb, maxOperations } = deployment.store
     const storeLimits = { writesPerSecond, valueKb, maxOperations }
     const store = yield* makeStoreClient(services.store, storeLimits, nodes.length)
     const cloud = yield* makeCloudClient(services.cloud, deployment.cloud, nodes.length)
-    const channel = yield* makePeerChannel(nodeName, others, links, log)
+    const channel = yield* makePeerChannel(nodeName, peerNames, links, log)
     return yield* makeController({ platform, operators, nodes, store, cloud, peers: channel, log })
   })
 
-/** The controller, as the HTTP interface sees it. */
+/** Adapts the controller to the interface that the HTTP API uses. */
 const backendOf = (controller: Controller, isReady: () => boolean): ApiBackend => ({
   isReady,
   machineTypes: () => controller.catalog(),
@@ -45,7 +48,7 @@
   receiveHeartbeat: controller.receiveHeartbeat.bind(controller),
 })
 
-/** One controller, put together; it does nothing before `run`. */
+/** Creates a node; it starts no work before `run`. */
 export const makeNode = (
   platform: Platform,
   operators: Operators,
@@ -57,27 +60,28 @@
     const controller = yield* buildController(platform, operators, links, log)
     const health = {
       isHealthy: () => controller.isHealthy(),
-      areOthersHealthy: () => controller.othersHealthy(),
+      hasHealthyPeer: () => controller.othersHealthy(),
     }
     const backend = backendOf(controller, makeReadiness(health, clocks))
     const api = new Api(platform, operators, backend, clocks)
     const context = yield* Effect.context<never>()
-    const fail = (request: IncomingRequest, cause: unknown, respond: Respond) => {
+    const respondWithError = (request: IncomingRequest, cause: unknown, respond: Respond) => {
       log.error("request failed", { path: request.path, cause: String(cause) })
       respond({ status: 503, body: { error: "internal error" } })
     }
     const serve = (request: IncomingRequest, respond: Respond): void => {
       if (request.path !== HEARTBEAT_PATH || request.method !== "POST") {
         Effect.runCallbackWith(context)(api.handle(request), {
-          onExit: (exit) => (Exit.isSuccess(exit) ? respond(exit.value) : fail(request, exit.cause, respond)),
+          onExit: (exit) =>
+            Exit.isSuccess(exit) ? respond(exit.value) : respondWithError(request, exit.cause, respond),
         })
         return
       }
-      // By far the most requests: plain calls, no fiber.
+      // Heartbeats are by far the most frequent requests: they are served without creating a fiber.
       try {
         api.receiveHeartbeat(request.body, respond)
       } catch (cause) {
-        fail(request, cause, respond)
+        respondWithError(request, cause, respond)
       }
     }
     return { serve, run: controller.run }
--- a/packages/daemon/src/readiness.ts
+++ b/packages/daemon/src/readiness.ts
@@ -1,33 +1,37 @@
-/** What `/ready` answers a load balancer: the node's health with a delay, so that short faults don't show. */
+/** Readiness for load balancers (`/ready`): the node's health with a grace period that hides short faults. */
 import { addMs, type Clocks, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 
-/** The health of this node and, as far as it is known here, of the others. */
+/** Health of this node and, as far as this node can observe it, of its peers. */
 export interface HealthSource {
   /** Whether this node can serve users now. */
   readonly isHealthy: () => boolean
-  /** Whether some other node can; null: no other node is reachable. */
-  readonly areOthersHealthy: () => boolean | null
+  /** Whether some peer can; null: no peer is reachable. */
+  readonly hasHealthyPeer: () => boolean | null
 }
 
-const GRACE_OTHERS_HEALTHY_MS = 2_500
-const GRACE_OTHERS_UNREACHABLE_MS = 7_000
-const GRACE_NOBODY_HEALTHY_MS = 30_000
+const GRACE_HEALTHY_PEER_MS = 2_500
+const GRACE_NO_REACHABLE_PEER_MS = 7_000
+const GRACE_NO_HEALTHY_PEER_MS = 30_000
 
 /**
- * For how long a node that isn't healthy stays ready: the load balancer doubles its pause at each removal.
- * Where others could serve the users instead, they should soon; where nobody can, it makes no difference.
+ * How long an unhealthy node stays ready. Removals are delayed because the load balancer doubles its pause
+ * with each one. The delay is short if a peer can serve users instead, and long if no node can, since a
+ * removal would not help users then.
  */
-const graceMs = (areOthersHealthy: boolean | null): number => {
-  if (areOthersHealthy === null) return GRACE_OTHERS_UNREACHABLE_MS
-  return areOthersHealthy ? GRACE_OTHERS_HEALTHY_MS : GRACE_NOBODY_HEALTHY_MS
+const graceMs = (hasHealthyPeer: boolean | null): number => {
+  if (hasHealthyPeer === null) return GRACE_NO_REACHABLE_PEER_MS
+  return hasHealthyPeer ? GRACE_HEALTHY_PEER_MS : GRACE_NO_HEALTHY_PEER_MS
 }
 
-/** Ready while healthy and for a grace period afterwards; not ready before it was healthy once. */
+/**
+ * Creates the readiness check. A node is ready while it is healthy and for a grace period afterwards, but not
+ * before it has been healthy once.
+ */
 export const makeReadiness = (health: HealthSource, clocks: Clocks): (() => boolean) => {
   let healthyAt: MonotonicTime = EARLIEST_TIME
   return () => {
     const now = clocks.monotonicNow()
     if (health.isHealthy()) healthyAt = now
-    return now < addMs(healthyAt, graceMs(health.areOthersHealthy()))
+    return now < addMs(healthyAt, graceMs(health.hasHealthyPeer()))
   }
 }
--- a/packages/daemon/src/service.ts
+++ b/packages/daemon/src/service.ts
@@ -1,7 +1,7 @@
 /**
- * The whole service of one node: the node, and the sockets that it is reached by and reaches others by. The
- * HTTP listener and the client's connections belong to the service's scope; the sockets between controllers
- * live as long as the process.
+ * The service of one node: the node with its HTTP listener, HTTP client and sockets to other controllers. The
+ * HTTP listener and the client's connections are closed with the service's scope; the sockets between
+ * controllers stay open for the lifetime of the process.
  */
 import { openSockets } from "@sorreltally/peers"
 import { HttpClient, type Log, MAX_BODY_BYTES } from "@sorreltally/protocol"
@@ -18,7 +18,7 @@
 import { serveHttp } from "./http-server.ts"
 import { makeNode } from "./node.ts"
 
-/** Serves until it is interrupted, or fails by a bug; either way its listener and connections are closed. */
+/** Serves until interrupted or until a bug ends it; in both cases the listener and connections are closed. */
 export const runService = (platform: Platform, operators: Operators, log: Log): Effect.Effect<void> =>
   Effect.scoped(
     Effect.gen(function* () {
@@ -44,16 +44,20 @@
       serve: node.serve,
       log,
     })
-    logBudget(platform, operators, log)
-    log.info("started", { node: platform.nodeName, listen: platform.listenAddress })
+    logCancellationBudget(platform, operators, log)
+    log.info("node started", { node: platform.nodeName, listen: platform.listenAddress })
     yield* node.run
   })
 
-/** Says how soon cancelled tasks are surely gone, and reports an error if the platform's settings allow none. */
-const logBudget = ({ deployment }: Platform, operators: Operators, log: Log): void => {
+/**
+ * Logs the cancellation budget, and an error if it exceeds `cancel_s` because the platform's settings leave
+ * no time for a usable node lease.
+ */
+const logCancellationBudget = ({ deployment }: Platform, operators: Operators, log: Log): void => {
   const budget = cancellationBudget(deployment.workers, operators.membership)
   const { leaseTtlMs, leaseMarginMs, watchFreshMs } = budget
-  const sum = describeBudget(deployment.workers, budget)
-  log.info("cancellation budget", { leaseTtlMs, leaseMarginMs, watchFreshMs, sum })
-  if (!budgetHolds(budget)) log.error("cancelled tasks may outlive cancel_s during a store outage", { sum })
+  const summary = describeBudget(deployment.workers, budget)
+  log.info("cancellation budget", { leaseTtlMs, leaseMarginMs, watchFreshMs, summary })
+  if (!budgetHolds(budget))
+    log.error("cancelled tasks may run longer than cancel_s during a store outage", { summary })
 }
--- a/packages/daemon/test/builders.ts
+++ b/packages/daemon/test/builders.ts
@@ -1,16 +1,16 @@
-/** What the tests of this package share: HTTP servers on loopback that count their connections. */
+/** Test fixtures: HTTP servers on loopback that count their connections. */
 import { createServer, type Server } from "node:http"
 import type { AddressInfo } from "node:net"
 import type { Address } from "@sorreltally/protocol"
 
-/** Connections of all servers together. */
+/** Connection counts over all servers. */
 export interface ConnectionCounts {
   accepted: number
   open: number
   maxOpen: number
 }
 
-const listening = (counts: ConnectionCounts): Promise<Server> =>
+const startServer = (counts: ConnectionCounts): Promise<Server> =>
   new Promise((resolve) => {
     const server = createServer((_, response) => response.end("{}"))
     server.on("connection", (socket) => {
@@ -21,10 +21,10 @@
     server.listen(0, "127.0.0.1", () => resolve(server))
   })
 
-/** Servers that answer every request with an empty object; to be closed by `close`. */
-export const countingServers = async (count: number) => {
+/** Starts servers that answer every request with an empty object; `close` stops them. */
+export const startCountingServers = async (count: number) => {
   const counts: ConnectionCounts = { accepted: 0, open: 0, maxOpen: 0 }
-  const servers = await Promise.all(Array.from({ length: count }, () => listening(counts)))
+  const servers = await Promise.all(Array.from({ length: count }, () => startServer(counts)))
   const addresses = servers.map((server) => `127.0.0.1:${(server.address() as AddressInfo).port}` as Address)
   const close = () => {
     for (const server of servers) {
--- a/packages/settings/src/codec-operators.ts
+++ b/packages/settings/src/codec-operators.ts
@@ -1,8 +1,7 @@
 /**
- * Codec of the operators' settings file: S-expressions, one list a section,
- * `(provisioning (window-s 60) …) (membership …)`. The only place that knows the names in the file; they are
- * a published interface and stay as they are. Errors, also those that concern both files, name settings as
- * this file does.
+ * Codec of the operators' settings file: S-expressions with one list per section, as in
+ * `(provisioning (window-s 60) …) (membership …)`. The names in the file are a published interface and don't
+ * change; they are used only here and in error messages, including those that concern both settings files.
  */
 import { Result } from "effect"
 import { type Form, parse } from "sexpr-plus"
@@ -16,12 +15,13 @@
 import { InvalidSettingsError, messageOf } from "./errors.ts"
 import { defaultOperators, type NodeLeaseSettings, type Operators } from "./operators.ts"
 
-/** The field that a setting is read into, and the range that its number has to be in. */
+/** Field of a setting, and the range of its value. */
 interface SettingRule<Field> {
   readonly field: Field
   readonly min: number
   readonly max: number
 }
+/** Rules of a section's settings, by their name in the file. */
 type SectionRules<Field> = Readonly<Record<string, SettingRule<Field>>>
 type SectionName = keyof Operators
 
@@ -43,7 +43,7 @@
   },
 }
 
-/** What is wrong, and at which form of the file. */
+/** Error in the file, with the form that it concerns. */
 interface Fault {
   readonly form: Form
   readonly reason: string
@@ -51,40 +51,54 @@
 const faultAt = (form: Form, reason: string): Result.Result<never, Fault> => Result.fail({ form, reason })
 
 const isSectionName = (name: string): name is SectionName => Object.hasOwn(RULES, name)
-/** An atom's text; empty, and so no name of anything, for every other form. */
-const nameIn = (form: Form | undefined): string => (form?.type === "atom" ? form.content : "")
+/** Text of an atom; empty, which is not a valid name, for any other form. */
+const atomText = (form: Form | undefined): string => (form?.type === "atom" ? form.content : "")
 
-/** One `(name value)` of a section: the field and its value. */
+/** Text of a form for error messages. */
+const displayForm = (form: Form): string => {
+  if (form.type === "list") return `(${form.content.map(displayForm).join(" ")})`
+  return form.type === "string" ? JSON.stringify(form.content) : form.content
+}
+const displayForms = (forms: ReadonlyArray<Form>): string =>
+  forms.length === 0 ? "no value" : forms.map(displayForm).join(" ")
+
+/** Decodes one `(name value)` entry of a section into the field and its value. */
 const decodeEntry = <Field>(
   section: string,
   rules: SectionRules<Field>,
   entry: Form,
 ): Result.Result<readonly [Field, number], Fault> => {
-  if (entry.type !== "list") return faultAt(entry, `expected (name value), found ${entry.content}`)
-  const [nameForm, valueForm, ...rest] = entry.content
-  const name = nameIn(nameForm)
+  if (entry.type !== "list")
+    return faultAt(entry, `${section}: expected (name value), found ${displayForm(entry)}`)
+  const [nameForm, ...values] = entry.content
+  const [valueForm, ...rest] = values
+  const name = atomText(nameForm)
   const rule = Object.hasOwn(rules, name) ? rules[name] : undefined
   if (rule === undefined) {
     const known = Object.keys(rules).join(", ")
-    return faultAt(entry, `unknown setting "${section} ${name}"; there are ${known}`)
+    return faultAt(entry, `unknown setting "${section} ${name}"; expected one of ${known}`)
   }
   const value = valueForm?.type === "atom" && rest.length === 0 ? Number(valueForm.content) : Number.NaN
   const inRange = value >= rule.min && value <= rule.max
   if (!inRange)
-    return faultAt(entry, `${section} ${name}: expected one number from ${rule.min} to ${rule.max}`)
+    return faultAt(
+      entry,
+      `${section} ${name}: expected one number from ${rule.min} to ${rule.max},` +
+        ` found ${displayForms(values)}`,
+    )
   return Result.succeed([rule.field, value])
 }
 
-/** The settings with those of one section's list in place of what they had. */
-const withSection = (operators: Operators, form: Form): Result.Result<Operators, Fault> =>
+/** Returns the settings with those of one section's list replaced. */
+const applySection = (operators: Operators, form: Form): Result.Result<Operators, Fault> =>
   Result.gen(function* () {
     if (form.type !== "list")
-      return yield* faultAt(form, `expected a section such as (provisioning …), found ${form.content}`)
+      return yield* faultAt(form, `expected a section such as (provisioning …), found ${displayForm(form)}`)
     const [head, ...entries] = form.content
-    const section = nameIn(head)
+    const section = atomText(head)
     if (!isSectionName(section)) {
       const known = Object.keys(RULES).join(", ")
-      return yield* faultAt(head ?? form, `unknown section "${section}"; there are ${known}`)
+      return yield* faultAt(head ?? form, `unknown section "${section}"; expected one of ${known}`)
     }
     const changes: Array<readonly [string, number]> = []
     for (const entry of entries) changes.push(yield* decodeEntry<string>(section, RULES[section], entry))
@@ -98,16 +112,16 @@
   try {
     return Result.succeed(parse(text))
   } catch (cause) {
-    const reason = `not S-expressions: ${messageOf(cause)}`
+    const reason = `invalid S-expressions: ${messageOf(cause)}`
     return Result.fail(new InvalidSettingsError({ source, reason, cause }))
   }
 }
 
 /**
- * The settings of an operators' file; what it doesn't name keeps its default, and the last of two entries of
- * one name counts.
- * @param text The file's content.
- * @param source The file's path, for errors, which tell line and column too.
+ * Parses the operators' settings file. Settings absent from the file keep their defaults; if a setting is
+ * repeated, its last value counts.
+ * @param text Content of the file.
+ * @param source Path of the file, for error messages, which also contain line and column.
  */
 export const parseOperators = (
   text: string,
@@ -116,7 +130,7 @@
   Result.gen(function* () {
     let operators = defaultOperators()
     for (const form of yield* parseForms(text, source)) {
-      operators = yield* Result.mapError(withSection(operators, form), (fault) => {
+      operators = yield* Result.mapError(applySection(operators, form), (fault) => {
         const position = fault.form.location.start
         return new InvalidSettingsError({ source, position, reason: fault.reason })
       })
@@ -125,9 +139,9 @@
   })
 
 /**
- * The budget, unless the operators' node lease breaks it. Derived times never do: where the platform's
- * settings leave no time, `budgetHolds` is false and the service starts all the same.
- * @param source The operators' file, for the error, which says the setting, the sum and the limit.
+ * Returns the budget, or an error if the operators' node lease exceeds it. Derived times are always accepted:
+ * if the platform's settings leave too little time, `budgetHolds` is false and the service still starts.
+ * @param source Path of the operators' file, for the error, which names the setting, the sum and the limit.
  */
 export const checkNodeLease = (
   times: WorkerTimes,
@@ -139,14 +153,14 @@
   const { leaseTtlMs, leaseMarginMs } = budget
   if (2 * leaseMarginMs > leaseTtlMs)
     return invalid(
-      `membership grant-margin-ms: a margin of ${leaseMarginMs} ms leaves too little` +
-        ` of a grant of ${leaseTtlMs} ms; it has to be at most half of it`,
+      `membership grant-margin-ms: ${leaseMarginMs} ms is too long for grant-ttl-ms ${leaseTtlMs} ms;` +
+        ` expected at most half of it, ${leaseTtlMs / 2} ms`,
     )
   const maxValidityMs = maxLeaseValidityMs(times)
   if (operators.nodeLeaseTtlMs === null || leaseTtlMs - leaseMarginMs <= maxValidityMs)
     return Result.succeed(budget)
   return invalid(
-    `membership grant-ttl-ms: ${leaseTtlMs} ms are too long for facts.workers.cancel_s:` +
-      ` ${describeBudget(times, budget)}; at most ${maxValidityMs + leaseMarginMs} ms, or leave it out`,
+    `membership grant-ttl-ms: ${leaseTtlMs} ms is too long for facts.workers.cancel_s:` +
+      ` ${describeBudget(times, budget)}; expected at most ${maxValidityMs + leaseMarginMs} ms, or no value`,
   )
 }
--- a/packages/settings/src/codec.ts
+++ b/packages/settings/src/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Codec of the settings file that the platform hands over (DEPLOY). The only place that knows its field names;
- * errors name fields as the file does.
+ * Codec of the platform's settings file (DEPLOY). Field names of the file are used only here and in error
+ * messages.
  */
 import { Address, NodeName, NonNegative, Positive, TeamName, ZoneName } from "@sorreltally/protocol"
 import { Schema } from "effect"
@@ -9,7 +9,7 @@
 
 const optionalAmount = Schema.optionalKey(Schema.NullOr(NonNegative))
 
-/** An amount of 0, or none at all, means no guarantee or no limit. */
+/** A team. An amount that is 0, null or absent means no guarantee or no limit. */
 const WireTeam = Schema.Struct({
   name: TeamName,
   cpus: optionalAmount,
@@ -28,7 +28,7 @@
 })
 type WireObjective = typeof WireObjective.Type
 
-/** The file that the platform hands over. Fields not listed here are ignored. */
+/** Schema of the file. Fields not listed here are ignored. */
 export const WirePlatform = Schema.Struct({
   node_name: NodeName,
   area: ZoneName,
@@ -47,22 +47,22 @@
     time_bound_ms: NonNegative,
   }),
 })
-/** The file, decoded. */
+/** Decoded content of the file. */
 export type WirePlatform = typeof WirePlatform.Type
 
-/** Guards against teams whose every job is refused because a limit of 0 was taken for "nothing allowed". */
-const limitFrom = (stated: number | null | undefined): number =>
-  stated == null || stated === 0 ? NO_LIMIT : stated
+/** A limit of 0 means no limit: taken literally, it would refuse every job of the team. */
+const limitFromWire = (configured: number | null | undefined): number =>
+  configured == null || configured === 0 ? NO_LIMIT : configured
 
-/** A team, from the form in the file. */
+/** Converts a team of the file. */
 export const teamFromWire = ({ name, cpus, cpus_max, gpus, gpus_max }: WireTeam): Team => ({
   name,
   cpus: cpus ?? 0,
-  maxCpus: limitFrom(cpus_max),
+  maxCpus: limitFromWire(cpus_max),
   gpus: gpus ?? 0,
-  maxGpus: limitFrom(gpus_max),
+  maxGpus: limitFromWire(gpus_max),
 })
-const objectiveFrom = (wire: WireObjective): Objective => ({
+const objectiveFromWire = (wire: WireObjective): Objective => ({
   kind: wire.kind,
   jobClass: wire.class ?? null,
   withinS: wire.within_s ?? null,
@@ -70,7 +70,7 @@
   deadlineMultiple: wire.times ?? null,
 })
 
-/** The typed form of the settings file. */
+/** Converts the decoded file to the platform's settings. */
 export const platformFromWire = ({ facts, ...wire }: WirePlatform): Platform => ({
   nodeName: wire.node_name,
   zone: wire.area,
@@ -85,7 +85,7 @@
   deployment: {
     zones: facts.zones,
     teams: facts.teams.map(teamFromWire),
-    objectives: facts.objectives.map(objectiveFrom),
+    objectives: facts.objectives.map(objectiveFromWire),
     workers: {
       heartbeatIntervalS: facts.workers.report_s,
       leaseS: facts.workers.lease_s,
--- a/packages/settings/src/errors.ts
+++ b/packages/settings/src/errors.ts
@@ -1,24 +1,25 @@
-/** The error of this package: settings that a controller can't be started with. */
+/** Error of this package: settings with which a controller can't be started. */
 import { Data } from "effect"
 
-/** A place in a settings file, as editors count: both from 1. */
+/** Position in a settings file; line and column start at 1, as in editors. */
 interface SourcePosition {
   readonly line: number
   readonly column: number
 }
 
 /**
- * A settings file that can't be read, isn't in its format, or has a setting that is missing, unknown or out
- * of range. Nothing was started; the process ends with exit code 2 and the message on standard error.
+ * A settings file that can't be read, isn't in the expected format, or has a setting that is missing, unknown
+ * or out of range. The process exits with code 2 before anything is started, with the message on standard
+ * error.
  */
 export class InvalidSettingsError extends Data.TaggedError("InvalidSettingsError")<{
   /** Path of the file. */
   readonly source: string
-  /** Where in the file; absent where its parser knows no position. */
+  /** Position in the file; absent if the parser provides none. */
   readonly position?: SourcePosition
-  /** What is wrong, beginning with the setting's name as the file spells it. */
+  /** Description of the error, starting with the setting's name as spelled in the file. */
   readonly reason: string
-  /** The error of the file system or of the parser, where there is one. */
+  /** Underlying error of the file system or the parser, if any. */
   readonly cause?: unknown
 }> {
   /** `file: reason`, or `file:line:column: reason`. */
@@ -28,5 +29,5 @@
   }
 }
 
-/** The message of whatever was thrown. */
+/** Returns the message of a thrown value. */
 export const messageOf = (cause: unknown): string => (cause instanceof Error ? cause.message : String(cause))
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings: the platform's file, the operators' file, and the budgets that follow from them. Starts nothing. */
+/** Settings: the platform's file, the operators' file, and the budgets derived from them. */
 export * from "./cancellation-budget.ts"
 export * from "./codec.ts"
 export * from "./codec-operators.ts"
--- a/packages/settings/src/operators.ts
+++ b/packages/settings/src/operators.ts
@@ -1,46 +1,53 @@
 /**
- * The operators' own settings, as the rest of the program sees them. Their names, ranges and form in the file
- * are in `codec-operators.ts` and nowhere else.
+ * The operators' settings, as used by the other packages. Their names, ranges and format in the file are
+ * defined in `codec-operators.ts`.
  */
 
-/** When machines are rented and released. */
+/** Settings for renting and releasing machines. */
 export interface ProvisioningSettings {
-  /** Rented machines are held to the end of a window of this length, in seconds (paper, section 4.5). */
+  /** Rented machines are kept until the end of a window of this length, in seconds (paper, section 4.5). */
   readonly windowS: number
-  /** From a rental until tasks can run, in seconds: the paper's deploymentTime (Algorithm 1). */
+  /** Time from a rental until tasks can run, in seconds: deploymentTime in the paper (Algorithm 1). */
   readonly deploymentS: number
-  /** An on-demand machine is rented while it costs at most this many times the cheapest kind for the same work. */
+  /**
+   * Maximum cost of an on-demand machine, as a multiple of the cheapest machine type's cost for the same
+   * work.
+   */
   readonly maxOnDemandCostRatio: number
-  /** For how long a machine type that the cloud refused in a zone and market isn't asked for, in seconds. */
+  /**
+   * Time before a machine type that the cloud refused in a zone and market is requested again, in seconds.
+   */
   readonly refusalMemoryS: number
 }
 
-/** Times of the node lease; null: derived from the platform's settings, see `cancellationBudget`. */
+/** Times of the node lease; null: derived from the platform's settings by `cancellationBudget`. */
 export interface NodeLeaseSettings {
-  /** A controller that can't renew its node lease for this long is replaced, in milliseconds. */
+  /** Time after which a controller that can't renew its node lease is replaced, in milliseconds. */
   readonly nodeLeaseTtlMs: number | null
-  /** A controller stops acting this long before its node lease may expire, in milliseconds. */
+  /**
+   * Time before the expiry of its node lease at which a controller stops acting as owner, in milliseconds.
+   */
   readonly nodeLeaseMarginMs: number | null
 }
 
-/** Admission of users' requests, see the API's `ConcurrencyLimiter`. */
+/** Admission of users' requests; see `ConcurrencyLimiter` of the API. */
 export interface AdmissionSettings {
-  /** The limit on requests in progress never goes below this. */
+  /** Lower bound of the adaptive limit on requests in progress. */
   readonly minInProgress: number
-  /** The limit on requests in progress never goes above this. */
+  /** Upper bound of the adaptive limit on requests in progress. */
   readonly maxInProgress: number
-  /** `Retry-After` of a request that can't be served now, in seconds. */
+  /** `Retry-After` of responses to requests that can't be served now, in seconds. */
   readonly retryAfterS: number
 }
 
-/** All settings that operators have, by section of their file. */
+/** All operators' settings, by section of their file. */
 export interface Operators {
   readonly provisioning: ProvisioningSettings
   readonly membership: NodeLeaseSettings
   readonly admission: AdmissionSettings
 }
 
-/** What holds for each setting that the operators' file doesn't name. */
+/** Default values of settings that the operators' file doesn't contain. */
 export const defaultOperators = (): Operators => ({
   provisioning: { windowS: 30, deploymentS: 40, maxOnDemandCostRatio: 6, refusalMemoryS: 12 },
   membership: { nodeLeaseTtlMs: null, nodeLeaseMarginMs: null },
--- a/packages/settings/src/platform.ts
+++ b/packages/settings/src/platform.ts
@@ -1,53 +1,53 @@
 /**
- * The platform's settings (DEPLOY): who this controller is, whom it works with, and what the deployment is
- * like. Types only; `codec.ts` knows their names in the file.
+ * The platform's settings (DEPLOY): identity and addresses of this controller, its peers, and facts about the
+ * deployment. Types only; their names in the file are defined in `codec.ts`.
  */
 import type { Address, NodeName, ZoneName } from "@sorreltally/protocol"
 import type { Team } from "./teams.ts"
 
-/** A service-level objective that users state for a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export interface Objective {
-  /** What is measured; the planner knows the kinds. */
+  /** Kind of measurement; interpreted by the planner. */
   readonly kind: string
-  /** Null: all jobs. */
+  /** Job class that the objective applies to; null: all jobs. */
   readonly jobClass: string | null
-  /** Time within which it should be met, in seconds; null: it has none. */
+  /** Time limit in seconds; null: none. */
   readonly withinS: number | null
-  /** Fraction of the jobs or tasks that should meet it; null: not stated. */
+  /** Fraction of the jobs or tasks that should meet the objective; null: not specified. */
   readonly share: number | null
-  /** The objective is stated at this multiple of the job's deadline; null: at the deadline itself. */
+  /** Multiple of the job's deadline at which the objective applies; null: at the deadline itself. */
   readonly deadlineMultiple: number | null
 }
-/** Times of workers, in seconds. */
+/** Timing of workers, in seconds. */
 export interface WorkerSettings {
-  /** A worker sends a heartbeat this often. */
+  /** Interval between a worker's heartbeats. */
   readonly heartbeatIntervalS: number
-  /** A worker ends its tasks this long after it sent the last heartbeat that was answered. */
+  /** Time from sending the last answered heartbeat until a worker ends its tasks. */
   readonly leaseS: number
-  /** The tasks of a cancelled job have to be gone this long after the cancellation was confirmed. */
+  /** Maximum time from the confirmation of a cancellation until the job's tasks are gone. */
   readonly cancellationLimitS: number
 }
 /** Limits of the store. */
 export interface StoreSettings {
-  /** For all controllers together. */
+  /** Total for all controllers. */
   readonly requestsPerSecond: number
-  /** For all controllers together. */
+  /** Total for all controllers. */
   readonly writesPerSecond: number
-  /** Largest value of one key, in KiB. */
+  /** Maximum size of a key's value, in KiB. */
   readonly valueKb: number
-  /** Most operations in one transaction. */
+  /** Maximum number of operations in one transaction. */
   readonly maxOperations: number
 }
 /** Limits of the cloud. */
 export interface CloudSettings {
-  /** For all controllers together. */
+  /** Total for all controllers. */
   readonly requestsPerSecond: number
-  /** The cloud's list of machines may be this old, in seconds. */
+  /** Maximum age of the cloud's list of machines, in seconds. */
   readonly listLagS: number
 }
-/** What one controller may use. */
+/** Resource limits of one controller. */
 export interface MachineLimits {
-  /** Processor time per time; a fraction of a core is usual. */
+  /** CPU limit in cores; typically a fraction of one core. */
   readonly cores: number
   readonly memoryMb: number
   readonly fileDescriptors: number
@@ -58,7 +58,7 @@
   readonly zone: ZoneName
   readonly address: Address
 }
-/** What is so for all controllers of the deployment. */
+/** Settings that are the same for all controllers of the deployment. */
 export interface DeploymentSettings {
   readonly zones: ReadonlyArray<ZoneName>
   readonly teams: ReadonlyArray<Team>
@@ -67,7 +67,7 @@
   readonly store: StoreSettings
   readonly cloud: CloudSettings
   readonly machineLimits: MachineLimits
-  /** A controller's time of day is within this of true time, in milliseconds. */
+  /** Maximum deviation of a controller's wall clock from true time, in milliseconds. */
   readonly clockSkewMs: number
 }
 /** Addresses of the services that controllers use. */
@@ -75,15 +75,15 @@
   readonly cloud: Address
   readonly store: Address
 }
-/** The settings of one controller, absent amounts already replaced by what they mean. */
+/** Settings of one controller. Amounts absent from the file have been replaced by their defaults. */
 export interface Platform {
   readonly nodeName: NodeName
   readonly zone: ZoneName
-  /** Where users, workers and health checks connect. */
+  /** Listen address for users, workers and health checks. */
   readonly listenAddress: Address
-  /** Where other controllers connect. */
+  /** Listen address for other controllers. */
   readonly peerListenAddress: Address
-  /** The other controllers, this one left out. */
+  /** The other controllers, without this one. */
   readonly peers: ReadonlyArray<PeerSettings>
   readonly services: ServiceAddresses
   readonly deployment: DeploymentSettings
--- a/packages/settings/src/sexpr-plus.d.ts
+++ b/packages/settings/src/sexpr-plus.d.ts
@@ -1,4 +1,4 @@
-/** Types of `sexpr-plus`, which has none of its own: as much of it as is used here. */
+/** Type declarations of `sexpr-plus`, which ships none: only the parts used here. */
 declare module "sexpr-plus" {
   export interface Location {
     readonly start: { readonly line: number; readonly column: number }
--- a/packages/settings/src/teams.ts
+++ b/packages/settings/src/teams.ts
@@ -1,7 +1,7 @@
-/** Teams, their guarantees and their limits. Values only, no I/O. */
+/** Teams with their guarantees and limits. */
 import type { TeamName } from "@sorreltally/protocol"
 
-/** What a team is guaranteed, and the most that its tasks may use at any time, in CPUs and GPUs. */
+/** A team: the CPUs and GPUs guaranteed to it, and the maximum that its tasks may use at any time. */
 export interface Team {
   readonly name: TeamName
   readonly cpus: number
@@ -10,8 +10,8 @@
   readonly maxGpus: number
 }
 
-/** The limit of a team without one: finite, so that sums stay numbers, and far above any fleet. */
+/** Value of a limit that is not set: finite, so that sums of limits stay finite, and far above any fleet. */
 export const NO_LIMIT = 1e9
 
-/** Whether a limit, in CPUs or GPUs, limits anything. */
+/** Whether a limit in CPUs or GPUs is set, that is, lower than `NO_LIMIT`. */
 export const isLimited = (limit: number): boolean => limit < NO_LIMIT
--- a/packages/settings/test/builders.ts
+++ b/packages/settings/test/builders.ts
@@ -1,7 +1,7 @@
-/** What the tests of this package share: a platform's file that is accepted, and the message of a result. */
+/** Test fixtures: a valid settings file of the platform, and the outcome of a check as text. */
 import { Result } from "effect"
 
-/** The platform's file, as the platform writes it. */
+/** A valid settings file of the platform. */
 export const platformFile = {
   node_name: "host-0",
   area: "a",
@@ -21,12 +21,12 @@
   },
 }
 
-/** The file with some of its facts replaced. */
+/** The valid file with some of its facts replaced. */
 export const withFacts = (facts: Partial<Record<keyof typeof platformFile.facts, unknown>>) => ({
   ...platformFile,
   facts: { ...platformFile.facts, ...facts },
 })
 
-/** The error's message, or "accepted". */
+/** Message of the error, or "accepted" for a success. */
 export const outcomeOf = (result: Result.Result<unknown, { readonly message: string }>): string =>
   Result.isFailure(result) ? result.failure.message : "accepted"
--- a/scenarios/cancelled-refused-outage-tightest.sexp
+++ b/scenarios/cancelled-refused-outage-tightest.sexp
@@ -4,4 +4,4 @@
   (at 40 (state-refuses host-0 80) (cut-peers host-0 80)) (at 40.1 (cancel-at host-1 0) (cancel-at host-2 1)) (at 41 (state-outage 65))
   (expect (withdrawn 2) (happened answersWithoutState 2))
   (guard "packages/settings/src/cancellation-budget.ts"
-    "Math.min(USUAL_LEASE_VALIDITY_MS, longestLeaseValidityMs(times))" "USUAL_LEASE_VALIDITY_MS"))
+    "Math.min(DEFAULT_LEASE_VALIDITY_MS, allowedLeaseValidityMs(times))" "DEFAULT_LEASE_VALIDITY_MS"))
--- a/scenarios/guests.sexp
+++ b/scenarios/guests.sexp
@@ -5,4 +5,4 @@
   (at 5 (stream 40 20 pieces 1 cores 0.5 mem 0.5 run 3 urgency best_effort owner guest lane pings))
   (at 60 (submit pieces 12 cores 4 run 20 urgency high due 90) (submit pieces 8 cores 4 run 20 owner blue))
   (expect (all-over) (served) (begun-within 150))
-  (guard "packages/settings/src/codec.ts" "stated == null || stated === 0 ? NO_LIMIT : stated" "stated ?? 0"))
+  (guard "packages/settings/src/codec.ts" "configured == null || configured === 0 ? NO_LIMIT : configured" "configured ?? 0"))
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,7 +1,7 @@
-// Bundles into target/: the daemon; with --tests the tests and the programs that run scenarios and random
-// days; with --measure the daemon and the programs that measure it; with --golden the recorder of samples.
-// One file a program: a controller starts on a tenth of a core, where reading hundreds of small modules is
-// the larger part of start-up.
+// Bundles programs into target/: by default the daemon; with --tests the tests and the programs that run
+// scenarios and randomised simulations; with --measure the daemon and its benchmarks; with --golden the
+// recorder of golden samples. Each program is a single file: a controller may start on a tenth of a core,
+// where reading hundreds of small modules takes most of the start-up time.
 import { existsSync, readdirSync, rmSync } from "node:fs"
 import { build } from "esbuild"
 
@@ -15,7 +15,7 @@
   minifySyntax: true,
   legalComments: "none",
   logLevel: "warning",
-  // Bundled CommonJS dependencies call require() for Node's own modules.
+  // Bundled CommonJS dependencies call require() to load Node's built-in modules.
   banner: {
     js: 'import { createRequire as __cr } from "node:module"; const require = __cr(import.meta.url);',
   },
@@ -43,9 +43,9 @@
       .map((file) => ({ in: `${folder}/${file}`, out: `${name}-${file.replace(/\.ts$/, "")}` }))
   }
   const tests = readdirSync(`${root}packages`).flatMap(testsOf)
-  // Else a test that was renamed or deleted would still be run from its old bundle.
+  // Old bundles are removed so that renamed or deleted tests are not run.
   rmSync(`${root}target/tests`, { recursive: true, force: true })
-  // esbuild itself, which one test uses, stays outside of the bundle.
+  // esbuild, which one test uses, is not bundled.
   await build({ ...common, entryPoints: tests, outdir: "target/tests", external: ["esbuild"] })
   for (const [program, out] of [
     ["scenarios/once", "scenario"],
--- a/scripts/check-imports.mjs
+++ b/scripts/check-imports.mjs
@@ -1,14 +1,14 @@
-// Checks the imports of packages/*/src, types included: no circle between
-// files, no package beyond those that its own line below names, no path that
-// leaves its package. Prints what is wrong and exits 1.
+// Checks the imports of packages/*/src, including type imports: no cycles between files, no imports of
+// packages other than those allowed below, and no relative imports that leave the package. Prints each
+// violation and exits with code 1 if there are any.
 import { readdirSync, readFileSync } from "node:fs"
 import { dirname, join, relative, resolve } from "node:path"
 
 const root = resolve(import.meta.dirname, "..")
 const scope = "@sorreltally/"
 
-/** What each package may import of the others; a package stands below all that it imports. */
-const mayImport = {
+/** Packages that each package may import; a package is listed after all packages that it imports. */
+const ALLOWED_IMPORTS = {
   protocol: [],
   concurrency: [],
   "rate-limit": ["protocol"],
@@ -58,62 +58,63 @@
   testkit: ["protocol", "settings", "store", "membership", "jobs", "peers", "daemon"],
 }
 
-/** Holds the version that the command line prints, and belongs to no package. */
-const workspaceFile = join(root, "package.json")
+/** May be imported from any package: it contains the version that the command line prints. */
+const ROOT_PACKAGE_FILE = join(root, "package.json")
 
-const faults = []
+const violations = []
 const isInside = (file, folder) => !relative(folder, file).startsWith("..")
-const displayed = (file) => relative(root, file)
+const displayPath = (file) => relative(root, file)
 
-const checkTable = () => {
+const checkTableOrder = () => {
   const seen = new Set()
-  for (const [name, others] of Object.entries(mayImport)) {
-    for (const other of others)
+  for (const [name, allowed] of Object.entries(ALLOWED_IMPORTS)) {
+    for (const other of allowed)
       if (!seen.has(other))
-        faults.push(`the table lets ${name} import ${other}, which doesn't stand above it`)
+        violations.push(`ALLOWED_IMPORTS: ${name} may import ${other}, which is not listed before it`)
     seen.add(name)
   }
 }
 
-const sourcesOf = (name) =>
+const listSourceFiles = (name) =>
   readdirSync(join(root, "packages", name, "src"), { recursive: true, withFileTypes: true })
     .filter((entry) => entry.isFile() && entry.name.endsWith(".ts"))
     .map((entry) => join(entry.parentPath, entry.name))
     .sort()
 
-// `import … from "x"`, `export … from "x"`, `import "x"` and `import("x")`; comments left out.
-const importsOf = (file) => {
+// Matches `import … from "x"`, `export … from "x"`, `import "x"` and `import("x")`, but not in comments.
+const parseImports = (file) => {
   const text = readFileSync(file, "utf8").replace(/\/\*[\s\S]*?\*\/|^\s*\/\/.*$/gm, "")
   const statements =
     /^\s*(?:import|export)\b[^"'`;=()]*?\bfrom\s*["']([^"']+)["']|^\s*import\s*["']([^"']+)["']|\bimport\(\s*["']([^"']+)["']/gm
   return [...text.matchAll(statements)].map((found) => found[1] ?? found[2] ?? found[3])
 }
 
-/** The files of its own package that a file imports; what it may not import is noted. */
+/** Returns the files of its own package that a file imports, and records imports that are not allowed. */
 const checkFile = (name, file) => {
   const files = []
-  for (const target of importsOf(file)) {
+  for (const target of parseImports(file)) {
     if (target.startsWith(".")) {
       const imported = resolve(dirname(file), target)
       if (isInside(imported, join(root, "packages", name))) files.push(imported)
-      else if (imported !== workspaceFile)
-        faults.push(`${displayed(file)} imports ${target}, which leaves its package`)
+      else if (imported !== ROOT_PACKAGE_FILE)
+        violations.push(`${displayPath(file)}: relative import ${target} leaves the package`)
     } else if (target.startsWith(scope)) {
       const other = target.slice(scope.length).split("/")[0]
-      if (!mayImport[name]?.includes(other))
-        faults.push(`${displayed(file)} imports ${target}, which ${name} may not`)
+      if (!ALLOWED_IMPORTS[name]?.includes(other))
+        violations.push(`${displayPath(file)}: package ${name} may not import ${target}`)
     }
   }
   return files
 }
 
-/** Each circle that a walk in depth closes is reported once. */
-const checkCircles = (imports) => {
+/** Records each import cycle found by a depth-first search once. */
+const checkCycles = (imports) => {
   const done = new Set()
   const path = []
   const visit = (file) => {
     const position = path.indexOf(file)
-    if (position >= 0) faults.push(`circle: ${[...path.slice(position), file].map(displayed).join(" -> ")}`)
+    if (position >= 0)
+      violations.push(`import cycle: ${[...path.slice(position), file].map(displayPath).join(" -> ")}`)
     if (position >= 0 || done.has(file)) return
     path.push(file)
     for (const next of imports.get(file) ?? []) visit(next)
@@ -123,14 +124,14 @@
   for (const file of imports.keys()) visit(file)
 }
 
-checkTable()
+checkTableOrder()
 const imports = new Map()
 for (const name of readdirSync(join(root, "packages")).sort()) {
-  if (mayImport[name] === undefined)
-    faults.push(`packages/${name} isn't in the table of scripts/check-imports.mjs`)
-  for (const file of sourcesOf(name)) imports.set(file, checkFile(name, file))
+  if (ALLOWED_IMPORTS[name] === undefined)
+    violations.push(`packages/${name} is missing from ALLOWED_IMPORTS in scripts/check-imports.mjs`)
+  for (const file of listSourceFiles(name)) imports.set(file, checkFile(name, file))
 }
-checkCircles(imports)
-for (const fault of faults) console.error(fault)
-if (faults.length > 0) process.exit(1)
-console.log(`${imports.size} files: no circle, no import that may not be`)
+checkCycles(imports)
+for (const violation of violations) console.error(violation)
+if (violations.length > 0) process.exit(1)
+console.log(`${imports.size} files checked: no import cycles, no disallowed imports`)
