--- a/packages/api/src/admissibility.ts
+++ b/packages/api/src/admissibility.ts
@@ -5,7 +5,10 @@
 import type { JobSpec, MachineType, MachineTypeName, ZoneName } from "@sorreltally/protocol"
 import type { DeploymentSettings, Team } from "@sorreltally/settings"
 
-/** `inadmissible`: no fleet could run the job. `undecided`: the machine types are not known yet. */
+/**
+ * `inadmissible`: no change of the fleet would let the job run.
+ * `undecided`: the machine types are not known yet.
+ */
 export type Admissibility =
   | { readonly kind: "admissible" }
   | { readonly kind: "inadmissible"; readonly reason: string }
--- a/packages/daemon/src/connection-pools.ts
+++ b/packages/daemon/src/connection-pools.ts
@@ -59,8 +59,8 @@
  * HTTP agent for many hosts that each get occasional requests. Connections are kept alive for the next
  * request below the limit; at the limit, the least recently used idle connection is closed before a new one
  * is opened. The limit applies to kept connections only: if none is idle, a new connection is still opened,
- * and closed after its request. Node's own `maxSockets` and `maxTotalSockets` are not used, since they would
- * queue requests to new hosts behind idle connections to other hosts.
+ * and closed after its request. Node's own limit on the sockets of an agent is not used, since it would queue
+ * requests to new hosts behind idle connections to other hosts.
  */
 export class LruAgent extends Agent {
   private openConnections = 0
--- a/packages/rate-limit/src/shared-rate-limit.ts
+++ b/packages/rate-limit/src/shared-rate-limit.ts
@@ -11,7 +11,10 @@
  */
 export type RequestPriority = 0 | 1 | 2 | 3
 
-/** Requests with this priority number or a lower one bypass the queue and may overdraw the token bucket. */
+/**
+ * Requests with this priority number or a lower one bypass the queue. They may overdraw the token bucket,
+ * which delays the queued requests.
+ */
 const MAX_IMMEDIATE_PRIORITY: RequestPriority = 1
 
 /** A request waiting in the queue. */
--- a/packages/settings/src/cancellation-budget.ts
+++ b/packages/settings/src/cancellation-budget.ts
@@ -14,9 +14,10 @@
  *   concurrently, so the larger one counts, not their sum. An outage after which the store gives every node
  *   lease its full TTL again doesn't extend the validity: only a successful keep-alive of the owner does.
  * - *Agent lease* (`lease_s`): a worker counts its lease from when it *sent* the last heartbeat that was
- *   answered. The owner checks that its own lease is valid when it creates the response, after it has received
- *   the heartbeat; so the heartbeat was sent before the validity ended. A response that is deferred, forwarded,
- *   or in transit for up to 4 s renews the lease no further than an immediate one: such delays add nothing.
+ *   answered. The owner checks that its own lease is valid when it creates the response, after it has
+ *   received the heartbeat; so the heartbeat was sent before the validity ended. A response that is deferred,
+ *   forwarded, or in transit for up to 4 s renews the lease no further than an immediate one: such delays add
+ *   nothing.
  * - *Drift*: the owner's clock and the worker's clock may both run slow.
  * - A node lease that expires late in the store delays the next owner but doesn't extend the validity of the
  *   previous one: it adds nothing either.
@@ -36,7 +37,7 @@
 const DEFAULT_LEASE_VALIDITY_MS = 6_000
 /**
  * With a shorter validity a controller loses its node lease in normal operation: keep-alives take up to about
- * 100 ms, and a busy process may be late by as much again.
+ * 100 ms, and a busy process may be late by as much.
  */
 const MIN_LEASE_VALIDITY_MS = 1_500
 
--- a/packages/settings/src/codec-operators.ts
+++ b/packages/settings/src/codec-operators.ts
@@ -161,6 +161,6 @@
     return Result.succeed(budget)
   return invalid(
     `membership grant-ttl-ms: ${leaseTtlMs} ms is too long for facts.workers.cancel_s:` +
-      ` ${describeBudget(times, budget)}; expected at most ${maxValidityMs + leaseMarginMs} ms, or no value`,
+      ` ${describeBudget(times, budget)}; expected at most ${maxValidityMs + leaseMarginMs} ms, or unset`,
   )
 }
--- a/packages/settings/src/socket-budget.ts
+++ b/packages/settings/src/socket-budget.ts
@@ -53,8 +53,8 @@
   const { inbound } = socketBudget(platform)
   if (inbound < MIN_INBOUND)
     return invalid(
-      `facts.machine_limits.fd_limit: ${fileDescriptors} is too low: it leaves ${inbound} inbound connections` +
-        ` beside ${platform.peers.length} other controllers, the state service and the cloud;` +
+      `facts.machine_limits.fd_limit: ${fileDescriptors} is too low: it leaves ${inbound} inbound` +
+        ` connections beside ${platform.peers.length} other controllers, the state service and the cloud;` +
         ` expected at least ${MIN_INBOUND} inbound connections`,
     )
   if (memoryMb < MIN_MEMORY_MB)
--- a/packages/settings/test/cancellation-budget.test.ts
+++ b/packages/settings/test/cancellation-budget.test.ts
@@ -44,8 +44,8 @@
         const cancelS = leaseS + spareS
         const budget = cancellationBudget(times(leaseS, cancelS), derivedNodeLease)
         const validityMs = Math.max(budget.watchFreshMs, budget.leaseTtlMs - budget.leaseMarginMs)
-        const worstCaseMs = (validityMs + leaseS * 1000) * (1 + CLOCK_DRIFT)
-        assert.ok(worstCaseMs < cancelS * 1000, `${leaseS}/${cancelS}: ${worstCaseMs} ms`)
+        const latestExpiryMs = (validityMs + leaseS * 1000) * (1 + CLOCK_DRIFT)
+        assert.ok(latestExpiryMs < cancelS * 1000, `${leaseS}/${cancelS}: ${latestExpiryMs} ms`)
         assert.equal(budgetHolds(budget), true)
         // The node lease must not expire on the store's clock before the validity ends on the owner's clock.
         assert.ok(budget.leaseMarginMs > budget.leaseTtlMs * CLOCK_DRIFT)
@@ -74,7 +74,7 @@
       check(workers, withTtl(30_000)),
       "o: membership grant-ttl-ms: 30000 ms is too long for facts.workers.cancel_s:" +
         " lease validity 29.60 s + agent lease 27.00 s + clock drift and worker reaction = 56.88 s," +
-        " beyond cancel_s = 47.00 s; expected at most 20126 ms, or no value",
+        " beyond cancel_s = 47.00 s; expected at most 20126 ms, or unset",
     )
     assert.equal(check(workers, withTtl(20_126)), "accepted")
     assert.match(check(times(10, 13), withTtl(6_000)), /at most 3143 ms/)
