--- a/packages/provisioning/src/cloud-inventory.ts
+++ b/packages/provisioning/src/cloud-inventory.ts
@@ -2,7 +2,7 @@
  * This node's view of the cloud: machine types and prices, refused rental requests, and the last list of
  * machines. All of it may be out of date: that a machine is missing from a list does not prove it deleted.
  */
-import { type CloudClient, LIST_PAGE } from "@sorreltally/cloud"
+import { type CloudClient, LIST_PAGE_MACHINES } from "@sorreltally/cloud"
 import type { Replica } from "@sorreltally/membership"
 import type { ListedMachineState } from "@sorreltally/peers"
 import type { Offer } from "@sorreltally/planner"
@@ -79,7 +79,7 @@
 
   /** Interval between two lists; each list takes one request per page. */
   get listIntervalMs(): number {
-    const pages = Math.ceil((this.listedMachines.size + 1) / LIST_PAGE)
+    const pages = Math.ceil((this.listedMachines.size + 1) / LIST_PAGE_MACHINES)
     return Math.max(1_000, (1000 * pages) / (LIST_RATE_SHARE * this.options.requestsPerSecond))
   }
   /** Replaces the last list; the new one was requested at `requestedAt`, by this node or by its publisher. */
--- a/packages/store/src/requests.ts
+++ b/packages/store/src/requests.ts
@@ -145,7 +145,7 @@
       else if (retries > 0) yield* acquireWrites(rateLimit, writes, 2)
       const response = yield* send(request)
       if (response.status !== TOO_MANY_REQUESTS) return yield* toCompareAndSwapResult(response)
-      rateLimit.rejected()
+      rateLimit.recordRejection()
       if (retries >= MAX_RETRIES) return yield* toCompareAndSwapResult(response)
       // Rejected by the store's rate limit and therefore not applied: wait for capacity again, then retry.
       yield* Effect.sleep(RETRY_PAUSE_MS * (retries + 1))
