--- a/packages/shard/src/command-delivery.ts
+++ b/packages/shard/src/command-delivery.ts
@@ -65,7 +65,7 @@
       // Checked again: the fiber may start later than it was forked.
       if (session.commandsInFlight || address === null || agentEpoch === null || !this.context.holdsLease())
         return Effect.void
-      const commands = session.commands(now, (task) => registry.finishIsDurable(task))
+      const commands = session.selectCommands(now, (task) => registry.finishIsDurable(task))
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.recordDirectCommands(commands, now)
       const batch = { fencingToken: token, agentEpoch, commands }
--- a/packages/shard/src/fencing.ts
+++ b/packages/shard/src/fencing.ts
@@ -11,7 +11,7 @@
     if (session.unreachableSince !== null)
       context.node.log.info("machine unreachable, fenced", { machine: session.id })
     context.machineRecords.edit(session.id, { kind: "fence" }, (done) => {
-      if (done) session.tokenRaised()
+      if (done) session.recordTokenRaised()
     })
   }
   if (session.preemptionAt !== null) context.changed()
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -62,7 +62,7 @@
       const until = addMs(node.clocks.monotonicNow(), LOAN_REMEMBERED_MS)
       this.loans.push({ to, slots: slotsIn(shape, session.type), until })
     }
-    const handoff = session.handoff(node.clocks.monotonicNow())
+    const handoff = session.createHandoff(node.clocks.monotonicNow())
     this.machineRecords.edit(id, { kind: "move", to }, (moved) => {
       assignment.moving = false
       if (!moved) return
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -42,7 +42,7 @@
   if (isPreempted(session, platform.deployment.workers.heartbeatIntervalS, now)) return "preempted"
   // A new owner hasn't heard machines that are long up either: the list has to show it as booting.
   const isBootOverdue = ageMs > session.type.bootS * BOOT_OVERDUE_FACTOR * 1000
-  if (isBootOverdue && session.lastHeard === NEVER && listed?.status === "booting" && isListFresh)
+  if (isBootOverdue && session.lastMessageAt === NEVER && listed?.status === "booting" && isListFresh)
     return "never booted"
   if (session.unreachableSince !== null && now > addMs(session.unreachableSince, MAX_UNREACHABLE_MS))
     return "unreachable"
--- a/packages/shard/src/plan-execution.ts
+++ b/packages/shard/src/plan-execution.ts
@@ -75,7 +75,7 @@
       unacknowledgedStarts: 0,
     }
     job.place(placement)
-    session.hold(placement)
+    session.addPlacement(placement)
     registry.place(placement)
     quotas.taskStarted(job.spec.team)
   }
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -174,16 +174,16 @@
   const views: Array<MachineView> = []
   for (const session of shard.machines.values()) {
     const assignment = shard.assignments.get(session.id)!
-    if (!includeFull && assignment.assignedJob === null && session.free.cores <= EPSILON) continue
+    if (!includeFull && assignment.assignedJob === null && session.freeCapacity.cores <= EPSILON) continue
     views.push({
       id: session.id,
       type: session.type,
       zone: session.entry.zone,
       spot: session.entry.spot,
-      free: session.free,
+      free: session.freeCapacity,
       busyTasks: session.placements.size,
       images: session.images,
-      reserved: isReserved(session.free, session.images, reserve),
+      reserved: isReserved(session.freeCapacity, session.images, reserve),
       state: machineState(session, assignment, now),
       assignedJob: assignment.assignedJob,
     })
@@ -200,7 +200,7 @@
 ): MachineView["state"] => {
   if (assignment.releasing || assignment.moving || session.preemptionAt !== null) return "unavailable"
   if (session.isSchedulable(now)) return assignment.closing ? "draining" : "ready"
-  if (session.lastHeard !== NEVER) return "unavailable"
+  if (session.lastMessageAt !== NEVER) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const booting =
     bootingS < session.type.bootS * OVERDUE_BOOT || now < addMs(assignment.knownSince, FIRST_HEARTBEATS_MS)
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -226,7 +226,7 @@
         durable: (placements) => this.startPlaced(placements),
         arrived: (spec) => this.planning.arrived(spec),
         changed: () => this.planSignal.notify(),
-        release: (placement) => this.machines.get(placement.machine)?.release(placement),
+        release: (placement) => this.machines.get(placement.machine)?.removePlacement(placement),
         commandsDue: (machine) => this.workers.commandsDue(machine),
         removed: (job) => {
           this.failures.forgetJob(job.id)
--- a/packages/shard/src/shard-failover.ts
+++ b/packages/shard/src/shard-failover.ts
@@ -56,7 +56,7 @@
     // A machine's record is removed only after the response to its deletion, and it moves to another
     // shard only when no task can be on it.
     if (session === undefined) job.clear(placement)
-    else session.hold(placement)
+    else session.addPlacement(placement)
     if (job.cancelled) job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since: now })
   }
 }
--- a/packages/shard/src/shard-machines.ts
+++ b/packages/shard/src/shard-machines.ts
@@ -36,7 +36,7 @@
       if (session !== undefined) this.remove(session, entry === null ? "machine deleted" : "machine moved")
       return
     }
-    if (session !== undefined) return session.update(entry)
+    if (session !== undefined) return session.updateEntry(entry)
     this.add(id, entry)
   }
 
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -119,7 +119,7 @@
       fenceWhereNeeded(this.context, session)
       return HEARTBEAT_UNAVAILABLE
     }
-    const commands = session.commands(now, (task) => this.context.registry.finishIsDurable(task))
+    const commands = session.selectCommands(now, (task) => this.context.registry.finishIsDurable(task))
     session.recordReply(commands, now)
     this.commands.notDue(session)
     fenceWhereNeeded(this.context, session)
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -1,4 +1,4 @@
-/** Which commands a worker needs. A pure decision: nothing is sent, and nothing is remembered, here. */
+/** Chooses the commands for a worker. The functions here are pure: they send nothing and keep no state. */
 import type { Placement } from "@sorreltally/jobs"
 import {
   type AgentEpoch,
@@ -9,22 +9,22 @@
   type TaskId,
 } from "@sorreltally/protocol"
 
-/** What decides which commands a worker needs. */
+/** State of a worker and its placements from which its commands are chosen. */
 export interface CommandInputs {
-  /** The worker's current one: placements of another are not commanded. */
+  /** The worker's current agent epoch; placements made under another one get no command. */
   readonly agentEpoch: AgentEpoch
   /** The tasks in the worker's latest message. */
   readonly tasks: ReadonlyMap<TaskId, ReportedTask>
-  /** The tasks that should be there, or should leave. */
+  /** The tasks that should run on the machine, and those that should be stopped. */
   readonly placements: ReadonlyMap<TaskId, Placement>
-  /** May this exited task be removed from the worker's heartbeats? */
+  /** Whether the worker may purge this exited task, and so stop reporting it. */
   readonly mayPurge: (task: ReportedTask) => boolean
   readonly now: MonotonicTime
 }
 
 /**
- * The commands that bring the tasks that a worker reported to those that should be there; at most
- * `MAX_COMMANDS`.
+ * Returns the commands, at most `MAX_COMMANDS`, that bring the tasks on the machine from those that the
+ * worker reported to those that are placed there.
  */
 export const commandsFor = (inputs: CommandInputs): ReadonlyArray<Command> => {
   const commands: Array<Command> = []
@@ -37,16 +37,16 @@
     const command = commandForPlacement(placement, inputs)
     if (command !== null) commands.push(command)
   }
-  return commands.length <= MAX_COMMANDS ? commands : firstThatFit(commands)
+  return commands.length <= MAX_COMMANDS ? commands : limitCommands(commands)
 }
 
-/** Lower goes first where not all commands fit. */
+/** Order in which commands are sent if there are more than `MAX_COMMANDS`; the lowest goes first. */
 const COMMAND_ORDER: Record<Command["kind"], number> = { stop: 0, start: 1, purge: 2 }
-/** Guards against a message that exceeds what a line may hold: what doesn't fit goes with the next one. */
-const firstThatFit = (commands: ReadonlyArray<Command>): ReadonlyArray<Command> =>
+/** Keeps a message within the protocol's size limit; the remaining commands go with the next message. */
+const limitCommands = (commands: ReadonlyArray<Command>): ReadonlyArray<Command> =>
   [...commands].sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind]).slice(0, MAX_COMMANDS)
 
-/** For an orphaned task: the worker reports it, and no placement accounts for this attempt. */
+/** Command for an orphaned task: one that the worker reports although no placement has this attempt. */
 const commandForOrphan = (task: ReportedTask, { placements, mayPurge }: CommandInputs): Command | null => {
   const { taskId, attempt } = task
   if (placements.get(taskId)?.attempt === attempt) return null
@@ -55,8 +55,8 @@
 }
 
 /**
- * For a durable placement of this session. An inherited one is never started: a former owner made it, and
- * may have known more of the task than its record says.
+ * Command for a durable placement made under the current agent epoch. A placement inherited from a former
+ * owner is never started: that owner may have learned more about the task than the stored record says.
  */
 const commandForPlacement = (placement: Placement, { tasks, now }: CommandInputs): Command | null => {
   const { task: taskId, attempt, stop, inherited } = placement
@@ -64,7 +64,7 @@
   const isReported = reported !== undefined && reported.attempt === attempt
   if (stop === null) return isReported || inherited ? null : { kind: "start", taskId, attempt }
   if (!isReported || reported.phase === "exited") return null
-  // What is left of it: a stop may be repeated, and the task has had the rest.
+  // The remaining grace period: a stop may be repeated, and the task has already used up part of the period.
   const gracePeriodS = Math.max(0, stop.gracePeriodS - (now - stop.since) / 1000)
   if (reported.phase === "checkpointing" && gracePeriodS > 0) return null
   return { kind: "stop", taskId, attempt, gracePeriodS }
--- a/packages/workers/src/image-cache.ts
+++ b/packages/workers/src/image-cache.ts
@@ -1,4 +1,4 @@
-/** A model of a machine's image cache: an estimate for the planner, never a proof that an image is there. */
+/** Model of a machine's image cache: an estimate for the planner, not a proof that an image is cached. */
 import type { ImageName } from "@sorreltally/protocol"
 
 /** The images that a machine probably has: the most recently used ones that fit its cache. */
@@ -10,21 +10,21 @@
   constructor(private readonly capacityGb: number) {}
 
   /** Sizes in GB by image, least recently used first. */
-  get sizes(): ReadonlyMap<ImageName, number> {
+  get sizesGb(): ReadonlyMap<ImageName, number> {
     return this.images
   }
-  /** A task that needs the image runs; the oldest images make room for it. */
-  use(image: ImageName, gb: number): void {
-    if (this.images.delete(image)) this.usedGb -= gb
-    this.images.set(image, gb)
-    this.usedGb += gb
-    for (const [oldest, size] of this.images) {
+  /** Records that a task with this image runs; evicts the least recently used images beyond the capacity. */
+  recordUse(image: ImageName, sizeGb: number): void {
+    if (this.images.delete(image)) this.usedGb -= sizeGb
+    this.images.set(image, sizeGb)
+    this.usedGb += sizeGb
+    for (const [oldest, oldestSizeGb] of this.images) {
       if (this.usedGb <= this.capacityGb) break
       this.images.delete(oldest)
-      this.usedGb -= size
+      this.usedGb -= oldestSizeGb
     }
   }
-  /** The worker began a session: what its machine holds is unknown. */
+  /** Empties the model: after the start of a worker's session the content of its cache is unknown. */
   clear(): void {
     this.images.clear()
     this.usedGb = 0
--- a/packages/workers/src/index.ts
+++ b/packages/workers/src/index.ts
@@ -1,3 +1,3 @@
-/** The worker of a machine as its owner sees it; the classes that a session is made of stay inside. */
+/** State of a machine's worker, as its owner tracks it. The classes behind `WorkerSession` are internal. */
 export * from "./model.ts"
 export * from "./worker-session.ts"
--- a/packages/workers/src/latest-message.ts
+++ b/packages/workers/src/latest-message.ts
@@ -1,34 +1,34 @@
 /**
- * How far a worker's messages have come. It decides which message is older than what is known, and so
- * never believed; what a newer one proves is decided elsewhere.
+ * Position of a worker's latest accepted message. It decides which messages are outdated and have to be
+ * ignored; what a newer message proves is decided elsewhere.
  */
 import type { AgentEpoch, FencingToken, Heartbeat, SequenceNumber } from "@sorreltally/protocol"
 import type { MachineHandoff, MessageCounters, MessageSource } from "./model.ts"
 
-const BEFORE_ANY = -1 as SequenceNumber
+const BEFORE_FIRST_SEQUENCE = -1 as SequenceNumber
 
 /** Agent epoch, sequence number and fencing token of a worker's latest message. */
 export class LatestMessage {
-  /** Null: no session of the worker is known, or the last one has surely ended. */
+  /** Null: no session of the worker is known, or the last one has provably ended. */
   agentEpoch: AgentEpoch | null = null
-  sequence = BEFORE_ANY
-  /** The highest token that the worker has shown. */
+  sequence = BEFORE_FIRST_SEQUENCE
+  /** The highest fencing token that the worker has shown. */
   seenToken = 0 as FencingToken
-  /** Agent epochs below this one have surely ended. */
+  /** Agent epochs below this one have provably ended. */
   private minAgentEpoch = 0 as AgentEpoch
 
-  /** Is this message older than what is known, or the same? */
+  /** Whether this message is older than the latest accepted one, or a duplicate of it. */
   isOutdated(heartbeat: Heartbeat, source: MessageSource): boolean {
     if (heartbeat.agentEpoch < this.minAgentEpoch) return true
     if (this.agentEpoch !== null) {
       if (heartbeat.agentEpoch < this.agentEpoch) return true
       if (heartbeat.agentEpoch === this.agentEpoch && heartbeat.sequence <= this.sequence) return true
     }
-    // A worker keeps the highest token over all its sessions. One that restarted counts from the
-    // start: what it reported before, under an older token, looks newer by the counters alone.
+    // A worker keeps the highest token over all its sessions. A restarted worker's counters begin again: by
+    // the counters alone, messages from before its restart, under a lower token, would look newer.
     return source === "heartbeat" && heartbeat.fencingToken < this.seenToken
   }
-  /** Is this the first message of a session? */
+  /** Whether this is the first message of a session. */
   beginsSession(heartbeat: Heartbeat): boolean {
     return this.agentEpoch === null || heartbeat.agentEpoch > this.agentEpoch
   }
@@ -46,15 +46,15 @@
     this.agentEpoch = agentEpoch
     this.sequence = sequence
   }
-  /** All agent epochs up to this one have surely ended: their messages are old from now on. */
-  endSessions(last: number): void {
-    this.minAgentEpoch = (last + 1) as AgentEpoch
+  /** Marks all agent epochs up to this one as ended: their messages are outdated from now on. */
+  endSessionsUpTo(lastEpoch: number): void {
+    this.minAgentEpoch = (lastEpoch + 1) as AgentEpoch
     this.agentEpoch = null
   }
-  /** A message below these is old, or from a worker that restarted. */
+  /** A message with lower counters is outdated, or from a worker that restarted. */
   counters(): MessageCounters {
     return this.agentEpoch === null
-      ? { agentEpoch: this.minAgentEpoch, sequence: BEFORE_ANY }
+      ? { agentEpoch: this.minAgentEpoch, sequence: BEFORE_FIRST_SEQUENCE }
       : { agentEpoch: this.agentEpoch, sequence: this.sequence }
   }
 }
--- a/packages/workers/src/model.ts
+++ b/packages/workers/src/model.ts
@@ -1,4 +1,4 @@
-/** The data that describe a worker's machine to its owner; no logic stands here. */
+/** Types of the data about a worker and its machine; they contain no logic. */
 import type { Placement } from "@sorreltally/jobs"
 import type {
   Address,
@@ -15,30 +15,30 @@
 } from "@sorreltally/protocol"
 import type { MachineBlock, StoreKey } from "@sorreltally/store"
 
-/** Times that the platform sets for all workers, in seconds. */
+/** Lease duration and heartbeat interval of all workers, from the platform's settings, in seconds. */
 export interface LeaseTimes {
-  /** A worker kills all its tasks when the last answered heartbeat was sent longer ago than this. */
+  /** A worker kills all its tasks once this time has passed since it sent its last answered heartbeat. */
   readonly leaseS: number
-  /** Interval of heartbeats, give or take a quarter. */
+  /** Interval between heartbeats; the actual interval varies by up to 25 %. */
   readonly heartbeatIntervalS: number
 }
 
-/** How a message of a worker came: as its heartbeat, or as the response to a request of ours. */
+/** Whether a worker's message is a heartbeat, or the response to a direct request of the owner. */
 export type MessageSource = "heartbeat" | "direct"
 
-/** Where a worker's messages stand: of two, the one with the larger (agent epoch, sequence) is newer. */
+/** Counters that order a worker's messages: the one with the larger (agent epoch, sequence) is newer. */
 export interface MessageCounters {
   readonly agentEpoch: AgentEpoch
   readonly sequence: SequenceNumber
 }
 
-/** What the store holds of one machine. */
+/** One machine's record in the store. */
 export interface MachineEntry {
   readonly id: MachineId
-  /** The record that it stands in. */
+  /** Key of the machine block that contains the record. */
   readonly block: StoreKey<MachineBlock>
   readonly shard: ShardName
-  /** Every command to it carries at least this token. */
+  /** The lowest fencing token that a command to the machine may carry. */
   readonly token: FencingToken
   readonly machineType: MachineTypeName
   readonly zone: ZoneName
@@ -46,25 +46,25 @@
   readonly rentedAt: WallTime
 }
 
-/** Room on a machine that no task that may be there takes. */
+/** Capacity of a machine that isn't used by a task that is, or may be, on it. */
 export interface FreeCapacity {
   cores: number
   accelerators: number
   memGb: number
 }
 
-/** Unverified state from a machine's former owner: enough to send commands, no proof of anything. */
+/** Unverified state from a machine's former owner: sufficient for sending commands, but proof of nothing. */
 export interface MachineHandoff {
   readonly address: Address
   readonly agentEpoch: AgentEpoch
   readonly sequence: SequenceNumber
-  /** Milliseconds since the former owner's latest message from it. */
+  /** Milliseconds since the former owner received the worker's latest message. */
   readonly silentMs: number
-  /** Images that it probably holds, with their sizes in GB, least recently used first. */
+  /** Images that the machine has probably cached, with their sizes in GB, least recently used first. */
   readonly images: ReadonlyArray<readonly [ImageName, number]>
 }
 
-/** A heartbeat that differs by its counters alone from an earlier one of the same agent epoch. */
+/** A heartbeat that differs from an earlier one of the same agent epoch only in its counters. */
 export interface RepeatedHeartbeat {
   readonly machineId: MachineId
   readonly agentEpoch: AgentEpoch
@@ -74,7 +74,7 @@
   readonly repeatedSequence: SequenceNumber
 }
 
-/** Why a task is surely off its machine without a result: the worker's exit reason, or how its owner knows. */
+/** Why a task has provably left its machine without a result: its exit reason, or the owner's evidence. */
 export type ClearedCause =
   | ExitReason
   | "exited"
@@ -84,11 +84,11 @@
   | "machine deleted"
   | "machine moved"
 
-/** What happened to a placement, as a message of its worker or the end of a lease shows it. */
+/** Outcome of a placement, proven by a message of its worker, a lease expiry or a machine's deletion. */
 export type Outcome =
-  /** Completed; its result is kept. */
+  /** The task completed, and its result counts. */
   | { readonly kind: "done"; readonly placement: Placement }
-  /** Surely off the machine without a result. */
+  /** The task has provably left the machine without a result. */
   | { readonly kind: "cleared"; readonly placement: Placement; readonly cause: ClearedCause }
-  /** Seen running for the first time. */
+  /** The task was reported as running for the first time. */
   | { readonly kind: "running"; readonly placement: Placement }
--- a/packages/workers/src/placed-tasks.ts
+++ b/packages/workers/src/placed-tasks.ts
@@ -1,4 +1,4 @@
-/** The placements on one machine and the room that they leave; a placement takes room until it is cleared. */
+/** Placements on one machine and its free capacity; a placement uses capacity until it is removed. */
 import type { Placement } from "@sorreltally/jobs"
 import type { MachineType, TaskId } from "@sorreltally/protocol"
 import type { FreeCapacity } from "./model.ts"
@@ -6,25 +6,25 @@
 /** The tasks that may be on one machine. */
 export class PlacedTasks {
   readonly byTask = new Map<TaskId, Placement>()
-  readonly free: FreeCapacity
+  readonly freeCapacity: FreeCapacity
 
   constructor({ cores, accelerators, memGb }: MachineType) {
-    this.free = { cores, accelerators, memGb }
+    this.freeCapacity = { cores, accelerators, memGb }
   }
 
   add(placement: Placement): void {
     this.byTask.set(placement.task, placement)
-    this.takeRoom(placement, 1)
+    this.useCapacity(placement, 1)
   }
-  /** Removes this very placement; does nothing once it was removed, or another one has replaced it. */
+  /** Removes exactly this placement; does nothing if it was removed already or replaced by another one. */
   remove(placement: Placement): void {
     if (this.byTask.get(placement.task) !== placement) return
     this.byTask.delete(placement.task)
-    this.takeRoom(placement, -1)
+    this.useCapacity(placement, -1)
   }
-  private takeRoom({ job }: Placement, times: 1 | -1): void {
-    this.free.cores -= times * job.spec.cores
-    this.free.accelerators -= times * job.spec.accelerators
-    this.free.memGb -= times * job.spec.memGb
+  private useCapacity({ job }: Placement, sign: 1 | -1): void {
+    this.freeCapacity.cores -= sign * job.spec.cores
+    this.freeCapacity.accelerators -= sign * job.spec.accelerators
+    this.freeCapacity.memGb -= sign * job.spec.memGb
   }
 }
--- a/packages/workers/src/reachability.ts
+++ b/packages/workers/src/reachability.ts
@@ -1,73 +1,73 @@
 /**
- * Whether a worker can be given work: it was heard of recently, by messages that are surely no late
- * copies, and receives what we send. It decides nothing about the tasks on the machine.
+ * Tracks whether a worker can be given tasks: it has recently sent messages that are proven not to be delayed
+ * duplicates, and it receives commands. Nothing is decided here about the tasks on the machine.
  */
 import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
 import type { LeaseTimes, MessageSource } from "./model.ts"
 
-/** What happened within so many heartbeat intervals is recent. */
-const RECENT_INTERVALS = 2.5
-/** What happened after this moment is recent. */
-export const recentSince = ({ heartbeatIntervalS }: LeaseTimes, now: MonotonicTime): MonotonicTime =>
-  addMs(now, -heartbeatIntervalS * 1_000 * RECENT_INTERVALS)
+/** Number of heartbeat intervals for which an event counts as recent. */
+const RECENT_HEARTBEAT_INTERVALS = 2.5
+/** Returns the time after which an event counts as recent. */
+export const recencyCutoff = ({ heartbeatIntervalS }: LeaseTimes, now: MonotonicTime): MonotonicTime =>
+  addMs(now, -heartbeatIntervalS * 1_000 * RECENT_HEARTBEAT_INTERVALS)
 
-/** When a worker was last heard of, and since when it seems to receive nothing. */
+/** Times of a worker's latest messages, and the time since which it seems to receive no commands. */
 export class Reachability {
-  /** When its latest message arrived. */
-  lastHeard: MonotonicTime = NEVER
-  /** When its latest heartbeat arrived, not the response to a direct request. */
+  /** When the latest message arrived, of either source. */
+  lastMessageAt: MonotonicTime = NEVER
+  /** When the latest heartbeat arrived; responses to direct requests don't count. */
   private lastHeartbeatAt: MonotonicTime = NEVER
-  /** When a message arrived that is surely no late copy. */
-  private provenAt: MonotonicTime = NEVER
+  /** When the latest message arrived that is proven not to be a delayed duplicate. */
+  private lastFreshMessageAt: MonotonicTime = NEVER
   /**
-   * Since when the worker seems to receive nothing of ours: it gets no work until it has
-   * shown a token that we raised after this.
+   * Since when the worker seems to receive no commands or replies; null: it does receive them. It gets no
+   * tasks until it has shown a fencing token that was raised after this time.
    */
   unreachableSince: MonotonicTime | null = null
-  /** Whether its token was raised since then. */
-  private tokenRaised = false
+  /** Whether the token was raised since then. */
+  private isTokenRaised = false
 
   constructor(private readonly times: LeaseTimes) {}
 
-  recordMessage(source: MessageSource, proven: boolean, now: MonotonicTime): void {
-    this.lastHeard = now
+  recordMessage(source: MessageSource, isProvenFresh: boolean, now: MonotonicTime): void {
+    this.lastMessageAt = now
     if (source === "heartbeat") this.lastHeartbeatAt = now
-    if (proven) this.provenAt = now
+    if (isProvenFresh) this.lastFreshMessageAt = now
   }
-  /** What the machine's former owner heard, `silentMs` ago, counts as heard by us. */
+  /** The latest message to the machine's former owner, `silentMs` ago, counts as received by this owner. */
   recordHandoff(silentMs: number, now: MonotonicTime): void {
-    this.lastHeard = addMs(now, -silentMs)
-    this.provenAt = this.lastHeard
-    this.lastHeartbeatAt = this.lastHeard
+    this.lastMessageAt = addMs(now, -silentMs)
+    this.lastFreshMessageAt = this.lastMessageAt
+    this.lastHeartbeatAt = this.lastMessageAt
   }
   markUnreachable(now: MonotonicTime): void {
     this.unreachableSince ??= now
   }
-  /** The worker restarted, by a message that arrived now: it has to show a token raised from now on. */
+  /** A message that arrived now showed a restart: the worker has to show a token that is raised after it. */
   recordRestart(now: MonotonicTime): void {
-    this.lastHeard = now
+    this.lastMessageAt = now
     this.unreachableSince = now
-    this.tokenRaised = false
+    this.isTokenRaised = false
   }
   recordTokenRaised(): void {
-    this.tokenRaised = this.unreachableSince !== null
+    this.isTokenRaised = this.unreachableSince !== null
   }
-  /** The worker has shown our current token; if it was raised since, the worker does receive it. */
+  /** The worker has shown the current token; if it was raised since, the worker does receive commands. */
   recordTokenConfirmed(): void {
-    if (this.unreachableSince === null || !this.tokenRaised) return
+    if (this.unreachableSince === null || !this.isTokenRaised) return
     this.unreachableSince = null
-    this.tokenRaised = false
+    this.isTokenRaised = false
   }
-  /** The worker has to show a higher token than it was sent so far, to prove that it receives commands. */
+  /** Whether the token has to be raised, so that the worker can prove by it that it receives commands. */
   needsHigherToken(): boolean {
-    return this.unreachableSince !== null && !this.tokenRaised
+    return this.unreachableSince !== null && !this.isTokenRaised
   }
-  /** Heard of recently enough, and surely receiving commands, to be given work. */
+  /** Whether the worker can be given tasks: its messages are recent, and it isn't marked unreachable. */
   isSchedulable(now: MonotonicTime): boolean {
-    const recently = recentSince(this.times, now)
-    // A worker that reaches no controller still answers commands, and loses all at its lease:
-    // only its heartbeats show that it can keep what it is given.
-    const sendsHeartbeats = this.lastHeartbeatAt > recently
-    return this.unreachableSince === null && this.provenAt > recently && sendsHeartbeats
+    const cutoff = recencyCutoff(this.times, now)
+    // A worker that reaches no controller still answers commands, but loses all its tasks when its lease
+    // expires: only its heartbeats show that it can keep its lease.
+    const sendsHeartbeats = this.lastHeartbeatAt > cutoff
+    return this.unreachableSince === null && this.lastFreshMessageAt > cutoff && sendsHeartbeats
   }
 }
--- a/packages/workers/src/reported-tasks.ts
+++ b/packages/workers/src/reported-tasks.ts
@@ -1,34 +1,34 @@
-/** The tasks in a worker's latest message. Absence from them proves nothing by itself: see placement-verdict.ts. */
+/** Tasks in a worker's latest message. A task's absence alone proves nothing: see placement-verdict.ts. */
 import type { Address, Heartbeat, ReportedTask, SequenceNumber, TaskId } from "@sorreltally/protocol"
 import type { MachineEntry, RepeatedHeartbeat } from "./model.ts"
 
-/** The tasks that a worker listed, and in which of its messages. */
+/** Tasks listed in a worker's message, with the sequence number of that message. */
 export class ReportedTasks {
   private tasks: ReadonlyMap<TaskId, ReportedTask> = new Map()
-  /** Sequence number of the message that listed them; null: none of this session did. */
-  private listedAt: SequenceNumber | null = null
+  /** Sequence number of the message that listed the tasks; null: no message of this session has. */
+  private listedInSequence: SequenceNumber | null = null
 
   get byId(): ReadonlyMap<TaskId, ReportedTask> {
     return this.tasks
   }
-  list({ sequence, tasks }: Heartbeat): void {
+  replaceWith({ sequence, tasks }: Heartbeat): void {
     this.tasks = new Map(tasks.map((task) => [task.taskId, task]))
-    this.listedAt = sequence
+    this.listedInSequence = sequence
   }
   clear(): void {
     this.tasks = new Map()
-    this.listedAt = null
+    this.listedInSequence = null
   }
-  /** Has each task exited, with nothing left to record of it? */
-  areAllOver(finishIsDurable: (task: TaskId) => boolean): boolean {
+  /** Whether every task has exited, and the results of completed ones are durable. */
+  haveAllEnded(finishIsDurable: (task: TaskId) => boolean): boolean {
     for (const { taskId, phase, exitReason } of this.tasks.values()) {
       if (phase !== "exited" || (exitReason === "done" && !finishIsDurable(taskId))) return false
     }
     return true
   }
-  /** The heartbeat in full, if these tasks were listed by the one that it repeats. */
+  /** Returns the whole heartbeat if these tasks were listed in the one that it repeats, otherwise null. */
   expandRepeat(repeat: RepeatedHeartbeat, entry: MachineEntry, address: Address): Heartbeat | null {
-    if (this.listedAt !== repeat.repeatedSequence) return null
+    if (this.listedInSequence !== repeat.repeatedSequence) return null
     return {
       machineId: repeat.machineId,
       address,
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -1,6 +1,7 @@
 /**
- * Which start commands sent to one worker may still take effect. It owns the record of what was sent and
- * what was answered, and never forgets a start before the protocol rules out that it is carried out.
+ * Tracks which start commands sent to one worker may still take effect. It records the starts that were sent
+ * and the responses to them, and never drops a start before the protocol rules out that the worker executes
+ * it.
  */
 import {
   type Attempt,
@@ -11,17 +12,17 @@
   type TaskId,
 } from "@sorreltally/protocol"
 
-/** A worker drops the reply to a heartbeat this long after sending the heartbeat (protocol, "Delayed messages"). */
+/** A worker drops a reply that arrives later than this after its heartbeat (protocol, "Delayed messages"). */
 const REPLY_LIFETIME_MS = 4_000
-/** Duplicates of a direct command batch later than this are not expected. */
+/** Duplicates of a direct command batch are assumed to arrive within this time after it was sent. */
 const MAX_DUPLICATE_DELAY_MS = 180_000
 
-/** What the worker's latest message proves about the starts that were sent before it. */
+/** Evidence from the worker's latest message about the starts that were sent before it. */
 export interface StartEvidence {
-  /** The fencing token of our commands. */
+  /** The current fencing token of commands to the worker. */
   readonly token: FencingToken
   /** Whether the worker has shown that token. */
-  readonly tokenConfirmed: boolean
+  readonly isTokenConfirmed: boolean
   /** Sequence number of the worker's latest message. */
   readonly sequence: SequenceNumber
   /** Whether that message is a heartbeat, not the response to a direct request. */
@@ -31,12 +32,12 @@
 interface StartInReply {
   /** Sequence number of the heartbeat that was replied to. */
   readonly sequence: SequenceNumber
-  readonly at: MonotonicTime
+  readonly sentAt: MonotonicTime
 }
 interface DirectStart {
   readonly token: FencingToken
   /** When the latest one was sent. */
-  readonly at: MonotonicTime
+  readonly sentAt: MonotonicTime
 }
 
 /** One attempt of one task. */
@@ -45,120 +46,126 @@
 const taskOf = (key: AttemptKey): TaskId => key.slice(0, key.indexOf("#")) as TaskId
 
 /**
- * The starts sent to one worker, and which of them may still take effect: only
- * when none may does the absence of a task prove that it won't run.
+ * Starts sent to one worker, and whether they may still take effect. A task's absence from the worker's
+ * messages proves that it won't run only if none of its starts may still take effect.
  */
 export class StartTracker {
-  /** Direct starts without a response yet, with the number of requests. */
+  /** Attempts with direct starts that wait for a response, with the number of these requests. */
   private readonly inFlight = new Map<AttemptKey, number>()
   /**
-   * Highest token under which a direct start got no response. The worker may execute it
-   * minutes later, until it has seen a higher token.
+   * Highest token under which a direct start got no response. The worker may execute the start minutes later,
+   * unless it has seen a higher token before.
    */
   private unansweredToken: FencingToken | null = null
-  /** Direct starts without a response, of attempts that the worker hasn't reported since. */
-  private readonly unanswered = new Set<AttemptKey>()
+  /** Attempts whose direct start got no response and that the worker hasn't reported since. */
+  private readonly unansweredAttempts = new Set<AttemptKey>()
   /** Starts sent in the reply to a heartbeat. */
   private readonly startsInReplies = new Map<AttemptKey, StartInReply>()
-  /** Attempts whose start was sent directly, under which token and when last. */
+  /** Direct starts by attempt: the token and the time of the latest one. */
   private readonly directStarts = new Map<AttemptKey, DirectStart>()
 
-  /** The agent epoch rose: starts sent in the former session are refused. */
+  /** Called when the agent epoch rose: the worker refuses starts sent in the former session. */
   resetForNewSession(): void {
-    this.unanswered.clear()
+    this.unansweredAttempts.clear()
     this.startsInReplies.clear()
     this.directStarts.clear()
   }
-  /** The worker restarted: duplicates of direct commands sent before may still arrive, replies may not. */
+  /** Called when the worker restarted: earlier direct commands may still arrive duplicated, replies can't. */
   resetForRestart(): void {
     this.startsInReplies.clear()
   }
-  /** The worker has shown this token: it refuses commands with a lower one. */
-  tokenSeen(token: FencingToken): void {
+  /** Records that the worker has shown this token: it refuses commands with a lower one. */
+  recordTokenSeen(token: FencingToken): void {
     if (this.unansweredToken === null || token <= this.unansweredToken) return
     this.unansweredToken = null
-    this.unanswered.clear()
+    this.unansweredAttempts.clear()
   }
   /** Drops the direct starts of tasks that are neither on the machine nor placed there. */
   pruneDirectStarts(isKnown: (task: TaskId) => boolean): void {
     for (const key of this.directStarts.keys()) if (!isKnown(taskOf(key))) this.directStarts.delete(key)
   }
 
-  /** A start is about to be sent in the reply to the heartbeat with this sequence number. */
+  /** Called before a start is sent in the reply to the heartbeat with this sequence number. */
   recordStartInReply(task: TaskId, attempt: Attempt, sequence: SequenceNumber, now: MonotonicTime): void {
-    this.startsInReplies.set(keyOf(task, attempt), { sequence, at: now })
+    this.startsInReplies.set(keyOf(task, attempt), { sequence, sentAt: now })
   }
-  /** Drops the starts in replies that the worker has taken or dropped by now. */
+  /** Drops starts whose replies the worker has by now either executed or dropped. */
   dropExpiredReplies(now: MonotonicTime): void {
-    for (const [key, { at }] of this.startsInReplies)
-      if (now > addMs(at, 2 * REPLY_LIFETIME_MS)) this.startsInReplies.delete(key)
+    for (const [key, { sentAt }] of this.startsInReplies)
+      if (now > addMs(sentAt, 2 * REPLY_LIFETIME_MS)) this.startsInReplies.delete(key)
   }
-  /** A direct start is about to be sent. */
+  /** Called before a direct start is sent. */
   recordDirectStart(task: TaskId, attempt: Attempt, token: FencingToken, now: MonotonicTime): void {
     const key = keyOf(task, attempt)
     this.inFlight.set(key, (this.inFlight.get(key) ?? 0) + 1)
-    this.directStarts.set(key, { token, at: now })
+    this.directStarts.set(key, { token, sentAt: now })
   }
-  /** A direct start was answered, or surely never sent (`answered`), or its outcome is unknown. */
-  recordDirectResult(task: TaskId, attempt: Attempt, token: FencingToken, answered: boolean): void {
+  /**
+   * Records the end of a request with a direct start. `isAnswered`: it was answered, or certainly not sent;
+   * otherwise its outcome is unknown.
+   */
+  recordDirectResult(task: TaskId, attempt: Attempt, token: FencingToken, isAnswered: boolean): void {
     const key = keyOf(task, attempt)
     const remaining = (this.inFlight.get(key) ?? 1) - 1
     if (remaining === 0) this.inFlight.delete(key)
     else this.inFlight.set(key, remaining)
-    if (answered) return
-    this.unanswered.add(key)
-    // Guards against a start that is carried out after its absence was taken for proof.
+    if (isAnswered) return
+    this.unansweredAttempts.add(key)
+    // Guards against a start that is executed after the task's absence was taken as proof that it won't run.
     if (this.unansweredToken === null || this.unansweredToken < token) this.unansweredToken = token
   }
-  /** The worker reports this attempt: its start was carried out. */
+  /** Records that the worker reports this attempt: its start was executed. */
   recordReported(task: TaskId, attempt: Attempt): void {
-    this.unanswered.delete(keyOf(task, attempt))
+    this.unansweredAttempts.delete(keyOf(task, attempt))
   }
 
-  /** A start under this token got no response: nothing is certain until the worker shows a higher one. */
+  /** Whether a start under this token got no response: it may take effect until a higher token is shown. */
   hasUnansweredStart(token: FencingToken): boolean {
     return this.unansweredToken !== null && this.unansweredToken === token
   }
-  /** A direct start of this attempt got no response, and nothing shows that it was carried out. */
+  /** Whether a direct start of this attempt has no response, and no message shows that it was executed. */
   isUnanswered(task: TaskId, attempt: Attempt): boolean {
     const key = keyOf(task, attempt)
-    return this.inFlight.has(key) || this.unanswered.has(key)
+    return this.inFlight.has(key) || this.unansweredAttempts.has(key)
   }
-  /** A direct start of this attempt may still be in transit. */
+  /** Whether a direct start of this attempt may still be in transit. */
   mayBeInTransit(task: TaskId, attempt: Attempt, token: FencingToken): boolean {
     return this.unansweredToken === token || this.inFlight.has(keyOf(task, attempt))
   }
-  /** No start of this attempt can take effect any more, as far as the evidence goes. */
+  /** Whether the evidence proves that no start of this attempt can take effect any more. */
   cannotTakeEffect(
     task: TaskId,
     attempt: Attempt,
-    { token, tokenConfirmed, sequence, isHeartbeat, now }: StartEvidence,
+    { token, isTokenConfirmed, sequence, isHeartbeat, now }: StartEvidence,
   ): boolean {
     const key = keyOf(task, attempt)
-    if (!tokenConfirmed || this.unansweredToken === token) return false
+    if (!isTokenConfirmed || this.unansweredToken === token) return false
     // Guards against a start that is still in transit when a heartbeat without the task arrives.
     if ((this.inFlight.get(key) ?? 0) > 0) return false
-    const inReply = this.startsInReplies.get(key)
-    if (inReply === undefined) return true
-    // A worker has one heartbeat in flight at a time, so a later heartbeat was made
-    // after our reply arrived or was dropped.
-    return (isHeartbeat && sequence > inReply.sequence) || now > addMs(inReply.at, 2 * REPLY_LIFETIME_MS)
+    const startInReply = this.startsInReplies.get(key)
+    if (startInReply === undefined) return true
+    // A worker has one heartbeat in flight at a time: it composed a later heartbeat after the reply to the
+    // earlier one arrived or was dropped.
+    return (
+      (isHeartbeat && sequence > startInReply.sequence) ||
+      now > addMs(startInReply.sentAt, 2 * REPLY_LIFETIME_MS)
+    )
   }
   /**
-   * May an exited attempt be purged? A duplicate of a direct start that was carried out
-   * may still arrive. While the worker knows the attempt, its start does nothing;
-   * after the purge it would start the task again, done or not. Starts of former owners
-   * are refused once the worker has seen our token, and starts in the reply to a
-   * heartbeat never take effect late.
+   * Whether an exited attempt may be purged. A duplicate of a direct start that was executed may still
+   * arrive. As long as the worker lists the attempt, it ignores the duplicate; after the purge, the duplicate
+   * would start the task again, completed or not. The worker refuses starts of former owners once it has seen
+   * the current token, and starts in the reply to a heartbeat never take effect late.
    */
-  mayPurge(task: TaskId, attempt: Attempt, { token, tokenConfirmed, now }: StartEvidence): boolean {
+  mayPurge(task: TaskId, attempt: Attempt, { token, isTokenConfirmed, now }: StartEvidence): boolean {
     const directStart = this.directStarts.get(keyOf(task, attempt))
-    if (directStart === undefined) return tokenConfirmed
+    if (directStart === undefined) return isTokenConfirmed
     return (
-      (tokenConfirmed && token > directStart.token) || now > addMs(directStart.at, MAX_DUPLICATE_DELAY_MS)
+      (isTokenConfirmed && token > directStart.token) ||
+      now > addMs(directStart.sentAt, MAX_DUPLICATE_DELAY_MS)
     )
   }
-  /** Its direct start carried this token: it can't be purged before the worker shows a higher one. */
+  /** Whether the attempt's direct start carried this token: a purge then has to wait for a higher token. */
   wasSentUnderToken(task: TaskId, attempt: Attempt, token: FencingToken): boolean {
     return this.directStarts.get(keyOf(task, attempt))?.token === token
   }
--- a/packages/workers/src/worker-commands.ts
+++ b/packages/workers/src/worker-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of one worker: which to send, and what was sent. It must never purge an attempt that a late
- * start, or a duplicate of one, could start again.
+ * Selects the commands to one worker and records those that are sent. It must never purge an attempt that a
+ * delayed start, or a duplicate of one, could start again.
  */
 import type { Placement } from "@sorreltally/jobs"
 import type {
@@ -15,16 +15,16 @@
 import { commandsFor } from "./commands.ts"
 import type { StartEvidence, StartTracker } from "./start-tracker.ts"
 
-/** Exited tasks that a worker may have to go on reporting until its token is raised to purge them. */
+/** With more exited tasks than this that wait for a higher token to be purged, the token is raised. */
 const MAX_UNPURGEABLE_TASKS = 24
 
 type TasksById = ReadonlyMap<TaskId, ReportedTask>
 
-/** Chooses a worker's commands, and records those that are sent. */
+/** Selects a worker's commands, and records those that are sent. */
 export class WorkerCommands {
-  /** Commands were sent to the worker's own address, and have neither a response nor been given up. */
+  /** Whether commands sent to the worker's own address wait for a response or a time-out. */
   inFlight = false
-  /** Exited tasks that can't be purged until the worker has shown a higher token. */
+  /** Number of exited tasks that can't be purged until the worker has shown a higher token. */
   private unpurgeableCount = 0
 
   constructor(
@@ -32,8 +32,8 @@
     private readonly placements: ReadonlyMap<TaskId, Placement>,
   ) {}
 
-  /** The commands to send now. */
-  due(
+  /** Returns the commands to send now. */
+  select(
     agentEpoch: AgentEpoch,
     tasks: TasksById,
     evidence: StartEvidence,
@@ -44,7 +44,7 @@
       (task.exitReason !== "done" || finishIsDurable(task.taskId)) && this.mayPurge(task, evidence)
     return commandsFor({ agentEpoch, tasks, placements: this.placements, mayPurge, now: evidence.now })
   }
-  /** Purging too early would let a late start, or a duplicate of one, run the task once more. */
+  /** After a purge that comes too early, a delayed start or a duplicate of one would run the task again. */
   private mayPurge({ taskId, attempt }: ReportedTask, evidence: StartEvidence): boolean {
     if (!this.starts.mayPurge(taskId, attempt, evidence)) {
       if (this.starts.wasSentUnderToken(taskId, attempt, evidence.token)) this.unpurgeableCount++
@@ -54,10 +54,11 @@
   }
 
   /**
-   * A start got lost under the current token, and nothing is certain of a task that should leave or be
-   * purged until the worker has seen a higher one; or too many tasks wait for a higher one to be purged.
+   * Whether the token has to be raised: a start under the current token got no response, so that a task to be
+   * stopped or purged may still be started until the worker has seen a higher token; or too many tasks wait
+   * for a higher token to be purged.
    */
-  needHigherToken(token: FencingToken, tasks: TasksById): boolean {
+  needsHigherToken(token: FencingToken, tasks: TasksById): boolean {
     if (this.unpurgeableCount > MAX_UNPURGEABLE_TASKS) return true
     if (!this.starts.hasUnansweredStart(token)) return false
     for (const placement of this.placements.values()) if (placement.stop !== null) return true
@@ -81,31 +82,34 @@
     return since
   }
 
-  /** Commands are about to be sent in the reply to the heartbeat with this sequence number. */
+  /** Called before commands are sent in the reply to the heartbeat with this sequence number. */
   recordReply(commands: ReadonlyArray<Command>, sequence: SequenceNumber, now: MonotonicTime): void {
     this.starts.dropExpiredReplies(now)
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
       this.starts.recordStartInReply(taskId, attempt, sequence, now)
-      this.countUnacknowledged(taskId)
+      this.countUnacknowledgedStart(taskId)
     }
   }
-  /** Commands are about to be sent to the worker's own address. */
+  /** Called before commands are sent to the worker's own address. */
   recordDirect(commands: ReadonlyArray<Command>, token: FencingToken, now: MonotonicTime): void {
     this.inFlight = true
     for (const { kind, taskId, attempt } of commands)
       if (kind === "start") this.starts.recordDirectStart(taskId, attempt, token, now)
   }
-  /** They were answered, or surely never sent (`answered`), or given up with their outcome unknown. */
-  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
+  /**
+   * Records the end of a request with direct commands. `isAnswered`: it was answered, or certainly not sent;
+   * otherwise its outcome is unknown.
+   */
+  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isAnswered: boolean): void {
     this.inFlight = false
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
-      this.starts.recordDirectResult(taskId, attempt, token, answered)
-      if (!answered) this.countUnacknowledged(taskId)
+      this.starts.recordDirectResult(taskId, attempt, token, isAnswered)
+      if (!isAnswered) this.countUnacknowledgedStart(taskId)
     }
   }
-  private countUnacknowledged(task: TaskId): void {
+  private countUnacknowledgedStart(task: TaskId): void {
     const placement = this.placements.get(task)
     if (placement !== undefined) placement.unacknowledgedStarts++
   }
--- a/packages/workers/src/worker-lease.ts
+++ b/packages/workers/src/worker-lease.ts
@@ -1,16 +1,16 @@
 /**
- * The lease under which a worker runs its tasks, seen from the owner that renews it by replies to
- * heartbeats. It must never call a lease expired that the worker may still hold.
+ * The agent lease under which a worker runs its tasks, as tracked by the owner, which renews it by replies to
+ * heartbeats. A lease that the worker may still hold must never be reported as expired.
  */
 import { addMs, type MonotonicTime } from "@sorreltally/protocol"
 import type { LeaseTimes } from "./model.ts"
-import { recentSince } from "./reachability.ts"
+import { recencyCutoff } from "./reachability.ts"
 
-/** Monotonic clocks drift apart by at most this share; both ends may. */
-const DRIFT = 2 * 0.0005
+/** Bound on the relative drift between two monotonic clocks; each of them may drift by half of it. */
+const CLOCK_DRIFT = 2 * 0.0005
 const LEASE_MARGIN_MS = 1_000
 
-/** When the worker's lease may have been renewed last, and whether it has surely expired. */
+/** Tracks when the worker's lease may last have been renewed, and whether it has provably expired. */
 export class WorkerLease {
   private lastAnsweredAt: MonotonicTime
 
@@ -22,18 +22,19 @@
     this.lastAnsweredAt = now
   }
 
-  /** A reply to a heartbeat is about to be sent, or a session of the worker was first heard of. */
+  /** Called before the reply to a heartbeat is sent, and at the first message of a session. */
   renew(now: MonotonicTime): void {
     this.lastAnsweredAt = now
   }
   wasRecentlyRenewed(now: MonotonicTime): boolean {
-    return this.lastAnsweredAt > recentSince(this.times, now)
+    return this.lastAnsweredAt > recencyCutoff(this.times, now)
   }
   /**
-   * The worker's lease has expired when a full lease time has passed since we
-   * last received a heartbeat that we answered: it was sent before that.
+   * Whether the worker's lease has expired: a full lease duration, with the margins for drift, has passed
+   * since the last reply to a heartbeat. The worker counts its lease from when it sent that heartbeat, which
+   * was earlier.
    */
   isExpired(now: MonotonicTime): boolean {
-    return now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)
+    return now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS)
   }
 }
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -1,7 +1,7 @@
 /**
- * What the owner of a machine knows of its worker: it takes in the worker's messages and gives the commands
- * to send. What a message proves is decided by the modules that it puts together; the session must never
- * let go of a task that may still be on the machine.
+ * The owner's state of one worker: it processes the worker's messages and selects the commands to send. What
+ * a message proves is decided by the modules that the session combines. The session must never remove the
+ * placement of a task that may still be on the machine.
  */
 import type { Placement } from "@sorreltally/jobs"
 import {
@@ -34,173 +34,173 @@
   RepeatedHeartbeat,
 } from "./model.ts"
 import { PlacedTasks } from "./placed-tasks.ts"
-import { verdictOn } from "./placement-verdict.ts"
+import { evaluatePlacement } from "./placement-verdict.ts"
 import { Reachability } from "./reachability.ts"
 import { ReportedTasks } from "./reported-tasks.ts"
 import { type StartEvidence, StartTracker } from "./start-tracker.ts"
 import { WorkerCommands } from "./worker-commands.ts"
 import { WorkerLease } from "./worker-lease.ts"
 
-/** What a session is made of. */
+/** Options of a worker session. */
 export interface WorkerSessionOptions {
   readonly entry: MachineEntry
   readonly type: MachineType
-  /** Epoch of the shard under which this node owns the machine; commands carry at least this token. */
+  /** Shard epoch under which this node owns the machine; it is the lowest token of commands to the worker. */
   readonly shardEpoch: ModRevision
   readonly times: LeaseTimes
-  /** Rented under this epoch: no message of the machine can be older than that. */
+  /** Whether the machine was rented under this shard epoch: none of its messages can be from before it. */
   readonly rentedInEpoch: boolean
   readonly now: MonotonicTime
 }
 
-/** What an owner knows of one machine and may conclude from it. */
+/** State of one machine and its worker, and what the owner may conclude from it. */
 export class WorkerSession {
-  /** Where the worker takes direct commands; null: not known yet. */
+  /** Address for direct commands to the worker; null: not known yet. */
   address: Address | null = null
-  /** When the cloud takes the machine away, by the worker's preemption notice; null: no notice. */
+  /** When the cloud will preempt the machine, by the worker's preemption notice; null: no notice. */
   preemptionAt: MonotonicTime | null = null
-  /** The node that forwarded the latest heartbeat; null: it came to the owner itself. */
+  /** The node that forwarded the latest heartbeat; null: the worker sent it directly to the owner. */
   via: NodeName | null = null
-  /** No direct commands before this moment: the last ones got no response. */
+  /** No direct commands are sent before this time: the last ones got no response. */
   commandsPausedUntil: MonotonicTime = NEVER
 
-  private recorded: MachineEntry
-  private readonly latest = new LatestMessage()
+  private currentEntry: MachineEntry
+  private readonly latestMessage = new LatestMessage()
   private readonly lease: WorkerLease
   private readonly reachability: Reachability
-  private readonly placed: PlacedTasks
-  private readonly cache: ImageCache
+  private readonly placedTasks: PlacedTasks
+  private readonly imageCache: ImageCache
   private readonly reported = new ReportedTasks()
   private readonly starts = new StartTracker()
   private readonly workerCommands: WorkerCommands
 
   constructor(private readonly options: WorkerSessionOptions) {
     const { entry, type, times, now } = options
-    this.recorded = entry
+    this.currentEntry = entry
     this.lease = new WorkerLease(times, now)
     this.reachability = new Reachability(times)
-    this.placed = new PlacedTasks(type)
-    this.workerCommands = new WorkerCommands(this.starts, this.placed.byTask)
-    this.cache = new ImageCache(type.cacheGb)
+    this.placedTasks = new PlacedTasks(type)
+    this.workerCommands = new WorkerCommands(this.starts, this.placedTasks.byTask)
+    this.imageCache = new ImageCache(type.cacheGb)
   }
 
   get id(): MachineId {
-    return this.recorded.id
+    return this.currentEntry.id
   }
   get type(): MachineType {
     return this.options.type
   }
-  /** What the store holds of the machine. */
+  /** The machine's record in the store. */
   get entry(): MachineEntry {
-    return this.recorded
+    return this.currentEntry
   }
-  update(entry: MachineEntry): void {
-    this.recorded = entry
+  updateEntry(entry: MachineEntry): void {
+    this.currentEntry = entry
   }
   /** The fencing token of commands to the worker. */
   get token(): FencingToken {
-    return Math.max(this.options.shardEpoch, this.recorded.token) as FencingToken
+    return Math.max(this.options.shardEpoch, this.currentEntry.token) as FencingToken
   }
-  /** The worker has shown that it has seen our token: it refuses older commands. */
-  private get tokenConfirmed(): boolean {
-    return this.latest.seenToken === this.token
+  /** Whether the worker has shown the current token: it then refuses commands with a lower one. */
+  private get isTokenConfirmed(): boolean {
+    return this.latestMessage.seenToken === this.token
   }
-  /** Agent epoch of the current session; null: none is known, or the last one has surely ended. */
+  /** Agent epoch of the current session; null: none is known, or the last one has provably ended. */
   get agentEpoch(): AgentEpoch | null {
-    return this.latest.agentEpoch
+    return this.latestMessage.agentEpoch
   }
   get isUp(): boolean {
     return this.agentEpoch !== null
   }
-  /** Where the worker's messages stand; one below is old, or from a worker that restarted. */
+  /** Counters of the latest message; one with lower counters is outdated, or from a restarted worker. */
   counters(): MessageCounters {
-    return this.latest.counters()
+    return this.latestMessage.counters()
   }
-  /** Images that the machine probably holds, least recently used first, with their sizes in GB. */
+  /** Images that the machine has probably cached, with their sizes in GB, least recently used first. */
   get images(): ReadonlyMap<ImageName, number> {
-    return this.cache.sizes
+    return this.imageCache.sizesGb
   }
-  /** The placements of tasks that may be on the machine. */
+  /** Placements of the tasks that may be on the machine. */
   get placements(): Map<TaskId, Placement> {
-    return this.placed.byTask
+    return this.placedTasks.byTask
   }
-  /** The room that those leave. */
-  get free(): Readonly<FreeCapacity> {
-    return this.placed.free
+  /** Capacity that these placements leave free. */
+  get freeCapacity(): Readonly<FreeCapacity> {
+    return this.placedTasks.freeCapacity
   }
   /** When the latest message arrived; `NEVER` before the first one. */
-  get lastHeard(): MonotonicTime {
-    return this.reachability.lastHeard
+  get lastMessageAt(): MonotonicTime {
+    return this.reachability.lastMessageAt
   }
   silentMs(now: MonotonicTime): number {
-    return now - this.lastHeard
+    return now - this.lastMessageAt
   }
-  /** Since when the worker seems to receive nothing; null: it isn't known to. */
+  /** Since when the worker seems to receive no commands; null: it isn't marked unreachable. */
   get unreachableSince(): MonotonicTime | null {
     return this.reachability.unreachableSince
   }
-  /** Heard of recently enough, and surely receiving commands, to be given work. */
+  /** Whether the worker can be given tasks: its messages are recent, and it isn't marked unreachable. */
   isSchedulable(now: MonotonicTime): boolean {
     return this.isUp && this.reachability.isSchedulable(now)
   }
 
-  /** A task may be here from now on. */
-  hold(placement: Placement): void {
-    this.placed.add(placement)
+  /** Adds the placement of a task that may be on the machine from now on. */
+  addPlacement(placement: Placement): void {
+    this.placedTasks.add(placement)
   }
-  /** The task is surely off the machine, or has its result. */
-  release(placement: Placement): void {
-    this.placed.remove(placement)
+  /** Removes the placement of a task that is provably off the machine, or has a result. */
+  removePlacement(placement: Placement): void {
+    this.placedTasks.remove(placement)
   }
 
   /**
-   * Takes in a heartbeat, or the same body in the response to a direct request.
-   * Returns null for one that is older than what is known.
+   * Processes a heartbeat, or the same body in the response to a direct request.
+   * Returns null for a message that is no newer than the latest one.
    */
   observe(heartbeat: Heartbeat, source: MessageSource, now: MonotonicTime): ReadonlyArray<Outcome> | null {
-    if (this.latest.isOutdated(heartbeat, source)) return null
-    if (this.latest.beginsSession(heartbeat)) this.beginSession(source, now)
-    this.latest.accept(heartbeat)
-    const proven = source === "direct" || this.tokenConfirmed || this.options.rentedInEpoch
-    this.reachability.recordMessage(source, proven, now)
-    if (this.tokenConfirmed) this.reachability.recordTokenConfirmed()
+    if (this.latestMessage.isOutdated(heartbeat, source)) return null
+    if (this.latestMessage.beginsSession(heartbeat)) this.beginSession(source, now)
+    this.latestMessage.accept(heartbeat)
+    const isProvenFresh = source === "direct" || this.isTokenConfirmed || this.options.rentedInEpoch
+    this.reachability.recordMessage(source, isProvenFresh, now)
+    if (this.isTokenConfirmed) this.reachability.recordTokenConfirmed()
     this.preemptionAt =
       typeof heartbeat.preemptionNoticeS === "number" ? addMs(now, heartbeat.preemptionNoticeS * 1000) : null
     this.address = heartbeat.address
-    this.reported.list(heartbeat)
+    this.reported.replaceWith(heartbeat)
     this.trackStarts(heartbeat)
-    return this.takeOutcomes(heartbeat, source, proven, now)
+    return this.collectOutcomes(heartbeat, source, isProvenFresh, now)
   }
-  /** The first message of a session; the former one, if any, lost its lease. */
+  /** Handles the first message of a session; the worker has lost the lease of the former one, if any. */
   private beginSession(source: MessageSource, now: MonotonicTime): void {
-    // It lost a lease that we kept renewing: our replies didn't reach it.
+    // The worker lost a lease that the owner kept renewing: the replies didn't reach it.
     if (this.isUp && source === "heartbeat" && this.lease.wasRecentlyRenewed(now))
       this.reachability.markUnreachable(now)
-    // A session's lease runs from its beginning, before any heartbeat of it was
-    // answered: we may first hear of it by the response to a direct request.
+    // A session's lease starts with the session, before any of its heartbeats is answered: the
+    // first message of it may be the response to a direct request.
     this.lease.renew(now)
-    this.cache.clear()
+    this.imageCache.clear()
     this.starts.resetForNewSession()
   }
   private trackStarts({ fencingToken, tasks }: Heartbeat): void {
-    this.starts.tokenSeen(fencingToken)
+    this.starts.recordTokenSeen(fencingToken)
     for (const { taskId, attempt } of tasks) this.starts.recordReported(taskId, attempt)
     this.starts.pruneDirectStarts((task) => this.reported.byId.has(task) || this.placements.has(task))
   }
-  private takeOutcomes(
+  private collectOutcomes(
     heartbeat: Heartbeat,
     source: MessageSource,
-    proven: boolean,
+    isProvenFresh: boolean,
     now: MonotonicTime,
   ): ReadonlyArray<Outcome> {
     if (this.placements.size === 0) return []
     const { starts, reachability } = this
     const reportedTasks = this.reported.byId
     const startEvidence = this.startEvidence(source, now)
-    const evidence = { heartbeat, source, proven, reportedTasks, starts, startEvidence, reachability }
+    const evidence = { heartbeat, source, isProvenFresh, reportedTasks, starts, startEvidence, reachability }
     const outcomes: Array<Outcome> = []
     for (const placement of [...this.placements.values()]) {
-      const verdict = verdictOn(placement, evidence)
+      const verdict = evaluatePlacement(placement, evidence)
       switch (verdict.kind) {
         case "unchanged":
           break
@@ -208,143 +208,143 @@
           reachability.markUnreachable(now)
           break
         case "running":
-          this.cache.use(placement.job.spec.image, placement.job.spec.imageGb)
+          this.imageCache.recordUse(placement.job.spec.image, placement.job.spec.imageGb)
           outcomes.push(verdict)
           break
         case "done":
         case "cleared":
-          this.release(placement)
+          this.removePlacement(placement)
           outcomes.push(verdict)
       }
     }
     return outcomes
   }
-  /** What the latest message proves about the starts that were sent before it. */
+  /** Returns what the latest message proves about the starts that were sent before it. */
   private startEvidence(source: MessageSource, now: MonotonicTime): StartEvidence {
-    const { token, tokenConfirmed } = this
-    const { sequence } = this.latest
-    return { token, tokenConfirmed, sequence, isHeartbeat: source === "heartbeat", now }
+    const { token, isTokenConfirmed } = this
+    const { sequence } = this.latestMessage
+    return { token, isTokenConfirmed, sequence, isHeartbeat: source === "heartbeat", now }
   }
 
-  /** The heartbeat in full, if the worker's latest message was the one that it repeats. */
+  /** Returns the whole heartbeat if the latest message was the one that it repeats, otherwise null. */
   expandRepeat(repeat: RepeatedHeartbeat): Heartbeat | null {
     if (this.address === null || this.agentEpoch !== repeat.agentEpoch) return null
-    return this.reported.expandRepeat(repeat, this.recorded, this.address)
+    return this.reported.expandRepeat(repeat, this.currentEntry, this.address)
   }
 
   /**
-   * The worker answered an inspection, requested when its counters were `before`, with lower ones.
-   * Only heartbeats can be late copies: this worker restarted. It has to show a raised token
-   * before its former tasks count as gone, since commands sent before may still be in transit.
-   * Returns false, and changes nothing, when the counters aren't lower.
+   * Accepts the response to an inspection if its counters are lower than `countersBefore`, those at the time
+   * of the request. Only heartbeats can be delayed duplicates, so the worker restarted. It has to show a
+   * raised token before its former tasks count as gone: commands sent before may still be in transit. Returns
+   * false, and changes nothing, if the counters aren't lower.
    */
-  acceptRestart(heartbeat: Heartbeat, before: MessageCounters, now: MonotonicTime): boolean {
-    const isBelow =
-      heartbeat.agentEpoch < before.agentEpoch ||
-      (heartbeat.agentEpoch === before.agentEpoch && heartbeat.sequence < before.sequence)
-    if (!isBelow) return false
-    this.latest.acceptRestart(heartbeat)
+  acceptRestart(heartbeat: Heartbeat, countersBefore: MessageCounters, now: MonotonicTime): boolean {
+    const isLower =
+      heartbeat.agentEpoch < countersBefore.agentEpoch ||
+      (heartbeat.agentEpoch === countersBefore.agentEpoch && heartbeat.sequence < countersBefore.sequence)
+    if (!isLower) return false
+    this.latestMessage.acceptRestart(heartbeat)
     this.lease.renew(now)
     this.reachability.recordRestart(now)
     this.address = heartbeat.address
-    this.reported.list(heartbeat)
-    this.cache.clear()
+    this.reported.replaceWith(heartbeat)
+    this.imageCache.clear()
     this.starts.resetForRestart()
     return true
   }
 
-  /** The store holds a higher token for the machine. */
-  tokenRaised(): void {
+  /** Records that the store now has a higher token for the machine. */
+  recordTokenRaised(): void {
     this.reachability.recordTokenRaised()
   }
   /**
-   * A start got lost under the current token, and nothing is certain until the
-   * worker has seen a higher one; or it has to show that it receives commands.
+   * Whether the token has to be raised: the worker has to prove that it receives commands, or only a higher
+   * token settles what may still be started or purged (see `WorkerCommands.needsHigherToken`).
    */
   needsHigherToken(): boolean {
     return (
       this.reachability.needsHigherToken() ||
-      this.workerCommands.needHigherToken(this.token, this.reported.byId)
+      this.workerCommands.needsHigherToken(this.token, this.reported.byId)
     )
   }
 
   private clear(placement: Placement, cause: ClearedCause): Outcome {
-    this.release(placement)
+    this.removePlacement(placement)
     return { kind: "cleared", placement, cause }
   }
-  /** All tasks are gone: the machine's deletion was answered, or its lease has surely expired. */
+  /** Clears all placements: the machine's deletion was confirmed, or it moved to another shard. */
   clearAll(cause: ClearedCause): ReadonlyArray<Outcome> {
     return [...this.placements.values()].map((placement) => this.clear(placement, cause))
   }
-  /** The worker has surely lost its lease, and with it all its tasks. */
+  /** Whether the worker has provably lost its lease, and so killed all its tasks. */
   isLeaseExpired(now: MonotonicTime): boolean {
     return this.lease.isExpired(now)
   }
   /**
-   * After `isLeaseExpired`: whatever still arrives from the ended agent epoch is old. A worker that
-   * restarted counts its sessions from the start, and may execute a command sent before: a task whose
-   * direct start got no response stays placed until the machine is heard of again, or deleted.
+   * Ends the session once `isLeaseExpired`: later messages of its agent epoch are outdated. A restarted
+   * worker counts its agent epochs from the beginning, and may execute a command that was sent before: a task
+   * whose direct start got no response stays placed until the machine sends messages again or is deleted.
    */
   expireLease(): ReadonlyArray<Outcome> {
-    let last: number = this.agentEpoch ?? 0
-    for (const placement of this.placements.values()) last = Math.max(last, placement.agentEpoch)
-    this.latest.endSessions(last)
+    let lastEpoch: number = this.agentEpoch ?? 0
+    for (const placement of this.placements.values()) lastEpoch = Math.max(lastEpoch, placement.agentEpoch)
+    this.latestMessage.endSessionsUpTo(lastEpoch)
     this.reported.clear()
-    this.cache.clear()
+    this.imageCache.clear()
     return [...this.placements.values()]
       .filter(({ task, attempt }) => !this.starts.isUnanswered(task, attempt))
       .map((placement) => this.clear(placement, "lease expired"))
   }
 
-  /** No task is, or may come to be, on this machine that needs its present owner. */
+  /** Whether no task that needs the current owner is, or may still be started, on the machine. */
   isEmpty(finishIsDurable: (task: TaskId) => boolean): boolean {
-    return this.placements.size === 0 && !this.commandsInFlight && this.reported.areAllOver(finishIsDurable)
+    return this.placements.size === 0 && !this.commandsInFlight && this.reported.haveAllEnded(finishIsDurable)
   }
-  /** What the machine's next owner needs to use it before its next heartbeat; null: nothing of use. */
-  handoff(now: MonotonicTime): MachineHandoff | null {
+  /** State with which the next owner can use the machine before its next heartbeat; null: none of use. */
+  createHandoff(now: MonotonicTime): MachineHandoff | null {
     const { address, agentEpoch } = this
     if (agentEpoch === null || address === null || this.unreachableSince !== null) return null
-    const { sequence } = this.latest
+    const { sequence } = this.latestMessage
     return { address, agentEpoch, sequence, silentMs: this.silentMs(now), images: [...this.images] }
   }
-  /** Takes over what the former owner knew, unless the worker was heard of already. */
+  /** Takes over the former owner's state, unless the worker has already sent a message to this owner. */
   acceptHandoff(handoff: MachineHandoff, now: MonotonicTime): void {
     if (this.isUp) return
     this.address = handoff.address
-    this.latest.acceptHandoff(handoff)
+    this.latestMessage.acceptHandoff(handoff)
     this.reachability.recordHandoff(handoff.silentMs, now)
-    for (const [image, gb] of handoff.images) this.cache.use(image, gb)
+    for (const [image, sizeGb] of handoff.images) this.imageCache.recordUse(image, sizeGb)
   }
 
-  /** Commands were sent to the worker's own address, and have neither a response nor been given up. */
+  /** Whether commands sent to the worker's own address wait for a response or a time-out. */
   get commandsInFlight(): boolean {
     return this.workerCommands.inFlight
   }
-  /** The commands to send now, given the worker's latest message. */
-  commands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
+  /** Returns the commands to send now, given the worker's latest message. */
+  selectCommands(now: MonotonicTime, finishIsDurable: (task: TaskId) => boolean): ReadonlyArray<Command> {
     if (this.agentEpoch === null) return []
     const evidence = this.startEvidence("direct", now)
-    return this.workerCommands.due(this.agentEpoch, this.reported.byId, evidence, finishIsDurable)
+    return this.workerCommands.select(this.agentEpoch, this.reported.byId, evidence, finishIsDurable)
   }
   /**
-   * Since when a start of a cancelled task may still reach the worker: one that was sent directly, without
-   * a response, under a token that the worker still accepts; null: none is in transit.
+   * Since when a start of a cancelled task may still reach the worker: a direct start without a response,
+   * under a token that the worker still accepts; null: no such start is in transit.
    */
   pendingCancelledStartSince(): MonotonicTime | null {
     return this.workerCommands.pendingCancelledStartSince(this.agentEpoch, this.token, this.reported.byId)
   }
 
-  /** The reply to a heartbeat is about to be sent. */
+  /** Called before the reply to a heartbeat is sent. */
   recordReply(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.lease.renew(now)
-    this.workerCommands.recordReply(commands, this.latest.sequence, now)
+    this.workerCommands.recordReply(commands, this.latestMessage.sequence, now)
   }
-  /** Commands are about to be sent to the worker's own address. */
+  /** Called before commands are sent to the worker's own address. */
   recordDirectCommands(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.workerCommands.recordDirect(commands, this.token, now)
   }
-  /** They were answered, or surely never sent (`answered`), or given up with their outcome unknown. */
-  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, answered: boolean): void {
-    this.workerCommands.recordDirectResult(commands, token, answered)
+  /** Records the end of such a request; `isAnswered`: answered, or certainly not sent; else unknown. */
+  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isAnswered: boolean): void {
+    this.workerCommands.recordDirectResult(commands, token, isAnswered)
   }
 }
--- a/packages/workers/test/builders.ts
+++ b/packages/workers/test/builders.ts
@@ -16,7 +16,7 @@
 
 export const at = (seconds: number): MonotonicTime => (seconds * 1000) as MonotonicTime
 
-/** Epoch of the owner's shard, and so the token of its first commands. */
+/** Epoch of the owner's shard, which is the fencing token of its first commands. */
 export const SHARD_EPOCH = 7
 /** A token higher than the shard's epoch. */
 export const RAISED_TOKEN = 20 as FencingToken
@@ -35,7 +35,7 @@
   cacheGb: 10,
 } as unknown as MachineType
 
-/** A session of a machine that its owner rented itself, unless said otherwise. */
+/** A session of a machine that, by default, was rented under the owner's current shard epoch. */
 export const newSession = (rentedInEpoch = true): WorkerSession =>
   new WorkerSession({
     entry: ENTRY,
@@ -45,16 +45,16 @@
     rentedInEpoch,
     now: at(0),
   })
-/** A session that has heard one heartbeat, at second 1. */
+/** A session that has received one heartbeat, at 1 s. */
 export const newUpSession = (): WorkerSession => {
   const session = newSession()
   session.observe(heartbeat(1), "heartbeat", at(1))
   return session
 }
-/** The store holds a raised token for the machine. */
+/** Applies a raised token from the store to the session. */
 export const raiseToken = (session: WorkerSession): void => {
-  session.update({ ...ENTRY, token: RAISED_TOKEN })
-  session.tokenRaised()
+  session.updateEntry({ ...ENTRY, token: RAISED_TOKEN })
+  session.recordTokenRaised()
 }
 
 export const heartbeat = (
@@ -117,25 +117,25 @@
     ...fields,
   }
   job.place(placement)
-  session.hold(placement)
+  session.addPlacement(placement)
   return placement
 }
-export const stop = (placement: Placement): void => {
+export const requestStop = (placement: Placement): void => {
   placement.stop = { reason: "cancelled", gracePeriodS: 0, since: at(1) }
 }
 
-export const startOf = (taskId: TaskId): Command => ({ kind: "start", taskId, attempt: ATTEMPT })
-/** Sends the commands to the worker's own address; `answered` false: no response came. */
+export const startCommand = (taskId: TaskId): Command => ({ kind: "start", taskId, attempt: ATTEMPT })
+/** Sends the commands to the worker's own address; `isAnswered` false: no response came. */
 export const sendDirect = (
   session: WorkerSession,
   commands: ReadonlyArray<Command>,
-  answered: boolean,
+  isAnswered: boolean,
   now: MonotonicTime,
 ): void => {
   session.recordDirectCommands(commands, now)
-  session.recordDirectResult(commands, session.token, answered)
+  session.recordDirectResult(commands, session.token, isAnswered)
 }
 
 export const isDurable = () => true
 export const isNotDurable = () => false
-export const kinds = (items: ReadonlyArray<Outcome | Command> | null) => items?.map(({ kind }) => kind)
+export const kindsOf = (items: ReadonlyArray<Outcome | Command> | null) => items?.map(({ kind }) => kind)
--- a/packages/workers/test/commands.test.ts
+++ b/packages/workers/test/commands.test.ts
@@ -22,8 +22,8 @@
   { task: taskId(index), attempt: LARGEST_ATTEMPT, stop: null, durable: true, agentEpoch: 1 } as Placement,
 ]
 
-// Guards against messages to workers with lines beyond the protocol's limit.
-test("a message holds no more commands than a line may, and stops go first", () => {
+// Guards against command batches that exceed the protocol's body limit.
+test("a batch has at most the maximum number of commands, and stops go first", () => {
   const placements = new Map(Array.from({ length: 2 * MAX_COMMANDS }, (_, i) => placementOf(50_000 + i)))
   const orphan = reported({ taskId: taskId(99_999), attempt: LARGEST_ATTEMPT })
   const done = exited("done", { taskId: taskId(99_998), attempt: LARGEST_ATTEMPT })
@@ -36,7 +36,7 @@
   assert.ok(JSON.stringify(encodeCommandBatch(batch)).length < BODY_LIMIT)
 })
 
-test("a heartbeat stays within the limit of a body with as many exited tasks as placed ones", () => {
+test("a heartbeat with as many exited tasks as placed ones stays within the body limit", () => {
   const task = { piece: taskId(99_999), try: LARGEST_ATTEMPT, status: "exited", cause: "done", stored: true }
   const tasks = Array.from({ length: 2 * MAX_TASKS_ON_MACHINE }, () => task)
   assert.ok(JSON.stringify(tasks).length < BODY_LIMIT)
--- a/packages/workers/test/worker-session.test.ts
+++ b/packages/workers/test/worker-session.test.ts
@@ -8,24 +8,25 @@
   heartbeat,
   isDurable,
   isNotDurable,
-  kinds,
+  kindsOf,
   newSession,
   newUpSession,
   place,
   RAISED_TOKEN,
   raiseToken,
   reported,
+  requestStop,
   SHARD_EPOCH,
   sendDirect,
-  startOf,
-  stop,
+  startCommand,
   TASK,
 } from "./builders.ts"
 
 // --- leases and sessions ------------------------------------------------------
 
-// Guards against ran_twice: the worker began agent epoch 2 unheard, at 28 s at the latest.
-test("a session's lease runs from its beginning, also when a direct response is the first to show it", () => {
+// Guards against a task that runs twice: the owner learns of agent epoch 2, which has begun by 28 s, only
+// from a direct response, and must not count its lease from the last reply, at 1 s.
+test("a session's lease starts with its first message, even if that is a direct response", () => {
   const session = newUpSession()
   session.recordReply([], at(1))
   assert.equal(session.isLeaseExpired(at(27)), false)
@@ -34,14 +35,14 @@
   assert.equal(session.isLeaseExpired(at(57)), true)
 })
 
-test("a message that is no newer than the latest changes nothing", () => {
+test("a message that is no newer than the latest one is ignored", () => {
   const session = newSession()
   session.observe(heartbeat(5), "heartbeat", at(1))
   assert.equal(session.observe(heartbeat(4), "heartbeat", at(2)), null)
   assert.equal(session.observe(heartbeat(5), "direct", at(2)), null)
 })
 
-test("a message from an agent epoch that has surely ended is not believed", () => {
+test("a message from an agent epoch that has ended is ignored", () => {
   const session = newUpSession()
   place(session)
   assert.equal(session.expireLease().length, 1)
@@ -49,72 +50,72 @@
   assert.equal(session.observe(late, "heartbeat", at(40)), null)
 })
 
-// --- when a task is surely off the machine ------------------------------------
+// --- when a task is proven off the machine ------------------------------------
 
-test("a leaving task is cleared only when no direct start can bring it any more", () => {
+test("a stopped task is cleared only when no direct start of it can take effect any more", () => {
   const session = newUpSession()
   const placement = place(session)
-  const start = session.commands(at(1), isDurable)
+  const start = session.selectCommands(at(1), isDurable)
   session.recordDirectCommands(start, at(1))
-  stop(placement)
+  requestStop(placement)
   // The start is in transit: its absence proves nothing.
   assert.deepEqual(session.observe(heartbeat(2), "heartbeat", at(2)), [])
-  // It got no response: it may be executed minutes later, until a higher token was seen.
+  // It got no response: it may be executed minutes later, unless the worker has seen a higher token.
   session.recordDirectResult(start, session.token, false)
   assert.deepEqual(session.observe(heartbeat(3), "heartbeat", at(9)), [])
   assert.equal(session.needsHigherToken(), true)
   raiseToken(session)
   assert.deepEqual(session.observe(heartbeat(4), "heartbeat", at(10)), [])
   const outcomes = session.observe(heartbeat(5, { fencingToken: RAISED_TOKEN }), "heartbeat", at(11))
-  assert.deepEqual(kinds(outcomes), ["cleared"])
+  assert.deepEqual(kindsOf(outcomes), ["cleared"])
 })
 
 test("a start in a reply is settled by the next heartbeat, not by a direct response", () => {
   const session = newUpSession()
   const placement = place(session)
-  session.recordReply(session.commands(at(1), isDurable), at(1))
-  stop(placement)
+  session.recordReply(session.selectCommands(at(1), isDurable), at(1))
+  requestStop(placement)
   assert.deepEqual(session.observe(heartbeat(2), "direct", at(1.5)), [])
-  assert.deepEqual(kinds(session.observe(heartbeat(3), "heartbeat", at(2))), ["cleared"])
+  assert.deepEqual(kindsOf(session.observe(heartbeat(3), "heartbeat", at(2))), ["cleared"])
 })
 
-// Guards against a task that runs twice: a worker that restarted counts its sessions from the start, and
-// executes a command that was sent before and held up.
-test("a task whose direct start got no response stays placed past the lease, until the machine is deleted", () => {
+// Guards against a task that runs twice: a restarted worker counts its agent epochs from the beginning, and
+// executes a delayed command that was sent before its restart.
+test("a task whose direct start got no response stays placed after lease expiry until deletion", () => {
   const session = newUpSession()
   const placement = place(session)
-  sendDirect(session, session.commands(at(2), isDurable), false, at(2))
+  sendDirect(session, session.selectCommands(at(2), isDurable), false, at(2))
   assert.deepEqual(session.expireLease(), [])
   assert.deepEqual([...session.placements.values()], [placement])
   assert.equal(session.clearAll("machine deleted").length, 1)
 })
 
-test("a task whose direct start was answered is cleared with the lease", () => {
+test("a task whose direct start was answered is cleared at lease expiry", () => {
   const session = newUpSession()
   place(session)
-  sendDirect(session, session.commands(at(2), isDurable), true, at(2))
+  sendDirect(session, session.selectCommands(at(2), isDurable), true, at(2))
   assert.equal(session.expireLease().length, 1)
 })
 
-test("a task whose direct start got no response, and that was reported since, is cleared with the lease", () => {
+test("a task with an unanswered direct start that was reported since is cleared at lease expiry", () => {
   const session = newUpSession()
   place(session)
-  sendDirect(session, session.commands(at(2), isDurable), false, at(2))
+  sendDirect(session, session.selectCommands(at(2), isDurable), false, at(2))
   session.observe(heartbeat(2, { tasks: [reported()] }), "heartbeat", at(3))
   assert.equal(session.expireLease().length, 1)
 })
 
-test("an inherited placement is never started, and cleared once its machine surely lacks it", () => {
+test("an inherited placement is never started, and cleared once its task is proven absent", () => {
   const session = newSession(false)
   session.observe(heartbeat(1, { fencingToken: FORMER_TOKEN }), "heartbeat", at(1))
   const placement = { ...place(session), inherited: true }
   session.placements.set(placement.task, placement)
-  assert.deepEqual(session.commands(at(1), isDurable), [])
+  assert.deepEqual(session.selectCommands(at(1), isDurable), [])
   assert.deepEqual(session.observe(heartbeat(2, { fencingToken: FORMER_TOKEN }), "heartbeat", at(2)), [])
-  assert.deepEqual(kinds(session.observe(heartbeat(3), "heartbeat", at(3))), ["cleared"])
+  assert.deepEqual(kindsOf(session.observe(heartbeat(3), "heartbeat", at(3))), ["cleared"])
 })
 
-test("a restarted worker is believed by an inspection, its former tasks cleared once it shows a raised token", () => {
+test("an inspection shows a restart; former tasks are cleared once the worker shows a raised token", () => {
   const session = newSession()
   session.observe(heartbeat(500, { agentEpoch: 3 }), "heartbeat", at(1))
   place(session)
@@ -125,12 +126,13 @@
   raiseToken(session)
   assert.deepEqual(session.observe(heartbeat(3), "heartbeat", at(10)), [])
   const outcomes = session.observe(heartbeat(4, { fencingToken: RAISED_TOKEN }), "heartbeat", at(11))
-  assert.deepEqual(kinds(outcomes), ["cleared"])
+  assert.deepEqual(kindsOf(outcomes), ["cleared"])
 })
 
-// --- whether a worker gets work -----------------------------------------------
+// --- whether a worker is schedulable ------------------------------------------
 
-test("messages from before a failover give a machine no work: only our token proves that they are no copies", () => {
+// A message under a former owner's token may be a delayed duplicate.
+test("a machine is not schedulable after a failover until a heartbeat shows the new owner's token", () => {
   const session = newSession(false)
   session.observe(heartbeat(40, { fencingToken: FORMER_TOKEN }), "heartbeat", at(1))
   session.observe(heartbeat(41, { fencingToken: FORMER_TOKEN }), "heartbeat", at(2))
@@ -139,7 +141,7 @@
   assert.equal(session.isSchedulable(at(3)), true)
 })
 
-test("a worker that loses a lease that we renewed gets no work until it shows a raised token", () => {
+test("a worker that lost a recently renewed lease is not schedulable until it shows a raised token", () => {
   const session = newUpSession()
   session.recordReply([], at(1))
   session.observe(heartbeat(2, { agentEpoch: 2 }), "heartbeat", at(2))
@@ -152,11 +154,11 @@
   assert.equal(session.isSchedulable(at(4)), true)
 })
 
-test("a worker that never reports a task that it was to start is unreachable", () => {
+test("a worker that repeatedly doesn't report a started task is not schedulable", () => {
   const session = newUpSession()
   place(session)
   for (const sequence of [2, 3, 4]) {
-    session.recordReply(session.commands(at(sequence), isDurable), at(sequence))
+    session.recordReply(session.selectCommands(at(sequence), isDurable), at(sequence))
     session.observe(heartbeat(sequence), "heartbeat", at(sequence))
   }
   assert.equal(session.isSchedulable(at(5)), false)
@@ -167,7 +169,7 @@
 test("a running task without a durable placement is stopped, never adopted", () => {
   const session = newSession()
   session.observe(heartbeat(1, { tasks: [reported()] }), "heartbeat", at(1))
-  assert.deepEqual(session.commands(at(1), isDurable), [
+  assert.deepEqual(session.selectCommands(at(1), isDurable), [
     { kind: "stop", taskId: TASK, attempt: 9, gracePeriodS: 0 },
   ])
 })
@@ -175,50 +177,51 @@
 test("a completed task is purged only once its result is durable", () => {
   const session = newSession()
   session.observe(heartbeat(1, { tasks: [exited("done")] }), "heartbeat", at(1))
-  assert.deepEqual(session.commands(at(1), isNotDurable), [])
-  assert.deepEqual(kinds(session.commands(at(1), isDurable)), ["purge"])
+  assert.deepEqual(session.selectCommands(at(1), isNotDurable), [])
+  assert.deepEqual(kindsOf(session.selectCommands(at(1), isDurable)), ["purge"])
 })
 
 for (const exitReason of ["stopped", "done"])
-  test(`a task that was started directly and exited as ${exitReason} is purged only under a higher token`, () => {
+  test(`a directly started task that exited as ${exitReason} is purged only with a higher token`, () => {
     const session = newUpSession()
-    session.release(place(session))
-    sendDirect(session, [startOf(TASK)], true, at(1))
+    session.removePlacement(place(session))
+    sendDirect(session, [startCommand(TASK)], true, at(1))
     const tasks = [exited(exitReason)]
     session.observe(heartbeat(2, { tasks }), "heartbeat", at(60))
-    assert.deepEqual(session.commands(at(60), isDurable), [])
+    assert.deepEqual(session.selectCommands(at(60), isDurable), [])
     raiseToken(session)
     session.observe(heartbeat(3, { tasks, fencingToken: RAISED_TOKEN }), "heartbeat", at(61))
-    assert.deepEqual(kinds(session.commands(at(61), isDurable)), ["purge"])
+    assert.deepEqual(kindsOf(session.selectCommands(at(61), isDurable)), ["purge"])
   })
 
-test("a task that a former owner may have started is purged once the worker has shown our token", () => {
+test("a task that a former owner may have started is purged once the worker shows the current token", () => {
   const session = newSession()
   const tasks = [exited("done")]
   session.observe(heartbeat(1, { tasks, fencingToken: FORMER_TOKEN }), "heartbeat", at(1))
-  assert.deepEqual(session.commands(at(1), isDurable), [])
+  assert.deepEqual(session.selectCommands(at(1), isDurable), [])
   session.observe(heartbeat(2, { tasks }), "heartbeat", at(2))
-  assert.deepEqual(kinds(session.commands(at(2), isDurable)), ["purge"])
+  assert.deepEqual(kindsOf(session.selectCommands(at(2), isDurable)), ["purge"])
 })
 
-test("a worker with many tasks that wait for a higher token to be purged needs one", () => {
+test("many exited tasks that can be purged only with a higher token make the session need one", () => {
   const session = newUpSession()
   const taskIds = Array.from({ length: 25 }, (_, index) => `run-000001/${index}` as typeof TASK)
-  sendDirect(session, taskIds.map(startOf), true, at(1))
+  sendDirect(session, taskIds.map(startCommand), true, at(1))
   const tasks = taskIds.map((taskId) => exited("done", { taskId }))
   session.observe(heartbeat(2, { tasks }), "heartbeat", at(30))
-  session.commands(at(30), isDurable)
+  session.selectCommands(at(30), isDurable)
   assert.equal(session.needsHigherToken(), true)
   raiseToken(session)
   session.observe(heartbeat(3, { tasks }), "heartbeat", at(31))
-  session.commands(at(31), isDurable)
+  session.selectCommands(at(31), isDurable)
   assert.equal(session.needsHigherToken(), false)
 })
 
 // --- repeated heartbeats ------------------------------------------------------
 
-// Guards against a machine that was handed off and taken to have no task, because none was listed yet.
-test("a repeat expands only to the tasks of the heartbeat that it repeats, seen by this very session", () => {
+// Guards against a new owner that takes a handed-off machine to have no tasks, because it hasn't received a
+// list of them yet.
+test("a repeat expands only if the heartbeat that it repeats is the session's latest message", () => {
   const repeat = (sequence: number, repeatedSequence: number) =>
     ({
       machineId: "i-1",
--- a/scenarios/late-reports-next-leader.sexp
+++ b/scenarios/late-reports-next-leader.sexp
@@ -7,5 +7,5 @@
   (at 74 (crash host-0 0.2)) (at 90 (submit pieces 8 cores 4 run 10 due 60)) (at 92 (late-reports 0.6 48 for-next)) (at 100 (reboot 3 0.3)) (at 114 (crash host-1 3)) (at 114.2 (crash host-0 0.3))
   (expect (all-over) (served) (happened "old reports at all controllers as a leader begins" 20)
     (happened "late reports of a worker's former self" 5))
-  (guard "packages/workers/src/placement-verdict.ts" "if (placement.agentEpoch < heartbeat.agentEpoch && evidence.proven)" "if (placement.agentEpoch < heartbeat.agentEpoch)")
-  (guard "packages/workers/src/worker-session.ts" "return this.latest.seenToken === this.token" "return this.latest.seenToken > -1"))
+  (guard "packages/workers/src/placement-verdict.ts" "if (placement.agentEpoch < heartbeat.agentEpoch && evidence.isProvenFresh)" "if (placement.agentEpoch < heartbeat.agentEpoch)")
+  (guard "packages/workers/src/worker-session.ts" "return this.latestMessage.seenToken === this.token" "return this.latestMessage.seenToken > -1"))
--- a/scenarios/leader-ends-unreachable.sexp
+++ b/scenarios/leader-ends-unreachable.sexp
@@ -5,4 +5,4 @@
   (at 24 (crash host-0 5)) (at 25 (cancel 0)) (at 26 (submit pieces 12 cores 4 run 10 due 120 owner red urgency high)) (at 34 (crash host-1 4)) (at 50 (submit pieces 6 cores 4 run 10 due 200 owner blue urgency high))
   (at 100 (machines-receive-nothing 8 45)) (at 101 (crash host-0 3)) (at 103 (crash host-1 3) (crash host-2 10)) (at 104 (submit pieces 6 cores 4 run 10 due 120 owner red urgency high))
   (expect (all-over) (served) (happened "tasks on machines at a take-over: sends nothing" 2) (happened "tasks on machines at a take-over: receives nothing" 2) (happened "tasks on machines at a take-over: cut" 2) (happened "tasks on machines at a take-over: hung" 1))
-  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS" "8_000"))
+  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS" "8_000"))
--- a/scenarios/many-hang.sexp
+++ b/scenarios/many-hang.sexp
@@ -4,4 +4,4 @@
   (at 20 (hang 20 36)) (at 22 (crash host-0 3)) (at 30 (submit pieces 8 cores 4 run 10 due 100))
   (at 90 (submit pieces 16 cores 4 run 60 due 250)) (at 110 (hang 20 29)) (at 112 (cancel 3))
   (expect (all-over) (served) (begun-within 120))
-  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS" "8_000"))
+  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS" "8_000"))
--- a/scenarios/orders-copied.sexp
+++ b/scenarios/orders-copied.sexp
@@ -3,4 +3,4 @@
   (at 1 (submit pieces 1 cores 2 run 3))
   (at 20 (repeat-messages 1 70 30) (stream 40 60 pieces 1 cores 2 run 2))
   (expect (all-over) (starts-at-most 41))
-  (guard "packages/workers/src/start-tracker.ts" "if (directStart === undefined) return tokenConfirmed" "if (directStart === undefined || directStart.at !== null) return true"))
+  (guard "packages/workers/src/start-tracker.ts" "if (directStart === undefined) return isTokenConfirmed" "if (directStart === undefined || directStart.sentAt !== null) return true"))
--- a/scenarios/ran-twice-cut.sexp
+++ b/scenarios/ran-twice-cut.sexp
@@ -5,5 +5,5 @@
   (at 70 (cut-machines 3 45 hold))
   (expect (all-over))
   (guard "packages/workers/src/worker-lease.ts"
-    "now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)"
+    "now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS)"
     "now > addMs(this.lastAnsweredAt, 8000)"))
--- a/scenarios/sends-nothing.sexp
+++ b/scenarios/sends-nothing.sexp
@@ -6,4 +6,4 @@
   (at 24 (submit pieces 40 cores 2 run 8 due 200)) (at 26 (cancel 1))
   (expect (all-over) (begun-within 60) (happened "tasks lost by their lease" 1)
     (happened-at-most "starts sent to machines that send nothing" 0))
-  (guard "packages/workers/src/reachability.ts" "this.provenAt > recently && sendsHeartbeats" "this.provenAt > recently"))
+  (guard "packages/workers/src/reachability.ts" "this.lastFreshMessageAt > cutoff && sendsHeartbeats" "this.lastFreshMessageAt > cutoff"))
--- a/scenarios/zone-cut.sexp
+++ b/scenarios/zone-cut.sexp
@@ -5,4 +5,4 @@
   (at 100 (submit pieces 12 cores 4 run 70 due 250))
   (at 115 (cut-zone a 50 hold))
   (expect (all-over) (served) (begun-within 120))
-  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS" "8_000"))
+  (guard "packages/workers/src/worker-lease.ts" "this.times.leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS" "8_000"))
