--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -190,8 +190,8 @@
   private forgetMachinesOffRecord(): void {
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
-      this.heartbeatForwarder.forget(id)
-      this.heartbeatBalancer.forget(id)
+      this.heartbeatForwarder.removeMachine(id)
+      this.heartbeatBalancer.removeMachine(id)
     })
   }
   /** What the controller of a shard shares with the others of this node. */
@@ -251,16 +251,16 @@
       case "heartbeats":
         return this.heartbeatRouter.receiveForwarded(from, message)
       case "heartbeatReplies":
-        return this.heartbeatForwarder.receivedReplies(message)
+        return this.heartbeatForwarder.receiveReplies(message)
       case "commands":
-        return this.commandForwarder.receivedCommands(from, message)
+        return this.commandForwarder.receiveCommands(from, message)
       case "commandResults":
-        return this.commandForwarder.receivedResults(message)
+        return this.commandForwarder.receiveResults(message)
       case "machineList":
         // It was asked for a moment ago; as the list itself lags by seconds, that is near enough.
         return this.inventory.take(message.machines, this.options.clocks.monotonicNow())
       case "nodeLoad":
-        return this.loads.received(from, message.load)
+        return this.loads.receiveLoad(from, message.load)
       case "jobChanged":
         return this.membership.replica.applyWrite(message.page)
       case "demand":
@@ -285,7 +285,7 @@
   }
   /** Whether any other node can act; null: none of them is connected. */
   othersHealthy(): boolean | null {
-    return this.loads.othersHealthy()
+    return this.loads.isAnyOtherHealthy()
   }
   private ownLoad(): NodeLoad {
     return {
--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -62,7 +62,7 @@
     }
     const whole = (repeat: RepeatedHeartbeat) =>
       this.shardControllerOf(repeat.machineId)?.repeated(repeat) ?? null
-    this.options.forwarder.receivedHeartbeats(from, message, take, whole)
+    this.options.forwarder.receiveHeartbeats(from, message, take, whole)
   }
 
   /** The node that this worker should send its heartbeats to instead, where an owner shares them; null: this one. */
--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -1,6 +1,7 @@
 /**
- * Commands to workers, sent by the node that a worker reports to where its owner is busy. A command costs
- * its sender a client request and often a connection, by far more than a line in a message between nodes.
+ * Sends commands to workers, and forwards those of a busy owner to the node that receives the worker's
+ * heartbeats. A command costs its sender a client request and often a new connection, far more than an item
+ * in a message between nodes.
  */
 
 import type { InFlight } from "@sorreltally/concurrency"
@@ -23,109 +24,119 @@
   type WireCommandBatch,
 } from "@sorreltally/protocol"
 import { Effect, Option, Result } from "effect"
-import { type ForLife, Outbox, ofLife } from "./outbox.ts"
+import { type ForProcess, itemsForProcess, Outbox } from "./outbox.ts"
 
 const COMMAND_TIMEOUT_MS = 3_000
-/** What the node that sends a command for another takes besides, there and back. */
-const FORWARDING_MS = 500
-const GATHER_MS = 10
+/** Additional time for a forwarded command: the message to the other node and the result back. */
+const FORWARDING_OVERHEAD_MS = 500
+const BATCHING_DELAY_MS = 10
 
-/** What came of commands to one worker; status 0: no answer, they may have been carried out, or may be yet. */
+/**
+ * Outcome of commands to one worker. Status 0: no response; the worker may have executed them, or may still
+ * do so.
+ */
 export type CommandOutcome = Omit<CommandResult, "id">
-const NO_ANSWER: CommandOutcome = { status: 0, heartbeat: null }
+const NO_RESPONSE: CommandOutcome = { status: 0, heartbeat: null }
 
-/** What the forwarding of commands needs of its node. */
+/** Options of the command forwarder. */
 export interface CommandForwarderOptions {
   readonly peers: PeerChannel
   readonly httpClient: HttpClient["Service"]
-  /** Commands under way from this node. */
+  /** Bound on the command requests in flight from this node. */
   readonly inFlight: InFlight
   readonly clocks: Clocks
-  /** By how much the nodes' times of day may differ. */
+  /** Largest difference between the wall clocks of two nodes. */
   readonly clockSkewMs: number
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
-/** Sends commands to workers, directly or through another node. */
+/** Sends commands to workers, directly or through another node, and sends those of other nodes. */
 export class CommandForwarder {
-  private readonly waiting = new Map<number, (outcome: CommandOutcome) => void>()
-  private readonly commands: Outbox<ForwardedCommand>
-  private readonly results: Outbox<ForLife<CommandResult>>
-  /** Lives of the nodes for which we send commands. */
-  private readonly lives = new Map<NodeName, number>()
-  private readonly life: number
-  private count = 0
+  private readonly pendingCommands = new Map<number, (outcome: CommandOutcome) => void>()
+  private readonly commandOutbox: Outbox<ForwardedCommand>
+  private readonly resultOutbox: Outbox<ForProcess<CommandResult>>
+  /** Latest known process epochs of the nodes for which this node sends commands. */
+  private readonly processEpochs = new Map<NodeName, number>()
+  private readonly processEpoch: number
+  private lastCommandId = 0
 
   constructor(private readonly options: CommandForwarderOptions) {
     const { clocks, peers, fork } = options
-    this.life = Math.floor(clocks.wallNow())
+    this.processEpoch = Math.floor(clocks.wallNow())
     const sendCommands = (to: NodeName, commands: ReadonlyArray<ForwardedCommand>) =>
-      peers.send({ kind: "commands", senderLife: this.life, sentAt: clocks.wallNow(), commands }, to)
-    const sendResults = (to: NodeName, results: ReadonlyArray<ForLife<CommandResult>>) => {
-      const recipientLife = this.lives.get(to) ?? 0
-      peers.send({ kind: "commandResults", recipientLife, results: ofLife(results, recipientLife) }, to)
+      peers.send({ kind: "commands", senderLife: this.processEpoch, sentAt: clocks.wallNow(), commands }, to)
+    const sendResults = (to: NodeName, results: ReadonlyArray<ForProcess<CommandResult>>) => {
+      const recipientLife = this.processEpochs.get(to) ?? 0
+      peers.send(
+        { kind: "commandResults", recipientLife, results: itemsForProcess(results, recipientLife) },
+        to,
+      )
     }
-    this.commands = new Outbox(GATHER_MS, sendCommands, fork)
-    this.results = new Outbox(GATHER_MS, sendResults, fork)
+    this.commandOutbox = new Outbox(BATCHING_DELAY_MS, sendCommands, fork)
+    this.resultOutbox = new Outbox(BATCHING_DELAY_MS, sendResults, fork)
   }
 
-  /** Sends commands to a worker, through another node if one is named and connected. */
+  /** Sends commands to a worker, through the node `via` if it isn't null and is connected. */
   send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandOutcome> {
     const body = encodeCommandBatch(batch)
-    const through = via !== null && this.options.peers.isConnected(via) ? via : null
+    const connectedVia = via !== null && this.options.peers.isConnected(via) ? via : null
     return this.options.inFlight.within(
-      through === null ? this.call(address, body) : this.forward(through, address, body),
+      connectedVia === null ? this.sendDirectly(address, body) : this.forward(connectedVia, address, body),
     )
   }
-  private call(address: Address, body: WireCommandBatch): Effect.Effect<CommandOutcome> {
+  private sendDirectly(address: Address, body: WireCommandBatch): Effect.Effect<CommandOutcome> {
     const request = { address, method: "POST", path: "/orders", body, timeoutMs: COMMAND_TIMEOUT_MS } as const
     return Effect.map(Effect.result(this.options.httpClient.call(request)), (response): CommandOutcome => {
-      if (Result.isFailure(response)) return NO_ANSWER
+      if (Result.isFailure(response)) return NO_RESPONSE
       const heartbeat = Result.getOrElse(decodeHeartbeat(response.success.body), () => null)
       return { status: response.success.status, heartbeat }
     })
   }
   private forward(via: NodeName, address: Address, batch: WireCommandBatch): Effect.Effect<CommandOutcome> {
     return Effect.callback<CommandOutcome>((resume) => {
-      const id = ++this.count
-      this.waiting.set(id, (outcome) => resume(Effect.succeed(outcome)))
-      this.commands.put(via, { id, address, batch })
-      return Effect.sync(() => this.waiting.delete(id))
+      const id = ++this.lastCommandId
+      this.pendingCommands.set(id, (outcome) => resume(Effect.succeed(outcome)))
+      this.commandOutbox.add(via, { id, address, batch })
+      return Effect.sync(() => this.pendingCommands.delete(id))
     }).pipe(
-      Effect.timeoutOption(COMMAND_TIMEOUT_MS + FORWARDING_MS),
-      Effect.map(Option.getOrElse(() => NO_ANSWER)),
+      Effect.timeoutOption(COMMAND_TIMEOUT_MS + FORWARDING_OVERHEAD_MS),
+      Effect.map(Option.getOrElse(() => NO_RESPONSE)),
     )
   }
 
-  /** Another node's commands, to be sent to workers that report here. */
-  receivedCommands(from: NodeName, { senderLife, sentAt, commands }: ForwardedCommands): void {
+  /** Sends another node's commands to workers that send their heartbeats to this node. */
+  receiveCommands(from: NodeName, { senderLife, sentAt, commands }: ForwardedCommands): void {
     const { clocks, clockSkewMs, inFlight, fork } = this.options
-    this.lives.set(from, senderLife)
+    this.processEpochs.set(from, senderLife)
     const ageMs = clocks.wallNow() - sentAt
-    // Its sender has given up on what is older, and has sent other commands since.
-    const tooOld = ageMs > COMMAND_TIMEOUT_MS + 2 * clockSkewMs
+    // The requests of an older message have timed out at the sender, which may have sent other commands
+    // since.
+    const isExpired = ageMs > COMMAND_TIMEOUT_MS + 2 * clockSkewMs
     for (const command of commands) {
-      if (!tooOld && !inFlight.full) fork(this.sendFor(from, senderLife, command))
+      if (!isExpired && !inFlight.full) fork(this.sendOnBehalfOf(from, senderLife, command))
       else
-        this.results.put(from, { life: senderLife, item: { ...NO_ANSWER, id: command.id, status: NOT_SENT } })
+        this.resultOutbox.add(from, {
+          processEpoch: senderLife,
+          item: { ...NO_RESPONSE, id: command.id, status: NOT_SENT },
+        })
     }
   }
-  private sendFor(
+  private sendOnBehalfOf(
     from: NodeName,
-    life: number,
+    processEpoch: number,
     { id, address, batch }: ForwardedCommand,
   ): Effect.Effect<void> {
-    return Effect.map(this.options.inFlight.within(this.call(address, batch)), (outcome) =>
-      this.results.put(from, { life, item: { id, ...outcome } }),
+    return Effect.map(this.options.inFlight.within(this.sendDirectly(address, batch)), (outcome) =>
+      this.resultOutbox.add(from, { processEpoch, item: { id, ...outcome } }),
     )
   }
-  /** What came of commands that another node sent for us. */
-  receivedResults({ recipientLife, results }: CommandResults): void {
-    // A result meant for an earlier life of this process is nobody's.
-    if (recipientLife !== this.life) return
+  /** Completes the requests of commands that another node has sent for this node. */
+  receiveResults({ recipientLife, results }: CommandResults): void {
+    // Results for an earlier process of this node match no request of this one, though ids may be equal.
+    if (recipientLife !== this.processEpoch) return
     for (const { id, ...outcome } of results) {
-      const resume = this.waiting.get(id)
-      this.waiting.delete(id)
+      const resume = this.pendingCommands.get(id)
+      this.pendingCommands.delete(id)
       resume?.(outcome)
     }
   }
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -1,4 +1,4 @@
-/** Heartbeats that came to another node than their machine's owner: forwarded to it, and answered with its reply. */
+/** Forwards heartbeats to the owner of their machine, and answers them with the owner's replies. */
 import {
   type ForwardedHeartbeats,
   type ForwardedReplies,
@@ -23,195 +23,212 @@
 } from "@sorreltally/protocol"
 import type { RepeatedHeartbeat } from "@sorreltally/workers"
 import { Effect } from "effect"
-import { type ForLife, Outbox, ofLife } from "./outbox.ts"
+import { type ForProcess, itemsForProcess, Outbox } from "./outbox.ts"
 
-/** A worker waits 4 s for an answer; what is forwarded has to be back before that. */
+/** A worker waits 4 s for the reply to its heartbeat; the owner's reply has to arrive before that. */
 const REPLY_TIMEOUT_MS = 2_500
 const TIMEOUT_CHECK_MS = 250
-/** Messages older than this are not carried out: whoever sent them has given up. */
-const MAX_AGE_MS = 4_000
-/** What comes within this time goes in one message. */
-const GATHER_MS = 20
-/** Well below the longest message between controllers, replies with a command a task included. */
-const BATCH_BYTES = 256 * 1024
-/** A worker that we sent to its owner and that is back this soon could not reach it. */
-const BACK_SOON_MS = 20_000
-const FORWARD_FOR_MS = 30_000
+/** Older messages are ignored: the requests of their sender have timed out. */
+const MAX_MESSAGE_AGE_MS = 4_000
+/** Items that are added within this time go in one message. */
+const BATCHING_DELAY_MS = 20
+/** Well below the size limit of messages between controllers, even for replies with one command per task. */
+const MAX_BATCH_BYTES = 256 * 1024
+/** A worker that returns within this time after a redirect could not reach its owner. */
+const EARLY_RETURN_MS = 20_000
+/** Time for which such a worker's heartbeats are forwarded before it is redirected again. */
+const FORWARDING_PERIOD_MS = 30_000
 
-const sizeOf = ({ tasks }: Heartbeat): number => HEARTBEAT_BYTES + HEARTBEAT_TASK_BYTES * tasks.length
+const byteSizeOf = ({ tasks }: Heartbeat): number => HEARTBEAT_BYTES + HEARTBEAT_TASK_BYTES * tasks.length
 
-/** Guards against messages that are refused as too long where machines have many tasks each. */
+/**
+ * Removes and returns the first items, at least one, up to `MAX_BATCH_BYTES`. It keeps messages from being
+ * refused as too long if machines have many tasks each.
+ */
 export const takeBatch = <A>(items: Array<A>, bytesOf: (item: A) => number): Array<A> => {
   let bytes = 0
   let count = 0
   for (const item of items) {
     bytes += bytesOf(item)
-    if (count > 0 && bytes > BATCH_BYTES) break
+    if (count > 0 && bytes > MAX_BATCH_BYTES) break
     count++
   }
   return items.splice(0, count)
 }
 
-/** A worker's heartbeat that waits for its owner's reply. */
-interface Waiting {
+/** A worker's heartbeat that waits for the owner's reply. */
+interface PendingHeartbeat {
   readonly heartbeat: Heartbeat
   readonly owner: NodeName
-  readonly until: MonotonicTime
+  readonly expiresAt: MonotonicTime
   readonly respond: Respond
 }
-/** The last heartbeat of a machine that its owner answered through this node. */
-interface Answered {
+/** A machine's latest heartbeat that its owner answered through this node. */
+interface AnsweredHeartbeat {
   readonly heartbeat: Heartbeat
   readonly owner: NodeName
 }
 /** A heartbeat about to be forwarded. */
-interface Outgoing {
+interface OutgoingHeartbeat {
   readonly id: number
   readonly heartbeat: Heartbeat
-  /** Its owner lacks the one that it may repeat. */
-  readonly whole: boolean
+  /** Whether it must be sent whole, because the owner lacks the heartbeat that it may repeat. */
+  readonly mustBeWhole: boolean
 }
 
-/** What the forwarding of heartbeats needs of its node. */
+/** Options of the heartbeat forwarder. */
 export interface HeartbeatForwarderOptions {
   readonly peers: PeerChannel
   readonly clocks: Clocks
-  /** By how much the nodes' times of day may differ. */
+  /** Largest difference between the wall clocks of two nodes. */
   readonly clockSkewMs: number
   readonly fork: (effect: Effect.Effect<unknown>) => void
 }
 
 /**
- * Workers that reach this node and not their machine's owner, or whose owner shares its heartbeats among
- * all nodes. Nothing is ever answered 200 but by the owner, for this very heartbeat.
+ * Handles heartbeats of workers that reach this node but not their machine's owner, or whose owner shares its
+ * heartbeats among all nodes. A heartbeat is answered with status 200 only by a reply of the owner to exactly
+ * this heartbeat.
  */
 export class HeartbeatForwarder {
   private readonly redirectedAt = new Map<MachineId, MonotonicTime>()
   private readonly forwardUntil = new Map<MachineId, MonotonicTime>()
-  private readonly waiting = new Map<number, Waiting>()
-  private readonly answered = new Map<MachineId, Answered>()
-  private readonly heartbeats: Outbox<Outgoing>
-  private readonly replies: Outbox<ForLife<ForwardedReply>>
-  /** Lives of the nodes whose heartbeats we answer. */
-  private readonly lives = new Map<NodeName, number>()
-  private readonly life: number
-  private count = 0
-  private checkingTimeouts = false
+  private readonly pendingHeartbeats = new Map<number, PendingHeartbeat>()
+  private readonly lastAnswered = new Map<MachineId, AnsweredHeartbeat>()
+  private readonly heartbeatOutbox: Outbox<OutgoingHeartbeat>
+  private readonly replyOutbox: Outbox<ForProcess<ForwardedReply>>
+  /** Latest known process epochs of the nodes whose forwarded heartbeats this node answers. */
+  private readonly processEpochs = new Map<NodeName, number>()
+  private readonly processEpoch: number
+  private lastHeartbeatId = 0
+  private isCheckingTimeouts = false
 
   constructor(private readonly options: HeartbeatForwarderOptions) {
     const { clocks, peers, fork } = options
-    this.life = Math.floor(clocks.wallNow())
-    this.heartbeats = new Outbox(GATHER_MS, (to, items) => this.sendHeartbeats(to, items), fork)
-    const sendReplies = (to: NodeName, replies: ReadonlyArray<ForLife<ForwardedReply>>) => {
-      const recipientLife = this.lives.get(to) ?? 0
-      peers.send({ kind: "heartbeatReplies", recipientLife, replies: ofLife(replies, recipientLife) }, to)
+    this.processEpoch = Math.floor(clocks.wallNow())
+    this.heartbeatOutbox = new Outbox(BATCHING_DELAY_MS, (to, items) => this.sendHeartbeats(to, items), fork)
+    const sendReplies = (to: NodeName, replies: ReadonlyArray<ForProcess<ForwardedReply>>) => {
+      const recipientLife = this.processEpochs.get(to) ?? 0
+      peers.send(
+        { kind: "heartbeatReplies", recipientLife, replies: itemsForProcess(replies, recipientLife) },
+        to,
+      )
     }
-    this.replies = new Outbox(GATHER_MS, sendReplies, fork)
+    this.replyOutbox = new Outbox(BATCHING_DELAY_MS, sendReplies, fork)
   }
 
-  /** A heartbeat of a machine whose owner has its workers report to it alone: redirected, or forwarded if that failed. */
+  /**
+   * Redirects a worker to the owner of its machine, which doesn't share its heartbeats, or forwards the
+   * heartbeat if a recent redirect failed.
+   */
   redirect(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
     const { machineId } = heartbeat
     const now = this.options.clocks.monotonicNow()
-    const forwarding = now < (this.forwardUntil.get(machineId) ?? NEVER)
-    const back = now < addMs(this.redirectedAt.get(machineId) ?? NEVER, BACK_SOON_MS)
-    if (!forwarding && !back) {
+    const isForwarding = now < (this.forwardUntil.get(machineId) ?? NEVER)
+    const hasReturnedEarly = now < addMs(this.redirectedAt.get(machineId) ?? NEVER, EARLY_RETURN_MS)
+    if (!isForwarding && !hasReturnedEarly) {
       this.redirectedAt.set(machineId, now)
       return respond({ status: 421, body: encodeRedirect(owner) })
     }
-    if (!forwarding) {
+    if (!isForwarding) {
       this.redirectedAt.delete(machineId)
-      this.forwardUntil.set(machineId, addMs(now, FORWARD_FOR_MS))
+      this.forwardUntil.set(machineId, addMs(now, FORWARDING_PERIOD_MS))
     }
     this.forward(heartbeat, owner, respond)
   }
-  /** A heartbeat of a machine whose owner shares its workers' heartbeats among the nodes. */
+  /** Forwards a heartbeat to the owner of its machine, and responds with its reply. */
   forward(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
     const { clocks, fork } = this.options
-    const id = ++this.count
-    const until = addMs(clocks.monotonicNow(), REPLY_TIMEOUT_MS)
-    this.waiting.set(id, { heartbeat, owner, respond, until })
-    this.heartbeats.put(owner, { id, heartbeat, whole: false })
-    if (this.checkingTimeouts) return
-    this.checkingTimeouts = true
+    const id = ++this.lastHeartbeatId
+    const expiresAt = addMs(clocks.monotonicNow(), REPLY_TIMEOUT_MS)
+    this.pendingHeartbeats.set(id, { heartbeat, owner, respond, expiresAt })
+    this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeWhole: false })
+    if (this.isCheckingTimeouts) return
+    this.isCheckingTimeouts = true
     fork(this.checkTimeouts())
   }
-  /** Ends when no heartbeat waits. */
+  /** Answers the heartbeats whose reply is overdue; ends when none is pending. */
   private checkTimeouts() {
     return Effect.gen({ self: this }, function* () {
-      while (this.waiting.size > 0) {
+      while (this.pendingHeartbeats.size > 0) {
         yield* Effect.sleep(TIMEOUT_CHECK_MS)
         const now = this.options.clocks.monotonicNow()
-        for (const [id, { until, respond }] of this.waiting) {
-          if (now < until) break
-          this.waiting.delete(id)
+        for (const [id, { expiresAt, respond }] of this.pendingHeartbeats) {
+          if (now < expiresAt) break
+          this.pendingHeartbeats.delete(id)
           respond(HEARTBEAT_UNAVAILABLE)
         }
       }
-      this.checkingTimeouts = false
+      this.isCheckingTimeouts = false
     })
   }
 
-  private sendHeartbeats(owner: NodeName, items: Array<Outgoing>): void {
+  private sendHeartbeats(owner: NodeName, items: Array<OutgoingHeartbeat>): void {
     const { clocks, peers } = this.options
     while (items.length > 0) {
       const heartbeats: Array<ForwardedHeartbeats["heartbeats"][number]> = []
       const repeats: Array<ForwardedHeartbeats["repeats"][number]> = []
-      for (const { id, heartbeat, whole } of takeBatch(items, ({ heartbeat }) => sizeOf(heartbeat))) {
-        const before = whole ? undefined : this.answered.get(heartbeat.machineId)
-        if (before !== undefined && before.owner === owner && isRepeat(heartbeat, before.heartbeat))
-          repeats.push({ id, repeat: { ...heartbeat, repeatedSequence: before.heartbeat.sequence } })
+      for (const { id, heartbeat, mustBeWhole } of takeBatch(items, ({ heartbeat }) =>
+        byteSizeOf(heartbeat),
+      )) {
+        const previous = mustBeWhole ? undefined : this.lastAnswered.get(heartbeat.machineId)
+        if (previous !== undefined && previous.owner === owner && isRepeat(heartbeat, previous.heartbeat))
+          repeats.push({ id, repeat: { ...heartbeat, repeatedSequence: previous.heartbeat.sequence } })
         else heartbeats.push({ id, heartbeat })
       }
       const sentAt = clocks.wallNow()
-      peers.send({ kind: "heartbeats", senderLife: this.life, sentAt, heartbeats, repeats }, owner)
+      peers.send({ kind: "heartbeats", senderLife: this.processEpoch, sentAt, heartbeats, repeats }, owner)
     }
   }
-  /** The owner's replies to heartbeats that we forwarded. */
-  receivedReplies({ recipientLife, replies }: ForwardedReplies): void {
-    // A reply meant for an earlier life of this process is nobody's.
-    if (recipientLife !== this.life) return
+  /** Answers pending heartbeats with the owner's replies. */
+  receiveReplies({ recipientLife, replies }: ForwardedReplies): void {
+    // Replies for an earlier process of this node match no heartbeat of this one, though ids may be equal.
+    if (recipientLife !== this.processEpoch) return
     for (const { id, status, body } of replies) {
-      const waiting = this.waiting.get(id)
-      if (waiting === undefined) continue
-      const { heartbeat, owner } = waiting
+      const pending = this.pendingHeartbeats.get(id)
+      if (pending === undefined) continue
+      const { heartbeat, owner } = pending
       if (status === SEND_WHOLE) {
-        this.answered.delete(heartbeat.machineId)
-        this.heartbeats.put(owner, { id, heartbeat, whole: true })
+        this.lastAnswered.delete(heartbeat.machineId)
+        this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeWhole: true })
         continue
       }
-      this.waiting.delete(id)
-      if (status === 200) this.answered.set(heartbeat.machineId, { heartbeat, owner })
-      waiting.respond({ status, body })
+      this.pendingHeartbeats.delete(id)
+      if (status === 200) this.lastAnswered.set(heartbeat.machineId, { heartbeat, owner })
+      pending.respond({ status, body })
     }
   }
 
-  /** Heartbeats of our machines that came to another node. What is too old isn't answered. */
-  receivedHeartbeats(
+  /** Accepts heartbeats of this owner's machines from another node; a message that is too old is ignored. */
+  receiveHeartbeats(
     from: NodeName,
-    { senderLife: life, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
-    take: (heartbeat: Heartbeat, respond: Respond) => void,
-    whole: (repeat: RepeatedHeartbeat) => Heartbeat | null,
+    { senderLife: processEpoch, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
+    accept: (heartbeat: Heartbeat, respond: Respond) => void,
+    expandRepeat: (repeat: RepeatedHeartbeat) => Heartbeat | null,
   ): void {
     const { clocks, clockSkewMs } = this.options
-    if (clocks.wallNow() - sentAt > MAX_AGE_MS + 2 * clockSkewMs) return
-    this.lives.set(from, life)
+    if (clocks.wallNow() - sentAt > MAX_MESSAGE_AGE_MS + 2 * clockSkewMs) return
+    this.processEpochs.set(from, processEpoch)
     const respondTo =
       (id: number): Respond =>
       ({ status, body }) =>
-        this.replies.put(from, { life, item: { id, status, body: body as ForwardedReply["body"] } })
-    for (const { id, heartbeat } of heartbeats) take(heartbeat, respondTo(id))
+        this.replyOutbox.add(from, {
+          processEpoch,
+          item: { id, status, body: body as ForwardedReply["body"] },
+        })
+    for (const { id, heartbeat } of heartbeats) accept(heartbeat, respondTo(id))
     for (const { id, repeat } of repeats) {
-      const heartbeat = whole(repeat)
-      if (heartbeat === null) this.replies.put(from, { life, item: { id, status: SEND_WHOLE, body: {} } })
-      else take(heartbeat, respondTo(id))
+      const heartbeat = expandRepeat(repeat)
+      if (heartbeat === null)
+        this.replyOutbox.add(from, { processEpoch, item: { id, status: SEND_WHOLE, body: {} } })
+      else accept(heartbeat, respondTo(id))
     }
   }
 
-  /** Forgets machines that are gone. */
-  forget(machine: MachineId): void {
+  /** Drops the state of a machine that no longer exists. */
+  removeMachine(machine: MachineId): void {
     this.redirectedAt.delete(machine)
     this.forwardUntil.delete(machine)
-    this.answered.delete(machine)
+    this.lastAnswered.delete(machine)
   }
 }
--- a/packages/forwarding/src/outbox.ts
+++ b/packages/forwarding/src/outbox.ts
@@ -1,38 +1,43 @@
-/** What one node has for the others, gathered for a moment so that it goes in one message. */
+/** Batches items for other nodes, so that several go in one message. */
 import type { NodeName } from "@sorreltally/protocol"
 import { Effect } from "effect"
 
-/** Something for one life of a node: a later process under its name counts its questions anew. */
-export interface ForLife<A> {
-  readonly life: number
+/**
+ * An item for one process of a node. Request ids are unique only within a process: a restarted one reuses
+ * them. A process epoch is the process's start time in milliseconds.
+ */
+export interface ForProcess<A> {
+  readonly processEpoch: number
   readonly item: A
 }
-/** Guards against an answer to an earlier life that is taken for one to a question of the present one. */
-export const ofLife = <A>(items: ReadonlyArray<ForLife<A>>, life: number): ReadonlyArray<A> =>
-  items.filter((one) => one.life === life).map(({ item }) => item)
+/** Selects the items for one process: no response for an earlier one may reach a request of this one. */
+export const itemsForProcess = <A>(
+  items: ReadonlyArray<ForProcess<A>>,
+  processEpoch: number,
+): ReadonlyArray<A> => items.filter((entry) => entry.processEpoch === processEpoch).map(({ item }) => item)
 
-/** Gathers items for each node, and sends those of one node together after a moment. */
+/** Collects items by node, and sends those for one node together after a delay. */
 export class Outbox<A> {
   private readonly items = new Map<NodeName, Array<A>>()
 
   constructor(
-    private readonly gatherMs: number,
+    private readonly batchingDelayMs: number,
     private readonly send: (to: NodeName, items: Array<A>) => void,
     private readonly fork: (effect: Effect.Effect<unknown>) => void,
   ) {}
 
-  /** Adds an item for a node; the first one starts the wait. */
-  put(to: NodeName, item: A): void {
-    const before = this.items.get(to)
-    if (before !== undefined) {
-      before.push(item)
+  /** Adds an item for a node; the first one starts the delay. */
+  add(to: NodeName, item: A): void {
+    const pendingItems = this.items.get(to)
+    if (pendingItems !== undefined) {
+      pendingItems.push(item)
       return
     }
     this.items.set(to, [item])
-    const sendGathered = Effect.sync(() => this.sendGathered(to))
-    this.fork(Effect.andThen(Effect.sleep(this.gatherMs), sendGathered))
+    const send = Effect.sync(() => this.sendBatch(to))
+    this.fork(Effect.andThen(Effect.sleep(this.batchingDelayMs), send))
   }
-  private sendGathered(to: NodeName): void {
+  private sendBatch(to: NodeName): void {
     const items = this.items.get(to) ?? []
     this.items.delete(to)
     this.send(to, items)
--- a/packages/forwarding/test/builders.ts
+++ b/packages/forwarding/test/builders.ts
@@ -27,12 +27,12 @@
     tasks: [{ taskId: "run-000001/0", attempt: 9, phase, exitReason: null, checkpointed: null }],
   }) as unknown as Heartbeat
 
-/** A reply as owners' replies are on the wire. */
-export const acceptance = (fencingToken: number) =>
+/** Body of an owner's reply in its wire form. */
+export const acceptedReply = (fencingToken: number) =>
   ({ baton: fencingToken, orders: [] }) as unknown as ForwardedReply["body"]
 
-/** A forwarded message with one heartbeat that repeats another, which its owner may lack. */
-export const repeated = (id: number): ForwardedHeartbeats =>
+/** A message with one forwarded heartbeat that repeats another one, which its owner may lack. */
+export const repeatedHeartbeat = (id: number): ForwardedHeartbeats =>
   ({
     kind: "heartbeats",
     senderLife: 5,
--- a/packages/forwarding/test/heartbeat-balancer.test.ts
+++ b/packages/forwarding/test/heartbeat-balancer.test.ts
@@ -5,7 +5,7 @@
 import { manualClocks } from "./builders.ts"
 
 const machine = (n: number) => `i-${n}` as MachineId
-const [one, two] = ["host-1" as NodeName, "host-2" as NodeName]
+const [FIRST_NODE, SECOND_NODE] = ["host-1" as NodeName, "host-2" as NodeName]
 const harness = (recipients: ReadonlyMap<NodeName, number>) => {
   const { clocks, advance } = manualClocks()
   const balancer = new HeartbeatBalancer({
@@ -16,57 +16,59 @@
   })
   return { balancer, advance }
 }
-// With 0.1 cores and a heartbeat each 5 s, an owner answers some 500 machines itself.
-const MANY = 800
-const FEW = 50
+// With 0.1 cores and a heartbeat interval of 5 s, an owner receives the heartbeats of up to 500 machines
+// itself.
+const MANY_MACHINES = 800
+const FEW_MACHINES = 50
 
-test("an owner of few machines answers all of them itself", () => {
-  const { balancer } = harness(new Map([[one, 0]]))
-  assert.equal(balancer.updateSharing(FEW), false)
+test("an owner of few machines receives all their heartbeats itself", () => {
+  const { balancer } = harness(new Map([[FIRST_NODE, 0]]))
+  assert.equal(balancer.updateSharing(FEW_MACHINES), false)
   assert.equal(balancer.redirectTarget(machine(1)), null)
 })
 
-test("an owner of many redirects its workers to the other nodes, evenly by their heartbeats and what it redirected", () => {
+test("an owner of many machines redirects workers so that the other nodes' heartbeat rates even out", () => {
   const { balancer } = harness(
     new Map([
-      [one, 0],
-      [two, 4],
+      [FIRST_NODE, 0],
+      [SECOND_NODE, 4],
     ]),
   )
-  assert.equal(balancer.updateSharing(MANY), true)
+  assert.equal(balancer.updateSharing(MANY_MACHINES), true)
   const redirected = new Map<NodeName | null, number>()
   for (let n = 0; n < 100; n++) {
-    const to = balancer.redirectTarget(machine(n))
-    redirected.set(to, (redirected.get(to) ?? 0) + 1)
+    const target = balancer.redirectTarget(machine(n))
+    redirected.set(target, (redirected.get(target) ?? 0) + 1)
   }
-  // Twenty workers bring four heartbeats a second: host-1 gets those first.
-  assert.deepEqual([redirected.get(one), redirected.get(two)], [60, 40])
+  // Twenty workers send four heartbeats per second: host-1 gets those first.
+  assert.deepEqual([redirected.get(FIRST_NODE), redirected.get(SECOND_NODE)], [60, 40])
 })
 
-// Guards against workers that are redirected for ever by an owner that is the only node they reach.
-test("a worker that is back soon could not be served elsewhere, and stays for a minute", () => {
-  const { balancer, advance } = harness(new Map([[one, 0]]))
-  balancer.updateSharing(MANY)
-  assert.equal(balancer.redirectTarget(machine(1)), one)
+// Guards against workers that are redirected again and again by an owner that is the only node they can
+// reach.
+test("a worker that returns early after a redirect is not redirected for a minute", () => {
+  const { balancer, advance } = harness(new Map([[FIRST_NODE, 0]]))
+  balancer.updateSharing(MANY_MACHINES)
+  assert.equal(balancer.redirectTarget(machine(1)), FIRST_NODE)
   advance(8_000)
   assert.equal(balancer.redirectTarget(machine(1)), null)
   advance(30_000)
   assert.equal(balancer.redirectTarget(machine(1)), null)
   advance(31_000)
-  assert.equal(balancer.redirectTarget(machine(1)), one)
+  assert.equal(balancer.redirectTarget(machine(1)), FIRST_NODE)
 })
 
-test("without a node that can receive them, workers stay", () => {
+test("workers are not redirected if no node can receive their heartbeats", () => {
   const { balancer } = harness(new Map())
-  balancer.updateSharing(MANY)
+  balancer.updateSharing(MANY_MACHINES)
   assert.equal(balancer.redirectTarget(machine(1)), null)
 })
 
-test("a node with far more heartbeats than another redirects some of its workers there, not all at once", () => {
-  const { balancer } = harness(new Map([[one, 5]]))
+test("a node with far more heartbeats than another redirects only some of its workers at once", () => {
+  const { balancer } = harness(new Map([[FIRST_NODE, 5]]))
   for (let n = 0; n < 400; n++) balancer.recordHeartbeat()
-  const moved = Array.from({ length: 100 }, (_, n) => balancer.rebalanceTarget(machine(n))).filter(
-    (to) => to === one,
+  const redirected = Array.from({ length: 100 }, (_, n) => balancer.rebalanceTarget(machine(n))).filter(
+    (to) => to === FIRST_NODE,
   )
-  assert.ok(moved.length >= 10 && moved.length <= 20, `${moved.length} of 100`)
+  assert.ok(redirected.length >= 10 && redirected.length <= 20, `${redirected.length} of 100`)
 })
--- a/scenarios/shared-reports.sexp
+++ b/scenarios/shared-reports.sexp
@@ -6,4 +6,4 @@
   (at 70 (crash host-0 4))
   (at 95 (refuse-peers 12))
   (expect (all-over) (served) (rented-at-least 35) (workers-at-one-node-at-most 34) (commands-at-once-at-most 40))
-  (guard "packages/forwarding/src/heartbeat-balancer.ts" "return this.redirect(machine)\n  }\n  /** The node that another" "return null\n  }\n  /** The node that another"))
+  (guard "packages/forwarding/src/heartbeat-balancer.ts" "return this.selectTarget(machine)\n  }\n  /**\n   * Returns the node that another" "return null\n  }\n  /**\n   * Returns the node that another"))
