--- a/scenarios/limits-leader-change.sexp
+++ b/scenarios/limits-leader-change.sexp
@@ -7,5 +7,5 @@
   (at 33 (cancel 0) (cancel 1))
   (expect (withdrawn 2) (all-over) (begun-within 45) (happened leaderChangesAtLimit) (happened cancelledOutOfReach 3) (happened cancelledBetweenLeaders 2))
   (guard "packages/shard/src/shard-failover.ts" "if (job.cancelled) job.stop(placement, { reason: \"cancelled\", gracePeriodS: 0, since: now })" "if (job.cancelled) job.clear(placement)")
-  (guard "packages/shard/src/shard-failover.ts" "else session.hold(placement)" "else job.clear(placement)")
+  (guard "packages/shard/src/shard-failover.ts" "else session.addPlacement(placement)" "else job.clear(placement)")
   (guard "packages/shard/src/job-registry.ts" "if (this.events.isReady() && job.awaitsFinalState)" "if (job.awaitsFinalState)"))
