--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -4,7 +4,7 @@
  * in a message between nodes.
  */
 
-import type { InFlight } from "@sorreltally/concurrency"
+import type { InFlightLimit } from "@sorreltally/concurrency"
 import {
   type CommandResult,
   type CommandResults,
@@ -42,8 +42,8 @@
 export interface CommandForwarderOptions {
   readonly peers: PeerChannel
   readonly httpClient: HttpClient["Service"]
-  /** Bound on the command requests in flight from this node. */
-  readonly inFlight: InFlight
+  /** Limit on the command requests in flight from this node. */
+  readonly inFlight: InFlightLimit
   readonly clocks: Clocks
   /** Largest difference between the wall clocks of two nodes. */
   readonly clockSkewMs: number
@@ -80,7 +80,7 @@
   send(address: Address, batch: CommandBatch, via: NodeName | null): Effect.Effect<CommandOutcome> {
     const body = encodeCommandBatch(batch)
     const connectedVia = via !== null && this.options.peers.isConnected(via) ? via : null
-    return this.options.inFlight.within(
+    return this.options.inFlight.track(
       connectedVia === null ? this.sendDirectly(address, body) : this.forward(connectedVia, address, body),
     )
   }
@@ -113,7 +113,7 @@
     // since.
     const isExpired = ageMs > COMMAND_TIMEOUT_MS + 2 * clockSkewMs
     for (const command of commands) {
-      if (!isExpired && !inFlight.full) fork(this.sendOnBehalfOf(from, senderLife, command))
+      if (!isExpired && !inFlight.isFull) fork(this.sendOnBehalfOf(from, senderLife, command))
       else
         this.resultOutbox.add(from, {
           processEpoch: senderLife,
@@ -126,7 +126,7 @@
     processEpoch: number,
     { id, address, batch }: ForwardedCommand,
   ): Effect.Effect<void> {
-    return Effect.map(this.options.inFlight.within(this.sendDirectly(address, batch)), (outcome) =>
+    return Effect.map(this.options.inFlight.track(this.sendDirectly(address, batch)), (outcome) =>
       this.resultOutbox.add(from, { processEpoch, item: { id, ...outcome } }),
     )
   }
--- a/packages/forwarding/src/heartbeat-balancer.ts
+++ b/packages/forwarding/src/heartbeat-balancer.ts
@@ -5,9 +5,9 @@
 import {
   addMs,
   type Clocks,
+  EARLIEST_TIME,
   type MachineId,
   type MonotonicTime,
-  NEVER,
   type NodeName,
 } from "@sorreltally/protocol"
 
@@ -38,7 +38,7 @@
 /** Exponentially weighted rate of events per second, which lags behind the actual rate. */
 class DecayingRate {
   private perSecond = 0
-  private updatedAt: MonotonicTime = NEVER
+  private updatedAt: MonotonicTime = EARLIEST_TIME
   constructor(private readonly windowMs: number) {}
 
   add(events: number, now: MonotonicTime): void {
@@ -46,7 +46,9 @@
     this.updatedAt = now
   }
   read(now: MonotonicTime): number {
-    return this.updatedAt === NEVER ? 0 : this.perSecond * Math.exp(-(now - this.updatedAt) / this.windowMs)
+    return this.updatedAt === EARLIEST_TIME
+      ? 0
+      : this.perSecond * Math.exp(-(now - this.updatedAt) / this.windowMs)
   }
 }
 
@@ -120,7 +122,7 @@
   }
   private selectTarget(machine: MachineId): NodeName | null {
     const now = this.options.clocks.monotonicNow()
-    if (now < (this.redirectsPausedUntil.get(machine) ?? NEVER)) return null
+    if (now < (this.redirectsPausedUntil.get(machine) ?? EARLIEST_TIME)) return null
     const redirectedAt = this.redirectedAt.get(machine)
     this.redirectedAt.delete(machine)
     this.redirectsPausedUntil.delete(machine)
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -12,12 +12,12 @@
 import {
   addMs,
   type Clocks,
+  EARLIEST_TIME,
   encodeRedirect,
   HEARTBEAT_UNAVAILABLE,
   type Heartbeat,
   type MachineId,
   type MonotonicTime,
-  NEVER,
   type NodeName,
   type Respond,
 } from "@sorreltally/protocol"
@@ -124,8 +124,8 @@
   redirect(heartbeat: Heartbeat, owner: NodeName, respond: Respond): void {
     const { machineId } = heartbeat
     const now = this.options.clocks.monotonicNow()
-    const isForwarding = now < (this.forwardUntil.get(machineId) ?? NEVER)
-    const hasReturnedEarly = now < addMs(this.redirectedAt.get(machineId) ?? NEVER, EARLY_RETURN_MS)
+    const isForwarding = now < (this.forwardUntil.get(machineId) ?? EARLIEST_TIME)
+    const hasReturnedEarly = now < addMs(this.redirectedAt.get(machineId) ?? EARLIEST_TIME, EARLY_RETURN_MS)
     if (!isForwarding && !hasReturnedEarly) {
       this.redirectedAt.set(machineId, now)
       return respond({ status: 421, body: encodeRedirect(owner) })
--- a/packages/workers/src/commands.ts
+++ b/packages/workers/src/commands.ts
@@ -3,7 +3,7 @@
 import {
   type AgentEpoch,
   type Command,
-  MAX_COMMANDS,
+  MAX_COMMANDS_PER_MESSAGE,
   type MonotonicTime,
   type ReportedTask,
   type TaskId,
@@ -23,8 +23,8 @@
 }
 
 /**
- * Returns the commands, at most `MAX_COMMANDS`, that bring the tasks on the machine from those that the
- * worker reported to those that are placed there.
+ * Returns the commands, at most `MAX_COMMANDS_PER_MESSAGE`, that bring the tasks on the machine from those
+ * that the worker reported to those that are placed there.
  */
 export const commandsFor = (inputs: CommandInputs): ReadonlyArray<Command> => {
   const commands: Array<Command> = []
@@ -37,14 +37,16 @@
     const command = commandForPlacement(placement, inputs)
     if (command !== null) commands.push(command)
   }
-  return commands.length <= MAX_COMMANDS ? commands : limitCommands(commands)
+  return commands.length <= MAX_COMMANDS_PER_MESSAGE ? commands : limitCommands(commands)
 }
 
-/** Order in which commands are sent if there are more than `MAX_COMMANDS`; the lowest goes first. */
+/** Precedence of commands if there are more than `MAX_COMMANDS_PER_MESSAGE`; the lowest goes first. */
 const COMMAND_ORDER: Record<Command["kind"], number> = { stop: 0, start: 1, purge: 2 }
 /** Keeps a message within the protocol's size limit; the remaining commands go with the next message. */
 const limitCommands = (commands: ReadonlyArray<Command>): ReadonlyArray<Command> =>
-  [...commands].sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind]).slice(0, MAX_COMMANDS)
+  [...commands]
+    .sort((a, b) => COMMAND_ORDER[a.kind] - COMMAND_ORDER[b.kind])
+    .slice(0, MAX_COMMANDS_PER_MESSAGE)
 
 /** Command for an orphaned task: one that the worker reports although no placement has this attempt. */
 const commandForOrphan = (task: ReportedTask, { placements, mayPurge }: CommandInputs): Command | null => {
--- a/packages/workers/src/reachability.ts
+++ b/packages/workers/src/reachability.ts
@@ -2,7 +2,7 @@
  * Tracks whether a worker can be given tasks: it has recently sent messages that are proven not to be delayed
  * duplicates, and it receives commands. Nothing is decided here about the tasks on the machine.
  */
-import { addMs, type MonotonicTime, NEVER } from "@sorreltally/protocol"
+import { addMs, EARLIEST_TIME, type MonotonicTime } from "@sorreltally/protocol"
 import type { LeaseTimes, MessageSource } from "./model.ts"
 
 /** Number of heartbeat intervals for which an event counts as recent. */
@@ -14,11 +14,11 @@
 /** Times of a worker's latest messages, and the time since which it seems to receive no commands. */
 export class Reachability {
   /** When the latest message arrived, of either source. */
-  lastMessageAt: MonotonicTime = NEVER
+  lastMessageAt: MonotonicTime = EARLIEST_TIME
   /** When the latest heartbeat arrived; responses to direct requests don't count. */
-  private lastHeartbeatAt: MonotonicTime = NEVER
+  private lastHeartbeatAt: MonotonicTime = EARLIEST_TIME
   /** When the latest message arrived that is proven not to be a delayed duplicate. */
-  private lastFreshMessageAt: MonotonicTime = NEVER
+  private lastFreshMessageAt: MonotonicTime = EARLIEST_TIME
   /**
    * Since when the worker seems to receive no commands or replies; null: it does receive them. It gets no
    * tasks until it has shown a fencing token that was raised after this time.
