--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -191,8 +191,8 @@
   private dropRemovedMachines(): void {
     this.machineIndex.listen((id, entry) => {
       if (entry !== null) return
-      this.heartbeatForwarder.forget(id)
-      this.heartbeatBalancer.forget(id)
+      this.heartbeatForwarder.removeMachine(id)
+      this.heartbeatBalancer.removeMachine(id)
     })
   }
   /** Services that the controllers of this node's shards share. */
@@ -252,16 +252,16 @@
       case "heartbeats":
         return this.heartbeatRouter.receiveForwarded(from, message)
       case "heartbeatReplies":
-        return this.heartbeatForwarder.receivedReplies(message)
+        return this.heartbeatForwarder.receiveReplies(message)
       case "commands":
-        return this.commandForwarder.receivedCommands(from, message)
+        return this.commandForwarder.receiveCommands(from, message)
       case "commandResults":
-        return this.commandForwarder.receivedResults(message)
+        return this.commandForwarder.receiveResults(message)
       case "machineList":
         // The list was requested shortly before; it lags by seconds itself, so the difference is negligible.
         return this.inventory.applyList(message.machines, this.options.clocks.monotonicNow())
       case "nodeLoad":
-        return this.loads.received(from, message.load)
+        return this.loads.receiveLoad(from, message.load)
       case "jobChanged":
         return this.membership.replica.applyWrite(message.page)
       case "demand":
@@ -286,7 +286,7 @@
   }
   /** Whether any other node is healthy; null: none is connected. */
   othersHealthy(): boolean | null {
-    return this.loads.othersHealthy()
+    return this.loads.isAnyOtherHealthy()
   }
   private ownLoad(): NodeLoad {
     return {
--- a/packages/controller/src/heartbeat-router.ts
+++ b/packages/controller/src/heartbeat-router.ts
@@ -62,7 +62,7 @@
     }
     const expandRepeated = (repeat: RepeatedHeartbeat) =>
       this.shardControllerOf(repeat.machineId)?.expandRepeat(repeat) ?? null
-    this.options.forwarder.receivedHeartbeats(from, message, deliver, expandRepeated)
+    this.options.forwarder.receiveHeartbeats(from, message, deliver, expandRepeated)
   }
 
   /**
--- a/packages/shard/src/fencing.ts
+++ b/packages/shard/src/fencing.ts
@@ -11,7 +11,7 @@
     if (session.unreachableSince !== null)
       context.node.log.info("raising fencing token of unreachable machine", { machine: session.id })
     context.machineRecords.edit(session.id, { kind: "fence" }, (isRecorded) => {
-      if (isRecorded) session.tokenRaised()
+      if (isRecorded) session.recordTokenRaised()
     })
   }
   if (session.preemptionAt !== null) context.requestPlan()
--- a/packages/shard/src/lending.ts
+++ b/packages/shard/src/lending.ts
@@ -64,7 +64,7 @@
       const expiresAt = addMs(node.clocks.monotonicNow(), LOAN_RETENTION_MS)
       this.loans.push({ to, slots: slotsIn(shape, session.type), expiresAt })
     }
-    const handoff = session.handoff(node.clocks.monotonicNow())
+    const handoff = session.createHandoff(node.clocks.monotonicNow())
     this.machineRecords.edit(id, { kind: "move", to }, (moved) => {
       assignment.isMoving = false
       if (!moved) return
--- a/packages/shard/src/machine-health.ts
+++ b/packages/shard/src/machine-health.ts
@@ -44,7 +44,7 @@
   // A new owner may not have received a heartbeat of a machine that has been up for long either, so the list
   // has to show the machine as booting.
   const isBootOverdue = ageMs > session.type.bootS * BOOT_OVERDUE_FACTOR * 1000
-  if (isBootOverdue && session.lastHeard === EARLIEST_TIME && listed?.status === "booting" && isListFresh)
+  if (isBootOverdue && session.lastMessageAt === EARLIEST_TIME && listed?.status === "booting" && isListFresh)
     return "never booted"
   if (session.unreachableSince !== null && now > addMs(session.unreachableSince, MAX_UNREACHABLE_MS))
     return "unreachable"
--- a/packages/shard/src/planner-input.ts
+++ b/packages/shard/src/planner-input.ts
@@ -177,16 +177,16 @@
   const views: Array<MachineView> = []
   for (const session of shard.machines.values()) {
     const assignment = shard.assignments.get(session.id)!
-    if (!includeFull && assignment.assignedJob === null && session.free.cores <= EPSILON) continue
+    if (!includeFull && assignment.assignedJob === null && session.freeCapacity.cores <= EPSILON) continue
     views.push({
       id: session.id,
       type: session.type,
       zone: session.entry.zone,
       spot: session.entry.spot,
-      free: session.free,
+      free: session.freeCapacity,
       busyTasks: session.placements.size,
       images: session.images,
-      reserved: isReserved(session.free, session.images, reserve),
+      reserved: isReserved(session.freeCapacity, session.images, reserve),
       state: machineState(session, assignment, now),
       assignedJob: assignment.assignedJob,
     })
@@ -206,7 +206,7 @@
 ): MachineView["state"] => {
   if (assignment.isReleasing || assignment.isMoving || session.preemptionAt !== null) return "unavailable"
   if (session.isSchedulable(now)) return assignment.isDrainingForRelease ? "draining" : "ready"
-  if (session.lastHeard !== EARLIEST_TIME) return "unavailable"
+  if (session.lastMessageAt !== EARLIEST_TIME) return "unavailable"
   const bootingS = (now - assignment.rentedAt) / 1000
   const isBooting =
     bootingS < session.type.bootS * MAX_BOOTING_FACTOR ||
--- a/packages/shard/src/shard-controller.ts
+++ b/packages/shard/src/shard-controller.ts
@@ -230,7 +230,7 @@
         onPlacementsDurable: (placements) => this.startDurablePlacements(placements),
         onJobAdded: (spec) => this.planning.recordArrival(spec),
         requestPlan: () => this.planSignal.notify(),
-        releasePlacement: (placement) => this.machines.get(placement.machine)?.release(placement),
+        releasePlacement: (placement) => this.machines.get(placement.machine)?.removePlacement(placement),
         markCommandsDue: (machine) => this.workers.markCommandsDue(machine),
         onJobRemoved: (job) => {
           this.failures.removeJob(job.id)
--- a/packages/shard/src/shard-failover.ts
+++ b/packages/shard/src/shard-failover.ts
@@ -58,7 +58,7 @@
     // Without a session, no task can be on the machine: its record is removed only after the response to its
     // deletion, and it moves to another shard only when no task can be on it.
     if (session === undefined) job.clear(placement)
-    else session.hold(placement)
+    else session.addPlacement(placement)
     if (job.cancelled) job.stop(placement, { reason: "cancelled", gracePeriodS: 0, since: now })
   }
 }
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -121,7 +121,7 @@
       fenceIfNeeded(this.context, session)
       return HEARTBEAT_UNAVAILABLE
     }
-    const commands = session.commands(now, (task) => this.context.registry.finishIsDurable(task))
+    const commands = session.selectCommands(now, (task) => this.context.registry.finishIsDurable(task))
     session.recordReply(commands, now)
     this.commandDelivery.clearCommandsDue(session)
     fenceIfNeeded(this.context, session)
