--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -12,18 +12,18 @@
  * the effect was really there by then.
  */
 export const faultEffects = [
-  "entitlement-lapses",
-  "take-over",
+  "lease-lapses",
+  "failover",
   "state-outage",
   "cloud-outage",
   "network-cut",
-  "messages-astray",
+  "messages-unreliable",
   "machines-silent",
   "work-lost",
   "cancelling",
   "user-pressure",
   "fast-boots",
-  "after-return",
+  "after-recovery",
 ] as const
 /** One of the effects. */
 export type FaultEffect = (typeof faultEffects)[number]
@@ -60,18 +60,19 @@
   }
 
   private readonly checks: Record<FaultEffect, () => boolean> = {
-    "entitlement-lapses": () => this.leaseIsOverdue(),
-    "take-over": () => this.shardIsWithoutOwner() || this.shardWasJustAcquired(),
+    "lease-lapses": () => this.leaseIsOverdue(),
+    failover: () => this.shardIsWithoutOwner() || this.shardWasJustAcquired(),
     "state-outage": () => this.deployment.state.isDown(),
     "cloud-outage": () => this.deployment.cloud.isDown(),
     "network-cut": () => this.deployment.network.isCut(),
-    "messages-astray": () => this.deployment.network.isUnreliable() || this.deployment.state.faults.areOn(),
+    "messages-unreliable": () =>
+      this.deployment.network.isUnreliable() || this.deployment.state.faults.areOn(),
     "machines-silent": () => this.machineIsSilent(),
     "work-lost": () => this.within(this.deployment.invariants.workLostAt, WORK_LOST_LASTS_MS),
     cancelling: () => this.deployment.invariants.cancellationUnderWay(),
     "user-pressure": () => this.deployment.userFaults.areOn() || this.deployment.membershipFaults.areOn(),
     "fast-boots": () => this.deployment.cloud.settings.bootWithinMs !== null,
-    "after-return": () => this.within(this.lastReturn(), RETURN_LASTS_MS),
+    "after-recovery": () => this.within(this.lastReturn(), RETURN_LASTS_MS),
   }
 
   private within(sinceMs: number, lastsMs: number): boolean {
--- a/packages/testkit/src/faults/fault-draws.ts
+++ b/packages/testkit/src/faults/fault-draws.ts
@@ -60,14 +60,14 @@
 export const leaseLapse = (lastsS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
   const ttlS = leaseTtlS(settings)
   return [
-    ...effectWindow("entitlement-lapses", ttlS / 2, Math.min(lastsS, ttlS)),
-    ...(lastsS > ttlS ? effectWindow("take-over", ttlS, ttlS + FAILOVER_S) : []),
+    ...effectWindow("lease-lapses", ttlS / 2, Math.min(lastsS, ttlS)),
+    ...(lastsS > ttlS ? effectWindow("failover", ttlS, ttlS + FAILOVER_S) : []),
     ...afterReturn(lastsS),
   ]
 }
 /** Something comes back after `lastsS`: its effect lasts on for some seconds. */
 export const afterReturn = (lastsS: number): ReadonlyArray<EffectWindow> =>
-  effectWindow("after-return", lastsS + 0.1, lastsS + AFTER_RETURN_S)
+  effectWindow("after-recovery", lastsS + 0.1, lastsS + AFTER_RETURN_S)
 /** Tasks are lost at `fromS`, and the work is taken up again. */
 export const workLostAfter = (fromS: number): ReadonlyArray<EffectWindow> =>
   effectWindow("work-lost", fromS + 0.2, fromS + RECOVERY_S)
--- a/packages/testkit/src/faults/fault-kinds.ts
+++ b/packages/testkit/src/faults/fault-kinds.ts
@@ -21,7 +21,7 @@
 export const faultKinds: ReadonlyArray<FaultKind> = [
   faultKind("crash", (random, settings) => {
     const backS = random.pick([0.2, 1, 4, 8, 20])
-    const windows = backS < leaseTtlS(settings) ? effectWindow("take-over", 0.3, backS + FAILOVER_S) : []
+    const windows = backS < leaseTtlS(settings) ? effectWindow("failover", 0.3, backS + FAILOVER_S) : []
     return {
       form: `(crash ${drawController(random, settings)} ${backS})`,
       lastsS: backS,
@@ -34,36 +34,36 @@
       form: `(crash-all ${backS})`,
       lastsS: backS,
       windows: [
-        ...effectWindow("take-over", 0.1, backS + FAILOVER_S),
+        ...effectWindow("failover", 0.1, backS + FAILOVER_S),
         ...afterReturn(backS),
         ...machineSilence(backS, leaseS),
       ],
     }
   }),
-  faultKind("end-leaders", (random) => {
+  faultKind("crash-leaders", (random) => {
     const times = random.integerBetween(3, 10)
     const everyS = random.pick([1, 3, 8, 12])
     const backS = random.pick([0.2, 1, 4])
     return {
-      form: `(end-leaders ${times} ${everyS} ${backS})`,
+      form: `(crash-leaders ${times} ${everyS} ${backS})`,
       lastsS: times * everyS,
-      windows: effectWindow("take-over", 0.3, times * everyS),
+      windows: effectWindow("failover", 0.3, times * everyS),
     }
   }),
-  faultKind("end-each", (random, { nodes }) => {
+  faultKind("rolling-restart", (random, { nodes }) => {
     const everyS = random.pick([0.2, 1, 5])
     const backS = random.pick([0.2, 1, 8])
     const lastsS = nodes * everyS + backS
     return {
-      form: `(end-each ${everyS} ${backS})`,
+      form: `(rolling-restart ${everyS} ${backS})`,
       lastsS,
-      windows: [...effectWindow("take-over", 0.3, lastsS), ...afterReturn(lastsS)],
+      windows: [...effectWindow("failover", 0.3, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  faultKind("cancel-at-hand-overs", (random) => {
+  faultKind("cancel-at-owner-changes", (random) => {
     const lastsS = random.integerBetween(20, 60)
     return {
-      form: `(cancel-at-hand-overs ${random.integerBetween(1, 3)} ${lastsS})`,
+      form: `(cancel-at-owner-changes ${random.integerBetween(1, 3)} ${lastsS})`,
       lastsS,
       windows: effectWindow("user-pressure", 0, lastsS),
     }
@@ -91,7 +91,7 @@
     return {
       form: `(state-slow ${random.pick([200, 800, 2_000])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("late-transactions", (random) => {
@@ -99,7 +99,7 @@
     return {
       form: `(late-transactions ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("lost-answers", (random) => {
@@ -107,7 +107,7 @@
     return {
       form: `(lost-answers ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("cloud-outage", (random) => {
@@ -154,18 +154,18 @@
       windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  faultKind("refuse-peers", (random) => {
+  faultKind("refuse-peer-connections", (random) => {
     const lastsS = random.integerBetween(3, 30)
     return {
-      form: `(refuse-peers ${lastsS})`,
+      form: `(refuse-peer-connections ${lastsS})`,
       lastsS,
       windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
   }),
-  faultKind("cut-orders", (random, settings) => {
+  faultKind("cut-commands", (random, settings) => {
     const lastsS = drawSpellS(random, settings)
     return {
-      form: `(cut-orders ${lastsS})`,
+      form: `(cut-commands ${lastsS})`,
       lastsS,
       windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
     }
@@ -180,20 +180,28 @@
   }),
   faultKind("freeze", (random, settings) => {
     const lastsS = random.integerBetween(5, 35)
-    const sending = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
+    const sending = random.pick([
+      "",
+      "",
+      " answer",
+      " command",
+      " transaction",
+      " shard-acquisition",
+      " keep-alive",
+    ])
     return {
       form: `(freeze ${drawController(random, settings)} ${lastsS}${sending})`,
       lastsS,
       windows:
         sending === ""
           ? leaseLapse(lastsS, settings)
-          : effectWindow("entitlement-lapses", 0.6 * leaseTtlS(settings), leaseTtlS(settings)),
+          : effectWindow("lease-lapses", 0.6 * leaseTtlS(settings), leaseTtlS(settings)),
     }
   }),
-  faultKind("hang", (random, settings) => {
+  faultKind("hang-machines", (random, settings) => {
     const lastsS = drawSpellS(random, settings)
     return {
-      form: `(hang ${random.integerBetween(1, 6)} ${lastsS})`,
+      form: `(hang-machines ${random.integerBetween(1, 6)} ${lastsS})`,
       lastsS,
       windows: [...machineSilence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
     }
@@ -214,20 +222,20 @@
       windows: [...machineSilence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
     }
   }),
-  faultKind("late-reports", (random) => {
+  faultKind("late-heartbeats", (random) => {
     const lastsS = random.integerBetween(10, 40)
     return {
-      form: `(late-reports ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
+      form: `(late-heartbeats ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
-  faultKind("late-reports-for-next", (random) => {
+  faultKind("late-heartbeats-for-next-leader", (random) => {
     const lastsS = random.integerBetween(10, 40)
     return {
-      form: `(late-reports ${random.pick([0.1, 0.3])} ${lastsS} for-next)`,
+      form: `(late-heartbeats ${random.pick([0.1, 0.3])} ${lastsS} for-next-leader)`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("late-commands", (random) => {
@@ -235,7 +243,7 @@
     return {
       form: `(late-commands ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("fast-boots", (random) => {
@@ -246,23 +254,23 @@
       windows: effectWindow("fast-boots", 0, lastsS),
     }
   }),
-  faultKind("reboot", (random) => {
+  faultKind("reboot-machines", (random) => {
     const downS = random.pick([0.1, 0.5, 5])
     return {
-      form: `(reboot ${random.integerBetween(1, 6)} ${downS})`,
+      form: `(reboot-machines ${random.integerBetween(1, 6)} ${downS})`,
       lastsS: downS,
       windows: workLostAfter(0),
     }
   }),
-  faultKind("die", (random) => ({
-    form: `(die ${random.integerBetween(1, 6)})`,
+  faultKind("kill-machines", (random) => ({
+    form: `(kill-machines ${random.integerBetween(1, 6)})`,
     lastsS: 0,
     windows: workLostAfter(0),
   })),
-  faultKind("take-spot", (random) => {
+  faultKind("preempt-spot", (random) => {
     const noticeS = random.pick([0, 0, 8, 15])
     return {
-      form: `(take-spot ${random.integerBetween(1, 6)} ${noticeS})`,
+      form: `(preempt-spot ${random.integerBetween(1, 6)} ${noticeS})`,
       lastsS: noticeS,
       windows: workLostAfter(noticeS),
     }
@@ -286,20 +294,20 @@
       windows: effectWindow("user-pressure", 0, lastsS),
     }
   }),
-  faultKind("odd-requests", (random) => {
+  faultKind("unusual-requests", (random) => {
     const lastsS = random.integerBetween(20, 60)
-    return { form: `(odd-requests ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
+    return { form: `(unusual-requests ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
   }),
-  faultKind("close-polls", (random) => {
+  faultKind("immediate-polls", (random) => {
     const lastsS = random.integerBetween(20, 60)
-    return { form: `(close-polls ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
+    return { form: `(immediate-polls ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
   }),
   faultKind("lose-messages", (random) => {
     const lastsS = random.integerBetween(5, 30)
     return {
       form: `(lose-messages 0.03 ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("slow-links", (random) => {
@@ -307,7 +315,7 @@
     return {
       form: `(slow-links ${random.pick([0.1, 0.4, 0.8])} ${lastsS})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
   faultKind("repeat-messages", (random) => {
@@ -315,7 +323,7 @@
     return {
       form: `(repeat-messages 0.05 ${lastsS} ${random.pick([5, 20, 70])})`,
       lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      windows: effectWindow("messages-unreliable", 0, lastsS),
     }
   }),
 ]
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -64,7 +64,7 @@
     for (const by of Object.keys(this.affectedUntil) as Array<MachineFault>) {
       for (const machine of this.running())
         if (this.isAffected(by, machine.id))
-          simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTasks)
+          simulation.occurrences.count(`tasks on machines at a failover: ${by}`, machine.runningTasks)
     }
     const recorded = [...this.deployment.state.entries].filter(([path]) =>
       path.startsWith(MACHINE_BLOCK_PREFIX),
@@ -72,7 +72,7 @@
     const records = recorded.map(([, { value }]) => JSON.stringify(value))
     for (const { id, status } of cloud.machines.values()) {
       if (status === "running" && !records.some((record) => record.includes(id)))
-        simulation.occurrences.count("machines up without a record at a take-over")
+        simulation.occurrences.count("machines up without a record at a failover")
     }
     this.deliverKeptHeartbeats()
   }
@@ -80,7 +80,7 @@
   answered(node: NodeName, path: string): void {
     const { occurrences } = this.deployment.simulation
     if (path === "/v1/report" && this.isolated.has(node))
-      occurrences.count("reports answered by an isolated controller")
+      occurrences.count("heartbeats answered by an isolated controller")
     if (path.endsWith("/cancel") && this.isolated.size > 0)
       occurrences.count("cancellations confirmed while a controller is isolated")
   }
@@ -120,7 +120,7 @@
       const afterMs = simulation.random.between(0, NEW_LEADER_STARTUP_MS)
       for (const node of names) outgoing.deliverCopy(node, afterMs)
       simulation.after(afterMs, () => {
-        simulation.occurrences.count("old reports at all controllers as a leader begins")
+        simulation.occurrences.count("old heartbeats sent to all controllers at a failover")
         this.countLateHeartbeat(outgoing)
       })
     }
@@ -129,15 +129,15 @@
     const { occurrences } = this.deployment.simulation
     const machine = this.deployment.cloud.machines.get(from)
     const { agentEpoch, sequence, tasks } = decodeHeartbeatCopy(request.body)
-    occurrences.count("late reports")
-    if (machine === undefined) return occurrences.count("late reports of machines that are gone")
+    occurrences.count("late heartbeats")
+    if (machine === undefined) return occurrences.count("late heartbeats of machines that are gone")
     const isAhead = agentEpoch === machine.agentEpoch && sequence > machine.lastSequence
     if (agentEpoch > machine.agentEpoch || isAhead)
-      occurrences.count("late reports of a worker's former self")
-    if (agentEpoch < machine.agentEpoch) occurrences.count("late reports of an earlier session")
+      occurrences.count("late heartbeats of a worker from before its reboot")
+    if (agentEpoch < machine.agentEpoch) occurrences.count("late heartbeats of an earlier session")
     const newestAttempt = (taskId: string) => Math.max(...this.running().map((m) => m.attemptOf(taskId)))
     if (tasks.some(({ taskId, attempt }) => attempt < newestAttempt(taskId)))
-      occurrences.count("late reports of an earlier attempt")
+      occurrences.count("late heartbeats of an earlier attempt")
   }
   /** That share of direct commands is held up, unanswered, and carried out once, 2 to 16 s late. */
   delayCommands(share: number, forMs: number): void {
@@ -152,7 +152,7 @@
         ({ status }) => {
           simulation.occurrences.count(status === 200 ? "late commands carried out" : "late commands refused")
           const leaderChanged = [...this.acquiredAt.values()].some((at) => at > sent)
-          if (leaderChanged) simulation.occurrences.count("late commands of a leader before the present one")
+          if (leaderChanged) simulation.occurrences.count("late commands of a former leader")
         },
       )
       return "withhold"
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -134,12 +134,12 @@
 }
 const seconds = (atS: number) => atS.toFixed(2)
 const faultLine = ({ atS, form, meets }: FaultEvent): Line => {
-  const pair = meets === null ? "" : `(pair ${meets.first} ${meets.effect} ${meets.second})`
+  const pair = meets === null ? "" : `(fault-pair ${meets.first} ${meets.effect} ${meets.second})`
   return { atS, text: `(at ${seconds(atS)} ${[pair, form].filter((f) => f !== "").join(" ")})` }
 }
 
 const optionsOf = ({ taskCount, cores, runS, owner, others }: JobWanted): string =>
-  `pieces ${taskCount} cores ${cores} run ${runS} owner ${owner} ${others}`.trimEnd()
+  `tasks ${taskCount} cores ${cores} run ${runS} team ${owner} ${others}`.trimEnd()
 
 /** The day as a scenario, which runs alone and can be kept. */
 export const scenarioOf = ({ seed, settings, users, faults }: RandomDay): string => {
@@ -156,10 +156,10 @@
   // More work than fits within the team's limit has to wait, the largest jobs too.
   const begunWithinS = BEGUN_WITHIN_S + Math.ceil(busiestTeamS(users, settings))
   const slow = processorShare === null ? "" : ` (processor-share ${processorShare})`
-  return `(scenario "random day ${seed}" (seed ${seed}) (until ${UNTIL_S}) (nodes ${nodes}) (cores ${cores})${slow} (zones ${zones.join(" ")})
+  return `(scenario "random day ${seed}" (seed ${seed}) (until ${UNTIL_S}) (nodes ${nodes}) (controller-cores ${cores})${slow} (zones ${zones.join(" ")})
   (workers 3 ${leaseS} ${cancelS}) (state-limits ${stateRps} ${stateWrites}) (team-limit ${teamLimit}) (capacity ${capacity}) (never-boots 0.05)
   ${lines.map(({ text }) => text).join("\n  ")}
-  (expect (all-over) (served) (largest-begun-within ${begunWithinS})))`
+  (expect (all-jobs-final) (half-done-per-group) (largest-started-within ${begunWithinS})))`
 }
 
 /** The pairs that were drawn for the day. */
--- a/packages/testkit/src/random-days/random-jobs.ts
+++ b/packages/testkit/src/random-days/random-jobs.ts
@@ -33,19 +33,19 @@
   random.pick([
     "",
     "",
-    " together yes",
-    zones.length > 1 ? " scatter yes" : "",
+    " single-zone yes",
+    zones.length > 1 ? " spread-zones yes" : "",
     ` zone ${random.pick(zones)}`,
-    " build large",
+    " machine-type large",
     " spot no",
     ` zone ${random.pick(zones)} spot no`,
   ])
 const anyJob = (random: RandomSource, settings: DaySettings, taskCount: number): JobWanted => {
   const cores = random.pick(taskCount > 12 ? [1, 2] : [1, 2, 4, 8])
-  const due = random.chance(0.5) ? ` due ${random.integerBetween(30, 150)}` : ""
-  const saves = random.chance(0.4) ? " snapshot 5 flush 2" : ""
-  const urgency = random.pick(["standard", "standard", "high", "best_effort"])
-  const others = `urgency ${urgency} image img-${random.integerBetween(1, 3)}${due}${saves}${placement(random, settings)}`
+  const deadline = random.chance(0.5) ? ` deadline ${random.integerBetween(30, 150)}` : ""
+  const checkpoints = random.chance(0.4) ? " checkpoint-interval 5 checkpoint-save 2" : ""
+  const priority = random.pick(["standard", "standard", "high", "best_effort"])
+  const others = `priority ${priority} image img-${random.integerBetween(1, 3)}${deadline}${checkpoints}${placement(random, settings)}`
   return { taskCount, cores, runS: random.integerBetween(4, 45), owner: random.pick(TEAMS), others }
 }
 
@@ -60,7 +60,12 @@
         : random.integerBetween(2, 12)
     const wanted = anyJob(random, settings, taskCount)
     if (random.chance(MISTAKEN_SHARE)) {
-      events.push({ atS, job, does: "submit", wanted: { ...wanted, others: `${wanted.others} mistake yes` } })
+      events.push({
+        atS,
+        job,
+        does: "submit",
+        wanted: { ...wanted, others: `${wanted.others} always-fails yes` },
+      })
       events.push({ atS: atS + random.between(20, 120), job, does: "cancel" })
       continue
     }
@@ -76,7 +81,7 @@
   const events: Array<UserEvent> = []
   const secondsApart = random.pick([0.5, 1, 2])
   const untilS = Math.min(SUBMISSIONS_UNTIL_S, 80 * secondsApart)
-  const due = random.chance(0.5) ? "due 60" : ""
+  const deadline = random.chance(0.5) ? "deadline 60" : ""
   for (let job = 0, atS = 1; atS < untilS; job++, atS += secondsApart) {
     const large = random.chance(0.05)
     const small = {
@@ -84,7 +89,7 @@
       cores: 1,
       runS: random.integerBetween(2, 20),
       owner: random.pick(TEAMS),
-      others: due,
+      others: deadline,
     }
     const wanted = large ? anyJob(random, settings, random.integerBetween(4, 12)) : small
     events.push({ atS, job, does: "submit", wanted })
@@ -103,7 +108,7 @@
       cores: random.pick([2, 4, 8]),
       runS: random.integerBetween(30, 120),
       owner: random.pick(TEAMS),
-      others: `${random.chance(0.5) ? `due ${random.integerBetween(120, 300)}` : ""}${placement(random, settings)}`,
+      others: `${random.chance(0.5) ? `deadline ${random.integerBetween(120, 300)}` : ""}${placement(random, settings)}`,
     }
     events.push({ atS, job, does: "submit", wanted })
     if (random.chance(0.3)) events.push({ atS: atS + random.between(5, 60), job, does: "cancel" })
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -18,25 +18,25 @@
   const given = new Map<string, string>()
   for (let i = 0; i + 1 < args.length; i += 2) given.set(args[i]!, args[i + 1]!)
   const num = (name: string, or: number) => Number(given.get(name) ?? or)
-  const due = given.get("due")
+  const deadlineS = given.get("deadline")
   return jobRequest(id, {
-    lane: given.get("lane") ?? "bulk",
-    owner: given.get("owner") ?? "red",
-    urgency: given.get("urgency") ?? "standard",
-    pieces: num("pieces", 4),
+    lane: given.get("job-class") ?? "bulk",
+    owner: given.get("team") ?? "red",
+    urgency: given.get("priority") ?? "standard",
+    pieces: num("tasks", 4),
     cores: num("cores", 4),
-    mem_gb: num("mem", 4),
+    mem_gb: num("mem-gb", 4),
     bundle: given.get("image") ?? "img-1",
     image_gb: num("image-gb", 1),
-    builds: given.get("build") === undefined ? null : [given.get("build")],
+    builds: given.get("machine-type") === undefined ? null : [given.get("machine-type")],
     site: given.get("zone") ?? null,
-    together: given.get("together") === "yes",
-    scatter: given.get("scatter") === "yes",
+    together: given.get("single-zone") === "yes",
+    scatter: given.get("spread-zones") === "yes",
     loaners: given.get("spot") !== "no",
     expected_s: num("run", 10),
-    snapshot_s: num("snapshot", 0),
-    flush_s: num("flush", 0),
-    due_s: due === undefined ? null : Number(due),
+    snapshot_s: num("checkpoint-interval", 0),
+    flush_s: num("checkpoint-save", 0),
+    due_s: deadlineS === undefined ? null : Number(deadlineS),
   })
 }
 
@@ -44,10 +44,10 @@
 const jobAt = (deployment: SimulatedDeployment, args: Args): JobId =>
   deployment.users.jobs[number(args, 0, 0)]!
 
-/** With `mistake yes` its tasks fail on every machine. */
+/** With `always-fails yes` its tasks fail on every machine. */
 const submit: Action = (deployment, args) => {
   const id = `run-${String(++deployment.scenarioJobs).padStart(6, "0")}` as JobId
-  const at = args.indexOf("mistake")
+  const at = args.indexOf("always-fails")
   if (at >= 0 && args[at + 1] === "yes") deployment.invariants.mistaken.add(id)
   deployment.users.submit(jobFrom(id, args))
 }
@@ -66,7 +66,7 @@
   },
   resubmit: (deployment, args) => deployment.users.resubmit(jobAt(deployment, args)),
   cancel: (deployment, args) => deployment.users.cancel(jobAt(deployment, args)),
-  "ask-about-nobody": (deployment) => deployment.users.pollUnknownJob(),
+  "poll-unknown-job": (deployment) => deployment.users.pollUnknownJob(),
   crash: (deployment, args) => deployment.crash(node(deployment, args), number(args, 1, 4) * 1000),
   "crash-all": (deployment, args) => {
     for (const name of deployment.names) deployment.crash(name, number(args, 0, 4) * 1000)
@@ -76,7 +76,7 @@
     deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
   },
   /** Says which pair of faults comes next, and notes whether the first one's effect is there. */
-  pair: (deployment, [first, effect, second]) => {
+  "fault-pair": (deployment, [first, effect, second]) => {
     if (!faultEffects.includes(effect as FaultEffect)) throw new Error(`unknown effect ${effect}`)
     const met = deployment.effects.has(effect as FaultEffect)
     deployment.pairs.push({ first: first!, effect: effect as FaultEffect, second: second!, met })
--- a/packages/testkit/src/scenarios/expectations.ts
+++ b/packages/testkit/src/scenarios/expectations.ts
@@ -19,19 +19,19 @@
     const { done } = deployment.users.counts()
     return done >= number(args, 0, 1) ? null : `${done} jobs are done, expected ${args[0]}`
   },
-  "all-over": (deployment) => {
+  "all-jobs-final": (deployment) => {
     const { done, cancelled, jobs } = deployment.users.counts()
-    return done + cancelled === jobs ? null : `${done} done and ${cancelled} withdrawn of ${jobs} jobs`
+    return done + cancelled === jobs ? null : `${done} done and ${cancelled} cancelled of ${jobs} jobs`
   },
-  withdrawn: (deployment, args) => {
+  cancelled: (deployment, args) => {
     const { cancelled } = deployment.users.counts()
-    return cancelled >= number(args, 0, 1) ? null : `${cancelled} jobs are withdrawn, expected ${args[0]}`
+    return cancelled >= number(args, 0, 1) ? null : `${cancelled} jobs are cancelled, expected ${args[0]}`
   },
   "starts-at-most": (deployment, args) =>
     deployment.invariants.starts <= number(args, 0, 0)
       ? null
       : `${deployment.invariants.starts} starts, expected at most ${args[0]}`,
-  "machines-at-most": (deployment, args) => {
+  "machines-left-at-most": (deployment, args) => {
     const have = deployment.cloud.machines.size
     return have <= number(args, 0, 0) ? null : `${have} machines are left, expected at most ${args[0]}`
   },
@@ -40,7 +40,7 @@
   "cloud-calls-at-most": (deployment, args) => atMost("calls of the cloud", deployment.cloud.calls, args),
   "peer-kilobytes-at-most": (deployment, args) =>
     atMost("kilobytes between controllers", Math.round(deployment.count.peerBytes / 1024), args),
-  "commands-at-once-at-most": (deployment, args) =>
+  "concurrent-commands-at-most": (deployment, args) =>
     atMost("commands at once", deployment.count.commandsAtOnce, args),
   "workers-at-one-node-at-least": (deployment, args) =>
     deployment.count.workersAtOne >= number(args, 0, 0)
@@ -48,9 +48,9 @@
       : `${deployment.count.workersAtOne} workers at one node, not ${args[0]}`,
   "workers-at-one-node-at-most": (deployment, args) =>
     atMost("workers at one node", deployment.count.workersAtOne, args),
-  "rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
+  "machines-rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
   /** At least so many faulty machines were given back as such, and none that isn't. */
-  "faulty-returned": (deployment, args) => {
+  "faulty-machines-returned": (deployment, args) => {
     const returned = deployment.logged.filter((line) => line.includes('"reason":"faulty"'))
     const healthy = returned.find((line) => {
       const id = /"machine":"([^"]+)"/.exec(line)?.[1] ?? ""
@@ -61,21 +61,21 @@
       ? null
       : `${returned.length} machines given back as faulty, expected ${args[0]}`
   },
-  "rented-at-least": (deployment, args) =>
+  "machines-rented-at-least": (deployment, args) =>
     deployment.cloud.rented >= number(args, 0, 0)
       ? null
       : `${deployment.cloud.rented} machines rented, not ${args[0]}`,
   /** So many of the pairs that the scenario names really met. */
-  "pairs-met-at-least": (deployment, args) => {
+  "fault-pairs-met-at-least": (deployment, args) => {
     const met = deployment.pairs.filter((pair) => pair.met).length
     return met >= number(args, 0, 1)
       ? null
       : `${met} of ${deployment.pairs.length} pairs met, expected ${args[0]}`
   },
-  "no-machine": (deployment) => expectations["machines-at-most"]!(deployment, ["0"]),
-  "log-has": (deployment, args) =>
+  "no-machines-left": (deployment) => expectations["machines-left-at-most"]!(deployment, ["0"]),
+  "log-contains": (deployment, args) =>
     deployment.logged.some((l) => l.includes(args[0]!)) ? null : `never logged: ${args[0]}`,
-  "log-has-no": (deployment, args) => {
+  "log-lacks": (deployment, args) => {
     const line = deployment.logged.find((l) => l.includes(args[0]!))
     return line === undefined ? null : `logged: ${line}`
   },
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -11,11 +11,11 @@
   "cut-zones": (deployment, args) => deployment.faults.cutZones(number(args, 0, 20) * 1000, mode(args, 1)),
   "cut-zone": (deployment, args) =>
     deployment.faults.cutZone(args[0]!, number(args, 1, 30) * 1000, mode(args, 2)),
-  "refuse-peers": (deployment, args) => deployment.faults.refusePeers(number(args, 0, 20) * 1000),
-  die: (deployment, args) => deployment.faults.die(number(args, 0, 1)),
+  "refuse-peer-connections": (deployment, args) => deployment.faults.refusePeers(number(args, 0, 20) * 1000),
+  "kill-machines": (deployment, args) => deployment.faults.die(number(args, 0, 1)),
   "cut-peers": (deployment, args) =>
     deployment.faults.cutPeers(node(deployment, args), number(args, 1, 20) * 1000),
-  "cut-orders": (deployment, args) => deployment.faults.cutCommands(number(args, 0, 20) * 1000),
+  "cut-commands": (deployment, args) => deployment.faults.cutCommands(number(args, 0, 20) * 1000),
   isolate: (deployment, args) =>
     deployment.faults.isolate(node(deployment, args), number(args, 1, 20) * 1000),
   "machines-receive-nothing": (deployment, args) =>
@@ -26,10 +26,10 @@
       number(args, 1, 20) * 1000,
       (args[2] ?? "reset") as CutMode,
     ),
-  /** Share, seconds, and `for-next` when the copies are kept for the next leader. */
-  "late-reports": (deployment, args) => {
+  /** Share, seconds, and `for-next-leader` when the copies are kept for the next leader. */
+  "late-heartbeats": (deployment, args) => {
     const [share, forMs] = [number(args, 0, 0.2), number(args, 1, 20) * 1000]
-    if (args[2] === "for-next") deployment.faults.keepHeartbeatsForNextLeader(share, forMs)
+    if (args[2] === "for-next-leader") deployment.faults.keepHeartbeatsForNextLeader(share, forMs)
     else deployment.faults.delayHeartbeats(share, forMs)
   },
   "late-commands": (deployment, args) =>
@@ -37,10 +37,12 @@
   /** For how many seconds new machines are up within how many. */
   "fast-boots": (deployment, args) =>
     deployment.faults.bootFast(number(args, 1, 2) * 1000, number(args, 0, 60) * 1000),
-  reboot: (deployment, args) => deployment.faults.reboot(number(args, 0, 1), number(args, 1, 0.3) * 1000),
-  hang: (deployment, args) => deployment.faults.hang(number(args, 0, 1), number(args, 1, 20) * 1000),
-  faulty: (deployment, args) => deployment.faults.makeFaulty(number(args, 0, 1)),
-  "take-spot": (deployment, args) =>
+  "reboot-machines": (deployment, args) =>
+    deployment.faults.reboot(number(args, 0, 1), number(args, 1, 0.3) * 1000),
+  "hang-machines": (deployment, args) =>
+    deployment.faults.hang(number(args, 0, 1), number(args, 1, 20) * 1000),
+  "faulty-machines": (deployment, args) => deployment.faults.makeFaulty(number(args, 0, 1)),
+  "preempt-spot": (deployment, args) =>
     deployment.faults.takeSpot(number(args, 0, 1), number(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
     deployment.network.loss = number(args, 0, 0.05)
@@ -55,7 +57,7 @@
       deployment.network.repeat = 0
     })
   },
-  "adopt-strays": (deployment, args) => {
+  "orphan-machines": (deployment, args) => {
     const type = deployment.cloud.settings.types[0]!
     for (let i = 0; i < number(args, 0, 1); i++)
       deployment.cloud.rent(type, deployment.setup.zones[0]!, false)
--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -7,7 +7,7 @@
 import { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import type { TraceDigest } from "../simulation/trace-digest.ts"
 import type { Action, Args } from "./actions.ts"
-import { happened } from "./user-actions.ts"
+import { eventCounts } from "./user-actions.ts"
 
 /** How a scenario is watched while it runs. */
 export interface RunOptions {
@@ -58,7 +58,7 @@
 ): string | null => {
   let total = 0
   for (const deployment of deployments) {
-    const count = happened(deployment)[name]
+    const count = eventCounts(deployment)[name]
     if (count === undefined) return `nothing is counted as ${name}`
     total += count
   }
--- a/packages/testkit/src/scenarios/scenario.ts
+++ b/packages/testkit/src/scenarios/scenario.ts
@@ -65,7 +65,7 @@
   nodes: ([nodes]) => ({ nodes: Number(nodes) }),
   capacity: ([capacity]) => ({ capacity: Number(capacity) }),
   sockets: ([sockets]) => ({ sockets: Number(sockets) }),
-  cores: ([cores]) => ({ cores: Number(cores) }),
+  "controller-cores": ([cores]) => ({ cores: Number(cores) }),
   zones: (zones) => ({ zones }),
   "processor-share": ([share]) => ({ processorShare: Number(share) }),
   "team-limit": ([limit]) => ({ teamMax: Number(limit) }),
@@ -82,13 +82,13 @@
   "nodes",
   "capacity",
   "sockets",
-  "cores",
+  "controller-cores",
   "processor-share",
   "team-limit",
   "never-boots",
 ])
 /** Actions that are no faults: their numbers don't say how long one lasts. */
-const NO_FAULTS: ReadonlySet<string> = new Set(["submit", "stream", "pair", ...HARMLESS])
+const NO_FAULTS: ReadonlySet<string> = new Set(["submit", "stream", "fault-pair", ...HARMLESS])
 
 const readEvents = (entry: List, draft: Draft): void => {
   const [, at, ...forms] = entry.content
@@ -103,7 +103,7 @@
 const readExpectations = (entry: List, draft: Draft): void => {
   for (const form of entry.content.slice(1)) {
     const [name = "", ...args] = words(form)
-    if (name === "happened") {
+    if (name === "counted-at-least") {
       draft.coincidences.push({ name: args[0] ?? "", atLeast: number(args, 1, 1) })
       continue
     }
@@ -139,7 +139,7 @@
 /**
  * One scenario a file: `(scenario "name" (seed 1) (until 90) (at 3 (crash host-0)) (expect (done 1)))`.
  * With `(seeds 1 2 3)` it is run on each of them: its invariants and expectations have to hold on
- * every seed, and what `happened` asks for has to have come about on all of them together.
+ * every seed, and what `counted-at-least` asks for has to have come about on all of them together.
  * `seedShift` is added to every seed. Throws an error with the line of what it can't read.
  */
 export const readScenario = (text: string, seedShift = 0): Scenario => {
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -1,6 +1,6 @@
 /**
  * Actions and expectations of scenarios about users and the state service, and the events
- * that `happened` counts.
+ * that `counted-at-least` and `counted-at-most` count.
  */
 import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
@@ -54,28 +54,64 @@
     deployment.userFaults.cancelAtEnds(number(args, 0, 0.3), seconds(args, 1, 60)),
   "cancel-some": (deployment, args) =>
     deployment.userFaults.cancelSome(number(args, 0, 0.25), seconds(args, 1, 60)),
-  "odd-requests": (deployment, args) => deployment.userFaults.oddRequests(seconds(args, 0, 60)),
-  "close-polls": (deployment, args) =>
+  "unusual-requests": (deployment, args) => deployment.userFaults.oddRequests(seconds(args, 0, 60)),
+  "immediate-polls": (deployment, args) =>
     deployment.userFaults.closePolls(seconds(args, 0, 60), number(args, 1, 0.15)),
 }
 /** Verbs of which the service takes no harm: the time until questions have to be answered again doesn't wait for their end. */
 export const HARMLESS: ReadonlySet<string> = new Set([
-  "close-polls",
-  "odd-requests",
+  "immediate-polls",
+  "unusual-requests",
   "cancel-at-end",
   "cancel-some",
 ])
 
-/** How often something really happened, by its name. */
-export const happened = (deployment: SimulatedDeployment): Readonly<Record<string, number>> => ({
-  ...deployment.simulation.occurrences.all(),
-  ...deployment.userFaults.count,
-  ...deployment.state.faults.count,
-  ...deployment.state.operations.count,
-  ...deployment.membershipFaults.count,
-  ...deployment.limitCoincidences.count,
-  startsAfterCancellation: deployment.invariants.startsAfterCancellation,
-})
+/** How often each event happened in the deployment, by the event's name in scenarios. */
+export const eventCounts = (deployment: SimulatedDeployment): Readonly<Record<string, number>> => {
+  const { userFaults, membershipFaults, limitCoincidences, state } = deployment
+  return {
+    ...deployment.simulation.occurrences.all(),
+    "answers soon after an acceptance": userFaults.count.closeAfterAccepted,
+    "answers soon after a confirmed cancellation": userFaults.count.closeAfterCancelled,
+    "answers soon after the end of a job": userFaults.count.closeAfterEnd,
+    "cancellations at the end of a job answered cancelled": userFaults.count.endsCancelled,
+    "cancellations at the end of a job answered done": userFaults.count.endsTold,
+    "jobs with task ends far apart across a crash": userFaults.count.endsFarApart,
+    "jobs cancelled in a burst": userFaults.count.burst,
+    "machines hung after a burst of cancellations": userFaults.count.burstHung,
+    "unusual requests": userFaults.count.odd,
+    "invalid jobs refused": userFaults.count.oddRefused,
+    "late transactions": state.faults.count.late,
+    "late transactions refused": state.faults.count.lateRefused,
+    "late transactions applied": state.faults.count.lateApplied,
+    "late transactions carried out after a newer one": state.faults.count.lateAfterNewer,
+    "lost answers": state.faults.count.lostAnswers,
+    "changes with a lost answer first read by another node": state.faults.count.lostReadByOthers,
+    "messages of the state service delayed": state.faults.count.slow,
+    "changes that create a job": state.operations.count.create,
+    "changes that cancel a job": state.operations.count.cancel,
+    "changes that fold a job page": state.operations.count.fold,
+    "changes that record ends of jobs": state.operations.count.end,
+    "changes that start tasks": state.operations.count.start,
+    "changes that finish tasks": state.operations.count.finish,
+    "changes that archive jobs": state.operations.count.archive,
+    "other changes": state.operations.count.other,
+    "shards handed back": membershipFaults.count.handBacks,
+    failovers: membershipFaults.count.takeOvers,
+    "leader changes": membershipFaults.count.leaderChanges,
+    "failovers to a former owner": membershipFaults.count.retaken,
+    "cancellations confirmed just after an owner change": membershipFaults.count.cancelledAtHandOver,
+    "heartbeats with cancelled tasks answered without state service":
+      membershipFaults.count.answersWithoutState,
+    "node leases published": membershipFaults.count.joins,
+    "seconds without a leader": membershipFaults.count.secondsWithoutLeader,
+    "leader changes with every team at its limit": limitCoincidences.count.leaderChangesAtLimit,
+    "cancelled tasks out of reach at a leader change": limitCoincidences.count.cancelledOutOfReach,
+    "cancellations between two leaders": limitCoincidences.count.cancelledBetweenLeaders,
+    "checks with urgent and other work waiting on slow links": limitCoincidences.count.overloadedOnSlowLinks,
+    "starts after a cancellation": deployment.invariants.startsAfterCancellation,
+  }
+}
 
 /** What a scenario can ask for of users and the state service. */
 export const userExpectations: Record<
@@ -83,16 +119,16 @@
   (deployment: SimulatedDeployment, args: Args) => string | null
 > = {
   /** At least half of every class, of every team, and of every class's largest jobs is done. */
-  served: (deployment) => {
+  "half-done-per-group": (deployment) => {
     const groups = unserved(deployment.invariants.users)
     return groups.length === 0 ? null : `less than half is done of ${groups.join(", ")}`
   },
-  "begun-within": (deployment, args) => {
+  "started-within": (deployment, args) => {
     const { users, begunAt } = deployment.invariants
     const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
     return late.length === 0 ? null : `nothing began within ${args[0]} s of ${late.join(", ")}`
   },
-  "largest-begun-within": (deployment, args) => {
+  "largest-started-within": (deployment, args) => {
     const { users, begunAt } = deployment.invariants
     const largest = largestOfClasses(users)
     const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
@@ -100,13 +136,13 @@
     return missing.length === 0 ? null : `nothing began within ${args[0]} s of ${missing.join(", ")}`
   },
   /** Puts and deletes from submission to end, over all jobs. */
-  "operations-a-job-at-most": (deployment, args) => {
+  "changes-per-job-at-most": (deployment, args) => {
     const { ofJobs, count } = deployment.state.operations
     const each = ofJobs / deployment.users.jobs.length
     return each <= number(args, 0, 2) ? null : `${each.toFixed(2)} changes a job: ${JSON.stringify(count)}`
   },
-  "happened-at-most": (deployment, args) => {
-    const count = happened(deployment)[args[0]!]
+  "counted-at-most": (deployment, args) => {
+    const count = eventCounts(deployment)[args[0]!]
     if (count === undefined) return `nothing is counted as ${args[0]}`
     return count <= number(args, 1, 0) ? null : `${args[0]}: ${count} times, expected at most ${args[1] ?? 0}`
   },
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -214,7 +214,7 @@
   }
   private expire(): void {
     if (this.simulation.now - this.lastAnswered <= this.options.times.lease_s * 1000) return
-    this.simulation.occurrences.count("tasks lost by their lease", this.runningTasks)
+    this.simulation.occurrences.count("tasks lost when their agent lease expired", this.runningTasks)
     this.tasks.dropAll()
     this.agentEpoch++
     this.lastAnswered = this.simulation.now
@@ -231,7 +231,7 @@
     const isDeposed = fencingToken < this.fencingToken
     if (isDeposed || agentEpoch !== this.agentEpoch) {
       occurrences.count(
-        isDeposed ? "commands of a deposed leader refused" : "commands of an earlier session refused",
+        isDeposed ? "commands of a former leader refused" : "commands of an earlier session refused",
       )
       return { status: 409, body: this.encodeHeartbeat() }
     }
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -149,7 +149,7 @@
   }
   private failSoon(task: WorkerTask): void {
     this.simulation.occurrences.count(
-      this.host.faulty ? "tasks failed by their machine" : "tasks failed by their job",
+      this.host.faulty ? "tasks failed because of their machine" : "tasks failed because of their job",
     )
     this.setTimer(task, FAILS_AFTER_MS, () => {
       if (task.phase === "running" && !this.host.gone) this.exit(task, "error")
@@ -195,7 +195,7 @@
   private drop(task: WorkerTask): void {
     task.cancelTimer()
     if (task.phase === "running" && this.invariants.submitted.get(task.job)?.site != null)
-      this.simulation.occurrences.count("tasks of jobs bound to a zone lost")
+      this.simulation.occurrences.count("lost tasks of jobs bound to a zone")
     if (task.phase === "running" || task.phase === "checkpointing") {
       this.invariants.workLostAt = this.simulation.now
       this.invariants.ended(task.job, task.index, this.host.id)
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -22,7 +22,7 @@
 import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
 
 /** What a controller may be about to send when it is made to stand still; the words are those of scenarios. */
-export type FreezePoint = "answer" | "command" | "transaction" | "take-over" | "touch"
+export type FreezePoint = "answer" | "command" | "transaction" | "shard-acquisition" | "keep-alive"
 
 /** What a controller's process is surrounded by. */
 export interface ControllerSurroundings {
@@ -182,8 +182,8 @@
 
 const freezePointOf = ({ path, body }: Request): FreezePoint | null => {
   if (path === COMMANDS_PATH) return "command"
-  if (path.endsWith("/touch")) return "touch"
+  if (path.endsWith("/touch")) return "keep-alive"
   if (path !== "/multi") return null
   const { apply } = body as { apply: ReadonlyArray<{ readonly set?: string }> }
-  return apply.some(({ set }) => set?.startsWith("s/part/") === true) ? "take-over" : "transaction"
+  return apply.some(({ set }) => set?.startsWith("s/part/") === true) ? "shard-acquisition" : "transaction"
 }
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -5,7 +5,7 @@
 import { Simulation } from "../src/simulation/simulation.ts"
 import { TraceDigest } from "../src/simulation/trace-digest.ts"
 
-const SHORT = '(scenario "short" (until 30) (at 2 (submit pieces 3)) (at 5 (crash host-1 4)))'
+const SHORT = '(scenario "short" (until 30) (at 2 (submit tasks 3)) (at 5 (crash host-1 4)))'
 
 const digestOf = (seedShift: number): string => {
   const trace = new TraceDigest()
--- a/scenarios/began-anew.sexp
+++ b/scenarios/began-anew.sexp
@@ -1,7 +1,7 @@
 (scenario "a worker that is back within a fraction of a second, with lower counters, is not shut out"
   (seed 32) (until 103)
-  (at 1 (submit pieces 60 cores 4 run 2 due 300))
-  (at 66 (submit pieces 4 cores 4 run 10 due 300))
-  (at 74 (reboot 9 0.3))
-  (expect (all-over))
+  (at 1 (submit tasks 60 cores 4 run 2 deadline 300))
+  (at 66 (submit tasks 4 cores 4 run 10 deadline 300))
+  (at 74 (reboot-machines 9 0.3))
+  (expect (all-jobs-final))
   (guard "packages/shard/src/worker-inspection.ts" "else if (session.acceptRestart(decoded.success, countersBefore, clocks.monotonicNow()))" "else if (countersBefore.sequence < -1)"))
--- a/scenarios/big-job.sexp
+++ b/scenarios/big-job.sexp
@@ -1,5 +1,5 @@
 (scenario "a job of many tasks is recorded in chunks that fit the state service"
   (seed 21) (until 400) (capacity 8)
-  (at 1 (submit pieces 400 cores 1 mem 1 run 3 due 200))
+  (at 1 (submit tasks 400 cores 1 mem-gb 1 run 3 deadline 200))
   (at 40 (crash host-0 3))
   (expect (done 1)))
--- a/scenarios/cancelled-refused-outage-tight.sexp
+++ b/scenarios/cancelled-refused-outage-tight.sexp
@@ -1,7 +1,7 @@
 (scenario "ran_cancelled: the owner alone is refused, others confirm cancellations, then an outage for all (lease 20 s, cancel_s 28 s)"
   (seed 203) (until 230) (workers 3 20 28)
-  (at 1 (submit pieces 8 cores 4 run 170) (submit pieces 8 cores 4 run 170 due 400) (submit pieces 4 cores 2 run 170 owner blue))
-  (at 40 (state-refuses host-0 80) (cut-peers host-0 80)) (at 40.3 (cancel-at host-1 0) (cancel-at host-2 1)) (at 41 (state-outage 65))
-  (expect (withdrawn 2) (happened answersWithoutState 2))
+  (at 1 (submit tasks 8 cores 4 run 170) (submit tasks 8 cores 4 run 170 deadline 400) (submit tasks 4 cores 2 run 170 team blue))
+  (at 40 (state-refuses host-0 80) (cut-peers host-0 80)) (at 40.3 (cancel-at-node host-1 0) (cancel-at-node host-2 1)) (at 41 (state-outage 65))
+  (expect (cancelled 2) (counted-at-least "heartbeats with cancelled tasks answered without state service" 2))
   (guard "packages/membership/src/membership.ts"
     "return this.nodeLease.isValid(now) && this.watch.isFresh(now)" "return this.incarnation() !== null"))
--- a/scenarios/cancelled-start-held.sexp
+++ b/scenarios/cancelled-start-held.sexp
@@ -1,9 +1,9 @@
 (scenario "ran_cancelled: starts held up on their way, their job cancelled, and an outage before a token could be raised"
   (seeds 91 92 93 94 95 96) (until 200) (workers 1 10 13)
-  (at 1 (submit pieces 8 cores 4 run 30))
+  (at 1 (submit tasks 8 cores 4 run 30))
   (at 40 (late-commands 1 3))
-  (at 40.2 (submit pieces 8 cores 4 run 60))
+  (at 40.2 (submit tasks 8 cores 4 run 60))
   (at 40.9 (cancel 1))
   (at 43.4 (state-outage 65))
-  (expect (withdrawn 1) (happened "late commands carried out" 2) (happened startsAfterCancellation 2))
+  (expect (cancelled 1) (counted-at-least "late commands carried out" 2) (counted-at-least "starts after a cancellation" 2))
   (guard "packages/shard/src/worker-communication.ts" "return since !== null && now > addMs(since, this.maxRenewalDelayMs)" "return false"))
--- a/scenarios/cloud-trouble.sexp
+++ b/scenarios/cloud-trouble.sexp
@@ -1,5 +1,5 @@
 (scenario "refusals, outages and machines that never boot delay work and lose none"
   (seed 19) (until 400) (capacity 1) (never-boots 0.3)
-  (at 1 (submit pieces 12 cores 4 run 10 due 100) (submit pieces 6 cores 4 run 10))
+  (at 1 (submit tasks 12 cores 4 run 10 deadline 100) (submit tasks 6 cores 4 run 10))
   (at 10 (cloud-outage 30)) (at 60 (capacity 4))
-  (expect (all-over)))
+  (expect (all-jobs-final)))
--- a/scenarios/forgotten.sexp
+++ b/scenarios/forgotten.sexp
@@ -1,7 +1,7 @@
 (scenario "forgotten: an accepted job is known after every controller was lost, and is answered 200 again"
   (seed 12) (until 200)
-  (at 1 (submit pieces 3 cores 4 run 10))
-  (at 2 (submit pieces 3 cores 4 run 10 due 60))
+  (at 1 (submit tasks 3 cores 4 run 10))
+  (at 2 (submit tasks 3 cores 4 run 10 deadline 60))
   (at 3 (crash-all 3))
   (at 60 (resubmit 0) (resubmit 1))
   (at 120 (crash-all 1))
--- a/scenarios/guests.sexp
+++ b/scenarios/guests.sexp
@@ -1,8 +1,8 @@
 (scenario "guests: a team without guarantee and limit is served beside the others, and gives way to them"
   (seed 91) (until 400)
-  (at 1 (submit pieces 6 cores 4 run 30 due 150) (submit pieces 400 cores 0.25 run 4 mem 0.5 urgency best_effort owner guest lane archive)
-        (submit pieces 30 cores 4 run 60 snapshot 20 flush 3 urgency best_effort owner guest lane scan))
-  (at 5 (stream 40 20 pieces 1 cores 0.5 mem 0.5 run 3 urgency best_effort owner guest lane pings))
-  (at 60 (submit pieces 12 cores 4 run 20 urgency high due 90) (submit pieces 8 cores 4 run 20 owner blue))
-  (expect (all-over) (served) (begun-within 150))
+  (at 1 (submit tasks 6 cores 4 run 30 deadline 150) (submit tasks 400 cores 0.25 run 4 mem-gb 0.5 priority best_effort team guest job-class archive)
+        (submit tasks 30 cores 4 run 60 checkpoint-interval 20 checkpoint-save 3 priority best_effort team guest job-class scan))
+  (at 5 (stream 40 20 tasks 1 cores 0.5 mem-gb 0.5 run 3 priority best_effort team guest job-class pings))
+  (at 60 (submit tasks 12 cores 4 run 20 priority high deadline 90) (submit tasks 8 cores 4 run 20 team blue))
+  (expect (all-jobs-final) (half-done-per-group) (started-within 150))
   (guard "packages/settings/src/codec.ts" "stated == null || stated === 0 ? NO_LIMIT : stated" "stated ?? 0"))
--- a/scenarios/held-commands.sexp
+++ b/scenarios/held-commands.sexp
@@ -1,8 +1,8 @@
 (scenario "commands are held up for seconds: a start that got no answer counts until it can't be carried out any more"
   (seeds 72 73 74) (until 140) (team-limit 32)
-  (at 1 (submit pieces 4 cores 8 run 3 due 12 build small zone a) (submit pieces 4 cores 8 run 3 due 12 build small zone b owner blue))
-  (at 19.5 (late-commands 1 5)) (at 20 (submit pieces 4 cores 8 run 40 due 80 zone a)) (at 20.6 (cancel 2))
-  (at 20.7 (submit pieces 4 cores 8 run 20 due 60 zone b)) (at 30 (hang 4 12)) (at 31 (submit pieces 4 cores 4 run 4 due 60 owner blue))
-  (expect (all-over) (begun-within 60) (happened "late commands carried out" 1))
+  (at 1 (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone a) (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone b team blue))
+  (at 19.5 (late-commands 1 5)) (at 20 (submit tasks 4 cores 8 run 40 deadline 80 zone a)) (at 20.6 (cancel 2))
+  (at 20.7 (submit tasks 4 cores 8 run 20 deadline 60 zone b)) (at 30 (hang-machines 4 12)) (at 31 (submit tasks 4 cores 4 run 4 deadline 60 team blue))
+  (expect (all-jobs-final) (started-within 60) (counted-at-least "late commands carried out" 1))
   (guard "packages/workers/src/start-tracker.ts" "if (this.unansweredToken === null || this.unansweredToken < token) this.unansweredToken = token" "")
   (guard "packages/workers/src/start-tracker.ts" "if ((this.inFlight.get(key) ?? 0) > 0) return false" ""))
--- a/scenarios/odd-requests.sexp
+++ b/scenarios/odd-requests.sexp
@@ -1,9 +1,9 @@
 (scenario "odd requests: repeats, cancels of done jobs, jobs that fit nowhere or lack a field, at nodes that just began too"
   (seed 75) (until 200) (capacity 12)
-  (at 0.1 (odd-requests 150))
-  (at 5 (stream 20 60 pieces 2 cores 1 run 5) (stream 5 60 pieces 4 cores 2 run 10 due 90))
+  (at 0.1 (unusual-requests 150))
+  (at 5 (stream 20 60 tasks 2 cores 1 run 5) (stream 5 60 tasks 4 cores 2 run 10 deadline 90))
   (at 30 (crash host-1 2)) (at 50 (crash-all 1)) (at 52 (cloud-outage 20))
-  (expect (all-over) (happened odd 150) (happened oddRefused 200))
+  (expect (all-jobs-final) (counted-at-least "unusual requests" 150) (counted-at-least "invalid jobs refused" 200))
   (guard "packages/api/src/admissibility.ts"
     "if (zones.size === 0) return inadmissible(\"a task fits no allowed machine type\")"
     "")
--- a/scenarios/orders-copied.sexp
+++ b/scenarios/orders-copied.sexp
@@ -1,6 +1,6 @@
 (scenario "a copy of a command that was carried out starts nothing again, done or not"
   (seed 6) (until 140) (capacity 2)
-  (at 1 (submit pieces 1 cores 2 run 3))
-  (at 20 (repeat-messages 1 70 30) (stream 40 60 pieces 1 cores 2 run 2))
-  (expect (all-over) (starts-at-most 41))
+  (at 1 (submit tasks 1 cores 2 run 3))
+  (at 20 (repeat-messages 1 70 30) (stream 40 60 tasks 1 cores 2 run 2))
+  (expect (all-jobs-final) (starts-at-most 41))
   (guard "packages/workers/src/start-tracker.ts" "if (directStart === undefined) return tokenConfirmed" "if (directStart === undefined || directStart.at !== null) return true"))
--- a/scenarios/quota-takeover.sexp
+++ b/scenarios/quota-takeover.sexp
@@ -1,8 +1,8 @@
 (scenario "quota: a new owner counts what a cancelled job still has on machines that hang"
   (seed 42) (until 200) (team-limit 16) (capacity 8)
-  (at 1 (submit pieces 4 cores 4 run 60 due 300 spot no))
-  (at 20 (hang 12 26)) (at 21 (cancel 0))
-  (at 22 (submit pieces 4 cores 4 run 20 due 300 zone b spot no) (submit pieces 4 cores 4 run 20 due 300 zone a spot no))
+  (at 1 (submit tasks 4 cores 4 run 60 deadline 300 spot no))
+  (at 20 (hang-machines 12 26)) (at 21 (cancel 0))
+  (at 22 (submit tasks 4 cores 4 run 20 deadline 300 zone b spot no) (submit tasks 4 cores 4 run 20 deadline 300 zone a spot no))
   (at 24 (crash-all 2))
-  (expect (all-over))
+  (expect (all-jobs-final))
   (guard "packages/shard/src/job-registry.ts" "if (this.events.isReady() && job.awaitsFinalState)" "if (job.awaitsFinalState)"))
--- a/scenarios/ran-twice-cut.sexp
+++ b/scenarios/ran-twice-cut.sexp
@@ -1,9 +1,9 @@
 (scenario "ran_twice: a task isn't started elsewhere while its machine is cut off with it"
   (seed 2) (until 260)
-  (at 1 (submit pieces 8 cores 4 run 40 due 150) (submit pieces 4 cores 4 run 60))
+  (at 1 (submit tasks 8 cores 4 run 40 deadline 150) (submit tasks 4 cores 4 run 60))
   (at 25 (cut-machines 2 20 hold))
   (at 70 (cut-machines 3 45 hold))
-  (expect (all-over))
+  (expect (all-jobs-final))
   (guard "packages/workers/src/worker-lease.ts"
     "now > addMs(this.lastAnsweredAt, this.times.leaseS * 1000 * (1 + DRIFT) + LEASE_MARGIN_MS)"
     "now > addMs(this.lastAnsweredAt, 8000)"))
--- a/scenarios/ran-twice-hang.sexp
+++ b/scenarios/ran-twice-hang.sexp
@@ -1,7 +1,7 @@
 (scenario "ran_twice: a hung machine that resumes just before its lease ends still has its tasks"
   (seed 5) (until 240)
-  (at 1 (submit pieces 8 cores 4 run 30 due 120))
-  (at 20 (hang 2 25))
-  (at 60 (submit pieces 8 cores 4 run 30 due 120))
-  (at 80 (hang 3 26))
-  (expect (all-over)))
+  (at 1 (submit tasks 8 cores 4 run 30 deadline 120))
+  (at 20 (hang-machines 2 25))
+  (at 60 (submit tasks 8 cores 4 run 30 deadline 120))
+  (at 80 (hang-machines 3 26))
+  (expect (all-jobs-final)))
--- a/scenarios/short-jobs.sexp
+++ b/scenarios/short-jobs.sexp
@@ -1,7 +1,7 @@
 (scenario "one-task jobs four a second, a quarter cancelled, with a change of leader in the middle"
   (seed 79) (until 300) (capacity 40) (team-limit 400)
-  (at 4 (close-polls 150 0) (cancel-some 0.15 120) (cancel-at-end 0.12 150))
-  (at 5 (stream 400 100 pieces 1 cores 1 run 6 due 200))
+  (at 4 (immediate-polls 150 0) (cancel-some 0.15 120) (cancel-at-end 0.12 150))
+  (at 5 (stream 400 100 tasks 1 cores 1 run 6 deadline 200))
   (at 20 (state-slow 150 60)) (at 60 (crash host-0 4))
-  (expect (all-over) (served) (happened endsCancelled 5) (withdrawn 40) (happened closeAfterEnd 100))
+  (expect (all-jobs-final) (half-done-per-group) (counted-at-least "cancellations at the end of a job answered cancelled" 5) (cancelled 40) (counted-at-least "answers soon after the end of a job" 100))
   (guard "packages/jobs/src/job-ends.ts" "...pageConditions(write.doneJobs)," ""))
--- a/scenarios/slow-burst.sexp
+++ b/scenarios/slow-burst.sexp
@@ -1,4 +1,4 @@
 (scenario "slow nodes: a burst of submissions and polls is served, and what is refused comes back"
   (seed 92) (until 300) (processor-share 0.03) (capacity 12) (team-limit 200)
-  (at 15 (close-polls 60) (stream 150 3 pieces 1 cores 1 run 4) (stream 60 3 pieces 2 cores 1 run 4 due 120 owner blue))
-  (expect (all-over) (served) (begun-within 120)))
+  (at 15 (immediate-polls 60) (stream 150 3 tasks 1 cores 1 run 4) (stream 60 3 tasks 2 cores 1 run 4 deadline 120 team blue))
+  (expect (all-jobs-final) (half-done-per-group) (started-within 120)))
--- a/scenarios/slow-election.sexp
+++ b/scenarios/slow-election.sexp
@@ -1,6 +1,6 @@
 (scenario "slow nodes: the leader is back within a fraction of a second, in the middle of the election, again and again"
   (seed 56) (until 240) (processor-share 0.1) (capacity 8)
-  (at 1 (submit pieces 12 cores 4 run 40 due 150) (submit pieces 8 cores 4 run 40))
-  (at 20 (refuse-peers 30) (crash host-0 0.2)) (at 20.3 (crash host-1 0.1)) (at 20.6 (crash host-0 0.1)) (at 21 (crash host-2 0.4) (crash host-0 0.3))
-  (at 22 (submit pieces 8 cores 4 run 10 due 60)) (at 26 (state-refuses host-0 20)) (at 28 (crash host-0 0.2))
-  (expect (all-over) (served) (begun-within 90) (happened joins 7) (happened takeOvers 8) (happened leaderChanges 3)))
+  (at 1 (submit tasks 12 cores 4 run 40 deadline 150) (submit tasks 8 cores 4 run 40))
+  (at 20 (refuse-peer-connections 30) (crash host-0 0.2)) (at 20.3 (crash host-1 0.1)) (at 20.6 (crash host-0 0.1)) (at 21 (crash host-2 0.4) (crash host-0 0.3))
+  (at 22 (submit tasks 8 cores 4 run 10 deadline 60)) (at 26 (state-refuses host-0 20)) (at 28 (crash host-0 0.2))
+  (expect (all-jobs-final) (half-done-per-group) (started-within 90) (counted-at-least "node leases published" 7) (counted-at-least "failovers" 8) (counted-at-least "leader changes" 3)))
--- a/scenarios/state-outage.sexp
+++ b/scenarios/state-outage.sexp
@@ -1,6 +1,6 @@
 (scenario "an outage shorter than grant and lease together costs no running task"
   (seed 16) (until 240)
-  (at 1 (submit pieces 8 cores 4 run 60 due 200))
+  (at 1 (submit tasks 8 cores 4 run 60 deadline 200))
   (at 30 (state-outage 20))
-  (at 35 (submit pieces 2 cores 4 run 10))
-  (expect (all-over) (starts-at-most 10)))
+  (at 35 (submit tasks 2 cores 4 run 10))
+  (expect (all-jobs-final) (starts-at-most 10)))
--- a/scenarios/strays.sexp
+++ b/scenarios/strays.sexp
@@ -1,5 +1,5 @@
 (scenario "machines that nobody has on record are adopted or returned"
   (seed 18) (until 200) (never-boots 0.2)
-  (at 1 (adopt-strays 3))
-  (at 5 (submit pieces 8 cores 4 run 20 due 100))
-  (expect (all-over) (no-machine)))
+  (at 1 (orphan-machines 3))
+  (at 5 (submit tasks 8 cores 4 run 20 deadline 100))
+  (expect (all-jobs-final) (no-machines-left)))
--- a/scenarios/went-back.sexp
+++ b/scenarios/went-back.sexp
@@ -1,10 +1,10 @@
 (scenario "went_back: once cancelled or done, a job stays so, whichever node is asked"
   (seed 15) (until 200)
-  (at 1 (submit pieces 3 cores 4 run 10) (submit pieces 8 cores 4 run 60) (submit pieces 8 cores 4 run 60 due 200))
+  (at 1 (submit tasks 3 cores 4 run 10) (submit tasks 8 cores 4 run 60) (submit tasks 8 cores 4 run 60 deadline 200))
   (at 18 (cut-machines 9 40 hold))
   (at 20 (cancel 1)) (at 21 (cancel 2)) (at 22 (resubmit 1) (resubmit 2)) (at 23 (resubmit 1) (resubmit 2))
   (at 30 (crash-all 2)) (at 50 (cancel 0)) (at 60 (resubmit 0) (resubmit 1))
-  (expect (withdrawn 2) (all-over))
+  (expect (cancelled 2) (all-jobs-final))
   (guard "packages/api/src/job-requests.ts"
     "if (found.record.cancelled)"
     "if (found.record.cancelled && this.clocks.monotonicNow() < 0)"))
--- a/scenarios/wrong-place-kind.sexp
+++ b/scenarios/wrong-place-kind.sexp
@@ -1,6 +1,6 @@
 (scenario "wrong_place: a job that may not use spot machines, or only one zone, waits for the right ones"
   (seed 8) (until 300)
-  (at 1 (submit pieces 10 cores 4 run 15))
-  (at 25 (submit pieces 6 cores 4 run 15 spot no) (submit pieces 6 cores 4 run 15 zone a spot no))
-  (expect (all-over))
+  (at 1 (submit tasks 10 cores 4 run 15))
+  (at 25 (submit tasks 6 cores 4 run 15 spot no) (submit tasks 6 cores 4 run 15 zone a spot no))
+  (expect (all-jobs-final))
   (guard "packages/planner/src/eligibility.ts" "(!kind.spot || spec.spotAllowed) &&" ""))
