--- a/scenarios/began-anew.sexp
+++ b/scenarios/began-anew.sexp
@@ -1,4 +1,4 @@
-(scenario "a worker that is back within a fraction of a second, with lower counters, is not shut out"
+(scenario "a worker that reboots within a fraction of a second is accepted again although the counters in its heartbeats are lower than before"
   (seed 32) (until 103)
   (at 1 (submit tasks 60 cores 4 run 2 deadline 300))
   (at 66 (submit tasks 4 cores 4 run 10 deadline 300))
--- a/scenarios/cancel-at-end.sexp
+++ b/scenarios/cancel-at-end.sexp
@@ -1,4 +1,4 @@
-(scenario "a cancellation, a question and a repeated submission meet the end of a job's last task"
+(scenario "a cancellation at the end of a job's last task never changes a final state, because it is written only if the job's pages are unchanged"
   (seeds 72 73 74) (until 200) (capacity 12)
   (at 4 (immediate-polls 150) (cancel-at-end 0.7 150))
   (at 5 (stream 40 80 tasks 1 cores 1 run 3) (stream 12 80 tasks 2 cores 2 run 6 deadline 90))
--- a/scenarios/cancel-burst.sexp
+++ b/scenarios/cancel-burst.sexp
@@ -1,4 +1,4 @@
-(scenario "jobs that run and have long to go are cancelled in a burst, their machines hang, and the leader ends"
+(scenario "a new owner stops the tasks of cancelled jobs when running jobs are cancelled in a burst, their machines hang and the leader crashes"
   (seed 78) (until 260) (capacity 12) (team-limit 64)
   (at 1 (submit tasks 4 cores 4 run 120 deadline 300) (submit tasks 4 cores 4 run 120 deadline 300) (submit tasks 4 cores 4 run 120) (submit tasks 4 cores 4 run 120))
   (at 5 (immediate-polls 100))
--- a/scenarios/cancelled-start-held.sexp
+++ b/scenarios/cancelled-start-held.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_cancelled: starts held up on their way, their job cancelled, and an outage before a token could be raised"
+(scenario "delayed starts of a cancelled job don't run past cancel_s when a store outage keeps the owner from raising the fencing token"
   (seeds 91 92 93 94 95 96) (until 200) (workers 1 10 13)
   (at 1 (submit tasks 8 cores 4 run 30))
   (at 40 (late-commands 1 3))
--- a/scenarios/close-polls-slow.sexp
+++ b/scenarios/close-polls-slow.sexp
@@ -1,4 +1,4 @@
-(scenario "all nodes are asked within milliseconds of each event while the state service answers slowly"
+(scenario "a query that arrives after the read barrier's request was sent isn't answered from that request's response, with all nodes polled right after each event while the store is slow"
   (seed 80) (until 160) (capacity 12)
   (at 4 (immediate-polls 100) (state-slow 120 90))
   (at 5 (stream 30 60 tasks 1 cores 1 run 4) (stream 10 60 tasks 2 cores 2 run 8 deadline 90))
--- a/scenarios/close-polls.sexp
+++ b/scenarios/close-polls.sexp
@@ -1,4 +1,4 @@
-(scenario "all nodes are asked within milliseconds of an acceptance, an end or a confirmed cancellation"
+(scenario "no node answers with an outdated job status when polled within milliseconds of an acceptance, an end or a confirmed cancellation"
   (seed 71) (until 160) (capacity 12)
   (at 4 (immediate-polls 100))
   (at 5 (stream 30 40 tasks 1 cores 1 run 4) (stream 10 40 tasks 2 cores 2 run 8 deadline 90))
--- a/scenarios/deposed-commands.sexp
+++ b/scenarios/deposed-commands.sexp
@@ -1,4 +1,4 @@
-(scenario "a start by a leader that has ended arrives after the new leader's first words, at machines that didn't hear those"
+(scenario "a delayed start from a crashed leader runs no task twice on machines that haven't received the new leader's fencing token"
   (seeds 72 73 74) (until 140) (team-limit 32)
   (at 1 (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone a) (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone b team blue))
   (at 19.5 (late-commands 1 5)) (at 20 (submit tasks 4 cores 8 run 40 deadline 80 zone a)) (at 20.4 (machines-receive-nothing 8 14))
--- a/scenarios/ends-far-apart.sexp
+++ b/scenarios/ends-far-apart.sexp
@@ -1,4 +1,4 @@
-(scenario "jobs of two or three tasks that end far apart, across a change of leader and of the other parts' owners"
+(scenario "finished tasks aren't run again when controllers crash many seconds before the last task of their job ends"
   (seed 77) (until 300) (capacity 12) (team-limit 16)
   (at 4 (immediate-polls 250 0))
   (at 5 (stream 3 4 tasks 2 cores 16 run 20 machine-type large deadline 250) (stream 2 4 tasks 3 cores 16 run 20 machine-type large team blue))
--- a/scenarios/ends-known.sexp
+++ b/scenarios/ends-known.sexp
@@ -1,4 +1,4 @@
-(scenario "forgotten: a job whose end is packed with others is known at all nodes, also after all were lost"
+(scenario "the final state of a job whose end shares a page with others is known at all nodes, also after all controllers crash"
   (seed 73) (until 200) (capacity 12)
   (at 1 (stream 60 15 tasks 1 cores 2 run 4 deadline 60) (stream 20 15 tasks 1 cores 2 run 4 team blue))
   (at 3 (cancel 2) (cancel 5) (cancel 61))
--- a/scenarios/ends-lost-answers.sexp
+++ b/scenarios/ends-lost-answers.sexp
@@ -1,4 +1,4 @@
-(scenario "went_back: ends and cancellations meet while answers to transactions are lost, or transactions late"
+(scenario "a final state doesn't change when a job's end meets its cancellation while answers to transactions are lost or transactions applied late"
   (seeds 72 73 74 75) (until 220) (capacity 12)
   (at 1 (cancel-at-end 0.6 120) (immediate-polls 120))
   (at 2 (stream 80 60 tasks 1 cores 2 run 5 deadline 100) (stream 40 60 tasks 1 cores 2 run 5 team blue))
--- a/scenarios/fast-boots.sexp
+++ b/scenarios/fast-boots.sexp
@@ -1,4 +1,4 @@
-(scenario "machines are up within two seconds while writes lag, and their renters end: they are adopted, used and returned"
+(scenario "machines that boot before their record is written, as writes are limited and the nodes that rented them crash, are adopted, used and returned"
   (seeds 71 72 75 76) (until 260) (capacity 8) (state-limits 60 10)
   (at 0.5 (fast-boots 150 1))
   (at 9.5 (stream 120 12 tasks 1 cores 4 run 5 deadline 60))
--- a/scenarios/faulty-machine.sexp
+++ b/scenarios/faulty-machine.sexp
@@ -1,4 +1,4 @@
-(scenario "a faulty machine is found out by jobs that succeed elsewhere, beside a job with a mistake"
+(scenario "a machine on which jobs fail that succeed elsewhere is returned as faulty, although a job that always fails runs at the same time"
   (seeds 111 112 113) (until 300) (capacity 20)
   (at 1 (submit tasks 12 cores 4 run 15 deadline 200) (submit tasks 8 cores 4 run 40))
   (at 20 (faulty-machines 3) (submit tasks 6 cores 4 run 20 always-fails yes job-class wrong deadline 100))
--- a/scenarios/forgotten.sexp
+++ b/scenarios/forgotten.sexp
@@ -1,4 +1,4 @@
-(scenario "forgotten: an accepted job is known after every controller was lost, and is answered 200 again"
+(scenario "accepted jobs are still known after all controllers crash, so that repeated submissions are answered 200"
   (seed 12) (until 200)
   (at 1 (submit tasks 3 cores 4 run 10))
   (at 2 (submit tasks 3 cores 4 run 10 deadline 60))
--- a/scenarios/guests.sexp
+++ b/scenarios/guests.sexp
@@ -1,4 +1,4 @@
-(scenario "guests: a team without guarantee and limit is served beside the others, and gives way to them"
+(scenario "a team with no guarantee and a stated limit of 0, which means no limit, is served beside the other teams and gives way to them"
   (seed 91) (until 400)
   (at 1 (submit tasks 6 cores 4 run 30 deadline 150) (submit tasks 400 cores 0.25 run 4 mem-gb 0.5 priority best_effort team guest job-class archive)
         (submit tasks 30 cores 4 run 60 checkpoint-interval 20 checkpoint-save 3 priority best_effort team guest job-class scan))
--- a/scenarios/hand-over-and-back.sexp
+++ b/scenarios/hand-over-and-back.sexp
@@ -1,4 +1,4 @@
-(scenario "controllers hand over and back, all end, and one returns within a second, while jobs are cancelled as parts change hands"
+(scenario "a new owner stops the tasks of jobs cancelled while shards change owner, as controllers crash, restart within a second and get shards handed back"
   (seeds 303 304) (until 420) (capacity 16) (team-limit 96)
   (at 1 (stream 12 30 tasks 4 cores 2 run 120) (stream 6 30 tasks 4 cores 2 run 120 deadline 300 team blue))
   (at 25 (cancel-at-owner-changes 1 150))
--- a/scenarios/hand-over-late.sexp
+++ b/scenarios/hand-over-late.sexp
@@ -1,4 +1,4 @@
-(scenario "releases and take-overs are carried out seconds late, after newer ones, while controllers hand over and back"
+(scenario "no shard gets two owners when transactions that release or acquire shards are applied seconds late, after newer ones"
   (seeds 317 318 319 325) (until 420) (capacity 16) (team-limit 96)
   (at 1 (stream 12 30 tasks 4 cores 2 run 60) (stream 6 30 tasks 4 cores 2 run 60 deadline 300 team blue))
   (at 25 (cancel-at-owner-changes 1 150))
--- a/scenarios/hears-nothing.sexp
+++ b/scenarios/hears-nothing.sexp
@@ -1,4 +1,4 @@
-(scenario "machines whose reports arrive but that hear nothing get no work, and are returned"
+(scenario "machines whose heartbeats arrive but that receive nothing get no work and are returned as unreachable"
   (seed 31) (until 110) (capacity 4)
   (at 1 (submit tasks 12 cores 4 run 12 deadline 300 spot no))
   (at 28 (machines-receive-nothing 6 200))
--- a/scenarios/held-commands.sexp
+++ b/scenarios/held-commands.sexp
@@ -1,4 +1,4 @@
-(scenario "commands are held up for seconds: a start that got no answer counts until it can't be carried out any more"
+(scenario "a start without an answer counts until it can't take effect any more, so that commands delayed by seconds run no task twice"
   (seeds 72 73 74) (until 140) (team-limit 32)
   (at 1 (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone a) (submit tasks 4 cores 8 run 3 deadline 12 machine-type small zone b team blue))
   (at 19.5 (late-commands 1 5)) (at 20 (submit tasks 4 cores 8 run 40 deadline 80 zone a)) (at 20.6 (cancel 2))
--- a/scenarios/isolated.sexp
+++ b/scenarios/isolated.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_cancelled: a controller without state service and peers, not without its workers, stops acting for them"
+(scenario "a controller cut off from the store and its peers, but not from its workers, stops answering heartbeats, so that cancelled tasks stop in time"
   (seeds 34 35 36 37) (until 200)
   (at 1 (submit tasks 6 cores 4 run 150 deadline 400) (submit tasks 4 cores 4 run 30))
   (at 20 (isolate host-0 90)) (at 24 (cancel 0)) (at 23 (hang-machines 2 26)) (at 25 (machines-receive-nothing 2 40)) (at 26 (submit tasks 6 cores 4 run 10 deadline 100))
--- a/scenarios/late-reports-next-leader.sexp
+++ b/scenarios/late-reports-next-leader.sexp
@@ -1,4 +1,4 @@
-(scenario "old reports reach every controller just as a new leader begins, some of workers that began anew since"
+(scenario "a new leader doesn't clear placements that still run because of late copies of heartbeats, some from before a worker's reboot, that arrive as it starts"
   (seeds 72 73 74 76) (until 330) (capacity 5)
   (at 1 (submit tasks 12 cores 4 run 60 deadline 280) (submit tasks 8 cores 4 run 50 deadline 280 priority best_effort))
   (at 8 (late-heartbeats 0.6 48 for-next-leader))
--- a/scenarios/late-reports.sexp
+++ b/scenarios/late-reports.sexp
@@ -1,4 +1,4 @@
-(scenario "old reports arrive after newer ones, from earlier sessions and attempts: a cancelled task that hears nothing still counts"
+(scenario "late heartbeats of earlier sessions and attempts don't override newer ones, so that a cancelled task on a machine that receives nothing still counts"
   (seeds 71 72) (until 330) (capacity 12) (team-limit 64)
   (at 1 (submit tasks 8 cores 8 run 3 deadline 12 machine-type small) (submit tasks 8 cores 8 run 16 deadline 25 team blue machine-type small) (late-heartbeats 0.9 140)) (at 24 (submit tasks 8 cores 8 run 90 deadline 110 machine-type small))
   (at 32 (machines-receive-nothing 8 24)) (at 33 (cancel 2)) (at 33 (submit tasks 8 cores 8 run 20 deadline 60))
--- a/scenarios/late-transactions.sexp
+++ b/scenarios/late-transactions.sexp
@@ -1,4 +1,4 @@
-(scenario "transactions without an answer are carried out late, after newer ones of the same controller"
+(scenario "transactions without an answer that are applied late don't overwrite newer ones of the same controller"
   (seed 74) (until 300) (capacity 12)
   (at 4 (immediate-polls 120) (late-transactions 0.4 110))
   (at 5 (stream 30 80 tasks 1 cores 1 run 2) (stream 10 80 tasks 3 cores 2 run 8 deadline 90))
--- a/scenarios/leader-ends-unreachable.sexp
+++ b/scenarios/leader-ends-unreachable.sexp
@@ -1,4 +1,4 @@
-(scenario "leaders end while machines with long tasks can't be reached, or don't hear the new leader's answers"
+(scenario "no task runs twice when leaders crash while machines with long tasks are hung, cut off or don't receive the new leader's answers"
   (seeds 72 73) (until 400) (capacity 8) (team-limit 48)
   (at 1 (submit tasks 12 cores 4 run 120 deadline 350 team red) (submit tasks 12 cores 4 run 120 deadline 350 team blue))
   (at 20 (machines-send-nothing 3 60) (machines-receive-nothing 4 60)) (at 21 (cut-machines 4 50 hold)) (at 22 (hang-machines 3 24))
--- a/scenarios/leaders-change.sexp
+++ b/scenarios/leaders-change.sexp
@@ -1,4 +1,4 @@
-(scenario "leaders change ten times in two minutes, also inside an outage, with peers that refuse connections"
+(scenario "the leader's shard is without an owner for at most 35 s in total while twelve leaders crash in two minutes, with a store outage and peers that refuse connections"
   (seed 321) (until 420) (capacity 16) (team-limit 96)
   (at 1 (stream 12 60 tasks 4 cores 2 run 30) (stream 12 60 tasks 4 cores 2 run 30 deadline 300 team blue))
   (at 25 (cancel-at-owner-changes 1 150))
--- a/scenarios/limits-cancelled-hung.sexp
+++ b/scenarios/limits-cancelled-hung.sexp
@@ -1,4 +1,4 @@
-(scenario "every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes"
+(scenario "tasks of cancelled jobs on hung or cut-off machines still count against their team's limit when the leader changes and every team is at its limit"
   (seeds 73 74 75 76) (until 160) (team-limit 24) (capacity 6)
   (at 1 (submit tasks 6 cores 4 run 90 deadline 110 spot no) (submit team blue tasks 6 cores 4 run 90 deadline 110 spot no))
   (at 28 (submit tasks 8 cores 4 run 15 deadline 110) (submit team blue tasks 8 cores 4 run 15 deadline 110))
--- a/scenarios/limits-leader-change.sexp
+++ b/scenarios/limits-leader-change.sexp
@@ -1,4 +1,4 @@
-(scenario "a team is at its limit when the leader changes, some machines can't be asked, and jobs are cancelled in that spell"
+(scenario "a new leader counts tasks on machines that it can't reach, also those of jobs cancelled between two leaders, when every team is at its limit"
   (seed 72) (until 150) (team-limit 24) (capacity 6)
   (at 1 (submit tasks 6 cores 4 run 80 deadline 105 spot no) (submit team blue tasks 6 cores 4 run 80 deadline 105 spot no))
   (at 28 (submit tasks 6 cores 4 run 15 deadline 100) (submit team blue tasks 6 cores 4 run 15 deadline 100))
--- a/scenarios/lost-answers-read.sexp
+++ b/scenarios/lost-answers-read.sexp
@@ -1,4 +1,4 @@
-(scenario "transactions are carried out and only their answers lost, while other nodes read what they wrote"
+(scenario "a submission whose transaction is applied but whose answer is lost is answered from the record that other nodes already read"
   (seed 73) (until 260) (capacity 12)
   (at 4 (immediate-polls 110) (lost-answers 0.4 100))
   (at 5 (stream 30 80 tasks 1 cores 1 run 3) (stream 10 80 tasks 3 cores 2 run 8 deadline 90))
--- a/scenarios/many-hang.sexp
+++ b/scenarios/many-hang.sexp
@@ -1,4 +1,4 @@
-(scenario "most machines hang beyond their lease and go on, with late copies of what they said"
+(scenario "no task runs twice when most machines hang for longer than their agent lease and resume, with late copies of their messages"
   (seed 53) (until 300) (capacity 8)
   (at 1 (repeat-messages 0.1 200 60) (submit tasks 16 cores 4 run 60 deadline 250) (submit tasks 8 cores 4 run 60))
   (at 20 (hang-machines 20 36)) (at 22 (crash host-0 3)) (at 30 (submit tasks 8 cores 4 run 10 deadline 100))
--- a/scenarios/mistakes.sexp
+++ b/scenarios/mistakes.sexp
@@ -1,4 +1,4 @@
-(scenario "jobs with a mistake cost no healthy machine, rent next to nothing and delay no other job"
+(scenario "jobs that fail on every machine make no healthy machine count as faulty, cause few rentals and delay no other job"
   (seeds 101 102 103) (until 420) (capacity 20)
   (at 1 (submit tasks 6 cores 4 run 20 deadline 100) (submit tasks 8 cores 4 run 20))
   (at 30 (submit tasks 1 cores 4 run 20 always-fails yes job-class wrong) (submit tasks 60 cores 4 run 20 always-fails yes job-class wrong team blue)
--- a/scenarios/odd-requests.sexp
+++ b/scenarios/odd-requests.sexp
@@ -1,4 +1,4 @@
-(scenario "odd requests: repeats, cancels of done jobs, jobs that fit nowhere or lack a field, at nodes that just began too"
+(scenario "invalid jobs are refused, and repeated submissions and cancellations of done jobs cause no error, also at nodes that have just started"
   (seed 75) (until 200) (capacity 12)
   (at 0.1 (unusual-requests 150))
   (at 5 (stream 20 60 tasks 2 cores 1 run 5) (stream 5 60 tasks 4 cores 2 run 10 deadline 90))
--- a/scenarios/overload-slow-links.sexp
+++ b/scenarios/overload-slow-links.sexp
@@ -1,4 +1,4 @@
-(scenario "more work than room, urgent and not, over slow links: every job begins, and most of every class is served"
+(scenario "every job starts in time and most of every class is done when urgent and other work exceeds the capacity and links are slow"
   (seeds 78 79 80 81) (until 520) (team-limit 120) (capacity 2)
   (at 1 (slow-links 0.5 260) (submit tasks 60 cores 4 run 30 priority best_effort job-class sweep))
   (at 2 (stream 36 220 tasks 5 cores 4 run 16 job-class train team red) (stream 50 220 tasks 6 cores 4 run 12 priority high deadline 60 job-class release team red)
--- a/scenarios/quiet.sexp
+++ b/scenarios/quiet.sexp
@@ -1,4 +1,4 @@
-(scenario "a quiet day: jobs with and without deadlines run, and the machines go back"
+(scenario "without faults, jobs with and without deadlines finish and all machines are returned"
   (seed 1) (until 400)
   (at 1 (submit tasks 6 cores 4 run 20 deadline 120)
         (submit tasks 3 cores 8 run 30)
--- a/scenarios/quota-small.sexp
+++ b/scenarios/quota-small.sexp
@@ -1,4 +1,4 @@
-(scenario "quota: parts of equal rank share a limit in which only a few tasks fit, and none starves"
+(scenario "shards of equal rank share a limit in which only a few tasks fit, so that none keeps unused quota while another starves"
   (seed 31) (until 600) (team-limit 12)
   (at 1 (submit tasks 4 cores 8 run 12) (submit tasks 4 cores 8 run 12) (submit tasks 4 cores 8 run 12)
         (submit tasks 4 cores 8 run 12) (submit tasks 4 cores 8 run 12) (submit tasks 4 cores 8 run 12 deadline 90)
--- a/scenarios/quota-takeover.sexp
+++ b/scenarios/quota-takeover.sexp
@@ -1,4 +1,4 @@
-(scenario "quota: a new owner counts what a cancelled job still has on machines that hang"
+(scenario "a new owner counts the tasks that a cancelled job still has on hung machines against the team's limit"
   (seed 42) (until 200) (team-limit 16) (capacity 8)
   (at 1 (submit tasks 4 cores 4 run 60 deadline 300 spot no))
   (at 20 (hang-machines 12 26)) (at 21 (cancel 0))
--- a/scenarios/quota.sexp
+++ b/scenarios/quota.sexp
@@ -1,4 +1,4 @@
-(scenario "quota: a team's tasks never use more than its limit, over all parts and take-overs"
+(scenario "a team's tasks never exceed its limit over all shards, also when a controller crashes and machines are cut off"
   (seed 6) (until 400) (team-limit 16)
   (at 1 (submit tasks 12 cores 4 run 15 deadline 100) (submit tasks 6 cores 4 run 15) (submit tasks 6 cores 4 run 15) (submit tasks 6 cores 4 run 15))
   (at 30 (crash host-0 4))
--- a/scenarios/ran-cancelled-outage.sexp
+++ b/scenarios/ran-cancelled-outage.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_cancelled: a cancellation just before an outage, a cut and a crash"
+(scenario "cancelled tasks stop in time when a store outage and a controller crash follow the cancellation and machines are cut off"
   (seed 10) (until 260)
   (at 1 (submit tasks 8 cores 4 run 150) (submit tasks 8 cores 4 run 150 deadline 300) (submit tasks 3 cores 4 run 30))
   (at 30 (cut-machines 2 60 hold))
--- a/scenarios/ran-cancelled-refused.sexp
+++ b/scenarios/ran-cancelled-refused.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_cancelled: the owner alone gets 503 from the state service while a job is cancelled elsewhere"
+(scenario "tasks of a job cancelled at another node stop in time although the store refuses their owner alone with 503"
   (seed 12) (until 260)
   (at 1 (submit tasks 8 cores 4 run 150 deadline 300) (submit tasks 8 cores 4 run 150))
   (at 30 (state-refuses host-0 60) (cut-peers host-0 60))
--- a/scenarios/ran-cancelled.sexp
+++ b/scenarios/ran-cancelled.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_cancelled: what a user was told is cancelled is gone in time, whoever owns it"
+(scenario "tasks of a job stop in time once its cancellation is confirmed, whichever node owns its shard"
   (seed 9) (until 200)
   (at 1 (submit tasks 8 cores 4 run 100) (submit tasks 8 cores 4 run 100 deadline 300))
   (at 25 (cancel 0))
--- a/scenarios/ran-twice-cut.sexp
+++ b/scenarios/ran-twice-cut.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_twice: a task isn't started elsewhere while its machine is cut off with it"
+(scenario "a task isn't started elsewhere while the machine that runs it is cut off and its agent lease may be valid"
   (seed 2) (until 260)
   (at 1 (submit tasks 8 cores 4 run 40 deadline 150) (submit tasks 4 cores 4 run 60))
   (at 25 (cut-machines 2 20 hold))
--- a/scenarios/ran-twice-late-orders.sexp
+++ b/scenarios/ran-twice-late-orders.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_twice: a start that got lost on its way can't take effect after the task was placed elsewhere"
+(scenario "a start delayed on its way doesn't take effect after its task was placed elsewhere"
   (seed 3) (until 240)
   (at 1 (submit tasks 2 cores 4 run 200))
   (at 20 (cut-commands 60))
--- a/scenarios/ran-twice-new-session.sexp
+++ b/scenarios/ran-twice-new-session.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_twice: a new session, heard of by way of an order, has its full lease" (seed 86) (until 700) (team-limit 48) (never-boots 0.05)
+(scenario "a task isn't started elsewhere too early when its owner learns of the worker's new session from the answer to a command: the session has its full agent lease" (seed 86) (until 700) (team-limit 48) (never-boots 0.05)
   (at 1.0 (submit tasks 9 cores 4 run 36 team blue priority high image img-2))
   (at 24.9 (cancel 0))
   (at 6.8 (submit tasks 5 cores 1 run 45 team blue priority standard image img-3 deadline 84))
--- a/scenarios/ran-twice-takeover.sexp
+++ b/scenarios/ran-twice-takeover.sexp
@@ -1,4 +1,4 @@
-(scenario "ran_twice: a new owner finds what the old one placed, and places nothing of it again"
+(scenario "a new owner restores what the former one placed and starts none of it again"
   (seed 4) (until 240)
   (at 1 (submit tasks 8 cores 4 run 30 deadline 120) (submit tasks 6 cores 4 run 40))
   (at 20 (crash host-0 4))
--- a/scenarios/roll.sexp
+++ b/scenarios/roll.sexp
@@ -1,4 +1,4 @@
-(scenario "a rolling restart under a burst, with repeated and lost messages"
+(scenario "all jobs end and no task runs twice in a rolling restart under a burst of submissions, with duplicate and lost messages"
   (seed 23) (until 400)
   (at 1 (repeat-messages 0.02 200) (lose-messages 0.01 200))
   (at 2 (submit tasks 12 cores 4 run 20 deadline 120) (submit tasks 6 cores 4 run 20))
--- a/scenarios/scale-restart.sexp
+++ b/scenarios/scale-restart.sexp
@@ -1,4 +1,4 @@
-(scenario "half as many machines again as the largest fleet, all at one node: all controllers lost once"
+(scenario "concurrent commands, store requests and peer traffic stay within bounds when all controllers crash, with half as many machines again as the largest fleet, all at one node"
   (seed 63) (until 100) (nodes 5) (capacity 480) (team-limit 90000) (state-limits 120 25) (sockets 240) (controller-cores 8)
   (at 1 (stream 42 4 tasks 95 cores 16 run 25 deadline 90 team red machine-type large) (stream 10 4 tasks 40 cores 16 run 25 deadline 90 team blue machine-type large priority high))
   (at 32 (crash-all 4))
--- a/scenarios/scale.sexp
+++ b/scenarios/scale.sexp
@@ -1,4 +1,4 @@
-(scenario "over a thousand machines and ten thousand tasks: costs follow records and batches"
+(scenario "store requests and changes grow with records and batches, not with tasks, at over 1,000 machines and 10,000 tasks"
   (seed 21) (until 85) (nodes 5) (capacity 330) (team-limit 60000) (state-limits 120 25)
   (at 1 (stream 60 3 tasks 100 cores 4 run 20 deadline 80 team red) (stream 10 3 tasks 80 cores 8 run 30 team blue))
   (at 20 (stream 35 20 tasks 90 cores 4 run 10 deadline 60 team red image img-2)
--- a/scenarios/sends-nothing.sexp
+++ b/scenarios/sends-nothing.sexp
@@ -1,4 +1,4 @@
-(scenario "machines that reach no controller while commands reach them get no work, and lose what they have at their lease"
+(scenario "machines that reach no controller while commands reach them get no work, and their tasks are lost when their agent lease expires"
   (seeds 62 71) (until 260) (capacity 3)
   (at 1 (submit tasks 8 cores 4 run 100 deadline 400) (submit tasks 6 cores 4 run 100 deadline 400))
   (at 14 (machines-send-nothing 6 100))
--- a/scenarios/shared-reports.sexp
+++ b/scenarios/shared-reports.sexp
@@ -1,4 +1,4 @@
-(scenario "workers of a busy owner report to the other nodes, which end or are cut off, and the owner ends"
+(scenario "no node receives the heartbeats of too many workers, because a busy owner redirects some to other nodes, also when nodes crash or are cut off"
   (seed 91) (until 190) (nodes 5) (controller-cores 0.004) (capacity 12) (zones a b c) (team-limit 400)
   (at 1 (stream 40 80 tasks 8 cores 4 run 20 deadline 120) (stream 20 80 tasks 6 cores 4 run 15 team blue))
   (at 35 (crash host-2 4))
--- a/scenarios/short-jobs.sexp
+++ b/scenarios/short-jobs.sexp
@@ -1,4 +1,4 @@
-(scenario "one-task jobs four a second, a quarter cancelled, with a change of leader in the middle"
+(scenario "a final state isn't overwritten when one-task jobs arrive four a second and a quarter is cancelled, some at their end, and the leader crashes"
   (seed 79) (until 300) (capacity 40) (team-limit 400)
   (at 4 (immediate-polls 150 0) (cancel-some 0.15 120) (cancel-at-end 0.12 150))
   (at 5 (stream 400 100 tasks 1 cores 1 run 6 deadline 200))
--- a/scenarios/slow-all-lost.sexp
+++ b/scenarios/slow-all-lost.sexp
@@ -1,4 +1,4 @@
-(scenario "slow nodes: all controllers are lost twice: right after an outage, and while they are restarted one by one"
+(scenario "on slow nodes, no task runs twice after all controllers crash, right after a store outage and again during one-by-one restarts"
   (seed 55) (until 340) (processor-share 0.05) (capacity 8)
   (at 1 (submit tasks 12 cores 4 run 50 deadline 250) (submit tasks 8 cores 4 run 50) (submit tasks 8 cores 4 run 50 team blue))
   (at 20 (state-outage 14)) (at 33 (crash-all 4)) (at 34 (cancel 1))
--- a/scenarios/slow-state-cancels.sexp
+++ b/scenarios/slow-state-cancels.sexp
@@ -1,4 +1,4 @@
-(scenario "the state service is slow, then refuses the leader alone, then everybody for longer than cancel_s, while users cancel and ask"
+(scenario "cancelled tasks stop in time when the store is slow, then refuses the leader alone, then fails for all nodes for longer than cancel_s"
   (seed 79) (until 420) (capacity 12)
   (at 1 (submit tasks 8 cores 4 run 200 deadline 400) (submit tasks 8 cores 4 run 200 deadline 400) (stream 20 60 tasks 1 cores 1 run 5))
   (at 4 (immediate-polls 300 0.05))
--- a/scenarios/small-jobs.sexp
+++ b/scenarios/small-jobs.sexp
@@ -1,4 +1,4 @@
-(scenario "one-task jobs four a second, a quarter cancelled: at most two changes a job, whoever leads"
+(scenario "a one-task job costs at most two changes in the store at four jobs a second with a quarter cancelled, while the controllers crash one after another"
   (seed 71) (until 260) (capacity 30) (state-limits 150 15) (team-limit 400)
   (at 1 (cancel-some 0.25 120))
   (at 2 (stream 360 90 tasks 1 cores 2 run 6 deadline 120) (stream 40 90 tasks 1 cores 2 run 6 team blue))
--- a/scenarios/stands-still.sexp
+++ b/scenarios/stands-still.sexp
@@ -1,4 +1,4 @@
-(scenario "a controller stands still for half a minute, in the middle of an answer, a command, a transaction, a touch and a take-over"
+(scenario "a controller that freezes for half a minute while it sends an answer, a command, a transaction, a keep-alive or a shard acquisition breaks no invariant when it resumes"
   (seed 51) (until 420) (capacity 8)
   (at 1 (repeat-messages 0.03 300 40) (submit tasks 10 cores 4 run 40 deadline 200) (submit tasks 6 cores 4 run 40))
   (at 20 (freeze host-0 31 answer)) (at 22 (cancel 1))
--- a/scenarios/went-back.sexp
+++ b/scenarios/went-back.sexp
@@ -1,4 +1,4 @@
-(scenario "went_back: once cancelled or done, a job stays so, whichever node is asked"
+(scenario "a job that is cancelled or done stays so at every node, also after repeated submissions and a crash of all controllers"
   (seed 15) (until 200)
   (at 1 (submit tasks 3 cores 4 run 10) (submit tasks 8 cores 4 run 60) (submit tasks 8 cores 4 run 60 deadline 200))
   (at 18 (cut-machines 9 40 hold))
--- a/scenarios/wrong-place-kind.sexp
+++ b/scenarios/wrong-place-kind.sexp
@@ -1,4 +1,4 @@
-(scenario "wrong_place: a job that may not use spot machines, or only one zone, waits for the right ones"
+(scenario "a job that excludes spot machines or is bound to one zone waits for eligible machines instead of running on others"
   (seed 8) (until 300)
   (at 1 (submit tasks 10 cores 4 run 15))
   (at 25 (submit tasks 6 cores 4 run 15 spot no) (submit tasks 6 cores 4 run 15 zone a spot no))
--- a/scenarios/wrong-place.sexp
+++ b/scenarios/wrong-place.sexp
@@ -1,4 +1,4 @@
-(scenario "wrong_place: type, zone, kind, together and scatter hold, also while machines are cut off"
+(scenario "machine type, zone, spot, single-zone and spread-zones are respected, also while machines are cut off or preempted"
   (seed 7) (until 400)
   (at 1 (submit tasks 4 cores 4 run 15 zone b) (submit tasks 3 cores 4 run 15 machine-type large)
         (submit tasks 3 cores 4 run 15 spot no deadline 100))
--- a/scenarios/zone-cut.sexp
+++ b/scenarios/zone-cut.sexp
@@ -1,4 +1,4 @@
-(scenario "a zone apart from everything for longer than a lease, healing with all that was held"
+(scenario "no task runs twice when a zone is cut off for longer than an agent lease and all withheld messages are delivered at its end"
   (seeds 71 72) (until 300) (capacity 8)
   (at 1 (submit tasks 12 cores 4 run 70 deadline 250) (submit tasks 8 cores 4 run 70) (submit tasks 8 cores 4 run 60 spread-zones yes))
   (at 20 (cut-zone b 55 hold)) (at 24 (cancel 1)) (at 30 (submit tasks 8 cores 4 run 10 deadline 100))
