--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -1,11 +1,11 @@
-/** Makes a failing random day smaller, so that what is left explains the failure. */
+/** Reduces a failing random day to the events that are needed for the failure. */
 import type { DayResult } from "./day-run.ts"
 import type { FaultEvent, RandomDay } from "./random-day.ts"
 import type { UserEvent } from "./random-jobs.ts"
 
 type DayEvent = { readonly user: UserEvent } | { readonly fault: FaultEvent }
 
-/** What failed, without times and names: a smaller day has to fail in the same way. */
+/** First failure without job ids and numbers. A smaller day has to fail in the same way. */
 const failureKind = ({ failures }: DayResult): string =>
   (failures[0] ?? "").replace(/run-\d+(\/\d+)?/g, "").replace(/[\d.]+/g, "")
 
@@ -13,7 +13,7 @@
   ...faults.map((fault) => ({ fault })),
   ...users.map((user) => ({ user })),
 ]
-/** Cancellations of jobs that nobody submits any more go as well. */
+/** The day with only these events, minus those of jobs whose submission is not among them. */
 const withEvents = (day: RandomDay, events: ReadonlyArray<DayEvent>): RandomDay => {
   const users = events.flatMap((event) => ("user" in event ? [event.user] : []))
   const submitted = new Set(users.filter(({ does }) => does === "submit").map(({ job }) => job))
@@ -25,8 +25,8 @@
 }
 
 /**
- * Leaves out events, halves first and single ones last, as long as the day
- * still fails in the same way; stops after `maxRuns` runs.
+ * Removes events, first half of them at once and in the end single ones, as long as the day still fails in
+ * the same way. Stops after `maxRuns` runs.
  */
 export const shrink = (
   day: RandomDay,
@@ -38,19 +38,19 @@
   let smallest = day
   let runs = 0
   const stillFails = (candidate: RandomDay) => runs++ < maxRuns && failureKind(run(candidate)) === kind
-  let size = Math.ceil(eventsOf(day).length / 2)
+  let chunkSize = Math.ceil(eventsOf(day).length / 2)
   while (runs < maxRuns) {
-    let dropped = false
+    let removed = false
     for (let at = 0; at < eventsOf(smallest).length && runs < maxRuns; ) {
       const events = eventsOf(smallest)
-      const candidate = withEvents(smallest, [...events.slice(0, at), ...events.slice(at + size)])
+      const candidate = withEvents(smallest, [...events.slice(0, at), ...events.slice(at + chunkSize)])
       if (stillFails(candidate)) {
         smallest = candidate
-        dropped = true
-      } else at += size
+        removed = true
+      } else at += chunkSize
     }
-    if (size === 1 && !dropped) break
-    size = Math.max(1, Math.floor(size / 2))
+    if (chunkSize === 1 && !removed) break
+    chunkSize = Math.max(1, Math.floor(chunkSize / 2))
   }
   return smallest
 }
--- a/packages/testkit/src/scenarios/actions.ts
+++ b/packages/testkit/src/scenarios/actions.ts
@@ -1,16 +1,16 @@
-/** What all actions of scenarios share: their form, and how their arguments are read. */
+/** Types of scenario actions, and functions that read their arguments. */
 import type { NodeName } from "@sorreltally/protocol"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 
-/** The words after the verb of one scenario entry. */
+/** Arguments of an action, expectation or setup entry: the words after its name. */
 export type Args = ReadonlyArray<string>
-/** What one verb of a scenario makes happen. */
+/** Applies one action of a scenario to the deployment. */
 export type Action = (deployment: SimulatedDeployment, args: Args) => void
 
-/** The argument at a position as a number, or a default. */
-export const number = (args: Args, at: number, or: number): number =>
-  args[at] === undefined ? or : Number(args[at])
+/** The argument at an index as a number; `fallback` if it is missing. */
+export const numberArgument = (args: Args, index: number, fallback: number): number =>
+  args[index] === undefined ? fallback : Number(args[index])
 
-/** The controller named by the first argument, or whoever leads at that moment. */
-export const node = (deployment: SimulatedDeployment, args: Args): NodeName =>
+/** The controller named by the first argument; for `leader` the present leader. */
+export const nodeArgument = (deployment: SimulatedDeployment, args: Args): NodeName =>
   args[0] === "leader" ? deployment.membershipFaults.leader() : (args[0] as NodeName)
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -1,93 +1,94 @@
 /**
- * Everything that a scenario can make happen, by the names of the scenario
- * format. Times are in seconds. Actions only call the deployment; what they do
- * to it is decided there.
+ * All actions by their names in scenario files. Times are in seconds. Actions only call the deployment, which
+ * implements their effects.
  */
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import { type FaultEffect, faultEffects } from "../faults/effects.ts"
 import { jobRequest } from "../services/wire-builders.ts"
 import type { FreezePoint } from "../simulation/simulated-controller.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
-import { type Action, type Args, node, number } from "./actions.ts"
+import { type Action, type Args, nodeArgument, numberArgument } from "./actions.ts"
 import { faultActions } from "./fault-actions.ts"
 import { membershipActions } from "./membership-actions.ts"
 import { userActions } from "./user-actions.ts"
 
-/** Options of a job, written `name value`; the rest is as usual. */
-const jobFrom = (id: JobId, args: Args): WireJob => {
-  const given = new Map<string, string>()
-  for (let i = 0; i + 1 < args.length; i += 2) given.set(args[i]!, args[i + 1]!)
-  const num = (name: string, or: number) => Number(given.get(name) ?? or)
-  const deadlineS = given.get("deadline")
+/** A job from options written `name value`; options that aren't given have a default. */
+const jobFromOptions = (id: JobId, args: Args): WireJob => {
+  const options = new Map<string, string>()
+  for (let i = 0; i + 1 < args.length; i += 2) options.set(args[i]!, args[i + 1]!)
+  const numberOption = (name: string, fallback: number) => Number(options.get(name) ?? fallback)
+  const deadlineS = options.get("deadline")
   return jobRequest(id, {
-    lane: given.get("job-class") ?? "bulk",
-    owner: given.get("team") ?? "red",
-    urgency: given.get("priority") ?? "standard",
-    pieces: num("tasks", 4),
-    cores: num("cores", 4),
-    mem_gb: num("mem-gb", 4),
-    bundle: given.get("image") ?? "img-1",
-    image_gb: num("image-gb", 1),
-    builds: given.get("machine-type") === undefined ? null : [given.get("machine-type")],
-    site: given.get("zone") ?? null,
-    together: given.get("single-zone") === "yes",
-    scatter: given.get("spread-zones") === "yes",
-    loaners: given.get("spot") !== "no",
-    expected_s: num("run", 10),
-    snapshot_s: num("checkpoint-interval", 0),
-    flush_s: num("checkpoint-save", 0),
+    lane: options.get("job-class") ?? "bulk",
+    owner: options.get("team") ?? "red",
+    urgency: options.get("priority") ?? "standard",
+    pieces: numberOption("tasks", 4),
+    cores: numberOption("cores", 4),
+    mem_gb: numberOption("mem-gb", 4),
+    bundle: options.get("image") ?? "img-1",
+    image_gb: numberOption("image-gb", 1),
+    builds: options.get("machine-type") === undefined ? null : [options.get("machine-type")],
+    site: options.get("zone") ?? null,
+    together: options.get("single-zone") === "yes",
+    scatter: options.get("spread-zones") === "yes",
+    loaners: options.get("spot") !== "no",
+    expected_s: numberOption("run", 10),
+    snapshot_s: numberOption("checkpoint-interval", 0),
+    flush_s: numberOption("checkpoint-save", 0),
     due_s: deadlineS === undefined ? null : Number(deadlineS),
   })
 }
 
-/** The job named by its position among those submitted. */
+/** The job with the index that the first argument gives, in the order of submission. */
 const jobAt = (deployment: SimulatedDeployment, args: Args): JobId =>
-  deployment.users.jobs[number(args, 0, 0)]!
+  deployment.users.jobs[numberArgument(args, 0, 0)]!
 
-/** With `always-fails yes` its tasks fail on every machine. */
+/** Submits a job; with the option `always-fails yes` its tasks fail on every machine. */
 const submit: Action = (deployment, args) => {
   const id = `run-${String(++deployment.scenarioJobs).padStart(6, "0")}` as JobId
-  const at = args.indexOf("always-fails")
-  if (at >= 0 && args[at + 1] === "yes") deployment.invariants.mistaken.add(id)
-  deployment.users.submit(jobFrom(id, args))
+  const optionIndex = args.indexOf("always-fails")
+  if (optionIndex >= 0 && args[optionIndex + 1] === "yes") deployment.invariants.mistaken.add(id)
+  deployment.users.submit(jobFromOptions(id, args))
 }
 
-/** Every action by its name in scenarios. */
+/** All actions by name. */
 export const actions: Readonly<Record<string, Action>> = {
   ...faultActions,
   ...userActions,
   ...membershipActions,
   submit,
-  /** Many jobs: how many, over how many seconds, then what each is like. */
+  /** Submits several jobs. Arguments: number of jobs, seconds over which they are spread, options of each. */
   stream: (deployment, args) => {
-    const [count, overS] = [number(args, 0, 10), number(args, 1, 10)]
+    const [count, spreadS] = [numberArgument(args, 0, 10), numberArgument(args, 1, 10)]
     for (let i = 0; i < count; i++)
-      deployment.simulation.after((i * overS * 1000) / count, () => submit(deployment, args.slice(2)))
+      deployment.simulation.after((i * spreadS * 1000) / count, () => submit(deployment, args.slice(2)))
   },
   resubmit: (deployment, args) => deployment.users.resubmit(jobAt(deployment, args)),
   cancel: (deployment, args) => deployment.users.cancel(jobAt(deployment, args)),
   "poll-unknown-job": (deployment) => deployment.users.pollUnknownJob(),
-  crash: (deployment, args) => deployment.crash(node(deployment, args), number(args, 1, 4) * 1000),
+  crash: (deployment, args) =>
+    deployment.crash(nodeArgument(deployment, args), numberArgument(args, 1, 4) * 1000),
   "crash-all": (deployment, args) => {
-    for (const name of deployment.names) deployment.crash(name, number(args, 0, 4) * 1000)
+    for (const name of deployment.names) deployment.crash(name, numberArgument(args, 0, 4) * 1000)
   },
   "cloud-outage": (deployment, args) => {
     deployment.cloud.outage(true)
-    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
+    deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
   },
-  /** Says which pair of faults comes next, and notes whether the first one's effect is there. */
+  /** Announces the second fault of a pair, and records whether the effect of the first one is present. */
   "fault-pair": (deployment, [first, effect, second]) => {
-    if (!faultEffects.includes(effect as FaultEffect)) throw new Error(`unknown effect ${effect}`)
+    if (!faultEffects.includes(effect as FaultEffect))
+      throw new Error(`fault-pair: unknown effect ${effect}, expected one of ${faultEffects.join(", ")}`)
     const met = deployment.effects.has(effect as FaultEffect)
     deployment.pairs.push({ first: first!, effect: effect as FaultEffect, second: second!, met })
   },
   capacity: (deployment, args) => {
-    deployment.cloud.settings.capacity = number(args, 0, 0)
+    deployment.cloud.settings.capacity = numberArgument(args, 0, 0)
   },
   freeze: (deployment, args) =>
     deployment.freeze(
-      node(deployment, args),
-      number(args, 1, 30) * 1000,
+      nodeArgument(deployment, args),
+      numberArgument(args, 1, 30) * 1000,
       (args[2] ?? null) as FreezePoint | null,
     ),
 }
--- a/packages/testkit/src/scenarios/expectations.ts
+++ b/packages/testkit/src/scenarios/expectations.ts
@@ -1,82 +1,90 @@
 /**
- * What a scenario can ask for at its end, besides unbroken invariants, by the
- * names of the scenario format. Expectations read, and change nothing.
+ * Expectations that a scenario checks at its end, besides the invariants, by their names in scenario files.
+ * They read the deployment and change nothing.
  */
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
-import { type Args, number } from "./actions.ts"
+import { type Args, numberArgument } from "./actions.ts"
 import { userExpectations } from "./user-actions.ts"
 
-/** What is wrong at the end of a run; null: the expectation holds. */
+/** Checks the deployment at the end of a run; returns the failure, or null if the expectation is met. */
 export type Expectation = (deployment: SimulatedDeployment, args: Args) => string | null
 
-const atMost = (what: string, count: number, args: Args): string | null =>
-  count <= number(args, 0, 0) ? null : `${count} ${what}, expected at most ${args[0]}`
+const atMost = (label: string, count: number, args: Args): string | null =>
+  count <= numberArgument(args, 0, 0) ? null : `${count} ${label}, expected at most ${args[0] ?? 0}`
 
-/** Every expectation by its name in scenarios. */
+/** All expectations by name. */
 export const expectations: Readonly<Record<string, Expectation>> = {
   ...userExpectations,
   done: (deployment, args) => {
     const { done } = deployment.users.counts()
-    return done >= number(args, 0, 1) ? null : `${done} jobs are done, expected ${args[0]}`
+    return done >= numberArgument(args, 0, 1) ? null : `${done} jobs done, expected at least ${args[0] ?? 1}`
   },
   "all-jobs-final": (deployment) => {
     const { done, cancelled, jobs } = deployment.users.counts()
-    return done + cancelled === jobs ? null : `${done} done and ${cancelled} cancelled of ${jobs} jobs`
+    return done + cancelled === jobs
+      ? null
+      : `${done} jobs done and ${cancelled} cancelled, expected all ${jobs} to be final`
   },
   cancelled: (deployment, args) => {
     const { cancelled } = deployment.users.counts()
-    return cancelled >= number(args, 0, 1) ? null : `${cancelled} jobs are cancelled, expected ${args[0]}`
+    return cancelled >= numberArgument(args, 0, 1)
+      ? null
+      : `${cancelled} jobs cancelled, expected at least ${args[0] ?? 1}`
   },
   "starts-at-most": (deployment, args) =>
-    deployment.invariants.starts <= number(args, 0, 0)
+    deployment.invariants.starts <= numberArgument(args, 0, 0)
       ? null
-      : `${deployment.invariants.starts} starts, expected at most ${args[0]}`,
+      : `${deployment.invariants.starts} task starts, expected at most ${args[0] ?? 0}`,
   "machines-left-at-most": (deployment, args) => {
-    const have = deployment.cloud.machines.size
-    return have <= number(args, 0, 0) ? null : `${have} machines are left, expected at most ${args[0]}`
+    const count = deployment.cloud.machines.size
+    return count <= numberArgument(args, 0, 0)
+      ? null
+      : `${count} machines left, expected at most ${args[0] ?? 0}`
   },
-  "state-requests-at-most": (deployment, args) => atMost("requests", deployment.state.count.requests, args),
-  "state-changes-at-most": (deployment, args) => atMost("changes", deployment.state.count.changes, args),
-  "cloud-calls-at-most": (deployment, args) => atMost("calls of the cloud", deployment.cloud.calls, args),
+  "state-requests-at-most": (deployment, args) =>
+    atMost("requests to the state service", deployment.state.count.requests, args),
+  "state-changes-at-most": (deployment, args) =>
+    atMost("changes in the state service", deployment.state.count.changes, args),
+  "cloud-calls-at-most": (deployment, args) => atMost("requests to the cloud", deployment.cloud.calls, args),
   "peer-kilobytes-at-most": (deployment, args) =>
     atMost("kilobytes between controllers", Math.round(deployment.count.peerBytes / 1024), args),
   "concurrent-commands-at-most": (deployment, args) =>
-    atMost("commands at once", deployment.count.commandsAtOnce, args),
+    atMost("concurrent commands", deployment.count.commandsAtOnce, args),
   "workers-at-one-node-at-least": (deployment, args) =>
-    deployment.count.workersAtOne >= number(args, 0, 0)
+    deployment.count.workersAtOne >= numberArgument(args, 0, 0)
       ? null
-      : `${deployment.count.workersAtOne} workers at one node, not ${args[0]}`,
+      : `${deployment.count.workersAtOne} workers at one node, expected at least ${args[0] ?? 0}`,
   "workers-at-one-node-at-most": (deployment, args) =>
     atMost("workers at one node", deployment.count.workersAtOne, args),
   "machines-rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
-  /** At least so many faulty machines were given back as such, and none that isn't. */
+  /** At least this many machines were returned as faulty, and every one of them is. */
   "faulty-machines-returned": (deployment, args) => {
     const returned = deployment.logged.filter((line) => line.includes('"reason":"faulty"'))
     const healthy = returned.find((line) => {
       const id = /"machine":"([^"]+)"/.exec(line)?.[1] ?? ""
       return !deployment.cloud.faulty.has(id)
     })
-    if (healthy !== undefined) return `given back though it isn't faulty: ${healthy}`
-    return returned.length >= number(args, 0, 1)
+    if (healthy !== undefined) return `healthy machine returned as faulty: ${healthy}`
+    return returned.length >= numberArgument(args, 0, 1)
       ? null
-      : `${returned.length} machines given back as faulty, expected ${args[0]}`
+      : `${returned.length} machines returned as faulty, expected at least ${args[0] ?? 1}`
   },
   "machines-rented-at-least": (deployment, args) =>
-    deployment.cloud.rented >= number(args, 0, 0)
+    deployment.cloud.rented >= numberArgument(args, 0, 0)
       ? null
-      : `${deployment.cloud.rented} machines rented, not ${args[0]}`,
-  /** So many of the pairs that the scenario names really met. */
+      : `${deployment.cloud.rented} machines rented, expected at least ${args[0] ?? 0}`,
+  /** At least this many of the scenario's fault pairs met. */
   "fault-pairs-met-at-least": (deployment, args) => {
     const met = deployment.pairs.filter((pair) => pair.met).length
-    return met >= number(args, 0, 1)
+    return met >= numberArgument(args, 0, 1)
       ? null
-      : `${met} of ${deployment.pairs.length} pairs met, expected ${args[0]}`
+      : `${met} of ${deployment.pairs.length} fault pairs met, expected at least ${args[0] ?? 1}`
   },
   "no-machines-left": (deployment) => expectations["machines-left-at-most"]!(deployment, ["0"]),
   "log-contains": (deployment, args) =>
-    deployment.logged.some((l) => l.includes(args[0]!)) ? null : `never logged: ${args[0]}`,
+    deployment.logged.some((line) => line.includes(args[0]!)) ? null : `no log line contains ${args[0]}`,
   "log-lacks": (deployment, args) => {
-    const line = deployment.logged.find((l) => l.includes(args[0]!))
-    return line === undefined ? null : `logged: ${line}`
+    const line = deployment.logged.find((entry) => entry.includes(args[0]!))
+    return line === undefined ? null : `log line contains ${args[0]}: ${line}`
   },
 }
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -1,73 +1,80 @@
-/** Actions of scenarios: faults of machines and of the network, and scarce room. */
+/** Actions for faults of machines and of the network, and for the cloud's capacity. */
 import type { CutMode } from "../simulation/network.ts"
-import { type Action, type Args, node, number } from "./actions.ts"
+import { type Action, type Args, nodeArgument, numberArgument } from "./actions.ts"
 
-const mode = (args: Args, at: number) => (args[at] ?? "hold") as CutMode
+const cutModeArgument = (args: Args, index: number) => (args[index] ?? "hold") as CutMode
 
-/** Scenario verbs for faults of machines and of the network. Times are in seconds. */
+/** Actions for faults of machines and of the network. Times are in seconds. */
 export const faultActions: Record<string, Action> = {
   "cut-machines": (deployment, args) =>
-    deployment.faults.cutMachines(number(args, 0, 1), number(args, 1, 20) * 1000, mode(args, 2)),
-  "cut-zones": (deployment, args) => deployment.faults.cutZones(number(args, 0, 20) * 1000, mode(args, 1)),
+    deployment.faults.cutMachines(
+      numberArgument(args, 0, 1),
+      numberArgument(args, 1, 20) * 1000,
+      cutModeArgument(args, 2),
+    ),
+  "cut-zones": (deployment, args) =>
+    deployment.faults.cutZones(numberArgument(args, 0, 20) * 1000, cutModeArgument(args, 1)),
   "cut-zone": (deployment, args) =>
-    deployment.faults.cutZone(args[0]!, number(args, 1, 30) * 1000, mode(args, 2)),
-  "refuse-peer-connections": (deployment, args) => deployment.faults.refusePeers(number(args, 0, 20) * 1000),
-  "kill-machines": (deployment, args) => deployment.faults.die(number(args, 0, 1)),
+    deployment.faults.cutZone(args[0]!, numberArgument(args, 1, 30) * 1000, cutModeArgument(args, 2)),
+  "refuse-peer-connections": (deployment, args) =>
+    deployment.faults.refusePeers(numberArgument(args, 0, 20) * 1000),
+  "kill-machines": (deployment, args) => deployment.faults.die(numberArgument(args, 0, 1)),
   "cut-peers": (deployment, args) =>
-    deployment.faults.cutPeers(node(deployment, args), number(args, 1, 20) * 1000),
-  "cut-commands": (deployment, args) => deployment.faults.cutCommands(number(args, 0, 20) * 1000),
+    deployment.faults.cutPeers(nodeArgument(deployment, args), numberArgument(args, 1, 20) * 1000),
+  "cut-commands": (deployment, args) => deployment.faults.cutCommands(numberArgument(args, 0, 20) * 1000),
   isolate: (deployment, args) =>
-    deployment.faults.isolate(node(deployment, args), number(args, 1, 20) * 1000),
+    deployment.faults.isolate(nodeArgument(deployment, args), numberArgument(args, 1, 20) * 1000),
   "machines-receive-nothing": (deployment, args) =>
-    deployment.faults.machinesReceiveNothing(number(args, 0, 1), number(args, 1, 20) * 1000),
+    deployment.faults.machinesReceiveNothing(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
   "machines-send-nothing": (deployment, args) =>
     deployment.faults.machinesSendNothing(
-      number(args, 0, 1),
-      number(args, 1, 20) * 1000,
+      numberArgument(args, 0, 1),
+      numberArgument(args, 1, 20) * 1000,
       (args[2] ?? "reset") as CutMode,
     ),
-  /** Share, seconds, and `for-next-leader` when the copies are kept for the next leader. */
+  /** Arguments: share, seconds, and `for-next-leader` to keep the copies until a shard has a new owner. */
   "late-heartbeats": (deployment, args) => {
-    const [share, forMs] = [number(args, 0, 0.2), number(args, 1, 20) * 1000]
-    if (args[2] === "for-next-leader") deployment.faults.keepHeartbeatsForNextLeader(share, forMs)
-    else deployment.faults.delayHeartbeats(share, forMs)
+    const [share, durationMs] = [numberArgument(args, 0, 0.2), numberArgument(args, 1, 20) * 1000]
+    if (args[2] === "for-next-leader") deployment.faults.keepHeartbeatsForNextLeader(share, durationMs)
+    else deployment.faults.delayHeartbeats(share, durationMs)
   },
   "late-commands": (deployment, args) =>
-    deployment.faults.delayCommands(number(args, 0, 0.2), number(args, 1, 20) * 1000),
-  /** For how many seconds new machines are up within how many. */
+    deployment.faults.delayCommands(numberArgument(args, 0, 0.2), numberArgument(args, 1, 20) * 1000),
+  /** Arguments: duration in seconds, and the seconds within which new machines boot during it. */
   "fast-boots": (deployment, args) =>
-    deployment.faults.bootFast(number(args, 1, 2) * 1000, number(args, 0, 60) * 1000),
+    deployment.faults.bootFast(numberArgument(args, 1, 2) * 1000, numberArgument(args, 0, 60) * 1000),
   "reboot-machines": (deployment, args) =>
-    deployment.faults.reboot(number(args, 0, 1), number(args, 1, 0.3) * 1000),
+    deployment.faults.reboot(numberArgument(args, 0, 1), numberArgument(args, 1, 0.3) * 1000),
   "hang-machines": (deployment, args) =>
-    deployment.faults.hang(number(args, 0, 1), number(args, 1, 20) * 1000),
-  "faulty-machines": (deployment, args) => deployment.faults.makeFaulty(number(args, 0, 1)),
+    deployment.faults.hang(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
+  "faulty-machines": (deployment, args) => deployment.faults.makeFaulty(numberArgument(args, 0, 1)),
   "preempt-spot": (deployment, args) =>
-    deployment.faults.takeSpot(number(args, 0, 1), number(args, 1, 0) * 1000),
+    deployment.faults.takeSpot(numberArgument(args, 0, 1), numberArgument(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
-    deployment.network.loss = number(args, 0, 0.05)
-    deployment.simulation.after(number(args, 1, 20) * 1000, () => {
+    deployment.network.loss = numberArgument(args, 0, 0.05)
+    deployment.simulation.after(numberArgument(args, 1, 20) * 1000, () => {
       deployment.network.loss = 0
     })
   },
   "repeat-messages": (deployment, args) => {
-    deployment.network.repeat = number(args, 0, 0.05)
-    deployment.network.repeatWithinMs = number(args, 2, 20) * 1000
-    deployment.simulation.after(number(args, 1, 20) * 1000, () => {
+    deployment.network.repeat = numberArgument(args, 0, 0.05)
+    deployment.network.repeatWithinMs = numberArgument(args, 2, 20) * 1000
+    deployment.simulation.after(numberArgument(args, 1, 20) * 1000, () => {
       deployment.network.repeat = 0
     })
   },
   "orphan-machines": (deployment, args) => {
     const type = deployment.cloud.settings.types[0]!
-    for (let i = 0; i < number(args, 0, 1); i++)
+    for (let i = 0; i < numberArgument(args, 0, 1); i++)
       deployment.cloud.rent(type, deployment.setup.zones[0]!, false)
   },
-  /** So many machines of each type and kind are to be had in one zone. */
-  "zone-capacity": (deployment, args) => deployment.cloud.zoneCapacity.set(args[0]!, number(args, 1, 0)),
-  /** Every message takes up to so many seconds longer, for so many seconds. */
+  /** Limits the machines of each type and kind, spot or on-demand, that the cloud has in a zone. */
+  "zone-capacity": (deployment, args) =>
+    deployment.cloud.zoneCapacity.set(args[0]!, numberArgument(args, 1, 0)),
+  /** Arguments: largest extra delay of a message, and duration, both in seconds. */
   "slow-links": (deployment, args) => {
-    deployment.network.slowMs = number(args, 0, 0.4) * 1000
-    deployment.simulation.after(number(args, 1, 60) * 1000, () => {
+    deployment.network.slowMs = numberArgument(args, 0, 0.4) * 1000
+    deployment.simulation.after(numberArgument(args, 1, 60) * 1000, () => {
       deployment.network.slowMs = 0
     })
   },
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -1,31 +1,41 @@
-/** Actions of scenarios: ends of controllers, node leases and shards. */
-import { type Action, node, number } from "./actions.ts"
+/** Actions around crashes of controllers, node leases and shards. */
+import { type Action, nodeArgument, numberArgument } from "./actions.ts"
 
-/** Scenario verbs around leases and shards. Times are in seconds. */
+/** Actions around leases and shards. Times are in seconds. */
 export const membershipActions: Record<string, Action> = {
-  /** How many leaders end, one every so often, and how soon each is back. */
+  /** Arguments: number of crashes, interval between them, and downtime of each leader. */
   "crash-leaders": (deployment, args) =>
     deployment.membershipFaults.endLeaders(
-      number(args, 0, 10),
-      number(args, 1, 12) * 1000,
-      number(args, 2, 1) * 1000,
+      numberArgument(args, 0, 10),
+      numberArgument(args, 1, 12) * 1000,
+      numberArgument(args, 2, 1) * 1000,
     ),
   "cancel-at-owner-changes": (deployment, args) =>
-    deployment.membershipFaults.cancelAtOwnerChanges(number(args, 0, 1), number(args, 1, 60) * 1000),
-  /** As a rolling restart does it: each controller in turn. */
+    deployment.membershipFaults.cancelAtOwnerChanges(
+      numberArgument(args, 0, 1),
+      numberArgument(args, 1, 60) * 1000,
+    ),
+  /** Restarts each controller in turn. Arguments: interval between crashes, and downtime. */
   "rolling-restart": (deployment, args) => {
     for (const [i, name] of deployment.names.entries())
-      deployment.simulation.after(i * number(args, 0, 1) * 1000, () =>
-        deployment.crash(name, number(args, 1, 0.3) * 1000),
+      deployment.simulation.after(i * numberArgument(args, 0, 1) * 1000, () =>
+        deployment.crash(name, numberArgument(args, 1, 0.3) * 1000),
       )
   },
-  "crash-leader": (deployment, args) => deployment.membershipFaults.endLeader(number(args, 0, 0.3) * 1000),
+  "crash-leader": (deployment, args) =>
+    deployment.membershipFaults.endLeader(numberArgument(args, 0, 0.3) * 1000),
   "state-refuses-leader": (deployment, args) => {
     const leader = deployment.membershipFaults.leader()
     deployment.state.refuse(leader, true)
-    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.state.refuse(leader, false))
+    deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () =>
+      deployment.state.refuse(leader, false),
+    )
   },
-  /** A cancellation at one node; another one is asked when that one can't. */
+  /** Cancels a job at one node; the user tries another one if that node can't answer. */
   "cancel-at-node": (deployment, args) =>
-    deployment.users.cancel(deployment.users.jobs[number(args, 1, 0)]!, undefined, node(deployment, args)),
+    deployment.users.cancel(
+      deployment.users.jobs[numberArgument(args, 1, 0)]!,
+      undefined,
+      nodeArgument(deployment, args),
+    ),
 }
--- a/packages/testkit/src/scenarios/once.ts
+++ b/packages/testkit/src/scenarios/once.ts
@@ -1,6 +1,7 @@
 /**
- * Runs one scenario file: `node once.js FILE [SEED-SHIFT] [--digest]`, prints what failed, with VERBOSE the log,
- * and with --digest the digest of all its messages.
+ * Runs one scenario file: `node scenario.js FILE [SEED-SHIFT] [--digest]`. Prints the failures; if the
+ * environment has VERBOSE, the log, the unfinished jobs and the events of machines with their counts; with
+ * --digest, the digest of all messages.
  */
 import { readFileSync } from "node:fs"
 import { TraceDigest } from "../simulation/trace-digest.ts"
@@ -20,8 +21,8 @@
   }
 }
 if (process.env.VERBOSE !== undefined)
-  for (const [what, count] of Object.entries(deployment.simulation.occurrences.all()))
-    process.stdout.write(`${count} ${what}\n`)
+  for (const [event, count] of Object.entries(deployment.simulation.occurrences.all()))
+    process.stdout.write(`${count} ${event}\n`)
 if (trace !== undefined) process.stdout.write(`digest ${trace.digest()}\n`)
 process.stdout.write(`${failures.join("\n")}\n`)
 process.exit(failures.length === 0 ? 0 : 1)
--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -1,107 +1,108 @@
 /**
- * Runs what a scenario says on each of its seeds and judges it: the invariants,
- * the log, and what the scenario expects at its end. It never reads the format.
+ * Runs the plan of a scenario on each of its seeds, and collects failures: broken invariants, errors in the
+ * log, and expectations that are not met at the end. Independent of the file format.
  */
 import { epochsOwnedTwice } from "../invariants/epoch-invariant.ts"
 import type { DeploymentSetup } from "../simulation/deployment.ts"
 import { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import type { TraceDigest } from "../simulation/trace-digest.ts"
 import type { Action, Args } from "./actions.ts"
-import { eventCounts } from "./user-actions.ts"
+import { eventCounts, unknownEvent } from "./user-actions.ts"
 
-/** How a scenario is watched while it runs. */
+/** Options of a run for observing it. */
 export interface RunOptions {
-  /** Takes in the messages of all seeds. */
+  /** Receives the messages of the runs of all seeds. */
   readonly trace?: TraceDigest
-  /** Is handed each deployment before its time begins. */
+  /** Called with each deployment before its simulation starts. */
   readonly prepare?: (deployment: SimulatedDeployment) => void
 }
-/** What a run showed; `deployment`: of the first seed that failed, or of the first one. */
-export interface Result {
+/** Result of a run; `deployment` is that of the first seed that failed, or else of the first seed. */
+export interface ScenarioResult {
   readonly failures: ReadonlyArray<string>
   readonly deployment: SimulatedDeployment
 }
 
-/** One action at its time. */
+/** An action and the time at which it is applied. */
 export interface ScenarioEvent {
   readonly atS: number
   readonly action: Action
   readonly args: Args
-  /** Invariants that bear with faults do so for as long. */
-  readonly lastsS: number
+  /** Time for which invariants tolerate the effects of the fault; 0 if the action is no fault. */
+  readonly faultDurationS: number
 }
-/** Faults that a scenario has to bring together, by the name under which that is counted. */
-export interface Coincidence {
+/** Minimum count of an event, which shows that the scenario's faults met. */
+export interface MinEventCount {
   readonly name: string
   readonly atLeast: number
 }
-/** What a scenario makes happen, and what it asks for. */
+/** Setup, actions and expectations of a scenario. */
 export interface ScenarioPlan {
   readonly setup: DeploymentSetup
   readonly untilS: number
-  /** Empty: the seed of the setup alone. */
+  /** If empty, the scenario is run on the seed of the setup only. */
   readonly seeds: ReadonlyArray<number>
   readonly events: ReadonlyArray<ScenarioEvent>
-  /** Hold on every seed: what is wrong at its end, or null. */
+  /** Checked at the end of the run on each seed; each returns a failure or null. */
   readonly expectations: ReadonlyArray<(deployment: SimulatedDeployment) => string | null>
-  /** Counted over all seeds. */
-  readonly coincidences: ReadonlyArray<Coincidence>
+  /** Checked against the sum over all seeds. */
+  readonly minEventCounts: ReadonlyArray<MinEventCount>
 }
 
-/** So many broken invariants are listed. */
-const MAX_LISTED = 5
+const MAX_LISTED_VIOLATIONS = 5
 
-/** Counted over all seeds of a scenario: whether rare faults meet on one seed changes with every random draw. */
-const missedCoincidence = (
-  { name, atLeast }: Coincidence,
+/** Sums the event over all seeds, as whether rare faults meet on one seed changes with every random draw. */
+const eventCountFailure = (
+  { name, atLeast }: MinEventCount,
   deployments: ReadonlyArray<SimulatedDeployment>,
 ): string | null => {
   let total = 0
   for (const deployment of deployments) {
-    const count = eventCounts(deployment)[name]
-    if (count === undefined) return `nothing is counted as ${name}`
+    const counts = eventCounts(deployment)
+    const count = counts[name]
+    if (count === undefined) return unknownEvent(name, counts)
     total += count
   }
-  return total >= atLeast ? null : `${name}: ${total} times, expected ${atLeast}`
+  return total >= atLeast ? null : `"${name}" happened ${total} times, expected at least ${atLeast}`
 }
 
 const failuresOf = (plan: ScenarioPlan, deployment: SimulatedDeployment): ReadonlyArray<string> => {
   const { broken } = deployment.invariants
-  const failures = broken.slice(0, MAX_LISTED)
-  if (broken.length > MAX_LISTED) failures.push(`… and ${broken.length - MAX_LISTED} more`)
+  const failures = broken.slice(0, MAX_LISTED_VIOLATIONS)
+  if (broken.length > MAX_LISTED_VIOLATIONS)
+    failures.push(`and ${broken.length - MAX_LISTED_VIOLATIONS} more broken invariants`)
   for (const line of deployment.logged) if (line.includes(" error ")) failures.push(line)
   failures.push(...epochsOwnedTwice(deployment.logged))
   for (const expectation of plan.expectations) {
-    const complaint = expectation(deployment)
-    if (complaint !== null) failures.push(complaint)
+    const failure = expectation(deployment)
+    if (failure !== null) failures.push(failure)
   }
   return failures
 }
 
-/** Everything but the coincidences has to hold on each seed. */
-const runSeed = (plan: ScenarioPlan, seed: number, { trace, prepare }: RunOptions): Result => {
+/** Runs one seed; all expectations but the minimum counts of events are checked for it alone. */
+const runSeed = (plan: ScenarioPlan, seed: number, { trace, prepare }: RunOptions): ScenarioResult => {
   const deployment = new SimulatedDeployment({ ...plan.setup, seed })
   trace?.run(seed)
   deployment.network.trace = trace ?? null
   prepare?.(deployment)
-  for (const { atS, action, args, lastsS } of plan.events)
+  for (const { atS, action, args, faultDurationS } of plan.events)
     deployment.simulation.after(atS * 1000, () => {
-      deployment.invariants.faultLasts(lastsS * 1000)
+      deployment.invariants.faultLasts(faultDurationS * 1000)
       action(deployment, args)
     })
   deployment.simulation.runUntil(plan.untilS * 1000)
   return { failures: failuresOf(plan, deployment), deployment }
 }
 
-/** Runs the plan on each of its seeds; `seedShift` is added to every one. */
-export const runPlan = (plan: ScenarioPlan, seedShift: number, options: RunOptions): Result => {
+/** Runs the plan on each of its seeds, to which `seedShift` is added. */
+export const runPlan = (plan: ScenarioPlan, seedShift: number, options: RunOptions): ScenarioResult => {
   const seeds = plan.seeds.length === 0 ? [plan.setup.seed] : plan.seeds
   const runs = seeds.map((seed) => runSeed(plan, seed + seedShift, options))
   const failures = runs.flatMap((run) => run.failures)
   const deployments = runs.map(({ deployment }) => deployment)
-  for (const coincidence of plan.coincidences) {
-    const complaint = missedCoincidence(coincidence, deployments)
-    if (complaint !== null) failures.push(complaint)
+  for (const minEventCount of plan.minEventCounts) {
+    const failure = eventCountFailure(minEventCount, deployments)
+    if (failure !== null) failures.push(failure)
   }
   const shown = runs.find((run) => run.failures.length > 0) ?? runs[0]!
   return { failures, deployment: shown.deployment }
--- a/packages/testkit/src/scenarios/scenario.ts
+++ b/packages/testkit/src/scenarios/scenario.ts
@@ -1,57 +1,65 @@
 /**
- * Reads a scenario's text. The names of entries, actions, expectations and
- * counted events are a format of their own: files use them, so they stay.
+ * Reads scenario files. Their names of entries, actions, expectations and counted events are used in these
+ * files only; actions translate the options of jobs to the names in requests.
  */
 import { type Form, parse } from "sexpr-plus"
 import type { DeploymentSetup } from "../simulation/deployment.ts"
 import { defaultSetup } from "../simulation/platform-file.ts"
-import { type Args, number } from "./actions.ts"
+import { type Args, numberArgument } from "./actions.ts"
 import { actions } from "./all-actions.ts"
 import { expectations } from "./expectations.ts"
 import {
-  type Result,
   type RunOptions,
   runPlan,
   type ScenarioEvent,
   type ScenarioPlan,
+  type ScenarioResult,
 } from "./scenario-run.ts"
-import { HARMLESS } from "./user-actions.ts"
+import { HARMLESS_ACTIONS } from "./user-actions.ts"
 
 type List = Extract<Form, { readonly type: "list" }>
 
-/** A passage of source without which the scenario must fail. */
+/** A passage of source code; the scenario must fail when it is replaced. */
 interface Guard {
   readonly file: string
-  readonly from: string
-  readonly to: string
+  readonly sourceText: string
+  readonly replacement: string
 }
-/** A scenario that was read, ready to run. */
+/** A scenario read from its file. */
 export interface Scenario {
   readonly name: string
   readonly guards: ReadonlyArray<Guard>
-  readonly run: (options?: RunOptions) => Result
+  readonly run: (options?: RunOptions) => ScenarioResult
 }
 
-/** What was read so far. */
+/** The entries read so far. */
 interface Draft {
   setup: DeploymentSetup
   untilS: number
   seeds: ReadonlyArray<number>
   readonly events: Array<ScenarioEvent>
   readonly expectations: Array<ScenarioPlan["expectations"][number]>
-  readonly coincidences: Array<ScenarioPlan["coincidences"][number]>
+  readonly minEventCounts: Array<ScenarioPlan["minEventCounts"][number]>
   readonly guards: Array<Guard>
 }
 
 const DEFAULT_UNTIL_S = 120
+/** Entries besides those for the setup. */
+const OTHER_ENTRIES = ["at", "expect", "guard", "until", "seeds"]
 
-const failAt = (form: Form, what: string): never => {
-  throw new Error(`line ${form.location.start.line}: ${what}`)
+const failAt = (form: Form, message: string): never => {
+  throw new Error(`line ${form.location.start.line}: ${message}`)
 }
-const words = (form: Form): ReadonlyArray<string> => {
+const unknownName = (
+  kind: string,
+  name: string,
+  table: Readonly<Record<string, unknown>>,
+  others: ReadonlyArray<string> = [],
+): string => `unknown ${kind} ${name}, expected one of ${[...others, ...Object.keys(table)].join(", ")}`
+const wordsOf = (form: Form): ReadonlyArray<string> => {
   if (form.type !== "list") return [form.content]
   return form.content.map((word) =>
-    word.type === "list" ? failAt(word, "a word was expected") : word.content,
+    word.type === "list" ? failAt(word, "found a list, expected a word") : word.content,
   )
 }
 const headOf = (entry: List): string => {
@@ -59,7 +67,7 @@
   return head?.type === "atom" ? head.content : ""
 }
 
-/** Entries that say what the deployment is like. */
+/** Entries for the setup of the deployment. */
 const setupEntries: Readonly<Record<string, (args: Args) => Partial<DeploymentSetup>>> = {
   seed: ([seed]) => ({ seed: Number(seed) }),
   nodes: ([nodes]) => ({ nodes: Number(nodes) }),
@@ -75,8 +83,8 @@
     workers: { report_s: Number(report), lease_s: Number(lease), cancel_s: Number(cancel) },
   }),
 }
-/** Entries that take one number. */
-const ONE_NUMBER: ReadonlySet<string> = new Set([
+/** Entries with exactly one number. */
+const ONE_NUMBER_ENTRIES: ReadonlySet<string> = new Set([
   "until",
   "seed",
   "nodes",
@@ -87,48 +95,57 @@
   "team-limit",
   "never-boots",
 ])
-/** Actions that are no faults: their numbers don't say how long one lasts. */
-const NO_FAULTS: ReadonlySet<string> = new Set(["submit", "stream", "fault-pair", ...HARMLESS])
+/** Actions that aren't faults: their arguments contain no duration of a fault. */
+const NON_FAULT_ACTIONS: ReadonlySet<string> = new Set([
+  "submit",
+  "stream",
+  "fault-pair",
+  ...HARMLESS_ACTIONS,
+])
 
 const readEvents = (entry: List, draft: Draft): void => {
   const [, at, ...forms] = entry.content
   for (const form of forms) {
-    const [name = "", ...args] = words(form)
-    const action = actions[name] ?? failAt(form, `unknown action ${name}`)
-    // Faults name how long they last among their numbers.
-    const lastsS = NO_FAULTS.has(name) ? 0 : Math.max(0, ...args.map(Number).filter(Number.isFinite))
-    draft.events.push({ atS: Number(words(at!)[0]), action, args, lastsS })
+    const [name = "", ...args] = wordsOf(form)
+    const action = actions[name] ?? failAt(form, unknownName("action", name, actions))
+    // The duration of a fault is one of its numbers, so it is at most the largest of them.
+    const faultDurationS = NON_FAULT_ACTIONS.has(name)
+      ? 0
+      : Math.max(0, ...args.map(Number).filter(Number.isFinite))
+    draft.events.push({ atS: Number(wordsOf(at!)[0]), action, args, faultDurationS })
   }
 }
 const readExpectations = (entry: List, draft: Draft): void => {
   for (const form of entry.content.slice(1)) {
-    const [name = "", ...args] = words(form)
+    const [name = "", ...args] = wordsOf(form)
     if (name === "counted-at-least") {
-      draft.coincidences.push({ name: args[0] ?? "", atLeast: number(args, 1, 1) })
+      draft.minEventCounts.push({ name: args[0] ?? "", atLeast: numberArgument(args, 1, 1) })
       continue
     }
-    const expectation = expectations[name] ?? failAt(form, `unknown expectation ${name}`)
+    const expectation = expectations[name] ?? failAt(form, unknownName("expectation", name, expectations))
     draft.expectations.push((deployment) => expectation(deployment, args))
   }
 }
 const readGuard = (entry: List, draft: Draft): void => {
-  const [, file, from, to] = words(entry)
-  draft.guards.push({ file: file!, from: from!, to: to! })
+  const [, file, sourceText, replacement] = wordsOf(entry)
+  draft.guards.push({ file: file!, sourceText: sourceText!, replacement: replacement! })
 }
 const readSetting = (entry: List, draft: Draft): void => {
   const name = headOf(entry)
-  const args = words(entry).slice(1)
-  // Guards against `(seed 1 2 3)`, of which two seeds would silently not be played.
-  if (ONE_NUMBER.has(name) && args.length !== 1) failAt(entry, `${name} takes one number, not ${args.length}`)
+  const args = wordsOf(entry).slice(1)
+  // Guards against `(seed 1 2 3)`, of which two seeds would silently not be run.
+  if (ONE_NUMBER_ENTRIES.has(name) && args.length !== 1)
+    failAt(entry, `${name} takes one number, found ${args.length}`)
   if (name === "until") draft.untilS = Number(args[0])
   else if (name === "seeds") draft.seeds = args.map(Number)
   else {
-    const entryOf = setupEntries[name] ?? failAt(entry, `unknown entry ${name}`)
+    const entryOf =
+      setupEntries[name] ?? failAt(entry, unknownName("entry", name, setupEntries, OTHER_ENTRIES))
     draft.setup = { ...draft.setup, ...entryOf(args) }
   }
 }
 const readEntry = (form: Form, draft: Draft): void => {
-  if (form.type !== "list") return failAt(form, "a list was expected")
+  if (form.type !== "list") return failAt(form, `found ${form.content}, expected a list`)
   const name = headOf(form)
   if (name === "at") readEvents(form, draft)
   else if (name === "expect") readExpectations(form, draft)
@@ -137,14 +154,16 @@
 }
 
 /**
- * One scenario a file: `(scenario "name" (seed 1) (until 90) (at 3 (crash host-0)) (expect (done 1)))`.
- * With `(seeds 1 2 3)` it is run on each of them: its invariants and expectations have to hold on
- * every seed, and what `counted-at-least` asks for has to have come about on all of them together.
- * `seedShift` is added to every seed. Throws an error with the line of what it can't read.
+ * Reads the text of a file with one scenario, such as
+ * `(scenario "title" (seed 1) (until 90) (at 3 (crash host-0)) (expect (done 1)))`.
+ * With `(seeds 1 2 3)` it is run on each of them: invariants and expectations have to hold on every seed, but
+ * `counted-at-least` on the sum over all seeds. `seedShift` is added to every seed. Throws an error with the
+ * line of a form that it can't read.
  */
 export const readScenario = (text: string, seedShift = 0): Scenario => {
   const top = parse(text)[0]
-  if (top?.type !== "list") throw new Error("expected (scenario …)")
+  if (top?.type !== "list")
+    throw new Error(`line 1: found ${top?.content ?? "no form"}, expected (scenario "title" ENTRY...)`)
   const [, title, ...entries] = top.content
   const draft: Draft = {
     setup: defaultSetup,
@@ -152,7 +171,7 @@
     seeds: [],
     events: [],
     expectations: [],
-    coincidences: [],
+    minEventCounts: [],
     guards: [],
   }
   for (const entry of entries) readEntry(entry, draft)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -1,48 +1,51 @@
 /**
- * Actions and expectations of scenarios about users and the state service, and the events
- * that `counted-at-least` and `counted-at-most` count.
+ * Actions and expectations about users and the state service, and the events that `counted-at-least` and
+ * `counted-at-most` count.
  */
 import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
-import { type Action, type Args, node, number } from "./actions.ts"
+import { type Action, type Args, nodeArgument, numberArgument } from "./actions.ts"
 
-const seconds = (args: Args, at: number, or: number): number => number(args, at, or) * 1000
+const millisecondsArgument = (args: Args, index: number, fallbackS: number): number =>
+  numberArgument(args, index, fallbackS) * 1000
 
-/** What users and the state service can be made to do. Times are in seconds. */
+/** Actions about users and the state service. Times are in seconds. */
 export const userActions: Record<string, Action> = {
   "state-outage": (deployment, args) => {
     deployment.state.outage(true)
-    deployment.simulation.after(seconds(args, 0, 10), () => deployment.state.outage(false))
+    deployment.simulation.after(millisecondsArgument(args, 0, 10), () => deployment.state.outage(false))
   },
   "state-refuses": (deployment, args) => {
-    const refused = node(deployment, args)
+    const refused = nodeArgument(deployment, args)
     deployment.state.refuse(refused, true)
-    deployment.simulation.after(seconds(args, 1, 10), () => deployment.state.refuse(refused, false))
+    deployment.simulation.after(millisecondsArgument(args, 1, 10), () =>
+      deployment.state.refuse(refused, false),
+    )
   },
-  /** Every answer of the state service takes up to that many milliseconds longer, for so long. */
+  /** Arguments: largest extra delay of each answer of the state service, in ms, and duration in seconds. */
   "state-slow": (deployment, args) => {
-    deployment.state.faults.slowMs = number(args, 0, 800)
-    deployment.simulation.after(seconds(args, 1, 20), () => {
+    deployment.state.faults.slowMs = numberArgument(args, 0, 800)
+    deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
       deployment.state.faults.slowMs = 0
     })
   },
-  /** A share of transactions gets no answer and is carried out 2 to 12 s later. */
+  /** A share of transactions gets no answer and is applied 2 to 12 s later. */
   "late-transactions": (deployment, args) => {
-    deployment.state.faults.lateShare = number(args, 0, 0.2)
-    deployment.simulation.after(seconds(args, 1, 20), () => {
+    deployment.state.faults.lateShare = numberArgument(args, 0, 0.2)
+    deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
       deployment.state.faults.lateShare = 0
     })
   },
-  /** A share of transactions is carried out at once, and its answer lost. */
+  /** A share of transactions is applied at once, and their answers are lost. */
   "lost-answers": (deployment, args) => {
-    deployment.state.faults.lostShare = number(args, 0, 0.2)
-    deployment.simulation.after(seconds(args, 1, 20), () => {
+    deployment.state.faults.lostShare = numberArgument(args, 0, 0.2)
+    deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
       deployment.state.faults.lostShare = 0
     })
   },
   "cancel-burst": (deployment, args) => {
-    const machines = new Set(deployment.userFaults.cancelBurst(number(args, 0, 4)))
-    const hangMs = seconds(args, 1, 0)
+    const machines = new Set(deployment.userFaults.cancelBurst(numberArgument(args, 0, 4)))
+    const hangMs = millisecondsArgument(args, 1, 0)
     if (hangMs <= 0) return
     for (const machine of deployment.cloud.machines.values()) {
       if (!machines.has(machine.id)) continue
@@ -51,15 +54,16 @@
     }
   },
   "cancel-at-end": (deployment, args) =>
-    deployment.userFaults.cancelAtEnds(number(args, 0, 0.3), seconds(args, 1, 60)),
+    deployment.userFaults.cancelAtEnds(numberArgument(args, 0, 0.3), millisecondsArgument(args, 1, 60)),
   "cancel-some": (deployment, args) =>
-    deployment.userFaults.cancelSome(number(args, 0, 0.25), seconds(args, 1, 60)),
-  "unusual-requests": (deployment, args) => deployment.userFaults.oddRequests(seconds(args, 0, 60)),
+    deployment.userFaults.cancelSome(numberArgument(args, 0, 0.25), millisecondsArgument(args, 1, 60)),
+  "unusual-requests": (deployment, args) =>
+    deployment.userFaults.oddRequests(millisecondsArgument(args, 0, 60)),
   "immediate-polls": (deployment, args) =>
-    deployment.userFaults.closePolls(seconds(args, 0, 60), number(args, 1, 0.15)),
+    deployment.userFaults.closePolls(millisecondsArgument(args, 0, 60), numberArgument(args, 1, 0.15)),
 }
-/** Verbs of which the service takes no harm: the time until questions have to be answered again doesn't wait for their end. */
-export const HARMLESS: ReadonlySet<string> = new Set([
+/** Actions that don't impair the service: they don't extend the time within which polls may go unanswered. */
+export const HARMLESS_ACTIONS: ReadonlySet<string> = new Set([
   "immediate-polls",
   "unusual-requests",
   "cancel-at-end",
@@ -113,37 +117,51 @@
   }
 }
 
-/** What a scenario can ask for of users and the state service. */
+/** The failure for an event name that is not counted. */
+export const unknownEvent = (name: string, counts: Readonly<Record<string, number>>): string =>
+  `unknown event "${name}", expected one of: ${Object.keys(counts).join(", ")}`
+
+/** Expectations about users and the state service. */
 export const userExpectations: Record<
   string,
   (deployment: SimulatedDeployment, args: Args) => string | null
 > = {
-  /** At least half of every class, of every team, and of every class's largest jobs is done. */
+  /** At least half of the jobs of every class and team, and of the largest jobs of every class, is done. */
   "half-done-per-group": (deployment) => {
     const groups = unserved(deployment.invariants.users)
-    return groups.length === 0 ? null : `less than half is done of ${groups.join(", ")}`
+    return groups.length === 0 ? null : `less than half of the jobs done: ${groups.join(", ")}`
   },
   "started-within": (deployment, args) => {
     const { users, begunAt } = deployment.invariants
-    const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
-    return late.length === 0 ? null : `nothing began within ${args[0]} s of ${late.join(", ")}`
+    const late = notBegunWithin(users, begunAt, millisecondsArgument(args, 0, 240), deployment.simulation.now)
+    return late.length === 0
+      ? null
+      : `no task started within ${args[0] ?? 240} s of the submission of ${late.join(", ")}`
   },
   "largest-started-within": (deployment, args) => {
     const { users, begunAt } = deployment.invariants
     const largest = largestOfClasses(users)
-    const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
+    const late = notBegunWithin(users, begunAt, millisecondsArgument(args, 0, 240), deployment.simulation.now)
     const missing = late.filter((job) => largest.has(job))
-    return missing.length === 0 ? null : `nothing began within ${args[0]} s of ${missing.join(", ")}`
+    return missing.length === 0
+      ? null
+      : `no task started within ${args[0] ?? 240} s of the submission of ${missing.join(", ")}`
   },
-  /** Puts and deletes from submission to end, over all jobs. */
+  /** Puts and deletes from submission to end, as the average over all jobs. */
   "changes-per-job-at-most": (deployment, args) => {
     const { ofJobs, count } = deployment.state.operations
-    const each = ofJobs / deployment.users.jobs.length
-    return each <= number(args, 0, 2) ? null : `${each.toFixed(2)} changes a job: ${JSON.stringify(count)}`
+    const changesPerJob = ofJobs / deployment.users.jobs.length
+    const byKind = JSON.stringify(count)
+    return changesPerJob <= numberArgument(args, 0, 2)
+      ? null
+      : `${changesPerJob.toFixed(2)} changes per job, expected at most ${args[0] ?? 2}: ${byKind}`
   },
   "counted-at-most": (deployment, args) => {
-    const count = eventCounts(deployment)[args[0]!]
-    if (count === undefined) return `nothing is counted as ${args[0]}`
-    return count <= number(args, 1, 0) ? null : `${args[0]}: ${count} times, expected at most ${args[1] ?? 0}`
+    const counts = eventCounts(deployment)
+    const count = counts[args[0]!]
+    if (count === undefined) return unknownEvent(args[0]!, counts)
+    return count <= numberArgument(args, 1, 0)
+      ? null
+      : `"${args[0]}" happened ${count} times, expected at most ${args[1] ?? 0}`
   },
 }
--- a/packages/testkit/src/scenarios/worker-process.ts
+++ b/packages/testkit/src/scenarios/worker-process.ts
@@ -1,32 +1,32 @@
-/** Asks a forked process of a program that spreads its runs over several; one question at a time. */
+/** Requests to a forked worker process, one at a time, for programs that run work in several processes. */
 import type { ChildProcess } from "node:child_process"
 
-/** The answer, or why there is none: the process ended, or was killed as it took too long. */
+/** The answer, or the reason for its absence: the process ended, or was killed at the time-out. */
 export type WorkerReply<A> =
   | { readonly kind: "answer"; readonly answer: A }
   | { readonly kind: "ended" }
   | { readonly kind: "timeout" }
 
-/** Sends a question to the process, which sends one message back. */
+/** Sends a request to the process, which replies with one message. */
 export const askWorker = <A>(
   worker: ChildProcess,
-  question: string | number,
-  limitMs: number,
+  request: string | number,
+  timeoutMs: number,
 ): Promise<WorkerReply<A>> =>
   new Promise((resolve) => {
     const finish = (reply: WorkerReply<A>) => {
       clearTimeout(timer)
-      worker.off("exit", ended)
-      worker.off("message", answered)
+      worker.off("exit", onExit)
+      worker.off("message", onMessage)
       resolve(reply)
     }
-    const ended = () => finish({ kind: "ended" })
-    const answered = (answer: unknown) => finish({ kind: "answer", answer: answer as A })
+    const onExit = () => finish({ kind: "ended" })
+    const onMessage = (answer: unknown) => finish({ kind: "answer", answer: answer as A })
     const timer = setTimeout(() => {
       worker.kill("SIGKILL")
       finish({ kind: "timeout" })
-    }, limitMs)
-    worker.once("exit", ended)
-    worker.once("message", answered)
-    worker.send(question)
+    }, timeoutMs)
+    worker.once("exit", onExit)
+    worker.once("message", onMessage)
+    worker.send(request)
   })
--- a/packages/testkit/test/counts.test.ts
+++ b/packages/testkit/test/counts.test.ts
@@ -1,11 +1,11 @@
-/** What has been proven stays proven: neither scenarios nor their guards become fewer. */
+/** Neither scenarios nor their guards may become fewer. */
 import assert from "node:assert/strict"
 import { readdirSync, readFileSync } from "node:fs"
 import { it } from "node:test"
 import { readScenario } from "../src/scenarios/scenario.ts"
 
-// As many as there were before names and layout of the sources were changed. Guards name
-// source text, so that a rename can break one; dropping it would be the easy way out.
+// The numbers before names and layout of the sources were changed. A guard names source text, so that a
+// rename can break it; it has to be adapted then, not removed.
 const MIN_SCENARIOS = 84
 const MIN_GUARDS = 76
 
--- a/packages/testkit/test/guards.test.ts
+++ b/packages/testkit/test/guards.test.ts
@@ -7,14 +7,14 @@
 import { readScenario } from "../src/scenarios/scenario.ts"
 import { type Mutant, typeErrorsOf } from "./mutant-types.ts"
 
-/** Some run for half a minute on a calm machine. */
+/** Some scenarios run for half a minute on an idle machine. */
 const MAX_RUN_MS = 240_000
 
-/** A scenario, and the source without one of its guards. */
+/** A scenario, and the mutant of the source without one of its guards. */
 interface GuardedScenario {
   readonly scenario: string
   readonly number: number
-  /** How often the guard's text stands in the source. */
+  /** Number of times that the guard's text is in the source. */
   readonly occurrences: number
   readonly mutant: Mutant
 }
@@ -23,14 +23,14 @@
   .sort()
   .flatMap((scenario): ReadonlyArray<GuardedScenario> => {
     const { guards } = readScenario(readFileSync(`scenarios/${scenario}`, "utf8"))
-    return guards.map(({ file, from, to }, number) => {
+    return guards.map(({ file, sourceText, replacement }, number) => {
       const source = readFileSync(file, "utf8")
-      const mutant = { file, text: source.replace(from, () => to) }
-      return { scenario, number, occurrences: source.split(from).length - 1, mutant }
+      const mutant = { file, text: source.replace(sourceText, () => replacement) }
+      return { scenario, number, occurrences: source.split(sourceText).length - 1, mutant }
     })
   })
 
-/** Puts the mutant in its source's place. */
+/** Build plugin that replaces the source file with the mutant. */
 const withMutant = ({ file, text }: Mutant): Plugin => ({
   name: "without-guard",
   setup: (bundle) => {
@@ -62,7 +62,7 @@
 })
 
 describe("the type check of mutants", () => {
-  it("finds one that doesn't compile, also beside others, and lets a name be unused", () => {
+  it("finds a mutant that doesn't compile among others, and accepts unused names", () => {
     const broken = withLine("packages/protocol/src/index.ts", 'export const wrong: number = "text"')
     const unused = withLine("packages/planner/src/index.ts", "const unused = 1")
     const found = typeErrorsOf([unused, broken])
@@ -73,12 +73,16 @@
 
 const typeErrors = typeErrorsOf(guarded.map(({ mutant }) => mutant))
 
-// A scenario that names a guard must fail without it: otherwise it proves nothing.
+// A scenario must fail without each of its guards, or it doesn't test them.
 describe("without its guard", () => {
   for (const { scenario, number, occurrences, mutant } of guarded) {
     it(`${scenario} fails when ${mutant.file} is changed, which still compiles`, async () => {
-      assert.equal(occurrences, 1, "the guard's text must stand once in the source")
-      // What doesn't compile might fail the scenario for no reason of the guard's.
+      assert.equal(
+        occurrences,
+        1,
+        `${mutant.file} contains the guard's text ${occurrences} times, expected once`,
+      )
+      // A mutant that doesn't compile could fail the scenario for another reason than the missing guard.
       assert.deepEqual(typeErrors.get(mutant) ?? [], [])
       const outfile = `target/mutants/${scenario}-${number}.js`
       await buildMutant(mutant, outfile)
@@ -86,9 +90,9 @@
         encoding: "utf8",
         timeout: MAX_RUN_MS,
       })
-      // Guards against a run beside other load that is taken for one that passed.
-      assert.equal(run.signal, null, `it was not over after ${MAX_RUN_MS / 1000} s`)
-      assert.equal(run.status, 1, `it passed all the same: ${run.stdout}${run.stderr}`)
+      // A run that is killed at the time-out, on a busy machine, must not be reported as one that passed.
+      assert.equal(run.signal, null, `the run did not end within ${MAX_RUN_MS / 1000} s`)
+      assert.equal(run.status, 1, `exit code ${run.status}, expected 1: ${run.stdout}${run.stderr}`)
       assert.equal(run.stderr, "")
     })
   }
--- a/packages/testkit/test/mutant-types.ts
+++ b/packages/testkit/test/mutant-types.ts
@@ -1,22 +1,21 @@
 /**
- * Type-checks the mutants of scenarios' guards, without running any: a mutant
- * that doesn't compile would prove nothing about its guard. Works in a scratch
- * copy of the sources, so that the sources themselves are never touched.
+ * Type-checks the mutants of scenarios' guards without running them. A mutant that doesn't compile would
+ * prove nothing about its guard. Works on a copy of the sources, so that the sources stay unchanged.
  */
 import { spawnSync } from "node:child_process"
 import { cpSync, mkdirSync, readdirSync, readFileSync, rmSync, writeFileSync } from "node:fs"
 
-/** A source file with a guard's text replaced. */
+/** A source file in which the text of a guard is replaced. */
 export interface Mutant {
   readonly file: string
   readonly text: string
 }
 
 const SCRATCH = "target/mutant-types"
-/** Names that nothing uses any more: what a guard used may be unused without it. */
+/** Errors about unused names: a name that only the guard used is unused without it. */
 const UNUSED_NAME = /error TS(6133|6138|6192|6196|6198):/
 
-/** Where each of the workspace's modules is in the scratch copy: its own, never the unchanged sources. */
+/** Paths of the workspace's modules in the copy, so that none resolves to the unchanged sources. */
 const modulePaths = (packages: ReadonlyArray<string>): Record<string, ReadonlyArray<string>> =>
   Object.fromEntries(
     packages.flatMap((folder) => {
@@ -47,7 +46,7 @@
   writeFileSync(`${SCRATCH}/tsconfig.json`, JSON.stringify(config))
 }
 
-/** Errors of the scratch copy as it is now, but for unused names. */
+/** Type errors of the copy in its current state, except unused names. */
 const compile = (): ReadonlyArray<string> => {
   const run = spawnSync(
     process.execPath,
@@ -59,21 +58,21 @@
   )
   const lines = `${run.stdout}${run.stderr}`.split("\n").filter((line) => line !== "")
   const errors = lines.filter((line) => /error TS\d+:/.test(line))
-  // Guards against a compiler that didn't run and found nothing.
+  // Guards against a compiler that failed to run and therefore reported no errors.
   if (run.status !== 0 && errors.length === 0)
-    throw new Error(`tsc ended with ${run.status}: ${lines.join("\n")}`)
+    throw new Error(`tsc exited with ${run.status} and reported no errors: ${lines.join("\n")}`)
   return errors.filter((line) => !UNUSED_NAME.test(line))
 }
 
-/** Mutants of different files, as many as there are at once, so that each is in one batch. */
+/** Distributes the mutants over batches with at most one mutant per file, as few batches as possible. */
 const batchesOf = (mutants: ReadonlyArray<Mutant>): ReadonlyArray<ReadonlyArray<Mutant>> => {
   const batches: Array<Array<Mutant>> = []
-  const taken = new Map<string, number>()
+  const mutantCounts = new Map<string, number>()
   for (const mutant of mutants) {
-    const at = taken.get(mutant.file) ?? 0
-    taken.set(mutant.file, at + 1)
-    batches[at] ??= []
-    batches[at].push(mutant)
+    const batchIndex = mutantCounts.get(mutant.file) ?? 0
+    mutantCounts.set(mutant.file, batchIndex + 1)
+    batches[batchIndex] ??= []
+    batches[batchIndex].push(mutant)
   }
   return batches
 }
@@ -85,9 +84,9 @@
 }
 
 /**
- * The type errors of each mutant that has some. Mutants of different files are
- * checked together, as one run of the compiler takes as long for all of them;
- * when a batch has errors, each of its mutants is checked alone.
+ * Type errors by mutant, for the mutants that have any. Mutants of different files are checked together, as a
+ * run of the compiler takes the same time for one as for all; if a batch has errors, its mutants are checked
+ * one by one.
  */
 export const typeErrorsOf = (mutants: ReadonlyArray<Mutant>): ReadonlyMap<Mutant, ReadonlyArray<string>> => {
   makeScratch()
--- a/packages/testkit/test/shrink.test.ts
+++ b/packages/testkit/test/shrink.test.ts
@@ -4,7 +4,7 @@
 import { drawDay, type RandomDay, scenarioOf } from "../src/random-days/random-day.ts"
 import { shrink } from "../src/random-days/shrink.ts"
 
-const MOST_RUNS = 500
+const MAX_RUNS = 500
 const resultOf = ({ seed }: RandomDay, failures: ReadonlyArray<string>): DayResult => ({
   seed,
   failures,
@@ -13,17 +13,17 @@
   tookMs: 0,
 })
 
-test("a failing day is shrunk to the events that it fails by", () => {
+test("a failing day is reduced to the events that are needed for its failure", () => {
   const day = drawDay(1)
   const fault = day.faults[2]!
   const cancelled = day.users.find(({ does }) => does === "cancel")!
   const run = (candidate: RandomDay) => {
     const fails = candidate.faults.includes(fault) && candidate.users.includes(cancelled)
-    // Times and names differ from run to run, and other days may fail in other ways.
+    // Times and job ids differ from run to run, and smaller days may fail in other ways.
     const count = candidate.users.length
     return resultOf(candidate, fails ? [`quota at ${count}.5 s: run-00000${count % 10}/1`] : ["went_back"])
   }
-  const smallest = shrink(day, run(day), run, MOST_RUNS)
+  const smallest = shrink(day, run(day), run, MAX_RUNS)
   assert.deepEqual(smallest.faults, [fault])
   assert.deepEqual(
     smallest.users.map(({ does, job }) => [does, job]),
@@ -32,6 +32,6 @@
       ["cancel", cancelled.job],
     ],
   )
-  // Jobs are counted anew.
+  // Jobs are numbered by their position among those that are left.
   assert.match(scenarioOf(smallest), /\(cancel 0\)/)
 })
