--- a/packages/testkit/src/scenarios/digests.ts
+++ b/packages/testkit/src/scenarios/digests.ts
@@ -105,7 +105,7 @@
   process.stdout.write(`${countNames(names)}: ${equal}${differing}\n`)
   return unequal.length === 0 ? 0 : 1
 }
-/** Writes the file unless a digest is missing: it would look complete. Returns the exit code. */
+/** Writes the file unless a digest is missing, as it would look complete then. Returns the exit code. */
 const write = (file: string, now: Digests, requested: ReadonlyArray<string>): number => {
   const missing = requested.filter((name) => now[name] === undefined)
   if (missing.length > 0) {
