--- a/packages/testkit/src/golden/golden-recorder.ts
+++ b/packages/testkit/src/golden/golden-recorder.ts
@@ -1,22 +1,21 @@
 /**
- * Writes the golden fixtures anew: `npm run golden`. They are what earlier
- * versions put on the wire and into the store, so a change of them is a change
- * of the protocol: it breaks rolling upgrades, and has to be meant.
+ * Records the golden fixtures again: `npm run golden`. The fixtures are what earlier versions sent and
+ * stored, so a change in them is a change of the protocol: it breaks rolling upgrades, and must be intended.
  */
 import { mkdirSync, writeFileSync } from "node:fs"
-import { record } from "./recording.ts"
+import { recordDays } from "./recording.ts"
 
 const DIRECTORY = "packages/testkit/test/golden"
 
-/** One item a line: compact, and a difference shows which one. */
-const lines = (items: ReadonlyArray<unknown>): string =>
-  `[\n${items.map((item) => JSON.stringify(item)).join(",\n")}\n]\n`
+/** Formats an array with one sample per line: compact, and a diff shows which sample changed. */
+const jsonLines = (samples: ReadonlyArray<unknown>): string =>
+  `[\n${samples.map((sample) => JSON.stringify(sample)).join(",\n")}\n]\n`
 
-const { recording, dump } = record()
+const { recording, dump } = recordDays()
 const files: Record<string, string> = {
-  exchanges: lines(recording.exchanges),
-  records: lines(recording.records),
-  frames: lines(recording.frames),
+  exchanges: jsonLines(recording.exchanges),
+  records: jsonLines(recording.records),
+  frames: jsonLines(recording.frames),
   settings: `${JSON.stringify(recording.settings)}\n`,
   deployment: `${JSON.stringify(dump)}\n`,
 }
@@ -25,5 +24,5 @@
   writeFileSync(`${DIRECTORY}/${name}.json`, text)
   process.stdout.write(`${name}.json: ${text.length} bytes\n`)
 }
-// Timers of the simulated controllers would keep the process.
+// Timers of the simulated controllers would keep the process alive.
 process.exit(0)
--- a/packages/testkit/src/golden/recording.ts
+++ b/packages/testkit/src/golden/recording.ts
@@ -1,7 +1,6 @@
 /**
- * Records what simulated days put on the wire and into the store: a few samples
- * of every kind, chosen so that every field and every short word occurs. It
- * only observes: a day runs the same whether it is recorded or not.
+ * Records what controllers send and store in simulated days: a few samples of every kind, chosen so that
+ * every field and every enum-like value occurs. Recording does not affect the course of a day.
  */
 import { bucketOf } from "@sorreltally/jobs"
 import type { JobId, WireJob } from "@sorreltally/protocol"
@@ -9,50 +8,52 @@
 import { jobRequest } from "../services/wire-builders.ts"
 import { type DeploymentDump, dumpDeployment } from "../simulation/deployment-dump.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
-import { DAYS, STORE_DAY, STORE_DAY_CANCELLATIONS_AT_MS, STORE_DAY_KEPT_AT_MS } from "./days.ts"
+import { RECORDED_DAYS, STORE_DAY, STORE_DAY_CANCELLATIONS_AT_MS, STORE_DAY_DUMP_AT_MS } from "./days.ts"
 import { Recorder, type Recording } from "./recorder.ts"
 
-const CANCELLED_EACH_TIME = 2
-/** So many final states of one bucket, with ids as long as may be, fill its share of a page. */
-const JOBS_OF_ONE_BUCKET = 75
+const JOBS_CANCELLED_PER_STEP = 2
+/** This many final states with ids of the maximum length fill the share of one bucket in a job page. */
+const JOBS_IN_ONE_BUCKET = 75
 const FIRST_LONG_ID = 10n ** 19n
 
-/** A job that is soon over, and whose id is as long as may be. */
-const longIdJob = (id: JobId): WireJob =>
+/** A job that ends soon and has an id of the maximum length. */
+const shortJobWithLongId = (id: JobId): WireJob =>
   jobRequest(id, { owner: "guest", pieces: 1, cores: 0.25, mem_gb: 0.5, expected_s: 1 })
 
-const idsOfOneBucket = (): ReadonlyArray<JobId> => {
+const idsInOneBucket = (): ReadonlyArray<JobId> => {
   const idAt = (n: bigint) => `run-${n}` as JobId
   const bucket = bucketOf(idAt(FIRST_LONG_ID))
   const ids: Array<JobId> = []
-  for (let n = FIRST_LONG_ID; ids.length < JOBS_OF_ONE_BUCKET; n++)
+  for (let n = FIRST_LONG_ID; ids.length < JOBS_IN_ONE_BUCKET; n++)
     if (bucketOf(idAt(n)) === bucket) ids.push(idAt(n))
   return ids
 }
-/** Small jobs of one bucket come one after the other, so that its page has to be archived. */
+/** Submits a series of small jobs of one bucket, so that final states have to move to an archive page. */
 const fillOneBucket = (deployment: SimulatedDeployment): void => {
-  for (const [n, id] of idsOfOneBucket().entries())
-    deployment.simulation.after(10_000 + n * 1_700, () => deployment.users.submit(longIdJob(id)))
+  for (const [n, id] of idsInOneBucket().entries())
+    deployment.simulation.after(10_000 + n * 1_700, () => deployment.users.submit(shortJobWithLongId(id)))
 }
 
-/** Users cancel some of the largest jobs that aren't over. */
+/** Cancels some of the largest jobs that have not ended. */
 const cancelLiveJobs = ({ invariants, users }: SimulatedDeployment): void => {
-  const piecesOf = (id: JobId): number => invariants.submitted.get(id)!.pieces
-  const live = users.jobs.filter((id) => invariants.isLive(id)).sort((a, b) => piecesOf(b) - piecesOf(a))
-  for (const id of live.slice(0, CANCELLED_EACH_TIME)) users.cancel(id)
+  const taskCountOf = (id: JobId): number => invariants.submitted.get(id)!.pieces
+  const liveJobs = users.jobs
+    .filter((id) => invariants.isLive(id))
+    .sort((a, b) => taskCountOf(b) - taskCountOf(a))
+  for (const id of liveJobs.slice(0, JOBS_CANCELLED_PER_STEP)) users.cancel(id)
 }
 
-/** What the days and the deployment in the middle of one of them show. */
-export const record = (): { readonly recording: Recording; readonly dump: DeploymentDump } => {
+/** Records samples of all days, and dumps the deployment of `STORE_DAY`. */
+export const recordDays = (): { readonly recording: Recording; readonly dump: DeploymentDump } => {
   const recorder = new Recorder()
-  for (const day of DAYS) readScenario(day).run({ prepare: recorder.watch })
+  for (const day of RECORDED_DAYS) readScenario(day).run({ prepare: recorder.observe })
   let dump: DeploymentDump | null = null
   const prepare = (deployment: SimulatedDeployment) => {
-    recorder.watch(deployment)
+    recorder.observe(deployment)
     fillOneBucket(deployment)
     for (const atMs of STORE_DAY_CANCELLATIONS_AT_MS)
       deployment.simulation.after(atMs, () => cancelLiveJobs(deployment))
-    deployment.simulation.after(STORE_DAY_KEPT_AT_MS, () => {
+    deployment.simulation.after(STORE_DAY_DUMP_AT_MS, () => {
       dump = JSON.parse(JSON.stringify(dumpDeployment(deployment))) as DeploymentDump
     })
   }
--- a/packages/testkit/src/measure/loads.ts
+++ b/packages/testkit/src/measure/loads.ts
@@ -1,68 +1,69 @@
-/** What users submit while a deployment is measured. */
+/** Loads: the jobs that users submit while a deployment is measured. */
 
-/** Jobs of one kind, and how many come a minute at scale 1. */
+/** Jobs of one kind, and their numbers at scale 1. */
 export interface LoadKind {
   readonly jobClass: string
   readonly team: string
-  readonly perMinute: number
-  readonly atStart: number
+  readonly jobsPerMinute: number
+  readonly jobsAtStart: number
   readonly taskCount: number
   readonly cores: number
-  readonly run: number
+  /** Running time of a task. */
+  readonly durationS: number
   readonly isUrgent: boolean
-  /** Seconds from its submission; null: none. */
-  readonly due: number | null
+  /** Deadline in seconds after the submission; null: none. */
+  readonly dueS: number | null
 }
-/** Loads at scale 1: some thousand machines, most of them busy. */
+/** Loads by name. At scale 1 a load occupies some thousand machines, most of which are busy. */
 export const LOADS: Readonly<Record<string, ReadonlyArray<LoadKind>>> = {
-  /** Long tasks without a deadline beside short ones with one. */
+  /** Long tasks without a deadline and short tasks with one. */
   mixed: [
     {
       jobClass: "urgent",
       team: "blue",
-      perMinute: 40,
-      atStart: 30,
+      jobsPerMinute: 40,
+      jobsAtStart: 30,
       taskCount: 35,
       cores: 4,
-      run: 20,
+      durationS: 20,
       isUrgent: true,
-      due: 75,
+      dueS: 75,
     },
     {
       jobClass: "bulk",
       team: "red",
-      perMinute: 6,
-      atStart: 10,
+      jobsPerMinute: 6,
+      jobsAtStart: 10,
       taskCount: 60,
       cores: 8,
-      run: 80,
+      durationS: 80,
       isUrgent: false,
-      due: null,
+      dueS: null,
     },
   ],
-  /** Deadlines alone: all is the leader's, some seventy starts a second. */
+  /** Only jobs with deadlines: the leader schedules all of them, at about 70 task starts per second. */
   deadlines: [
     {
       jobClass: "urgent",
       team: "blue",
-      perMinute: 50,
-      atStart: 40,
+      jobsPerMinute: 50,
+      jobsAtStart: 40,
       taskCount: 25,
       cores: 4,
-      run: 40,
+      durationS: 40,
       isUrgent: true,
-      due: 130,
+      dueS: 130,
     },
     {
       jobClass: "bulk",
       team: "red",
-      perMinute: 50,
-      atStart: 40,
+      jobsPerMinute: 50,
+      jobsAtStart: 40,
       taskCount: 60,
       cores: 4,
-      run: 30,
+      durationS: 30,
       isUrgent: false,
-      due: 110,
+      dueS: 110,
     },
   ],
 }
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -1,17 +1,18 @@
 /**
- * Measures what a deployment of real controller processes uses: `npm run measure`. The stand-ins of the
- * state service, the cloud, the workers and the users run in this process, in real time, on loopback.
+ * Measures the resource usage of a deployment of real controller processes: `npm run measure`. The simulated
+ * state service, cloud, workers and users run in this process, in real time, on loopback.
  *
- *     node target/measure.js FOLDER [--seconds N] [--load NAME] [--scale N] [--filling] [--allocation] [--quick]
+ *     node target/measure.js FOLDER [--seconds N] [--load NAME] [--scale N] [--filling] [--allocation]
+ *         [--quick]
  *     node target/measure.js FOLDER --old FILE [--load NAME] [--scale N]
  *
- * `--filling` profiles the filling of an empty deployment too, `--allocation` adds a profile of allocated
- * bytes, and `--quick` leaves out the loss of the leader and of all controllers.
- * `--old` measures nothing: it replaces controllers of another build, the bundle FILE, by this one and lets both
- * serve together (version-replacement.ts). Exit code 1 if a check fails.
+ * `--filling` also profiles the filling of an empty deployment, `--allocation` adds a profile of allocated
+ * bytes, and `--quick` leaves out the loss of the leader and of all controllers. `--old` measures nothing: it
+ * replaces controllers of another build, the bundle FILE, by those of the current build and lets both serve
+ * together (version-replacement.ts). The exit code is 1 if a check fails.
  *
- * Prints processor time and memory by node in each phase, what was asked of the nodes meanwhile, and for a
- * profiled phase the share of each concern. The profiles stay in FOLDER, to be opened in a browser's tools.
+ * Prints processor time and memory of each node and the traffic in each phase, and for a profiled phase the
+ * share of each component. The profiles stay in FOLDER and can be opened in the Chrome developer tools.
  */
 import { mkdirSync, readFileSync } from "node:fs"
 import { parseArgs } from "node:util"
@@ -25,23 +26,23 @@
 import { LoopbackNetwork } from "../simulation/loopback-network.ts"
 import { Simulation } from "../simulation/simulation.ts"
 import { LOADS, type LoadKind } from "./loads.ts"
-import { freePort, MeasuredController, PRESENT_BUILD, runFlags } from "./measured-controllers.ts"
+import { CURRENT_BUILD, freePort, MeasuredController, nodeFlags } from "./measured-controllers.ts"
 import {
-  megabytes,
+  formatMegabytes,
+  formatSeconds,
   type ProfileKind,
+  printLine,
   printProfile,
   printTraffic,
   printUsage,
-  say,
-  secondsOf,
-  usages,
+  readUsages,
 } from "./report.ts"
 import { replaceVersions } from "./version-replacement.ts"
 
 const NODES = 5
 const ZONES = ["a", "b", "c"]
-const TURN_MS = 2
-const TIMES = { report_s: 5, lease_s: 27, cancel_s: 47 }
+const SIMULATION_STEP_MS = 2
+const WORKER_SETTINGS = { report_s: 5, lease_s: 27, cancel_s: 47 }
 const FILL_S = 45
 const FAILOVER_S = 12
 
@@ -60,8 +61,9 @@
 const folder = positionals[0] ?? "target/measure"
 const seconds = Number(values.seconds)
 const scale = Number(values.scale)
-const load = LOADS[values.load]
-if (load === undefined) throw new Error(`--load is one of ${Object.keys(LOADS).join(", ")}`)
+const loadKinds = LOADS[values.load]
+if (loadKinds === undefined)
+  throw new Error(`--load ${values.load}: must be one of ${Object.keys(LOADS).join(", ")}`)
 mkdirSync(folder, { recursive: true })
 
 const machineType = (name: string, cores: number, hourly: number): WireMachineType =>
@@ -74,7 +76,7 @@
     spot_price: hourly / 5,
     sites: ZONES,
   })
-const types = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
+const machineTypes = [machineType("small", 8, 0.6), machineType("large", 32, 3)]
 const teams = ["red", "blue"].map((name) => ({
   name,
   cpus: 5_000 * scale,
@@ -89,44 +91,44 @@
   gpus,
   maxGpus: gpus_max,
 }))
-const limits = { rps: 150, write_rps: 15, value_kb: 8, txn_ops: 8 }
+const storeLimits = { rps: 150, write_rps: 15, value_kb: 8, txn_ops: 8 }
 
 const simulation = new Simulation(1)
 const network = new LoopbackNetwork(simulation)
-const invariants = new Invariants(simulation, invariantTeams, types, TIMES.cancel_s)
-const names = Array.from({ length: NODES }, (_, i) => `host-${i}` as NodeName)
-new StateService(simulation, network, limits)
+const invariants = new Invariants(simulation, invariantTeams, machineTypes, WORKER_SETTINGS.cancel_s)
+const nodeNames = Array.from({ length: NODES }, (_, i) => `host-${i}` as NodeName)
+new StateService(simulation, network, storeLimits)
 const cloud = new Cloud(simulation, network, invariants, {
-  types,
+  types: machineTypes,
   capacity: 300 * scale,
   lagMs: 3_000,
-  nodes: names,
-  times: TIMES,
+  nodes: nodeNames,
+  times: WORKER_SETTINGS,
   neverBoots: 0,
   bootWithinMs: null,
 })
-const users = new Users(simulation, network, invariants.users, names)
+const users = new Users(simulation, network, invariants.users, nodeNames)
 
-const began = performance.now()
-setInterval(() => simulation.runUntil(performance.now() - began), TURN_MS)
+const clockStartMs = performance.now()
+setInterval(() => simulation.runUntil(performance.now() - clockStartMs), SIMULATION_STEP_MS)
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms))
 
-const makeControllers = async (): Promise<ReadonlyArray<MeasuredController>> => {
-  const flags = runFlags("deploy/service.toml")
+const createControllers = async (): Promise<ReadonlyArray<MeasuredController>> => {
+  const flags = nodeFlags("deploy/service.toml")
   const ports: Array<readonly [number, number]> = []
-  for (const name of names) {
+  for (const name of nodeNames) {
     ports.push([await freePort(), await freePort()])
     network.locate(name, ports.at(-1)![0])
   }
   const address = (port: number) => `127.0.0.1:${port}`
-  return names.map((name, i) => {
+  return nodeNames.map((name, i) => {
     const [listen, back] = ports[i]!
     const settings = {
       node_name: name,
       area: ZONES[i % ZONES.length],
       listen: address(listen),
       back: address(back),
-      peers: names.flatMap((peer, j) =>
+      peers: nodeNames.flatMap((peer, j) =>
         j === i ? [] : [{ node_name: peer, area: ZONES[j % ZONES.length], peer_addr: address(ports[j]![1]) }],
       ),
       outside: { cloud: address(network.portOf("cloud")), state: address(network.portOf("state")) },
@@ -135,8 +137,8 @@
         zones: ZONES,
         teams,
         objectives: [{ kind: "wait", class: "bulk", within_s: 70, share: 0.9 }],
-        workers: { ...TIMES, gang_wait_s: 40, gang_peer_s: 6 },
-        state: limits,
+        workers: { ...WORKER_SETTINGS, gang_wait_s: 40, gang_peer_s: 6 },
+        state: storeLimits,
         cloud: { rps: 6, list_lag_s: 3 },
         machine_limits: { cores: 0.1, mem_mb: 204, fd_limit: 2_500 },
         time_bound_ms: 1_000,
@@ -146,9 +148,9 @@
   })
 }
 
-let jobs = 0
+let jobCount = 0
 const submit = (kind: LoadKind): void => {
-  const id = `run-${String(++jobs).padStart(6, "0")}`
+  const id = `run-${String(++jobCount).padStart(6, "0")}`
   users.submit(
     jobRequest(id, {
       lane: kind.jobClass,
@@ -157,9 +159,9 @@
       pieces: kind.taskCount,
       cores: kind.cores,
       mem_gb: kind.cores,
-      bundle: `img-${jobs % 12}`,
-      expected_s: kind.run,
-      due_s: kind.due,
+      bundle: `img-${jobCount % 12}`,
+      expected_s: kind.durationS,
+      due_s: kind.dueS,
     }),
   )
 }
@@ -167,120 +169,130 @@
 const keepSubmitting = (kind: LoadKind): void => {
   if (!isSubmitting) return
   submit(kind)
-  simulation.after(60_000 / (kind.perMinute * scale), () => keepSubmitting(kind))
+  simulation.after(60_000 / (kind.jobsPerMinute * scale), () => keepSubmitting(kind))
 }
 
-const beginProfiles = (nodes: ReadonlyArray<MeasuredController>, of: ProfileKind): Promise<unknown> =>
-  Promise.all(nodes.map((node) => node.ask({ kind: "profile", of })))
+const startProfiles = (
+  nodes: ReadonlyArray<MeasuredController>,
+  profileKind: ProfileKind,
+): Promise<unknown> => Promise.all(nodes.map((node) => node.askProbe({ kind: "profile", profileKind })))
 
-/** Ends the nodes' profiles, and prints those of some of them. */
+/** Stops profiling, writes the profiles of all nodes to files, and prints those of the nodes in `printed`. */
 const finishProfiles = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: ProfileKind,
+  profileKind: ProfileKind,
   printed: ReadonlyArray<MeasuredController>,
 ): Promise<void> => {
   for (const node of nodes) {
-    const file = `${folder}/${name}-${node.name}.${of === "processor" ? "cpuprofile" : "heapprofile"}`
-    await node.ask({ kind: "finish", file })
-    if (printed.includes(node)) printProfile(`${name}, ${node.name}, ${of}`, readFileSync(file, "utf8"), of)
+    const extension = profileKind === "processor" ? "cpuprofile" : "heapprofile"
+    const file = `${folder}/${name}-${node.name}.${extension}`
+    await node.askProbe({ kind: "finish", file })
+    if (printed.includes(node))
+      printProfile(`${name}, ${node.name}, ${profileKind}`, readFileSync(file, "utf8"), profileKind)
   }
 }
-const profiled = async (
+const profileFor = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  of: ProfileKind,
+  profileKind: ProfileKind,
   ms: number,
 ): Promise<void> => {
-  await beginProfiles(nodes, of)
+  await startProfiles(nodes, profileKind)
   await pause(ms)
-  await finishProfiles(name, nodes, of, nodes)
+  await finishProfiles(name, nodes, profileKind, nodes)
 }
 
-const phase = async (
+const measurePhase = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
   work: () => Promise<unknown>,
 ): Promise<void> => {
-  const before = await usages(nodes)
-  const at = performance.now()
+  const before = await readUsages(nodes)
+  const startMs = performance.now()
   network.traffic.clear()
   await work()
-  const tookMs = performance.now() - at
-  say(`${name}, ${secondsOf(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`)
-  printUsage(nodes, before, await usages(nodes), tookMs)
+  const tookMs = performance.now() - startMs
+  printLine(
+    `${name}, ${formatSeconds(tookMs)} s, ${cloud.machines.size} machines, ${users.jobs.length} jobs:`,
+  )
+  printUsage(nodes, before, await readUsages(nodes), tookMs)
   printTraffic(network, tookMs)
 }
 const startAll = async (
   name: string,
   nodes: ReadonlyArray<MeasuredController>,
-  program = PRESENT_BUILD,
+  program = CURRENT_BUILD,
 ): Promise<void> => {
-  const at = performance.now()
+  const startMs = performance.now()
   for (const node of nodes) node.start(program)
-  const spent = await Promise.all(
+  const startups = await Promise.all(
     nodes.map(async (node) => {
-      await node.untilReady()
-      const { processorMs, resident } = await node.ask({ kind: "usage" })
-      return { processorMs, resident, afterMs: performance.now() - at }
+      await node.waitUntilReady()
+      const { processorMs, residentBytes } = await node.askProbe({ kind: "usage" })
+      return { processorMs, residentBytes, afterMs: performance.now() - startMs }
     }),
   )
-  say(`${name}: from start to /ready`)
-  for (const [i, { processorMs, resident, afterMs }] of spent.entries())
-    say(
-      `  ${nodes[i]!.name}: after ${secondsOf(afterMs)} s, ${secondsOf(processorMs)} s of processor time, ` +
-        `${megabytes(resident)} MB resident`,
+  printLine(`${name}: from start to /ready`)
+  for (const [i, { processorMs, residentBytes, afterMs }] of startups.entries())
+    printLine(
+      `  ${nodes[i]!.name}: after ${formatSeconds(afterMs)} s, ` +
+        `${formatSeconds(processorMs)} s of processor time, ${formatMegabytes(residentBytes)} MB resident`,
     )
 }
 
-const leaderOf = async (nodes: ReadonlyArray<MeasuredController>): Promise<number> => {
-  const used = await usages(nodes)
-  return used.reduce((most, is, i) => (is.processorMs > used[most]!.processorMs ? i : most), 0)
+/** Index of the node that has used the most processor time, which is taken to be the leader. */
+const findLeader = async (nodes: ReadonlyArray<MeasuredController>): Promise<number> => {
+  const usages = await readUsages(nodes)
+  return usages.reduce(
+    (busiest, usage, i) => (usage.processorMs > usages[busiest]!.processorMs ? i : busiest),
+    0,
+  )
 }
 
 const submitLoad = (): void => {
-  for (const kind of load) {
-    for (let i = 0; i < kind.atStart * scale; i++) submit(kind)
+  for (const kind of loadKinds) {
+    for (let i = 0; i < kind.jobsAtStart * scale; i++) submit(kind)
     keepSubmitting(kind)
   }
 }
 
 const main = async (): Promise<void> => {
   await pause(100)
-  const nodes = await makeControllers()
-  process.on("SIGINT", () => void Promise.all(nodes.map((node) => node.end())).then(() => process.exit(130)))
+  const nodes = await createControllers()
+  process.on("SIGINT", () => void Promise.all(nodes.map((node) => node.kill())).then(() => process.exit(130)))
   if (values.old !== undefined) {
     const stopSubmitting = () => {
       isSubmitting = false
     }
     const options = { folder, nodes, oldBuild: values.old, users, invariants, startAll }
-    const held = await replaceVersions({ ...options, submitJobs: submitLoad, stopSubmitting })
-    for (const node of nodes) await node.end()
+    const areChecksPassed = await replaceVersions({ ...options, submitJobs: submitLoad, stopSubmitting })
+    for (const node of nodes) await node.kill()
     network.closeAll()
-    process.exit(held ? 0 : 1)
+    process.exit(areChecksPassed ? 0 : 1)
   }
   await startAll("cold start", nodes)
   submitLoad()
-  if (values.filling) await beginProfiles(nodes, "processor")
-  await phase("filling", nodes, () => pause(1000 * FILL_S))
-  const leader = await leaderOf(nodes)
-  const other = (leader + 1) % NODES
-  const looked = [nodes[leader]!, nodes[other]!]
-  say(`the leader is ${nodes[leader]!.name}`)
-  if (values.filling) await finishProfiles("filling", nodes, "processor", looked)
-  await phase("steady", nodes, () => pause(1000 * seconds))
-  await profiled("steady", looked, "processor", 1000 * seconds)
-  if (values.allocation) await profiled("steady", looked, "allocation", 1000 * seconds)
+  if (values.filling) await startProfiles(nodes, "processor")
+  await measurePhase("filling", nodes, () => pause(1000 * FILL_S))
+  const leader = await findLeader(nodes)
+  const follower = (leader + 1) % NODES
+  const profiledNodes = [nodes[leader]!, nodes[follower]!]
+  printLine(`the leader is ${nodes[leader]!.name}`)
+  if (values.filling) await finishProfiles("filling", nodes, "processor", profiledNodes)
+  await measurePhase("steady", nodes, () => pause(1000 * seconds))
+  await profileFor("steady", profiledNodes, "processor", 1000 * seconds)
+  if (values.allocation) await profileFor("steady", profiledNodes, "allocation", 1000 * seconds)
   if (!values.quick) {
-    await nodes[leader]!.end()
-    const left = nodes.filter((_, i) => i !== leader)
-    await phase("leader lost", left, () => pause(1000 * FAILOVER_S))
-    for (const node of left) await node.end()
+    await nodes[leader]!.kill()
+    const remainingNodes = nodes.filter((_, i) => i !== leader)
+    await measurePhase("leader lost", remainingNodes, () => pause(1000 * FAILOVER_S))
+    for (const node of remainingNodes) await node.kill()
     await pause(4_000)
-    await startAll("all lost", nodes)
-    await phase("after the loss of all", nodes, () => pause(1000 * FAILOVER_S))
+    await startAll("restart after the loss of all nodes", nodes)
+    await measurePhase("after the loss of all nodes", nodes, () => pause(1000 * FAILOVER_S))
   }
-  for (const node of nodes) await node.end()
+  for (const node of nodes) await node.kill()
   network.closeAll()
   process.exit(0)
 }
--- a/packages/testkit/src/measure/measured-controllers.ts
+++ b/packages/testkit/src/measure/measured-controllers.ts
@@ -1,4 +1,4 @@
-/** Controllers as real processes on loopback, with a probe in each; see `measure.ts`. */
+/** Controllers as real processes on loopback, each with a probe loaded; see `measure.ts`. */
 import { type ChildProcess, spawn } from "node:child_process"
 import { once } from "node:events"
 import { openSync, readFileSync, writeFileSync } from "node:fs"
@@ -8,12 +8,12 @@
 import type { ProbeRequest, Usage } from "./probe.ts"
 
 const LOOPBACK = "127.0.0.1"
-const LOOK_EVERY_MS = 20
+const READY_POLL_INTERVAL_MS = 20
 
-/** The bundle of the sources at hand. */
-export const PRESENT_BUILD = "target/main.js"
+/** Bundle built from the current sources. */
+export const CURRENT_BUILD = "target/main.js"
 
-/** A loopback port that nobody listens on at the moment. */
+/** Returns a loopback port that is currently unused. */
 export const freePort = async (): Promise<number> => {
   const server = createServer().listen(0, LOOPBACK)
   await once(server, "listening")
@@ -23,14 +23,15 @@
   return port
 }
 
-/** The flags that the service is run with, from its deploy file. */
-export const runFlags = (deployFile: string): ReadonlyArray<string> => {
+/** Reads the flags of Node.js with which the service is run from its deploy file. */
+export const nodeFlags = (deployFile: string): ReadonlyArray<string> => {
   const run = /^run = "node (.*) target\/main\.js/m.exec(readFileSync(deployFile, "utf8"))
-  if (run === null) throw new Error(`${deployFile}: no run line`)
+  if (run === null)
+    throw new Error(`${deployFile}: no line of the form: run = "node FLAGS target/main.js ..."`)
   return run[1]!.split(" ").filter((flag) => flag !== "")
 }
 
-/** One controller, started and ended by the measuring process alone. */
+/** A controller process that only the measuring process starts and kills. */
 export class MeasuredController {
   private process: ChildProcess | null = null
   readonly settingsFile: string
@@ -46,7 +47,7 @@
     writeFileSync(this.settingsFile, JSON.stringify(settings))
   }
 
-  /** Starts the program, one controller's bundle. */
+  /** Starts the controller from the given bundle. */
   start(bundle: string): void {
     const log = openSync(`${this.folder}/${this.name}.log`, "a")
     const program = [bundle, "--operators", "deploy/operators.sexp", "--config", this.settingsFile]
@@ -54,32 +55,34 @@
       stdio: ["ignore", log, log, "ipc"],
     })
   }
-  async end(): Promise<void> {
-    const ended = this.process
+  /** Kills the process with SIGKILL and waits for its exit. */
+  async kill(): Promise<void> {
+    const killed = this.process
     this.process = null
-    if (ended === null) return
-    ended.kill("SIGKILL")
-    await once(ended, "exit")
+    if (killed === null) return
+    killed.kill("SIGKILL")
+    await once(killed, "exit")
   }
   /** Whether `/ready` answers 200. */
   isReady(): Promise<boolean> {
     return new Promise((resolve) => {
-      const asked = request({ host: LOOPBACK, port: this.port, path: "/ready" }, (answer) => {
+      const readyRequest = request({ host: LOOPBACK, port: this.port, path: "/ready" }, (answer) => {
         answer.resume()
         resolve(answer.statusCode === 200)
       })
-      asked.on("error", () => resolve(false))
-      asked.end()
+      readyRequest.on("error", () => resolve(false))
+      readyRequest.end()
     })
   }
-  async untilReady(): Promise<void> {
-    while (!(await this.isReady())) await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS))
+  async waitUntilReady(): Promise<void> {
+    while (!(await this.isReady()))
+      await new Promise((resolve) => setTimeout(resolve, READY_POLL_INTERVAL_MS))
   }
-  async ask(question: ProbeRequest): Promise<Usage> {
+  async askProbe(probeRequest: ProbeRequest): Promise<Usage> {
     const { process } = this
-    if (process === null) throw new Error(`${this.name} does not run`)
-    process.send(question)
-    const [used] = (await once(process, "message")) as [Usage]
-    return used
+    if (process === null) throw new Error(`controller process ${this.name} is not running`)
+    process.send(probeRequest)
+    const [usage] = (await once(process, "message")) as [Usage]
+    return usage
   }
 }
--- a/packages/testkit/src/measure/probe.ts
+++ b/packages/testkit/src/measure/probe.ts
@@ -1,57 +1,65 @@
 /**
- * Loaded into a controller's process by `npm run measure` (`--import`), never by the service itself:
- * answers over the process's channel what it has used so far, and takes profiles.
+ * Loaded into a controller's process by `npm run measure` (`--import`), never by the service itself. It
+ * reports the resource usage of the process over the IPC channel, and takes profiles.
  */
 import { writeFileSync } from "node:fs"
 import { Session } from "node:inspector/promises"
 import { PerformanceObserver } from "node:perf_hooks"
 
-/** What the measuring process asks. */
+/** A request of the measuring process; each is answered with the current usage. */
 export type ProbeRequest =
   | { readonly kind: "usage" }
-  | { readonly kind: "profile"; readonly of: "processor" | "allocation" }
+  | { readonly kind: "profile"; readonly profileKind: "processor" | "allocation" }
   | { readonly kind: "finish"; readonly file: string }
 
-/** What a process has used since its start. */
+/** Resource usage of a process: times and counts since its start, and present memory sizes. */
 export interface Usage {
   readonly processorMs: number
-  readonly collectionMs: number
-  readonly collections: number
-  readonly heapUsed: number
-  readonly heapTotal: number
-  readonly external: number
-  readonly resident: number
+  readonly gcMs: number
+  readonly gcCount: number
+  readonly heapUsedBytes: number
+  readonly heapTotalBytes: number
+  readonly externalBytes: number
+  readonly residentBytes: number
 }
 
-/** Bytes between two samples of the allocation profile. */
-const SAMPLING_BYTES = 16 * 1024
+/** Average number of allocated bytes between two samples of the allocation profile. */
+const ALLOCATION_SAMPLE_BYTES = 16 * 1024
 const PROCESSOR_SAMPLE_US = 500
 
-let collectionMs = 0
-let collections = 0
+let gcMs = 0
+let gcCount = 0
 new PerformanceObserver((list) => {
   for (const { duration } of list.getEntries()) {
-    collectionMs += duration
-    collections++
+    gcMs += duration
+    gcCount++
   }
 }).observe({ entryTypes: ["gc"] })
 
-const usage = (): Usage => {
+const readUsage = (): Usage => {
   const { user, system } = process.cpuUsage()
   const { heapUsed, heapTotal, external, rss } = process.memoryUsage()
   const processorMs = (user + system) / 1000
-  return { processorMs, collectionMs, collections, heapUsed, heapTotal, external, resident: rss }
+  return {
+    processorMs,
+    gcMs,
+    gcCount,
+    heapUsedBytes: heapUsed,
+    heapTotalBytes: heapTotal,
+    externalBytes: external,
+    residentBytes: rss,
+  }
 }
 
 const session = new Session()
-let profiled: "processor" | "allocation" | null = null
+let activeProfile: "processor" | "allocation" | null = null
 
-const begin = async (of: "processor" | "allocation"): Promise<void> => {
+const startProfile = async (profileKind: "processor" | "allocation"): Promise<void> => {
   session.connect()
-  profiled = of
-  if (of === "allocation") {
+  activeProfile = profileKind
+  if (profileKind === "allocation") {
     await session.post("HeapProfiler.startSampling", {
-      samplingInterval: SAMPLING_BYTES,
+      samplingInterval: ALLOCATION_SAMPLE_BYTES,
       includeObjectsCollectedByMajorGC: true,
       includeObjectsCollectedByMinorGC: true,
     } as { samplingInterval: number })
@@ -61,23 +69,23 @@
   await session.post("Profiler.setSamplingInterval", { interval: PROCESSOR_SAMPLE_US })
   await session.post("Profiler.start")
 }
-const finish = async (file: string): Promise<void> => {
+const finishProfile = async (file: string): Promise<void> => {
   const result =
-    profiled === "allocation"
+    activeProfile === "allocation"
       ? await session.post("HeapProfiler.stopSampling")
       : await session.post("Profiler.stop")
   session.disconnect()
-  profiled = null
+  activeProfile = null
   writeFileSync(file, JSON.stringify(result.profile))
 }
 
 const answer = async (request: ProbeRequest): Promise<Usage> => {
-  if (request.kind === "profile") await begin(request.of)
-  if (request.kind === "finish") await finish(request.file)
-  return usage()
+  if (request.kind === "profile") await startProfile(request.profileKind)
+  if (request.kind === "finish") await finishProfile(request.file)
+  return readUsage()
 }
 process.on("message", (request: ProbeRequest) => {
-  void answer(request).then((used) => process.send?.(used))
+  void answer(request).then((usage) => process.send?.(usage))
 })
-// The channel alone must not keep a process alive.
+// The IPC channel alone must not keep the process alive.
 process.channel?.unref()
--- a/packages/testkit/src/measure/profile-summary.ts
+++ b/packages/testkit/src/measure/profile-summary.ts
@@ -1,11 +1,11 @@
-/** Sums profiles up by concern: which of our modules, or which library, was at work. */
+/** Sums profiles up by component: a module of this project, a library, a module of Node.js or the engine. */
 
 interface CallFrame {
   readonly functionName: string
   readonly url: string
   readonly lineNumber: number
 }
-/** A `.cpuprofile`; times are in microseconds. */
+/** Content of a `.cpuprofile` file; times are in microseconds. */
 export interface ProcessorProfile {
   readonly nodes: ReadonlyArray<{
     readonly id: number
@@ -20,12 +20,15 @@
   readonly selfSize: number
   readonly children: ReadonlyArray<AllocationNode>
 }
-/** A `.heapprofile`; sizes are in bytes. */
+/** Content of a `.heapprofile` file; sizes are in bytes. */
 export interface AllocationProfile {
   readonly head: AllocationNode
 }
 
-/** From a line of the bundle to the module that it came from: esbuild names each above its code. */
+/**
+ * Returns a function from a line number of the bundle to the module that the line came from. esbuild writes
+ * the path of each module in a comment above its code.
+ */
 export const modulesOfBundle = (bundle: string): ((line: number) => string) => {
   const names: Array<string> = []
   let current = "bundle"
@@ -37,7 +40,7 @@
   return (line) => names[line] ?? "bundle"
 }
 
-const concernOf = (
+const componentOf = (
   { url, functionName, lineNumber }: CallFrame,
   moduleAt: (line: number) => string,
 ): string => {
@@ -51,71 +54,82 @@
   return library === null ? module.replace(/^packages\/([^/]+)\/src\//, "$1/") : `library ${library[1]}`
 }
 
-/** An amount by the name of a concern. */
-export type Shares = Map<string, number>
-const add = (shares: Shares, name: string, amount: number): void => {
-  shares.set(name, (shares.get(name) ?? 0) + amount)
+/** Amounts by name of a component or function. */
+export type AmountsByName = Map<string, number>
+const addAmount = (amounts: AmountsByName, name: string, amount: number): void => {
+  amounts.set(name, (amounts.get(name) ?? 0) + amount)
 }
 
-/** Milliseconds by concern, by what was itself at work. */
-export const processorShares = (profile: ProcessorProfile, moduleAt: (line: number) => string): Shares => {
-  const concerns = new Map(profile.nodes.map(({ id, callFrame }) => [id, concernOf(callFrame, moduleAt)]))
-  const shares: Shares = new Map()
+/** Milliseconds of self time by component. */
+export const processorByComponent = (
+  profile: ProcessorProfile,
+  moduleAt: (line: number) => string,
+): AmountsByName => {
+  const components = new Map(profile.nodes.map(({ id, callFrame }) => [id, componentOf(callFrame, moduleAt)]))
+  const amounts: AmountsByName = new Map()
   for (const [i, id] of profile.samples.entries()) {
-    add(shares, concerns.get(id) ?? "unknown", (profile.timeDeltas[i] ?? 0) / 1000)
+    addAmount(amounts, components.get(id) ?? "unknown", (profile.timeDeltas[i] ?? 0) / 1000)
   }
-  return shares
+  return amounts
 }
-/** Milliseconds by function of ours or of Node, by what was itself at work. */
-export const processorByFunction = (
+/** Milliseconds of self time by function. */
+export const selfTimeByFunction = (
   profile: ProcessorProfile,
   moduleAt: (line: number) => string,
-): Shares => {
+): AmountsByName => {
   const names = new Map(
     profile.nodes.map(({ id, callFrame }) => [
       id,
-      `${callFrame.functionName || "(anonymous)"} ${concernOf(callFrame, moduleAt)}:${callFrame.lineNumber}`,
+      `${callFrame.functionName || "(anonymous)"} ` +
+        `${componentOf(callFrame, moduleAt)}:${callFrame.lineNumber}`,
     ]),
   )
-  const shares: Shares = new Map()
+  const amounts: AmountsByName = new Map()
   for (const [i, id] of profile.samples.entries())
-    add(shares, names.get(id) ?? "unknown", (profile.timeDeltas[i] ?? 0) / 1000)
-  return shares
+    addAmount(amounts, names.get(id) ?? "unknown", (profile.timeDeltas[i] ?? 0) / 1000)
+  return amounts
 }
-/** Milliseconds by function, callees included; recursion counts once. */
-export const inclusiveByFunction = (
+/** Milliseconds by function, callees included; a recursive function is counted once. */
+export const inclusiveTimeByFunction = (
   profile: ProcessorProfile,
   moduleAt: (line: number) => string,
-): Shares => {
-  const self = new Map<number, number>()
+): AmountsByName => {
+  const selfMs = new Map<number, number>()
   for (const [i, id] of profile.samples.entries())
-    self.set(id, (self.get(id) ?? 0) + (profile.timeDeltas[i] ?? 0) / 1000)
+    selfMs.set(id, (selfMs.get(id) ?? 0) + (profile.timeDeltas[i] ?? 0) / 1000)
   const nodes = new Map(profile.nodes.map((node) => [node.id, node]))
-  const shares: Shares = new Map()
-  const visit = (id: number, above: ReadonlySet<string>): number => {
+  const amounts: AmountsByName = new Map()
+  const visit = (id: number, ancestors: ReadonlySet<string>): number => {
     const { callFrame, children } = nodes.get(id)!
-    const name = `${callFrame.functionName || "(anonymous)"} ${concernOf(callFrame, moduleAt)}:${callFrame.lineNumber}`
-    const within = above.has(name) ? above : new Set([...above, name])
-    let sum = self.get(id) ?? 0
-    for (const child of children ?? []) sum += visit(child, within)
-    if (!above.has(name)) add(shares, name, sum)
-    return sum
+    const name =
+      `${callFrame.functionName || "(anonymous)"} ` +
+      `${componentOf(callFrame, moduleAt)}:${callFrame.lineNumber}`
+    const path = ancestors.has(name) ? ancestors : new Set([...ancestors, name])
+    let totalMs = selfMs.get(id) ?? 0
+    for (const child of children ?? []) totalMs += visit(child, path)
+    if (!ancestors.has(name)) addAmount(amounts, name, totalMs)
+    return totalMs
   }
   const root = profile.nodes[0]
   if (root !== undefined) visit(root.id, new Set())
-  return shares
+  return amounts
 }
-/** Bytes allocated by concern, by what itself allocated. */
-export const allocationShares = (profile: AllocationProfile, moduleAt: (line: number) => string): Shares => {
-  const shares: Shares = new Map()
+/** Bytes allocated by each component itself, without its callees. */
+export const allocationByComponent = (
+  profile: AllocationProfile,
+  moduleAt: (line: number) => string,
+): AmountsByName => {
+  const amounts: AmountsByName = new Map()
   const visit = (node: AllocationNode): void => {
-    add(shares, concernOf(node.callFrame, moduleAt), node.selfSize)
+    addAmount(amounts, componentOf(node.callFrame, moduleAt), node.selfSize)
     for (const child of node.children) visit(child)
   }
   visit(profile.head)
-  return shares
+  return amounts
 }
 
-/** The largest shares, largest first. */
-export const largest = (shares: Shares, most: number): ReadonlyArray<readonly [string, number]> =>
-  [...shares].sort(([, a], [, b]) => b - a).slice(0, most)
+/** The largest amounts in descending order, at most `maxCount`. */
+export const largestAmounts = (
+  amounts: AmountsByName,
+  maxCount: number,
+): ReadonlyArray<readonly [string, number]> => [...amounts].sort(([, a], [, b]) => b - a).slice(0, maxCount)
--- a/packages/testkit/src/measure/report.ts
+++ b/packages/testkit/src/measure/report.ts
@@ -1,35 +1,34 @@
-/** Prints what was measured: of processes, of the network, and of profiles. */
+/** Prints measurements of processes, network traffic and profiles. */
 import { readFileSync } from "node:fs"
 import type { LoopbackNetwork } from "../simulation/loopback-network.ts"
 import type { MeasuredController } from "./measured-controllers.ts"
 import type { Usage } from "./probe.ts"
 import {
-  allocationShares,
-  inclusiveByFunction,
-  largest,
+  type AmountsByName,
+  allocationByComponent,
+  inclusiveTimeByFunction,
+  largestAmounts,
   modulesOfBundle,
-  processorByFunction,
-  processorShares,
-  type Shares,
+  processorByComponent,
+  selfTimeByFunction,
 } from "./profile-summary.ts"
 
-/** So many rows of a profile are printed. */
+/** Rows printed of each profile. */
 const MAX_ROWS = 70
 
-/** Of a profile: time of the processor, or allocated bytes. */
+/** Kind of a profile: processor time or allocated bytes. */
 export type ProfileKind = "processor" | "allocation"
 
-/** Prints a line. */
-export const say = (line = ""): void => console.log(line)
-/** Seconds with two places. */
-export const secondsOf = (ms: number): string => (ms / 1000).toFixed(2)
-/** Whole megabytes. */
-export const megabytes = (bytes: number): string => (bytes / 1e6).toFixed(0)
-/** What processes have used so far. */
-export const usages = (nodes: ReadonlyArray<MeasuredController>): Promise<ReadonlyArray<Usage>> =>
-  Promise.all(nodes.map((node) => node.ask({ kind: "usage" })))
+export const printLine = (line = ""): void => console.log(line)
+/** Formats a time as seconds with two decimals. */
+export const formatSeconds = (ms: number): string => (ms / 1000).toFixed(2)
+/** Formats a size as whole megabytes (1e6 bytes). */
+export const formatMegabytes = (bytes: number): string => (bytes / 1e6).toFixed(0)
+/** Asks the processes for their usage so far. */
+export const readUsages = (nodes: ReadonlyArray<MeasuredController>): Promise<ReadonlyArray<Usage>> =>
+  Promise.all(nodes.map((node) => node.askProbe({ kind: "usage" })))
 
-/** What processes used between two moments `tookMs` apart. */
+/** Prints the resources that processes used between two readings, `tookMs` apart. */
 export const printUsage = (
   nodes: ReadonlyArray<MeasuredController>,
   before: ReadonlyArray<Usage>,
@@ -37,48 +36,55 @@
   tookMs: number,
 ): void => {
   for (const [i, node] of nodes.entries()) {
-    const [was, is] = [before[i]!, after[i]!]
-    const used = is.processorMs - was.processorMs
-    say(
-      `  ${node.name}: ${secondsOf(used)} s of processor time, ${(used / tookMs).toFixed(3)} of a core; ` +
-        `collections ${is.collections - was.collections}, ${secondsOf(is.collectionMs - was.collectionMs)} s; ` +
-        `heap ${megabytes(is.heapUsed)} of ${megabytes(is.heapTotal)} MB, resident ${megabytes(is.resident)} MB`,
+    const [start, end] = [before[i]!, after[i]!]
+    const usedMs = end.processorMs - start.processorMs
+    printLine(
+      `  ${node.name}: ${formatSeconds(usedMs)} s of processor time, ` +
+        `${(usedMs / tookMs).toFixed(3)} of a core; ` +
+        `garbage collections ${end.gcCount - start.gcCount}, ${formatSeconds(end.gcMs - start.gcMs)} s; ` +
+        `heap ${formatMegabytes(end.heapUsedBytes)} of ${formatMegabytes(end.heapTotalBytes)} MB, ` +
+        `resident ${formatMegabytes(end.residentBytes)} MB`,
     )
   }
-  const sum = after.reduce((all, is, i) => all + is.processorMs - before[i]!.processorMs, 0)
-  say(`  all: ${(sum / tookMs).toFixed(3)} of a core`)
+  const usedByAllMs = after.reduce((all, usage, i) => all + usage.processorMs - before[i]!.processorMs, 0)
+  printLine(`  all nodes: ${(usedByAllMs / tookMs).toFixed(3)} of a core`)
 }
-/** Requests of the last `tookMs` by kind; they are counted anew from now on. */
+/** Prints the requests of the last `tookMs` by kind, and resets their counts. */
 export const printTraffic = (network: LoopbackNetwork, tookMs: number): void => {
   for (const [kind, { requests, bytes, answeredBytes }] of network.traffic)
-    say(
-      `  ${kind}: ${((requests * 1000) / tookMs).toFixed(1)} a second, ` +
-        `${Math.round(bytes / requests)} bytes, answered with ${Math.round(answeredBytes / requests)}`,
+    printLine(
+      `  ${kind}: ${((requests * 1000) / tookMs).toFixed(1)} requests per second, ` +
+        `${Math.round(bytes / requests)} bytes each, ` +
+        `answers of ${Math.round(answeredBytes / requests)} bytes`,
     )
   network.traffic.clear()
 }
-/** Which module each line of the measured program comes from. */
-const bundled = modulesOfBundle(readFileSync("target/main.js", "utf8"))
-const printShares = (shares: Shares, unit: string): void => {
-  let all = 0
-  for (const [name, amount] of shares) if (name !== "idle") all += amount
-  for (const [name, amount] of largest(shares, MAX_ROWS))
+/** The module that a line of the measured bundle comes from. */
+const moduleAt = modulesOfBundle(readFileSync("target/main.js", "utf8"))
+const printAmounts = (amounts: AmountsByName, unit: string): void => {
+  let total = 0
+  for (const [name, amount] of amounts) if (name !== "idle") total += amount
+  for (const [name, amount] of largestAmounts(amounts, MAX_ROWS))
     if (name !== "idle")
-      say(
-        `    ${amount.toFixed(1).padStart(9)} ${unit} ${((100 * amount) / all).toFixed(1).padStart(5)}%  ${name}`,
+      printLine(
+        `    ${amount.toFixed(1).padStart(9)} ${unit} ` +
+          `${((100 * amount) / total).toFixed(1).padStart(5)}%  ${name}`,
       )
 }
-/** The largest shares of a profile in the format of a browser's tools. */
-export const printProfile = (name: string, text: string, of: ProfileKind): void => {
-  say(`  ${name}:`)
+/** Prints the largest amounts of a profile; `text` is in the format of the Chrome developer tools. */
+export const printProfile = (name: string, text: string, kind: ProfileKind): void => {
+  printLine(`  ${name}:`)
   const profile = JSON.parse(text)
-  if (of === "allocation") {
-    const bytes = allocationShares(profile, bundled)
-    return printShares(new Map([...bytes].map(([what, size]) => [what, size / 1024])), "KiB")
+  if (kind === "allocation") {
+    const bytesByComponent = allocationByComponent(profile, moduleAt)
+    return printAmounts(
+      new Map([...bytesByComponent].map(([component, size]) => [component, size / 1024])),
+      "KiB",
+    )
   }
-  printShares(processorShares(profile, bundled), "ms")
-  say("   by function:")
-  printShares(processorByFunction(profile, bundled), "ms")
-  say("   by function with all it calls:")
-  printShares(inclusiveByFunction(profile, bundled), "ms")
+  printAmounts(processorByComponent(profile, moduleAt), "ms")
+  printLine("   by function, self time:")
+  printAmounts(selfTimeByFunction(profile, moduleAt), "ms")
+  printLine("   by function, callees included:")
+  printAmounts(inclusiveTimeByFunction(profile, moduleAt), "ms")
 }
--- a/packages/testkit/src/measure/version-replacement.ts
+++ b/packages/testkit/src/measure/version-replacement.ts
@@ -1,32 +1,39 @@
 /**
- * Replaces controllers of an earlier build by the present one, and lets both serve one deployment: the phases of
- * `npm run measure -- --old FILE`. Every answer to users and every start of a task is checked by the invariants.
+ * The phases of `npm run measure -- --old FILE`: replaces the controllers of an earlier build by those of the
+ * current one, and lets both serve one deployment. The invariants check every answer to users and every start
+ * of a task.
  */
 import { readFileSync } from "node:fs"
 import type { JobId } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
 import type { Users } from "../services/users.ts"
-import { type MeasuredController, PRESENT_BUILD } from "./measured-controllers.ts"
-import { say } from "./report.ts"
+import { CURRENT_BUILD, type MeasuredController } from "./measured-controllers.ts"
+import { printLine } from "./report.ts"
 
 const FILL_S = 45
 const SETTLE_S = 20
 const FAILOVER_S = 15
 const FAIL_BACK_S = 25
-const FINISH_S = 150
-const POLL_ANSWER_S = 3
-const LOOK_EVERY_S = 5
-/** One in this many of the submitted jobs is cancelled while the earlier build serves. */
-const CANCELLED_SHARE = 8
-/** Log lines that only a fault or an incompatible message causes. */
-const FAULT_LINES =
-  /malformed|shard failed|fiber failed|request failed|uncaught exception|service ended|listener failed/
+const FINISH_LIMIT_S = 150
+/** Time for the answers of one node to requests about all jobs. */
+const ANSWER_WAIT_S = 3
+const FINISH_POLL_INTERVAL_S = 5
+/** One of this many submitted jobs is cancelled while the old build serves. */
+const JOBS_PER_CANCELLATION = 8
+/**
+ * Log lines that only a fault or an incompatible message causes, in the texts of earlier and current builds.
+ */
+const FAULT_LINES = new RegExp(
+  "malformed|shard failed|shard controller failed|peer message could not be decoded or handled|" +
+    "fiber failed|request failed|uncaught exception|service ended|listener failed",
+)
 
-/** The deployment in which versions are replaced. */
+/** Options of a version replacement. */
 export interface VersionReplacementOptions {
+  /** Directory with the log files of the nodes. */
   readonly folder: string
   readonly nodes: ReadonlyArray<MeasuredController>
-  /** Path of the earlier build's bundle. */
+  /** Path of the old build's bundle. */
   readonly oldBuild: string
   readonly users: Users
   readonly invariants: Invariants
@@ -42,98 +49,111 @@
 
 const pause = (seconds: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, 1000 * seconds))
-const endAll = async (nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
-  for (const node of nodes) await node.end()
+const killAll = async (nodes: ReadonlyArray<MeasuredController>): Promise<void> => {
+  for (const node of nodes) await node.kill()
 }
 
-/** Runs all phases, prints what they showed, and returns whether every check held. */
+/** Runs all phases, prints their results, and returns whether every check passed. */
 export const replaceVersions = async (options: VersionReplacementOptions): Promise<boolean> => {
   const { nodes, oldBuild, users, invariants, startAll } = options
-  const [mixed, ...others] = nodes
-  const phase = async (name: string, seconds: number): Promise<void> => {
+  // Runs the old build while the other nodes run the current one.
+  const [mixedNode, ...otherNodes] = nodes
+  const runPhase = async (name: string, seconds: number): Promise<void> => {
     await pause(seconds)
     const { jobs, done, cancelled } = users.counts()
-    say(`${name}: ${jobs} jobs, ${done} done, ${cancelled} cancelled, ${invariants.starts} starts of tasks,`)
-    say(`  ${invariants.broken.length} broken invariants`)
+    printLine(
+      `${name}: ${jobs} jobs, ${done} done, ${cancelled} cancelled, ${invariants.starts} task starts,`,
+    )
+    printLine(`  ${invariants.broken.length} broken invariants`)
   }
 
   await startAll("all nodes of the old build", nodes, oldBuild)
   options.submitJobs()
-  await phase("old build, filling", FILL_S)
-  users.jobs.filter((_, i) => i % CANCELLED_SHARE === 0).forEach((job) => void users.cancel(job))
-  await phase("old build, some jobs cancelled", SETTLE_S)
-  const answeredBefore = states(users, invariants)
-  await endAll(nodes)
-  await startAll("all nodes of the present build on the old store", nodes, PRESENT_BUILD)
-  await phase("present build", SETTLE_S)
-  const areKept = printKept(answeredBefore, states(users, invariants))
+  await runPhase("old build, filling", FILL_S)
+  users.jobs.filter((_, i) => i % JOBS_PER_CANCELLATION === 0).forEach((job) => void users.cancel(job))
+  await runPhase("old build, some jobs cancelled", SETTLE_S)
+  const statesBefore = observedStates(users, invariants)
+  await killAll(nodes)
+  await startAll("all nodes of the current build on the store of the old one", nodes, CURRENT_BUILD)
+  await runPhase("current build", SETTLE_S)
+  const areStatesKept = printKeptStates(statesBefore, observedStates(users, invariants))
 
-  await mixed!.end()
-  await startAll(`${mixed!.name} of the old build beside the present one`, [mixed!], oldBuild)
-  await phase("both builds", FAIL_BACK_S)
-  await endAll(others)
-  await phase(`only ${mixed!.name} of the old build is left`, FAILOVER_S)
-  await startAll("the others of the present build again", others, PRESENT_BUILD)
-  await phase("both builds, shards failed back", FAIL_BACK_S)
-  await mixed!.end()
-  await phase("the old build has ended, the present one took its shards over", FAILOVER_S)
-  await startAll(`${mixed!.name} of the old build again`, [mixed!], oldBuild)
-  await phase("both builds", FAIL_BACK_S)
+  await mixedNode!.kill()
+  await startAll(
+    `${mixedNode!.name} of the old build, the others of the current build`,
+    [mixedNode!],
+    oldBuild,
+  )
+  await runPhase("both builds", FAIL_BACK_S)
+  await killAll(otherNodes)
+  await runPhase(`only ${mixedNode!.name} of the old build`, FAILOVER_S)
+  await startAll("the other nodes of the current build again", otherNodes, CURRENT_BUILD)
+  await runPhase("both builds, shards failed back", FAIL_BACK_S)
+  await mixedNode!.kill()
+  await runPhase("only the current build, after failover of the shards", FAILOVER_S)
+  await startAll(`${mixedNode!.name} of the old build again`, [mixedNode!], oldBuild)
+  await runPhase("both builds", FAIL_BACK_S)
 
   options.stopSubmitting()
-  await untilFinished(users)
-  const areAnswered = await printAnswers(options)
-  const faults = nodes.flatMap((node) => faultLines(`${options.folder}/${node.name}.log`))
-  say(`log lines of faults or malformed messages: ${faults.length}`)
-  for (const line of faults) say(`  ${line}`)
-  say(`broken invariants: ${invariants.broken.length}`)
-  for (const broken of invariants.broken) say(`  ${broken}`)
-  return areKept && areAnswered && faults.length === 0 && invariants.broken.length === 0
+  await waitUntilFinished(users)
+  const areAnswersCorrect = await printAnswers(options)
+  const faultLogLines = nodes.flatMap((node) => readFaultLines(`${options.folder}/${node.name}.log`))
+  printLine(`log lines of faults or malformed messages: ${faultLogLines.length}`)
+  for (const line of faultLogLines) printLine(`  ${line}`)
+  printLine(`broken invariants: ${invariants.broken.length}`)
+  for (const broken of invariants.broken) printLine(`  ${broken}`)
+  return areStatesKept && areAnswersCorrect && faultLogLines.length === 0 && invariants.broken.length === 0
 }
 
 const FINAL_STATES: ReadonlySet<string | null> = new Set(["done", "withdrawn"])
-const states = (users: Users, invariants: Invariants): ReadonlyMap<JobId, string | null> =>
+const observedStates = (users: Users, invariants: Invariants): ReadonlyMap<JobId, string | null> =>
   new Map(users.jobs.map((job) => [job, invariants.users.state(job)]))
 
-/** Prints what became of the jobs that the old build had answered for; whether all final states are kept. */
-const printKept = (
+/**
+ * Compares the final states that the old build reported with those of the current build; true if all are
+ * kept.
+ */
+const printKeptStates = (
   before: ReadonlyMap<JobId, string | null>,
   after: ReadonlyMap<JobId, string | null>,
 ): boolean => {
-  const final = [...before].filter(([, state]) => FINAL_STATES.has(state))
-  const kept = final.filter(([job, state]) => after.get(job) === state)
-  say(`  final states of the old build that the present one keeps: ${kept.length} of ${final.length};`)
-  say(`  jobs that were not final: ${before.size - final.length}`)
-  return kept.length === final.length
+  const finalBefore = [...before].filter(([, state]) => FINAL_STATES.has(state))
+  const kept = finalBefore.filter(([job, state]) => after.get(job) === state)
+  printLine(
+    `  final states of the old build kept by the current build: ${kept.length} of ${finalBefore.length};`,
+  )
+  printLine(`  jobs without a final state under the old build: ${before.size - finalBefore.length}`)
+  return kept.length === finalBefore.length
 }
 
-const untilFinished = async (users: Users): Promise<void> => {
-  for (let waitedS = 0; waitedS < FINISH_S; waitedS += LOOK_EVERY_S) {
+const waitUntilFinished = async (users: Users): Promise<void> => {
+  for (let waitedS = 0; waitedS < FINISH_LIMIT_S; waitedS += FINISH_POLL_INTERVAL_S) {
     const { jobs, done, cancelled } = users.counts()
     if (done + cancelled === jobs) return
-    await pause(LOOK_EVERY_S)
+    await pause(FINISH_POLL_INTERVAL_S)
   }
 }
 
-/** Asks every node about every job once; whether all answers are 200 with the same, final state. */
+/** Polls every job once at every node; true if all answers are 200 with the same, final state. */
 const printAnswers = async ({ nodes, users, invariants }: VersionReplacementOptions): Promise<boolean> => {
   const counts = new Map<string, number>()
-  let asExpected = 0
+  let correctAnswers = 0
   for (const { name } of nodes) {
     for (const job of users.jobs)
       users.pollAt(job, name, (status, state) => {
         const answer = `${name}: ${status} ${state}`
         counts.set(answer, (counts.get(answer) ?? 0) + 1)
-        if (status === 200 && FINAL_STATES.has(state) && state === invariants.users.state(job)) asExpected++
+        if (status === 200 && FINAL_STATES.has(state) && state === invariants.users.state(job))
+          correctAnswers++
       })
-    await pause(POLL_ANSWER_S)
+    await pause(ANSWER_WAIT_S)
   }
-  say("last answers about every job, by node, status and state:")
-  for (const [answer, count] of counts) say(`  ${answer}: ${count}`)
-  return asExpected === nodes.length * users.jobs.length
+  printLine("answers of the final poll of every job, by node, status and state:")
+  for (const [answer, count] of counts) printLine(`  ${answer}: ${count}`)
+  return correctAnswers === nodes.length * users.jobs.length
 }
 
-const faultLines = (file: string): ReadonlyArray<string> =>
+const readFaultLines = (file: string): ReadonlyArray<string> =>
   readFileSync(file, "utf8")
     .split("\n")
     .filter((line) => FAULT_LINES.test(line))
--- a/packages/testkit/src/random-days/coverage.ts
+++ b/packages/testkit/src/random-days/coverage.ts
@@ -1,4 +1,7 @@
-/** Counts over many random days which pairs of faults were drawn and really met. */
+/**
+ * Counts over many random days which pairs of faults were drawn, and which of them met: the second fault
+ * began while the expected effect of the first one was observed.
+ */
 import { type DrawnPair, faultEffects } from "../faults/effects.ts"
 import { faultNames } from "./random-day.ts"
 
@@ -7,19 +10,19 @@
   met: number
 }
 
-const MAX_LISTED = 60
+const MAX_LISTED_PAIRS = 60
 
-/** How often each pair of faults was drawn over many days, and really met. */
+/** Numbers of drawn pairs and of pairs that met, over many days. */
 export class Coverage {
-  private readonly pairs = new Map<string, Count>()
-  private readonly secondsByEffect = new Map<string, Count>()
-  private readonly firsts = new Map<string, Count>()
+  private readonly byPair = new Map<string, Count>()
+  private readonly byEffect = new Map<string, Count>()
+  private readonly byFirstFault = new Map<string, Count>()
   readonly total: Count = { drawn: 0, met: 0 }
 
   add({ first, effect, second, met }: DrawnPair): void {
-    this.count(this.pairs, `${first} ${second}`, met)
-    this.count(this.secondsByEffect, `${effect} ${second}`, met)
-    this.count(this.firsts, first, met)
+    this.count(this.byPair, `${first} ${second}`, met)
+    this.count(this.byEffect, `${effect} ${second}`, met)
+    this.count(this.byFirstFault, first, met)
     this.total.drawn++
     if (met) this.total.met++
   }
@@ -30,41 +33,42 @@
     if (met) count.met++
   }
 
-  /** Pairs of a first and a second fault that never met. */
-  neverMet(): ReadonlyArray<string> {
+  /** Pairs of a first and a second fault that met on none of the days. */
+  pairsNeverMet(): ReadonlyArray<string> {
     return faultNames
       .flatMap((first) => faultNames.map((second) => `${first} ${second}`))
-      .filter((pair) => (this.pairs.get(pair)?.met ?? 0) === 0)
+      .filter((pair) => (this.byPair.get(pair)?.met ?? 0) === 0)
   }
 
-  /** Markdown: by effect and second fault, then by first fault, then what never met. */
+  /** Markdown tables by effect and second fault, and by first fault; then the pairs that never met. */
   table(): string {
     const cell = ({ met, drawn }: Count = { met: 0, drawn: 0 }) => (drawn === 0 ? "" : `${met}/${drawn}`)
     const row = (cells: ReadonlyArray<string>) => `| ${cells.join(" | ")} |`
     const horizontalRule = (columns: number) => row(Array.from({ length: columns }, () => "---"))
-    const byEffect = faultNames.map((second) =>
-      row([second, ...faultEffects.map((effect) => cell(this.secondsByEffect.get(`${effect} ${second}`)))]),
+    const effectRows = faultNames.map((second) =>
+      row([second, ...faultEffects.map((effect) => cell(this.byEffect.get(`${effect} ${second}`)))]),
     )
-    const byFirst = faultNames.map((first) => {
-      const met = faultNames.filter((second) => (this.pairs.get(`${first} ${second}`)?.met ?? 0) > 0)
-      return row([first, cell(this.firsts.get(first)), `${met.length} of ${faultNames.length}`])
+    const firstFaultRows = faultNames.map((first) => {
+      const met = faultNames.filter((second) => (this.byPair.get(`${first} ${second}`)?.met ?? 0) > 0)
+      return row([first, cell(this.byFirstFault.get(first)), `${met.length} of ${faultNames.length}`])
     })
-    const never = this.neverMet()
-    const square = faultNames.length * faultNames.length
+    const unmetPairs = this.pairsNeverMet()
+    const pairCount = faultNames.length * faultNames.length
     return [
-      `${this.total.met} of ${this.total.drawn} drawn pairs really met; ${square - never.length} of ${square} pairs of a first and a second trouble met at least once.`,
+      `${this.total.met} of ${this.total.drawn} drawn pairs met; ${pairCount - unmetPairs.length} of ` +
+        `${pairCount} pairs of a first and a second fault met at least once.`,
       "",
-      row(["second trouble inside", ...faultEffects]),
+      row(["second fault during", ...faultEffects]),
       horizontalRule(faultEffects.length + 1),
-      ...byEffect,
+      ...effectRows,
       "",
-      row(["first trouble", "met/drawn", "second troubles met"]),
+      row(["first fault", "met/drawn", "second faults met"]),
       horizontalRule(3),
-      ...byFirst,
+      ...firstFaultRows,
       "",
-      never.length > MAX_LISTED
-        ? `${never.length} pairs never met.`
-        : `Never met: ${never.join(", ") || "none"}.`,
+      unmetPairs.length > MAX_LISTED_PAIRS
+        ? `${unmetPairs.length} pairs never met.`
+        : `Never met: ${unmetPairs.join(", ") || "none"}.`,
       "",
     ].join("\n")
   }
--- a/packages/testkit/src/random-days/day-run.ts
+++ b/packages/testkit/src/random-days/day-run.ts
@@ -4,30 +4,31 @@
 import type { TraceDigest } from "../simulation/trace-digest.ts"
 import { type RandomDay, scenarioOf } from "./random-day.ts"
 
-/** What one run of a random day showed. */
+/** Result of one run of a random day. */
 export interface DayResult {
   readonly seed: number
+  /** Broken invariants and expectations; empty if the day passed. */
   readonly failures: ReadonlyArray<string>
   readonly pairs: ReadonlyArray<DrawnPair>
-  readonly starts: number
-  readonly tookMs: number
+  readonly taskStarts: number
+  readonly durationMs: number
 }
 
-/** Runs a day to its end; a day that throws has failed. */
+/** Runs a day to its end. An exception counts as a failure of the day. */
 export const runDay = (day: RandomDay, trace?: TraceDigest): DayResult => {
-  const began = performance.now()
-  const tookMs = () => Math.round(performance.now() - began)
+  const startedMs = performance.now()
+  const elapsedMs = () => Math.round(performance.now() - startedMs)
   try {
     const { failures, deployment } = readScenario(scenarioOf(day)).run({ trace })
     return {
       seed: day.seed,
       failures,
       pairs: deployment.pairs,
-      starts: deployment.invariants.starts,
-      tookMs: tookMs(),
+      taskStarts: deployment.invariants.starts,
+      durationMs: elapsedMs(),
     }
   } catch (cause) {
-    const thrown = `threw: ${(cause as Error).stack ?? String(cause)}`
-    return { seed: day.seed, failures: [thrown], pairs: [], starts: 0, tookMs: tookMs() }
+    const failure = `threw: ${(cause as Error).stack ?? String(cause)}`
+    return { seed: day.seed, failures: [failure], pairs: [], taskStarts: 0, durationMs: elapsedMs() }
   }
 }
--- a/packages/testkit/src/random-days/random-jobs.ts
+++ b/packages/testkit/src/random-days/random-jobs.ts
@@ -1,35 +1,36 @@
-/** Draws what users submit and cancel in a random day. */
+/** Draws the submissions and cancellations of the users in a random day. */
 import type { DaySettings } from "../faults/fault-draws.ts"
 import type { RandomSource } from "../simulation/simulation.ts"
 
-/** What a user does in a random day; `job` numbers the day's jobs in the order of their submission. */
+/** An action of a user in a random day. `job` is the index of a job, in the order in which jobs are drawn. */
 export type UserEvent = {
   readonly atS: number
   readonly job: number
-} & ({ readonly does: "submit"; readonly wanted: JobWanted } | { readonly does: "cancel" | "resubmit" })
+} & ({ readonly action: "submit"; readonly options: JobOptions } | { readonly action: "cancel" | "resubmit" })
 
-/** What a job needs, and its other options as a scenario writes them. */
-export interface JobWanted {
+/** Options of a submitted job. */
+export interface JobOptions {
   readonly taskCount: number
   readonly cores: number
-  readonly runS: number
-  readonly owner: string
-  readonly others: string
+  readonly durationS: number
+  readonly team: string
+  /** Remaining options, as the scenario format writes them. */
+  readonly otherOptions: string
 }
 
 const LARGE_MACHINE_CORES = 32
 const TEAMS = ["red", "blue", "guest"]
-/** Of mixed jobs, those that fail on every machine until their users cancel them. */
-const MISTAKEN_SHARE = 0.08
-const SUBMISSIONS_UNTIL_S = 130
-/** Jobs submitted longer ago are mostly over. */
-const RECENT_S = 70
+/** Share of mixed jobs that fail on every machine until their users cancel them. */
+const ALWAYS_FAILING_SHARE = 0.08
+const LAST_SUBMISSION_S = 130
+/** Most jobs that were submitted earlier have ended. */
+const MAX_CANCELLED_JOB_AGE_S = 70
 const MAX_CANCELLED_AT_ONCE = 8
-/** Cancellations of one moment are spread over so many seconds. */
-export const CANCELLATIONS_LAST_S = 0.6
+/** Time over which the cancellations of one group are spread. */
+export const CANCELLATION_SPREAD_S = 0.6
 
-/** A scattered job is refused where there is only one zone. */
-const placement = (random: RandomSource, { zones }: DaySettings): string =>
+/** Draws placement options. A scattered job is refused in a deployment with a single zone. */
+const drawPlacementOptions = (random: RandomSource, { zones }: DaySettings): string =>
   random.pick([
     "",
     "",
@@ -40,110 +41,133 @@
     " spot no",
     ` zone ${random.pick(zones)} spot no`,
   ])
-const anyJob = (random: RandomSource, settings: DaySettings, taskCount: number): JobWanted => {
+const drawJob = (random: RandomSource, settings: DaySettings, taskCount: number): JobOptions => {
   const cores = random.pick(taskCount > 12 ? [1, 2] : [1, 2, 4, 8])
-  const due = random.chance(0.5) ? ` due ${random.integerBetween(30, 150)}` : ""
-  const saves = random.chance(0.4) ? " snapshot 5 flush 2" : ""
+  const deadline = random.chance(0.5) ? ` due ${random.integerBetween(30, 150)}` : ""
+  const checkpointing = random.chance(0.4) ? " snapshot 5 flush 2" : ""
   const urgency = random.pick(["standard", "standard", "high", "best_effort"])
-  const others = `urgency ${urgency} image img-${random.integerBetween(1, 3)}${due}${saves}${placement(random, settings)}`
-  return { taskCount, cores, runS: random.integerBetween(4, 45), owner: random.pick(TEAMS), others }
+  const image = `image img-${random.integerBetween(1, 3)}`
+  const placement = drawPlacementOptions(random, settings)
+  const otherOptions = `urgency ${urgency} ${image}${deadline}${checkpointing}${placement}`
+  return {
+    taskCount,
+    cores,
+    durationS: random.integerBetween(4, 45),
+    team: random.pick(TEAMS),
+    otherOptions,
+  }
 }
 
-/** Jobs that come now and then, some of them cancelled or submitted again. */
-const mixedJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
+/** Draws jobs at irregular intervals, some of which are cancelled or submitted again. */
+const drawMixedJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(2, 14)) {
+  for (let job = 0, atS = 1; atS < LAST_SUBMISSION_S; job++, atS += random.between(2, 14)) {
     const taskCount = random.chance(0.25)
       ? 1
       : random.chance(0.1)
         ? random.integerBetween(20, 60)
         : random.integerBetween(2, 12)
-    const wanted = anyJob(random, settings, taskCount)
-    if (random.chance(MISTAKEN_SHARE)) {
-      events.push({ atS, job, does: "submit", wanted: { ...wanted, others: `${wanted.others} mistake yes` } })
-      events.push({ atS: atS + random.between(20, 120), job, does: "cancel" })
+    const options = drawJob(random, settings, taskCount)
+    if (random.chance(ALWAYS_FAILING_SHARE)) {
+      events.push({
+        atS,
+        job,
+        action: "submit",
+        options: { ...options, otherOptions: `${options.otherOptions} mistake yes` },
+      })
+      events.push({ atS: atS + random.between(20, 120), job, action: "cancel" })
       continue
     }
-    events.push({ atS, job, does: "submit", wanted })
-    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 40), job, does: "cancel" })
-    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
+    events.push({ atS, job, action: "submit", options })
+    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 40), job, action: "cancel" })
+    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, action: "resubmit" })
   }
   return events
 }
 
-/** One-task jobs one after the other, a quarter of them cancelled, among a few larger ones. */
-const oneTaskJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
+/** Draws a steady series of single-task jobs, a quarter of which are cancelled, and a few larger jobs. */
+const drawSingleTaskJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  const secondsApart = random.pick([0.5, 1, 2])
-  const untilS = Math.min(SUBMISSIONS_UNTIL_S, 80 * secondsApart)
-  const due = random.chance(0.5) ? "due 60" : ""
-  for (let job = 0, atS = 1; atS < untilS; job++, atS += secondsApart) {
-    const large = random.chance(0.05)
-    const small = {
+  const intervalS = random.pick([0.5, 1, 2])
+  const lastSubmissionS = Math.min(LAST_SUBMISSION_S, 80 * intervalS)
+  const deadline = random.chance(0.5) ? "due 60" : ""
+  for (let job = 0, atS = 1; atS < lastSubmissionS; job++, atS += intervalS) {
+    const isLarge = random.chance(0.05)
+    const smallJob = {
       taskCount: 1,
       cores: 1,
-      runS: random.integerBetween(2, 20),
-      owner: random.pick(TEAMS),
-      others: due,
+      durationS: random.integerBetween(2, 20),
+      team: random.pick(TEAMS),
+      otherOptions: deadline,
     }
-    const wanted = large ? anyJob(random, settings, random.integerBetween(4, 12)) : small
-    events.push({ atS, job, does: "submit", wanted })
-    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 20), job, does: "cancel" })
-    if (random.chance(0.05)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
+    const options = isLarge ? drawJob(random, settings, random.integerBetween(4, 12)) : smallJob
+    events.push({ atS, job, action: "submit", options })
+    if (random.chance(0.25)) events.push({ atS: atS + random.between(0, 20), job, action: "cancel" })
+    if (random.chance(0.05)) events.push({ atS: atS + random.between(20, 100), job, action: "resubmit" })
   }
   return events
 }
 
-/** Jobs of two or three tasks that run long, so that their ends lie far apart. */
-const longJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
+/** Draws long jobs of two or three tasks, whose ends lie far apart in time. */
+const drawLongJobs = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> => {
   const events: Array<UserEvent> = []
-  for (let job = 0, atS = 1; atS < SUBMISSIONS_UNTIL_S; job++, atS += random.between(4, 16)) {
-    const wanted: JobWanted = {
+  for (let job = 0, atS = 1; atS < LAST_SUBMISSION_S; job++, atS += random.between(4, 16)) {
+    const options: JobOptions = {
       taskCount: random.integerBetween(2, 3),
       cores: random.pick([2, 4, 8]),
-      runS: random.integerBetween(30, 120),
-      owner: random.pick(TEAMS),
-      others: `${random.chance(0.5) ? `due ${random.integerBetween(120, 300)}` : ""}${placement(random, settings)}`,
+      durationS: random.integerBetween(30, 120),
+      team: random.pick(TEAMS),
+      otherOptions:
+        (random.chance(0.5) ? `due ${random.integerBetween(120, 300)}` : "") +
+        drawPlacementOptions(random, settings),
     }
-    events.push({ atS, job, does: "submit", wanted })
-    if (random.chance(0.3)) events.push({ atS: atS + random.between(5, 60), job, does: "cancel" })
-    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, does: "resubmit" })
+    events.push({ atS, job, action: "submit", options })
+    if (random.chance(0.3)) events.push({ atS: atS + random.between(5, 60), job, action: "cancel" })
+    if (random.chance(0.15)) events.push({ atS: atS + random.between(20, 100), job, action: "resubmit" })
   }
   return events
 }
 
-/** What the users of a day do, in any order of time. */
-export const drawUsers = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> =>
-  random.pick([mixedJobs, mixedJobs, oneTaskJobs, longJobs])(random, settings)
+/** Draws the actions of all users in a day; they are not sorted by time. */
+export const drawUserEvents = (random: RandomSource, settings: DaySettings): ReadonlyArray<UserEvent> =>
+  random.pick([drawMixedJobs, drawMixedJobs, drawSingleTaskJobs, drawLongJobs])(random, settings)
 
-/** How long the busiest team's work takes at its limit, or on the large machines of one zone and kind. */
-export const busiestTeamS = (
+/**
+ * Seconds that the work of the busiest team takes at the team's limit, or, if that is less capacity, on the
+ * large machines of one zone and kind.
+ */
+export const busiestTeamWorkS = (
   users: ReadonlyArray<UserEvent>,
   { teamLimit, capacity }: DaySettings,
 ): number => {
   const coreSeconds = new Map(TEAMS.map((team) => [team, 0]))
   for (const event of users) {
-    if (event.does !== "submit") continue
-    const { owner, taskCount, cores, runS } = event.wanted
-    coreSeconds.set(owner, coreSeconds.get(owner)! + taskCount * cores * runS)
+    if (event.action !== "submit") continue
+    const { team, taskCount, cores, durationS } = event.options
+    coreSeconds.set(team, coreSeconds.get(team)! + taskCount * cores * durationS)
   }
   return Math.max(...coreSeconds.values()) / Math.min(teamLimit, capacity * LARGE_MACHINE_CORES)
 }
 
-/** Cancels some of the jobs that were submitted within the last minute or so, all within a moment. */
+/** Draws cancellations of several recently submitted jobs, all within `CANCELLATION_SPREAD_S`. */
 export const drawCancellations = (
   random: RandomSource,
   users: ReadonlyArray<UserEvent>,
   atS: number,
 ): ReadonlyArray<UserEvent> => {
-  const recent = users.filter(
-    ({ does, atS: submittedS }) => does === "submit" && submittedS < atS && submittedS > atS - RECENT_S,
+  const recentSubmissions = users.filter(
+    ({ action, atS: submittedS }) =>
+      action === "submit" && submittedS < atS && submittedS > atS - MAX_CANCELLED_JOB_AGE_S,
+  )
+  const firstCancelled = recentSubmissions.length === 0 ? [] : [random.pick(recentSubmissions)]
+  const otherCancelled = recentSubmissions.filter(
+    (event) => !firstCancelled.includes(event) && random.chance(0.5),
+  )
+  return [...firstCancelled, ...otherCancelled.slice(0, MAX_CANCELLED_AT_ONCE - 1)].map(
+    ({ job }, position) => ({
+      atS: position === 0 ? atS : atS + random.between(0, CANCELLATION_SPREAD_S),
+      job,
+      action: "cancel",
+    }),
   )
-  const first = recent.length === 0 ? [] : [random.pick(recent)]
-  const others = recent.filter((event) => !first.includes(event) && random.chance(0.5))
-  return [...first, ...others.slice(0, MAX_CANCELLED_AT_ONCE - 1)].map(({ job }, position) => ({
-    atS: position === 0 ? atS : atS + random.between(0, CANCELLATIONS_LAST_S),
-    job,
-    does: "cancel",
-  }))
 }
--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -16,7 +16,7 @@
 /** Cancellations of jobs that nobody submits any more go as well. */
 const withEvents = (day: RandomDay, events: ReadonlyArray<DayEvent>): RandomDay => {
   const users = events.flatMap((event) => ("user" in event ? [event.user] : []))
-  const submitted = new Set(users.filter(({ does }) => does === "submit").map(({ job }) => job))
+  const submitted = new Set(users.filter(({ action }) => action === "submit").map(({ job }) => job))
   return {
     ...day,
     users: users.filter(({ job }) => submitted.has(job)),
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -1,7 +1,11 @@
 /**
- * Runs many random days: `npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest]`. Prints every
- * day that fails with its scenario, then how often the pairs of faults met, and with --digest the digest of
- * each day's messages as it ends. Exits with 1 if a day failed.
+ * Runs many random days in worker processes:
+ *
+ *     npm run sweep -- --first 1001 --days 1000 --jobs 3 [--shrink] [--digest] [--day-limit-s 180]
+ *
+ * Prints the scenario of every day that fails, and how often the pairs of faults met. `--shrink` reduces
+ * failing days to fewer events, and `--digest` prints the digest of each day's messages when the day ends.
+ * Exits with 1 if a day failed.
  */
 import { type ChildProcess, fork } from "node:child_process"
 import { parseArgs } from "node:util"
@@ -22,79 +26,87 @@
     "day-limit-s": { type: "string", default: "180" },
   },
 })
-const MAX_SHRINKING_RUNS = 200
+const MAX_SHRINK_RUNS = 200
 
-/** `digest`: of the day's messages; null if it wasn't asked for, or the process ended before the day. */
+/**
+ * A day's result with the digest of its messages: null without `--digest`, or if the worker ended or timed
+ * out.
+ */
 type SweptDay = DayResult & { readonly digest: string | null }
 
 const sweepDay = (seed: number): SweptDay => {
   const trace = values.digest ? new TraceDigest() : undefined
   return { ...runDay(drawDay(seed), trace), digest: trace?.digest() ?? null }
 }
-/** A worker process gets seeds and answers with what their days showed. */
+/** Worker process: receives seeds and replies with the results of their days. */
 const serveDays = (): void => {
   process.on("message", (seed: number) => process.send?.(sweepDay(seed)))
 }
 
 class Sweep {
   private readonly coverage = new Coverage()
-  private readonly failed: Array<DayResult> = []
-  private next: number
-  private readonly end: number
-  private ran = 0
-  private starts = 0
-  private slowest: DayResult | null = null
+  private readonly failedDays: Array<DayResult> = []
+  private nextSeed: number
+  private readonly endSeed: number
+  private daysRun = 0
+  private taskStarts = 0
+  private slowestDay: DayResult | null = null
 
-  constructor(first: number, days: number) {
-    this.next = first
-    this.end = first + days
+  constructor(firstSeed: number, days: number) {
+    this.nextSeed = firstSeed
+    this.endSeed = firstSeed + days
   }
 
-  /** Ends when the workers have run all days. */
+  /** Resolves when the worker processes have run all days. */
   async run(workers: number): Promise<void> {
-    await Promise.all(Array.from({ length: workers }, () => this.keepWorking()))
+    await Promise.all(Array.from({ length: workers }, () => this.runWorker()))
   }
-  private async keepWorking(): Promise<void> {
+  private async runWorker(): Promise<void> {
     let worker: ChildProcess | null = null
-    while (this.next < this.end) {
+    while (this.nextSeed < this.endSeed) {
       worker ??= fork(process.argv[1]!, process.argv.slice(2), { env: { ...process.env, SWEEP_WORKER: "1" } })
-      const result = await this.oneDay(worker, this.next++)
-      this.take(result)
+      const result = await this.runDayInWorker(worker, this.nextSeed++)
+      this.recordResult(result)
       if (!worker.connected || worker.killed) worker = null
     }
     worker?.disconnect()
   }
-  private async oneDay(worker: ChildProcess, seed: number): Promise<SweptDay> {
+  private async runDayInWorker(worker: ChildProcess, seed: number): Promise<SweptDay> {
     const limitS = Number(values["day-limit-s"])
     const reply = await askWorker<SweptDay>(worker, seed, limitS * 1000)
     if (reply.kind === "answer") return reply.answer
-    const why = reply.kind === "timeout" ? `the day took longer than ${limitS} s` : "the worker process ended"
-    return { seed, failures: [why], pairs: [], starts: 0, tookMs: Number.NaN, digest: null }
+    const failure =
+      reply.kind === "timeout" ? `the day took longer than ${limitS} s` : "the worker process ended"
+    return { seed, failures: [failure], pairs: [], taskStarts: 0, durationMs: Number.NaN, digest: null }
   }
-  private take(result: SweptDay): void {
-    this.ran++
+  private recordResult(result: SweptDay): void {
+    this.daysRun++
     if (result.digest !== null) process.stdout.write(`seed ${result.seed} digest ${result.digest}\n`)
-    this.starts += result.starts
-    if (this.slowest === null || result.tookMs > this.slowest.tookMs) this.slowest = result
+    this.taskStarts += result.taskStarts
+    if (this.slowestDay === null || result.durationMs > this.slowestDay.durationMs) this.slowestDay = result
     for (const pair of result.pairs) this.coverage.add(pair)
     if (result.failures.length === 0) return
-    this.failed.push(result)
+    this.failedDays.push(result)
     process.stdout.write(`seed ${result.seed} failed:\n  ${result.failures.join("\n  ")}\n`)
   }
 
   report(): number {
-    for (const result of this.failed) this.printFailure(result)
-    const seeds = this.failed.map(({ seed }) => seed).join(" ")
+    for (const result of this.failedDays) this.printFailure(result)
+    const seeds = this.failedDays.map(({ seed }) => seed).join(" ")
     process.stdout.write(
-      `${this.ran} days, ${this.starts} task starts, ${this.failed.length} days failed${seeds === "" ? "" : `: ${seeds}`}\n` +
-        `slowest day: seed ${this.slowest?.seed}, ${this.slowest?.tookMs} ms\n\n${this.coverage.table()}`,
+      `${this.daysRun} days, ${this.taskStarts} task starts, ` +
+        `${this.failedDays.length} days failed${seeds === "" ? "" : `: ${seeds}`}\n` +
+        `slowest day: seed ${this.slowestDay?.seed}, ${this.slowestDay?.durationMs} ms\n\n` +
+        this.coverage.table(),
     )
-    return this.failed.length === 0 ? 0 : 1
+    return this.failedDays.length === 0 ? 0 : 1
   }
   private printFailure(result: DayResult): void {
     const day = drawDay(result.seed)
-    const shown = values.shrink ? shrink(day, result, runDay, MAX_SHRINKING_RUNS) : day
-    process.stdout.write(`\n; seed ${result.seed}: ${result.failures.join("; ")}\n${scenarioOf(shown)}\n\n`)
+    const reportedDay = values.shrink ? shrink(day, result, runDay, MAX_SHRINK_RUNS) : day
+    process.stdout.write(
+      `\n; seed ${result.seed}: ${result.failures.join("; ")}\n${scenarioOf(reportedDay)}\n\n`,
+    )
   }
 }
 
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -1,8 +1,8 @@
 /**
- * The product's codecs as the golden tests use them, under names of their own:
- * a rename in the product touches this file alone. Each `again` decodes with the
- * product's decoder, encodes with its encoder where it has one, and gives the
- * text or the bytes that come out; it throws what the decoder says of a bad one.
+ * Adapter between the golden tests and the codecs of the product, so that a rename in the product changes
+ * this file alone. Each `reencode...` function decodes with the decoder of the product, encodes with its
+ * encoder where there is one, and returns the resulting text or bytes. For invalid input it throws the
+ * message of the decoder.
  */
 import {
   archiveFinalStates,
@@ -41,19 +41,19 @@
 import { Effect, Result } from "effect"
 import { pack, unpack } from "msgpackr"
 
-/** Decodes a text and encodes what came out. */
-type Again = (text: string) => string
+/** Decodes a text and encodes the result. */
+type RoundTrip = (text: string) => string
 
-const orThrow = <A>(result: Result.Result<A, { readonly message: string }>): A => {
+const getOrThrow = <A>(result: Result.Result<A, { readonly message: string }>): A => {
   if (Result.isSuccess(result)) return result.success
   throw new Error(result.failure.message)
 }
 
 // --- bodies of requests and answers ---------------------------------------------
 
-/** A worker's heartbeat in the short form in which controllers forward it. */
-export const packedHeartbeat = (body: unknown): unknown => {
-  const heartbeats = [{ id: 0, heartbeat: orThrow(decodeHeartbeat(body)) }]
+/** Encodes a worker's heartbeat in the short form in which controllers forward it. */
+export const shortHeartbeat = (body: unknown): unknown => {
+  const heartbeats = [{ id: 0, heartbeat: getOrThrow(decodeHeartbeat(body)) }]
   const message = encodeMessage({
     kind: "heartbeats",
     senderStartedAt: 0,
@@ -64,22 +64,22 @@
   const { reports } = message.body as { readonly reports: ReadonlyArray<readonly [number, unknown]> }
   return reports[0]![1]
 }
-/** What is wrong with a heartbeat; null for a good one. */
+/** Error message of the decoder for a heartbeat; null if it is valid. */
 export const heartbeatError = (body: unknown): string | null => {
   const decoded = decodeHeartbeat(body)
   return Result.isSuccess(decoded) ? null : decoded.failure.message
 }
-/** A user's submission, as it goes into the store. */
-export const submissionAgain: Again = (text) =>
-  JSON.stringify(jobSpecToWire(orThrow(decodeJobSpec(JSON.parse(text)))))
+/** Decodes a user's submission and encodes it as it is stored. */
+export const reencodeSubmission: RoundTrip = (text) =>
+  JSON.stringify(jobSpecToWire(getOrThrow(decodeJobSpec(JSON.parse(text)))))
 
-/** A page of the cloud's list, from what its decoder made of it. */
-const machinePageAgain: Again = (text) => {
+/** Rebuilds a page of the cloud's machine list from its decoded form. */
+const reencodeMachinePage: RoundTrip = (text) => {
   const wire = JSON.parse(text) as { readonly hosts: ReadonlyArray<{ readonly address?: string | null }> }
-  const { machines, hasMore } = orThrow(decodeMachinePage(wire))
+  const { machines, hasMore } = getOrThrow(decodeMachinePage(wire))
   const hosts = machines.map(({ id, machineType, zone, spot, status, ageS }, i) => ({
     id,
-    // The service has no use for it, and doesn't decode it.
+    // The decoder ignores the address, as the service does not use it.
     ...("address" in wire.hosts[i]! ? { address: wire.hosts[i]!.address } : {}),
     build: machineType,
     site: zone,
@@ -90,57 +90,57 @@
   return JSON.stringify({ hosts, more: hasMore })
 }
 
-/** Answers of the cloud, by kind of request. */
-export const cloudAnswers: Record<string, Again> = {
+/** Round trips of the cloud's answers, by kind of request. */
+export const cloudAnswerRoundTrips: Record<string, RoundTrip> = {
   "cloud GET /catalog": (text) =>
-    JSON.stringify({ builds: orThrow(decodeCatalog(JSON.parse(text))).map(machineTypeToWire) }),
-  "cloud GET /machines": machinePageAgain,
-  "cloud POST /machines": (text) => JSON.stringify({ hosts: orThrow(decodeRental(JSON.parse(text))) }),
+    JSON.stringify({ builds: getOrThrow(decodeCatalog(JSON.parse(text))).map(machineTypeToWire) }),
+  "cloud GET /machines": reencodeMachinePage,
+  "cloud POST /machines": (text) => JSON.stringify({ hosts: getOrThrow(decodeRental(JSON.parse(text))) }),
 }
 
 // --- stored records ---------------------------------------------------------------
 
-/** Any key of each family will do. */
+/** The codec depends only on the family of a key; any key of the family serves. */
 const JOB_PAGE = keys.jobPage(0, 0)
 const ENDS_PAGE = keys.endsPage("part-0" as ShardName, 0)
 const ARCHIVE_PAGE = keys.archivePage(0, 0, 0)
 const SLOT = keys.slot("part-0" as ShardName, 0)
 
-const recordAgain =
-  (key: StoreKey<unknown>): Again =>
+const reencodeRecord =
+  (key: StoreKey<unknown>): RoundTrip =>
   (text) =>
     JSON.stringify(encodeRecord(key, decodeRecord(key, JSON.parse(text))))
-const pageOf = (text: string): JobPage => decodeRecord(JOB_PAGE, JSON.parse(text))
-const textOf = (page: JobPage): string => JSON.stringify(encodeRecord(JOB_PAGE, page))
-const jobPageAgain: Again = (text) => textOf(foldEnds(pageOf(text), () => null))
-/** A job page as it is written when all its jobs have ended like this. */
-export const jobPageFolded = (text: string, end: "done" | "withdrawn"): string =>
-  textOf(foldEnds(pageOf(text), () => (end === "done" ? "done" : "cancelled")))
-/** A job page as it is written when the user of its first job has cancelled it. */
-export const jobPageCancelled = (text: string): string => {
-  const page = pageOf(text)
-  return textOf(cancelJob(page, page.jobs[0]!.spec.id))
+const decodeJobPage = (text: string): JobPage => decodeRecord(JOB_PAGE, JSON.parse(text))
+const encodeJobPage = (page: JobPage): string => JSON.stringify(encodeRecord(JOB_PAGE, page))
+const reencodeJobPage: RoundTrip = (text) => encodeJobPage(foldEnds(decodeJobPage(text), () => null))
+/** A job page as it is written when all its jobs have ended with the given state. */
+export const foldJobPage = (text: string, end: "done" | "withdrawn"): string =>
+  encodeJobPage(foldEnds(decodeJobPage(text), () => (end === "done" ? "done" : "cancelled")))
+/** A job page as it is written when its first job has been cancelled. */
+export const cancelFirstJob = (text: string): string => {
+  const page = decodeJobPage(text)
+  return encodeJobPage(cancelJob(page, page.jobs[0]!.spec.id))
 }
-/** Ends move from a job page that holds too many of them to a page of their own. */
-const archiveAgain: Again = (text) => {
-  const finals = decodeRecord(ARCHIVE_PAGE, JSON.parse(text))
-  const { archived } = archiveFinalStates({ ...EMPTY_PAGE, ...finals }, 0)
+/** Moves final states from a job page that holds too many of them to an archive page, and encodes that. */
+const reencodeArchivePage: RoundTrip = (text) => {
+  const finalStates = decodeRecord(ARCHIVE_PAGE, JSON.parse(text))
+  const { archived } = archiveFinalStates({ ...EMPTY_PAGE, ...finalStates }, 0)
   return JSON.stringify(encodeRecord(ARCHIVE_PAGE, archived))
 }
 
 const MAX_SLOT_KB = 64
 const MAX_JOBS = 1_000
-/** Any job will do for a slot's facts; it has as many tasks as they speak of. */
-const jobOf = (id: JobId): JobState => {
+/** A job for the placements and finishes of a slot, with more tasks than they refer to. */
+const makeJob = (id: JobId): JobState => {
   const spec = { id, taskCount: 1_000 } as JobRecord["spec"]
   return new JobState(id, { spec, submittedAt: 0, cancelled: false }, JOB_PAGE, 0 as ModRevision)
 }
-/** Takes a slot over as a new owner does, and writes its facts once more. */
-const slotAgain: Again = (text) => {
+/** Restores a slot of the placement ledger as a new owner does, and writes the same record again. */
+const reencodeSlot: RoundTrip = (text) => {
   const record = decodeRecord(SLOT, JSON.parse(text))
   const jobs = new Map<JobId, JobState>()
-  const known = (id: JobId): JobState => {
-    const job = jobs.get(id) ?? jobOf(id)
+  const findOrMakeJob = (id: JobId): JobState => {
+    const job = jobs.get(id) ?? makeJob(id)
     jobs.set(id, job)
     return job
   }
@@ -148,43 +148,43 @@
     slot: 0,
     modRevision: 1 as ModRevision,
     record,
-    jobOf: known,
+    jobOf: findOrMakeJob,
     restoredAt: 0 as MonotonicTime,
   })
   const placements = record.placed.flatMap(
-    ({ jobId }): Array<Placement> => [...known(jobId).placements.values()],
+    ({ jobId }): Array<Placement> => [...findOrMakeJob(jobId).placements.values()],
   )
-  const jobsWithFinishes = record.finished.map(({ jobId }) => known(jobId))
+  const jobsWithFinishes = record.finished.map(({ jobId }) => findOrMakeJob(jobId))
   for (const job of jobsWithFinishes)
     for (let index = 0; index < job.taskCount; index++)
       if (job.isFinished(index)) job.unsavedFinishes.add(index)
   const { epoch, number } = record.writeId
   const ledger = new PlacementLedger({ valueKb: MAX_SLOT_KB })
   const request = { starts: placements, jobsWithFinishes, maxJobs: MAX_JOBS, epoch }
-  // Each write has the next number.
+  // Write numbers are consecutive: advances the ledger to the number before that of the record.
   for (let n = 1; n < number; n++) ledger.prepareWrite(request)
   const write = ledger.prepareWrite(request)
   return JSON.stringify(encodeRecord(SLOT, write?.record))
 }
 
-/** Stored values, by kind of key. */
-export const records: Record<string, Again> = {
-  "s/live": recordAgain(keys.node("host-0" as NodeName)),
-  "s/part": recordAgain(keys.shard("part-0" as ShardName)),
-  "s/block": recordAgain(keys.machineBlock("part-0~small~a~spot", 1)),
-  "s/job": jobPageAgain,
-  "s/ends": recordAgain(ENDS_PAGE),
-  "s/quota": recordAgain(keys.quota("red")),
-  "s/catalog": recordAgain(keys.catalog),
-  final: archiveAgain,
-  place: slotAgain,
+/** Round trips of stored values, by kind of key. */
+export const recordRoundTrips: Record<string, RoundTrip> = {
+  "s/live": reencodeRecord(keys.node("host-0" as NodeName)),
+  "s/part": reencodeRecord(keys.shard("part-0" as ShardName)),
+  "s/block": reencodeRecord(keys.machineBlock("part-0~small~a~spot", 1)),
+  "s/job": reencodeJobPage,
+  "s/ends": reencodeRecord(ENDS_PAGE),
+  "s/quota": reencodeRecord(keys.quota("red")),
+  "s/catalog": reencodeRecord(keys.catalog),
+  final: reencodeArchivePage,
+  place: reencodeSlot,
 }
 
 // --- settings ---------------------------------------------------------------------
 
-/** The platform's settings file. */
-export const platformAgain: Again = (text) => {
-  const platform = orThrow(parsePlatform(text, "settings.json"))
+/** Parses the platform's settings file and writes it in the same format. */
+export const reencodePlatform: RoundTrip = (text) => {
+  const platform = getOrThrow(parsePlatform(text, "settings.json"))
   const { deployment } = platform
   const { workers, store, cloud, machineLimits } = deployment
   return JSON.stringify({
@@ -234,12 +234,13 @@
     },
   })
 }
-/** The operators' file: every setting, by section and field. */
-export const operatorsOf = (text: string): unknown => orThrow(parseOperators(text, "operators.sexp"))
+/** All settings of an operators' file, by section and field. */
+export const parseOperatorsFile = (text: string): unknown =>
+  getOrThrow(parseOperators(text, "operators.sexp"))
 
 // --- frames between controllers -----------------------------------------------------
 
-/** A frame as plain data. */
+/** Content of a frame as plain data, under the names of the wire format. */
 export interface FrameContent {
   readonly t: string
   readonly from: string
@@ -249,12 +250,12 @@
   readonly receives?: ReadonlyArray<string>
   readonly hears?: ReadonlyArray<string>
 }
-/** Reads a frame without the product's help. */
-export const contentOf = (frame: Uint8Array): FrameContent => unpack(frame) as FrameContent
+/** Decodes a frame independently of the product's codec. */
+export const unpackFrame = (frame: Uint8Array): FrameContent => unpack(frame) as FrameContent
 
-const SILENT: Log = { error: () => {}, info: () => {}, debug: () => {} }
+const SILENT_LOG: Log = { error: () => {}, info: () => {}, debug: () => {} }
 
-/** One node's channel to others whose frames are caught. */
+/** Opens the channel of one node, and captures the frames that it sends to other nodes. */
 const openChannel = (self: string, others: ReadonlyArray<string>) => {
   const sent: Array<{ readonly to: string; readonly frame: Uint8Array }> = []
   let receive: (frame: Uint8Array) => void = () => {}
@@ -264,23 +265,28 @@
       receive = handler
     },
   }
-  const opening = makePeerChannel(self as NodeName, others as ReadonlyArray<NodeName>, links, SILENT)
-  return { channel: Effect.runSync(opening), sent, receive: (frame: Uint8Array) => receive(frame) }
+  const openedChannel = makePeerChannel(
+    self as NodeName,
+    others as ReadonlyArray<NodeName>,
+    links,
+    SILENT_LOG,
+  )
+  return { channel: Effect.runSync(openedChannel), sent, receive: (frame: Uint8Array) => receive(frame) }
 }
 
-/** The frame by which a node sends another this message. */
-const messageAgain = ({ from, to, kind, body }: FrameContent): Uint8Array => {
+/** The frame with which the product sends this message from one node to another. */
+const reencodeMessage = ({ from, to, kind, body }: FrameContent): Uint8Array => {
   const { channel, sent } = openChannel(from, [to])
   channel.send(decodeMessage({ kind: kind!, body })!, to as NodeName)
   return sent[0]!.frame
 }
-/** The ping of a node that has heard from others what the frame says that it has. */
-const pingAgain = async ({ from, to, receives, hears }: FrameContent): Promise<Uint8Array> => {
+/** The ping that a node sends after it has received pings that match the lists of the given frame. */
+const reencodePing = async ({ from, to, receives, hears }: FrameContent): Promise<Uint8Array> => {
   const others = [...new Set([...receives!, ...hears!, to])].sort()
   const { channel, sent, receive } = openChannel(from, others)
   for (const other of receives!) {
-    const theirs = hears!.includes(other) ? [from] : []
-    receive(pack({ t: "ping", from: other, to: from, receives: theirs, hears: [] }))
+    const othersReceives = hears!.includes(other) ? [from] : []
+    receive(pack({ t: "ping", from: other, to: from, receives: othersReceives, hears: [] }))
   }
   sent.length = 0
   const stop = Effect.runCallback(channel.serve(() => {}))
@@ -288,12 +294,12 @@
   stop()
   return sent.find((one) => one.to === to)!.frame
 }
-/** The same frame, made by the product. */
-export const frameAgain = (content: FrameContent): Promise<Uint8Array> =>
-  content.t === "ping" ? pingAgain(content) : Promise.resolve(messageAgain(content))
-/** What a node's handler is handed of a frame. */
-export const frameReceived = async (frame: Uint8Array): Promise<FrameContent | null> => {
-  const { t, from, to } = contentOf(frame)
+/** Encodes the content of a frame with the product's codec. */
+export const reencodeFrame = (content: FrameContent): Promise<Uint8Array> =>
+  content.t === "ping" ? reencodePing(content) : Promise.resolve(reencodeMessage(content))
+/** The message that a node's handler receives from a frame; null if it receives none. */
+export const receiveFrame = async (frame: Uint8Array): Promise<FrameContent | null> => {
+  const { t, from, to } = unpackFrame(frame)
   const { channel, receive } = openChannel(to, [from])
   let received: FrameContent | null = null
   const stop = Effect.runCallback(
@@ -307,12 +313,12 @@
   return received
 }
 
-const bodyAgain = (kind: string) => (body: unknown) => encodeMessage(decodeMessage({ kind, body })!).body
-/** Bodies of messages, by the kind that frames name. */
-export const messageBodies: Record<string, (body: never) => unknown> = Object.fromEntries(
+const reencodeBody = (kind: string) => (body: unknown) => encodeMessage(decodeMessage({ kind, body })!).body
+/** Round trips of message bodies, by the kind named in the frame. */
+export const messageBodyRoundTrips: Record<string, (body: never) => unknown> = Object.fromEntries(
   ["answers", "commands", "counts", "job", "list", "load", "machines", "replies", "reports", "wants"].map(
-    (kind) => [kind, bodyAgain(kind)],
+    (kind) => [kind, reencodeBody(kind)],
   ),
 )
-/** The bytes of a body, as they stand in a frame. */
-export const bodyBytes = (body: unknown): Uint8Array => pack(body)
+/** Bytes of a message body as in a frame. */
+export const packBody = (body: unknown): Uint8Array => pack(body)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -1,4 +1,4 @@
-/** The present version goes on from a store that an earlier one wrote. */
+/** The current version continues from a store that an earlier version wrote. */
 import assert from "node:assert/strict"
 import { readFileSync } from "node:fs"
 import { before, describe, it } from "node:test"
@@ -10,24 +10,24 @@
 const dump = JSON.parse(
   readFileSync("packages/testkit/test/golden/deployment.json", "utf8"),
 ) as DeploymentDump
-const PLAYED_MS = 120_000
-/** A last question of every job at every node, and the time for its answers. */
-const QUESTIONS_MS = 5_000
-const SEED = 4_711
+const RUN_MS = 120_000
+/** Time for the answers of a final poll of every job at every node. */
+const FINAL_POLLS_MS = 5_000
+const RESUME_SEED = 4_711
 
-const told = new Map(dump.users.told)
-const finalAtFirst = (job: string) => told.get(job)?.final?.state ?? null
+const lastReplies = new Map(dump.users.told)
+const recordedFinalState = (job: string) => lastReplies.get(job)?.final?.state ?? null
 
-/** Its tasks fail on every machine, and nobody cancels it. */
-const isMistaken = (job: string) => dump.mistaken.includes(job)
+/** Whether the tasks of a job fail on every machine; such jobs are not cancelled. */
+const alwaysFails = (job: string) => dump.mistaken.includes(job)
 
-interface Answered {
+interface PollAnswer {
   readonly job: JobId
   readonly status: number
   readonly state: string | null
 }
-const askEveryNode = (deployment: SimulatedDeployment): ReadonlyArray<Answered> => {
-  const answers: Array<Answered> = []
+const pollEveryNode = (deployment: SimulatedDeployment): ReadonlyArray<PollAnswer> => {
+  const answers: Array<PollAnswer> = []
   for (const job of dump.jobs)
     for (const node of deployment.names)
       deployment.users.pollAt(job, node, (status, state) => answers.push({ job, status, state }))
@@ -36,16 +36,16 @@
 
 describe("a store of an earlier version", () => {
   let deployment: SimulatedDeployment
-  let answers: ReadonlyArray<Answered> = []
+  let answers: ReadonlyArray<PollAnswer> = []
   before(() => {
-    deployment = resumeDeployment(dump, SEED)
-    deployment.simulation.runUntil(dump.atMs + PLAYED_MS)
-    answers = askEveryNode(deployment)
-    deployment.simulation.runUntil(dump.atMs + PLAYED_MS + QUESTIONS_MS)
+    deployment = resumeDeployment(dump, RESUME_SEED)
+    deployment.simulation.runUntil(dump.atMs + RUN_MS)
+    answers = pollEveryNode(deployment)
+    deployment.simulation.runUntil(dump.atMs + RUN_MS + FINAL_POLLS_MS)
   })
 
   it("holds jobs of all states, folded and archived pages, machines and quotas", () => {
-    const states = new Set([...told.values()].map(({ state }) => state))
+    const states = new Set([...lastReplies.values()].map(({ state }) => state))
     assert.deepEqual(states, new Set(["queued", "running", "done", "withdrawn"]))
     const { entries } = dump.state
     const pages = entries.filter(({ path }) => path.startsWith("s/job/")).map(({ v }) => v as never)
@@ -67,7 +67,7 @@
         prefix,
       )
   })
-  it("is taken up without a broken rule or an error in the log", () => {
+  it("is continued without a broken invariant or an error in the log", () => {
     assert.deepEqual(deployment.invariants.broken, [])
     assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
     assert.deepEqual(
@@ -75,42 +75,43 @@
       [],
     )
   })
-  it("loses no job: each is known to every node", () => {
+  it("loses no job: every node answers 200 for each", () => {
     assert.equal(answers.length, dump.jobs.length * deployment.names.length)
     for (const { job, status } of answers) assert.equal(status, 200, job)
   })
-  it("keeps the final state of every job that was over", () => {
+  it("keeps the final state of every job that had ended", () => {
     for (const { job, state } of answers) {
-      const final = finalAtFirst(job)
+      const final = recordedFinalState(job)
       if (final !== null) assert.equal(state, final, job)
     }
   })
-  it("has its other jobs run to their end, and cancelled ones stay cancelled", () => {
+  it("runs the other jobs to their end, and keeps cancelled ones cancelled", () => {
     for (const { job, state } of answers) {
-      if (finalAtFirst(job) !== null || isMistaken(job)) continue
-      const cancelled = dump.users.askedToCancel.includes(job)
-      assert.equal(state, cancelled ? "withdrawn" : "done", `${job}: ${deployment.stored(job)}`)
+      if (recordedFinalState(job) !== null || alwaysFails(job)) continue
+      const isCancelled = dump.users.askedToCancel.includes(job)
+      assert.equal(state, isCancelled ? "withdrawn" : "done", `${job}: ${deployment.stored(job)}`)
     }
   })
-  it("goes on trying a job whose tasks fail on every machine", () => {
+  it("keeps retrying a job whose tasks fail on every machine", () => {
     assert.ok(dump.mistaken.length > 0)
     for (const { job, state } of answers)
-      if (isMistaken(job)) assert.ok(state === "queued" || state === "running", `${job}: ${state}`)
+      if (alwaysFails(job)) assert.ok(state === "queued" || state === "running", `${job}: ${state}`)
   })
-  it("has no task of a job run anew that was over", () => {
+  it("starts no task of a job that had ended", () => {
     for (const job of dump.jobs)
-      if (finalAtFirst(job) !== null) assert.equal(deployment.invariants.startsOf(job), 0, job)
+      if (recordedFinalState(job) !== null) assert.equal(deployment.invariants.startsOf(job), 0, job)
   })
-  it("has no finished task run anew whose finish was stored", () => {
+  it("starts no task again whose finish was stored", () => {
     assert.ok(deployment.invariants.starts > 0)
     const finished = new Map(dump.users.finishedTasks)
     for (const job of dump.jobs) {
-      if (finalAtFirst(job) !== null || isMistaken(job)) continue
-      const left = deployment.invariants.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
-      // A task that a machine loses may start again: the day is calm, so none is.
+      if (recordedFinalState(job) !== null || alwaysFails(job)) continue
+      const unfinishedTasks =
+        deployment.invariants.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
+      // Only a lost task may start again, and this run has no faults that lose one.
       assert.ok(
-        deployment.invariants.startsOf(job) <= left,
-        `${job}: ${deployment.invariants.startsOf(job)} starts of ${left}`,
+        deployment.invariants.startsOf(job) <= unfinishedTasks,
+        `${job}: ${deployment.invariants.startsOf(job)} starts of ${unfinishedTasks}`,
       )
     }
   })
--- a/packages/testkit/test/shrink.test.ts
+++ b/packages/testkit/test/shrink.test.ts
@@ -9,14 +9,14 @@
   seed,
   failures,
   pairs: [],
-  starts: 0,
-  tookMs: 0,
+  taskStarts: 0,
+  durationMs: 0,
 })
 
 test("a failing day is shrunk to the events that it fails by", () => {
   const day = drawDay(1)
   const fault = day.faults[2]!
-  const cancelled = day.users.find(({ does }) => does === "cancel")!
+  const cancelled = day.users.find(({ action }) => action === "cancel")!
   const run = (candidate: RandomDay) => {
     const fails = candidate.faults.includes(fault) && candidate.users.includes(cancelled)
     // Times and names differ from run to run, and other days may fail in other ways.
@@ -26,7 +26,7 @@
   const smallest = shrink(day, run(day), run, MOST_RUNS)
   assert.deepEqual(smallest.faults, [fault])
   assert.deepEqual(
-    smallest.users.map(({ does, job }) => [does, job]),
+    smallest.users.map(({ action, job }) => [action, job]),
     [
       ["submit", cancelled.job],
       ["cancel", cancelled.job],
