--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -266,10 +266,10 @@
       isSubmitting = false
     }
     const options = { folder, nodes, oldBuild: values.old, users, invariants, startAll }
-    const areChecksPassed = await replaceVersions({ ...options, submitJobs: submitLoad, stopSubmitting })
+    const allChecksPassed = await replaceVersions({ ...options, submitJobs: submitLoad, stopSubmitting })
     for (const node of nodes) await node.kill()
     network.closeAll()
-    process.exit(areChecksPassed ? 0 : 1)
+    process.exit(allChecksPassed ? 0 : 1)
   }
   await startAll("cold start", nodes)
   submitLoad()
--- a/packages/testkit/src/measure/version-replacement.ts
+++ b/packages/testkit/src/measure/version-replacement.ts
@@ -20,9 +20,7 @@
 const FINISH_POLL_INTERVAL_S = 5
 /** One of this many submitted jobs is cancelled while the old build serves. */
 const JOBS_PER_CANCELLATION = 8
-/**
- * Log lines that only a fault or an incompatible message causes, in the texts of earlier and current builds.
- */
+/** Log lines of earlier and current builds that only a fault or an incompatible message causes. */
 const FAULT_LINES = new RegExp(
   "malformed|shard failed|shard controller failed|peer message could not be decoded or handled|" +
     "fiber failed|request failed|uncaught exception|service ended|listener failed",
@@ -76,7 +74,7 @@
   await killAll(nodes)
   await startAll("all nodes of the current build on the store of the old one", nodes, CURRENT_BUILD)
   await runPhase("current build", SETTLE_S)
-  const areStatesKept = printKeptStates(statesBefore, observedStates(users, invariants))
+  const areStatesKept = checkKeptStates(statesBefore, observedStates(users, invariants))
 
   await mixedNode!.kill()
   await startAll(
@@ -96,7 +94,7 @@
 
   options.stopSubmitting()
   await waitUntilFinished(users)
-  const areAnswersCorrect = await printAnswers(options)
+  const areAnswersCorrect = await checkAnswers(options)
   const faultLogLines = nodes.flatMap((node) => readFaultLines(`${options.folder}/${node.name}.log`))
   printLine(`log lines of faults or malformed messages: ${faultLogLines.length}`)
   for (const line of faultLogLines) printLine(`  ${line}`)
@@ -109,11 +107,8 @@
 const observedStates = (users: Users, invariants: Invariants): ReadonlyMap<JobId, string | null> =>
   new Map(users.jobs.map((job) => [job, invariants.users.state(job)]))
 
-/**
- * Compares the final states that the old build reported with those of the current build; true if all are
- * kept.
- */
-const printKeptStates = (
+/** Prints how many final states of the old build the current build has kept; true if it has kept all. */
+const checkKeptStates = (
   before: ReadonlyMap<JobId, string | null>,
   after: ReadonlyMap<JobId, string | null>,
 ): boolean => {
@@ -134,8 +129,8 @@
   }
 }
 
-/** Polls every job once at every node; true if all answers are 200 with the same, final state. */
-const printAnswers = async ({ nodes, users, invariants }: VersionReplacementOptions): Promise<boolean> => {
+/** Polls every job once at every node, and prints the answers; true if all answers are 200 with the same, final state. */
+const checkAnswers = async ({ nodes, users, invariants }: VersionReplacementOptions): Promise<boolean> => {
   const counts = new Map<string, number>()
   let correctAnswers = 0
   for (const { name } of nodes) {
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -105,9 +105,7 @@
   return { first: faultNames[first]!, second: faultNames[(first + round) % faultNames.length]! }
 }
 
-/**
- * Draws a day: the users' actions, then pairs of faults, and occasionally a third fault outside of any pair.
- */
+/** Draws a day: the users' actions, then pairs of faults, and occasionally a fault outside of any pair. */
 export const drawDay = (seed: number): RandomDay => {
   const random = new RandomSource(seed)
   for (let i = 0; i < SKIPPED_DRAWS; i++) random.next()
--- a/packages/testkit/src/random-days/sweep.ts
+++ b/packages/testkit/src/random-days/sweep.ts
@@ -28,10 +28,7 @@
 })
 const MAX_SHRINK_RUNS = 200
 
-/**
- * A day's result with the digest of its messages: null without `--digest`, or if the worker ended or timed
- * out.
- */
+/** A day's result with the digest of its messages: null without `--digest`, or if the worker failed. */
 type SweptDay = DayResult & { readonly digest: string | null }
 
 const sweepDay = (seed: number): SweptDay => {
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -285,8 +285,8 @@
   const others = [...new Set([...receives!, ...hears!, to])].sort()
   const { channel, sent, receive } = openChannel(from, others)
   for (const other of receives!) {
-    const othersReceives = hears!.includes(other) ? [from] : []
-    receive(pack({ t: "ping", from: other, to: from, receives: othersReceives, hears: [] }))
+    const otherReceives = hears!.includes(other) ? [from] : []
+    receive(pack({ t: "ping", from: other, to: from, receives: otherReceives, hears: [] }))
   }
   sent.length = 0
   const stop = Effect.runCallback(channel.serve(() => {}))
