--- a/packages/testkit/src/random-days/shrink.ts
+++ b/packages/testkit/src/random-days/shrink.ts
@@ -16,7 +16,7 @@
 /** The day with only these events, minus those of jobs whose submission is not among them. */
 const withEvents = (day: RandomDay, events: ReadonlyArray<DayEvent>): RandomDay => {
   const users = events.flatMap((event) => ("user" in event ? [event.user] : []))
-  const submitted = new Set(users.filter(({ does }) => does === "submit").map(({ job }) => job))
+  const submitted = new Set(users.filter(({ action }) => action === "submit").map(({ job }) => job))
   return {
     ...day,
     users: users.filter(({ job }) => submitted.has(job)),
