--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -65,7 +65,8 @@
     "state-outage": () => this.deployment.state.isDown(),
     "cloud-outage": () => this.deployment.cloud.isDown(),
     "network-cut": () => this.deployment.network.isCut(),
-    "messages-astray": () => this.deployment.network.isUnreliable() || this.deployment.state.faults.areOn(),
+    "messages-astray": () =>
+      this.deployment.network.isUnreliable() || this.deployment.state.faults.areActive(),
     "machines-silent": () => this.machineIsSilent(),
     "work-lost": () => this.within(this.deployment.invariants.workLostAt, WORK_LOST_LASTS_MS),
     cancelling: () => this.deployment.invariants.cancellationUnderWay(),
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -64,7 +64,7 @@
     for (const by of Object.keys(this.affectedUntil) as Array<MachineFault>) {
       for (const machine of this.running())
         if (this.isAffected(by, machine.id))
-          simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTasks)
+          simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTaskCount)
     }
     const recorded = [...this.deployment.state.entries].filter(([path]) =>
       path.startsWith(MACHINE_BLOCK_PREFIX),
@@ -225,7 +225,7 @@
   private busyMachinesFirst(count: number): ReadonlyArray<Machine> {
     const shuffled = this.someMachines(Number.POSITIVE_INFINITY)
     return [...shuffled]
-      .sort((a, b) => Number(b.runningTasks > 0) - Number(a.runningTasks > 0))
+      .sort((a, b) => Number(b.runningTaskCount > 0) - Number(a.runningTaskCount > 0))
       .slice(0, count)
   }
   cutMachines(count: number, forMs: number, mode: CutMode): void {
@@ -288,8 +288,8 @@
   hang(count: number, forMs: number): void {
     for (const machine of this.someMachines(count)) {
       this.markAffected("hung", [machine.id], forMs)
-      machine.hang(true)
-      this.deployment.simulation.after(forMs, () => machine.hang(false))
+      machine.setHung(true)
+      this.deployment.simulation.after(forMs, () => machine.setHung(false))
     }
   }
   /** From now on, every task that runs on these machines fails. */
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -29,7 +29,8 @@
   constructor(private readonly deployment: Deployment) {
     this.every(LEADER_CHECK_INTERVAL_MS, () => this.checkLeader())
     this.every(OVERLOAD_CHECK_INTERVAL_MS, () => {
-      if (deployment.network.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
+      if (deployment.network.maxExtraDelayMs > 0 && this.urgentAndOthersWait())
+        this.count.overloadedOnSlowLinks++
     })
   }
   private every(ms: number, check: () => void): void {
@@ -97,7 +98,8 @@
   private isOutOfReach(machine: string): boolean {
     const { cloud, network, names } = this.deployment
     return (
-      cloud.machines.get(machine)?.isHung === true || names.every((node) => network.isApart(machine, node))
+      cloud.machines.get(machine)?.isHung === true ||
+      names.every((node) => network.isSeparated(machine, node))
     )
   }
 }
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -154,7 +154,7 @@
     const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
     this.invariants.users.submitsInvalid(id, refusal)
     const attempt = (node?: NodeName) =>
-      this.users.ask(
+      this.users.sendRequest(
         "submit",
         id,
         request,
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -99,7 +99,7 @@
 const cloud = new Cloud(simulation, network, invariants, {
   types,
   capacity: 300 * scale,
-  lagMs: 3_000,
+  listLagMs: 3_000,
   nodes: names,
   times: TIMES,
   neverBoots: 0,
@@ -116,7 +116,7 @@
   const ports: Array<readonly [number, number]> = []
   for (const name of names) {
     ports.push([await freePort(), await freePort()])
-    network.locate(name, ports.at(-1)![0])
+    network.setPort(name, ports.at(-1)![0])
   }
   const address = (port: number) => `127.0.0.1:${port}`
   return names.map((name, i) => {
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -72,8 +72,8 @@
     for (const name of deployment.names) deployment.crash(name, number(args, 0, 4) * 1000)
   },
   "cloud-outage": (deployment, args) => {
-    deployment.cloud.outage(true)
-    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
+    deployment.cloud.setOutage(true)
+    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.cloud.setOutage(false))
   },
   /** Says which pair of faults comes next, and notes whether the first one's effect is there. */
   pair: (deployment, [first, effect, second]) => {
--- a/packages/testkit/src/scenarios/expectations.ts
+++ b/packages/testkit/src/scenarios/expectations.ts
@@ -37,17 +37,17 @@
   },
   "state-requests-at-most": (deployment, args) => atMost("requests", deployment.state.count.requests, args),
   "state-changes-at-most": (deployment, args) => atMost("changes", deployment.state.count.changes, args),
-  "cloud-calls-at-most": (deployment, args) => atMost("calls of the cloud", deployment.cloud.calls, args),
+  "cloud-calls-at-most": (deployment, args) => atMost("calls of the cloud", deployment.cloud.callCount, args),
   "peer-kilobytes-at-most": (deployment, args) =>
     atMost("kilobytes between controllers", Math.round(deployment.count.peerBytes / 1024), args),
   "commands-at-once-at-most": (deployment, args) =>
-    atMost("commands at once", deployment.count.commandsAtOnce, args),
+    atMost("commands at once", deployment.count.maxConcurrentCommands, args),
   "workers-at-one-node-at-least": (deployment, args) =>
-    deployment.count.workersAtOne >= number(args, 0, 0)
+    deployment.count.maxWorkersAtNode >= number(args, 0, 0)
       ? null
-      : `${deployment.count.workersAtOne} workers at one node, not ${args[0]}`,
+      : `${deployment.count.maxWorkersAtNode} workers at one node, not ${args[0]}`,
   "workers-at-one-node-at-most": (deployment, args) =>
-    atMost("workers at one node", deployment.count.workersAtOne, args),
+    atMost("workers at one node", deployment.count.maxWorkersAtNode, args),
   "rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
   /** At least so many faulty machines were given back as such, and none that isn't. */
   "faulty-returned": (deployment, args) => {
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -43,16 +43,16 @@
   "take-spot": (deployment, args) =>
     deployment.faults.takeSpot(number(args, 0, 1), number(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
-    deployment.network.loss = number(args, 0, 0.05)
+    deployment.network.lossProbability = number(args, 0, 0.05)
     deployment.simulation.after(number(args, 1, 20) * 1000, () => {
-      deployment.network.loss = 0
+      deployment.network.lossProbability = 0
     })
   },
   "repeat-messages": (deployment, args) => {
-    deployment.network.repeat = number(args, 0, 0.05)
-    deployment.network.repeatWithinMs = number(args, 2, 20) * 1000
+    deployment.network.repeatProbability = number(args, 0, 0.05)
+    deployment.network.maxRepeatDelayMs = number(args, 2, 20) * 1000
     deployment.simulation.after(number(args, 1, 20) * 1000, () => {
-      deployment.network.repeat = 0
+      deployment.network.repeatProbability = 0
     })
   },
   "adopt-strays": (deployment, args) => {
@@ -64,9 +64,9 @@
   "zone-capacity": (deployment, args) => deployment.cloud.zoneCapacity.set(args[0]!, number(args, 1, 0)),
   /** Every message takes up to so many seconds longer, for so many seconds. */
   "slow-links": (deployment, args) => {
-    deployment.network.slowMs = number(args, 0, 0.4) * 1000
+    deployment.network.maxExtraDelayMs = number(args, 0, 0.4) * 1000
     deployment.simulation.after(number(args, 1, 60) * 1000, () => {
-      deployment.network.slowMs = 0
+      deployment.network.maxExtraDelayMs = 0
     })
   },
 }
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -22,8 +22,8 @@
   "end-leader": (deployment, args) => deployment.membershipFaults.endLeader(number(args, 0, 0.3) * 1000),
   "state-refuses-leader": (deployment, args) => {
     const leader = deployment.membershipFaults.leader()
-    deployment.state.refuse(leader, true)
-    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.state.refuse(leader, false))
+    deployment.state.setRefused(leader, true)
+    deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.state.setRefused(leader, false))
   },
   /** A cancellation at one node; another one is asked when that one can't. */
   "cancel-at": (deployment, args) =>
--- a/packages/testkit/src/scenarios/once.ts
+++ b/packages/testkit/src/scenarios/once.ts
@@ -16,7 +16,7 @@
   for (const id of deployment.users.jobs) {
     const state = deployment.invariants.users.state(id)
     if (state !== "done" && state !== "withdrawn")
-      process.stdout.write(`${id} ${state} ${deployment.stored(id)}\n`)
+      process.stdout.write(`${id} ${state} ${deployment.storedEntriesOf(id)}\n`)
   }
 }
 if (process.env.VERBOSE !== undefined)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -11,33 +11,33 @@
 /** What users and the state service can be made to do. Times are in seconds. */
 export const userActions: Record<string, Action> = {
   "state-outage": (deployment, args) => {
-    deployment.state.outage(true)
-    deployment.simulation.after(seconds(args, 0, 10), () => deployment.state.outage(false))
+    deployment.state.setOutage(true)
+    deployment.simulation.after(seconds(args, 0, 10), () => deployment.state.setOutage(false))
   },
   "state-refuses": (deployment, args) => {
     const refused = node(deployment, args)
-    deployment.state.refuse(refused, true)
-    deployment.simulation.after(seconds(args, 1, 10), () => deployment.state.refuse(refused, false))
+    deployment.state.setRefused(refused, true)
+    deployment.simulation.after(seconds(args, 1, 10), () => deployment.state.setRefused(refused, false))
   },
   /** Every answer of the state service takes up to that many milliseconds longer, for so long. */
   "state-slow": (deployment, args) => {
-    deployment.state.faults.slowMs = number(args, 0, 800)
+    deployment.state.faults.maxExtraDelayMs = number(args, 0, 800)
     deployment.simulation.after(seconds(args, 1, 20), () => {
-      deployment.state.faults.slowMs = 0
+      deployment.state.faults.maxExtraDelayMs = 0
     })
   },
   /** A share of transactions gets no answer and is carried out 2 to 12 s later. */
   "late-transactions": (deployment, args) => {
-    deployment.state.faults.lateShare = number(args, 0, 0.2)
+    deployment.state.faults.lateTransactionShare = number(args, 0, 0.2)
     deployment.simulation.after(seconds(args, 1, 20), () => {
-      deployment.state.faults.lateShare = 0
+      deployment.state.faults.lateTransactionShare = 0
     })
   },
   /** A share of transactions is carried out at once, and its answer lost. */
   "lost-answers": (deployment, args) => {
-    deployment.state.faults.lostShare = number(args, 0, 0.2)
+    deployment.state.faults.lostAnswerShare = number(args, 0, 0.2)
     deployment.simulation.after(seconds(args, 1, 20), () => {
-      deployment.state.faults.lostShare = 0
+      deployment.state.faults.lostAnswerShare = 0
     })
   },
   "cancel-burst": (deployment, args) => {
@@ -46,8 +46,8 @@
     if (hangMs <= 0) return
     for (const machine of deployment.cloud.machines.values()) {
       if (!machines.has(machine.id)) continue
-      machine.hang(true)
-      deployment.simulation.after(hangMs, () => machine.hang(false))
+      machine.setHung(true)
+      deployment.simulation.after(hangMs, () => machine.setHung(false))
     }
   },
   "cancel-at-end": (deployment, args) =>
@@ -101,7 +101,7 @@
   },
   /** Puts and deletes from submission to end, over all jobs. */
   "operations-a-job-at-most": (deployment, args) => {
-    const { ofJobs, count } = deployment.state.operations
+    const { jobOperations: ofJobs, count } = deployment.state.operations
     const each = ofJobs / deployment.users.jobs.length
     return each <= number(args, 0, 2) ? null : `${each.toFixed(2)} changes a job: ${JSON.stringify(count)}`
   },
--- a/packages/testkit/src/services/cloud.ts
+++ b/packages/testkit/src/services/cloud.ts
@@ -15,7 +15,7 @@
   /** Machines to be had of each type, zone and kind. */
   capacity: number
   /** A list shows machines as they were at least this long ago, and at most twice as long. */
-  readonly lagMs: number
+  readonly listLagMs: number
   readonly nodes: ReadonlyArray<string>
   readonly times: WorkerTimes
   /** Share of machines that never come up. */
@@ -45,7 +45,7 @@
 
 /** The most machines that one request gets. */
 const MAX_MACHINES_PER_RENTAL = 50
-const DEFAULT_PAGE = 500
+const DEFAULT_PAGE_SIZE = 500
 /** How often the list is taken down. */
 const LIST_INTERVAL_MS = 500
 
@@ -59,14 +59,14 @@
   private readonly checkpoints = new Map<string, number>()
   private rentedCount = 0
   /** Calls asked for. */
-  calls = 0
+  callCount = 0
   /** Machines to be had in zones that differ from the others. */
   readonly zoneCapacity = new Map<string, number>()
   private down = false
   /** When its last outage ended. */
   lastBackAt = Number.NEGATIVE_INFINITY
   /** Lists as they were, oldest first. */
-  private history: Array<{ readonly at: number; readonly hosts: ListedMachines }> = []
+  private listHistory: Array<{ readonly at: number; readonly hosts: ListedMachines }> = []
 
   constructor(
     private readonly simulation: Simulation,
@@ -81,9 +81,9 @@
   }
   private recordList(): void {
     const { now } = this.simulation
-    this.history.push({ at: now, hosts: this.listNow() })
-    while (this.history.length > 1 && this.history[1]!.at < now - 3 * this.settings.lagMs)
-      this.history.shift()
+    this.listHistory.push({ at: now, hosts: this.listNow() })
+    while (this.listHistory.length > 1 && this.listHistory[1]!.at < now - 3 * this.settings.listLagMs)
+      this.listHistory.shift()
     this.simulation.after(LIST_INTERVAL_MS, () => this.recordList())
   }
   /** Machines ever rented. */
@@ -102,17 +102,17 @@
     for (const machine of dump.machines) {
       const type = this.settings.types.find(({ name }) => name === machine.type)!
       const { id, zone, spot, status } = machine
-      if (status === "booting") this.bootLater(this.place(id, type, zone, spot))
-      else this.place(id, type, zone, spot).status = status
+      if (status === "booting") this.bootLater(this.addMachine(id, type, zone, spot))
+      else this.addMachine(id, type, zone, spot).status = status
       this.machines.get(id)!.restore(machine)
     }
     this.rentedCount = dump.rented
-    this.history = [{ at: Number.NEGATIVE_INFINITY, hosts: this.listNow() }]
+    this.listHistory = [{ at: Number.NEGATIVE_INFINITY, hosts: this.listNow() }]
   }
 
-  outage(on: boolean): void {
-    this.down = on
-    if (!on) this.lastBackAt = this.simulation.now
+  setOutage(isDown: boolean): void {
+    this.down = isDown
+    if (!isDown) this.lastBackAt = this.simulation.now
   }
   isDown(): boolean {
     return this.down
@@ -131,7 +131,7 @@
   }
 
   private serve(request: Request): Answer {
-    this.calls++
+    this.callCount++
     if (this.down) return { status: 503, body: { error: "trouble" } }
     const url = new URL(request.path, "http://cloud")
     if (url.pathname === "/catalog") return { status: 200, body: { builds: this.settings.types } }
@@ -143,17 +143,17 @@
     return this.serveRental(request.body as WireRentalRequest)
   }
   private list(query: URLSearchParams): Answer {
-    const asOf = this.simulation.now - this.settings.lagMs * this.simulation.random.between(1, 2)
-    const seen = [...this.history].reverse().find(({ at }) => at <= asOf)
+    const asOf = this.simulation.now - this.settings.listLagMs * this.simulation.random.between(1, 2)
+    const snapshot = [...this.listHistory].reverse().find(({ at }) => at <= asOf)
     const after = query.get("after") ?? ""
-    const page = Number(query.get("page") ?? DEFAULT_PAGE)
-    const rest = (seen?.hosts ?? []).filter(({ id }) => String(id) > after)
-    return { status: 200, body: { hosts: rest.slice(0, page), more: rest.length > page } }
+    const pageSize = Number(query.get("page") ?? DEFAULT_PAGE_SIZE)
+    const remaining = (snapshot?.hosts ?? []).filter(({ id }) => String(id) > after)
+    return { status: 200, body: { hosts: remaining.slice(0, pageSize), more: remaining.length > pageSize } }
   }
 
   private serveRental(request: WireRentalRequest): Answer {
-    const known = this.rentals.get(request.hire)
-    if (known !== undefined) return { status: 200, body: known }
+    const earlierAnswer = this.rentals.get(request.hire)
+    if (earlierAnswer !== undefined) return { status: 200, body: earlierAnswer }
     const type = this.settings.types.find(({ name }) => name === request.build)
     if (type === undefined) return { status: 400, body: {} }
     const { site: zone, loaners: spot } = request
@@ -175,15 +175,15 @@
   /** A new machine, which boots some time later. */
   rent(type: WireMachineType, zone: string, spot: boolean): Machine {
     const id = `i-${String(++this.rentedCount).padStart(6, "0")}`
-    const machine = this.place(id, type, zone, spot)
+    const machine = this.addMachine(id, type, zone, spot)
     this.bootLater(machine)
     return machine
   }
-  private place(id: string, type: WireMachineType, zone: string, spot: boolean): Machine {
+  private addMachine(id: string, type: WireMachineType, zone: string, spot: boolean): Machine {
     const { simulation, network, invariants, checkpoints } = this
     const { nodes, times } = this.settings
-    const surroundings = { simulation, network, invariants, checkpoints, nodes, times }
-    const machine = new Machine({ id, type, zone, spot, ...surroundings })
+    const environment = { simulation, network, invariants, checkpoints, nodes, times }
+    const machine = new Machine({ id, type, zone, spot, ...environment })
     this.machines.set(id, machine)
     return machine
   }
@@ -191,8 +191,8 @@
     const { neverBoots, bootWithinMs } = this.settings
     const { random } = this.simulation
     if (random.chance(neverBoots)) return
-    const usualMs = machine.type.startup_s * 1000 * random.between(0.6, 1.5)
-    const bootMs = bootWithinMs === null ? usualMs : random.between(0, bootWithinMs)
+    const defaultBootMs = machine.type.startup_s * 1000 * random.between(0.6, 1.5)
+    const bootMs = bootWithinMs === null ? defaultBootMs : random.between(0, bootWithinMs)
     this.simulation.after(bootMs, () => machine.boot())
   }
   /** The machine is given back, or taken away. */
--- a/packages/testkit/src/services/key-value-store.ts
+++ b/packages/testkit/src/services/key-value-store.ts
@@ -23,8 +23,8 @@
   | { readonly type: "delete"; readonly key: string }
 /** Times are in milliseconds. */
 interface Lease {
-  readonly ttl: number
-  until: number
+  readonly ttlMs: number
+  expiresAt: number
 }
 
 /** Everything that a store holds but for the changes that watches wait for. */
@@ -55,8 +55,8 @@
   ) {}
 
   /** Makes a lease that lasts so long, and returns its id. */
-  grantLease(ttl: number, now: number): number {
-    this.leases.set(++this.lastLeaseId, { ttl, until: now + ttl })
+  grantLease(ttlMs: number, now: number): number {
+    this.leases.set(++this.lastLeaseId, { ttlMs, expiresAt: now + ttlMs })
     return this.lastLeaseId
   }
   hasLease(id: number): boolean {
@@ -64,13 +64,13 @@
   }
   keepAlive(id: number, now: number): void {
     const lease = this.leases.get(id)
-    if (lease !== undefined) lease.until = now + lease.ttl
+    if (lease !== undefined) lease.expiresAt = now + lease.ttlMs
   }
   keepAllAlive(now: number): void {
-    for (const lease of this.leases.values()) lease.until = now + lease.ttl
+    for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttlMs
   }
   expiredLeases(now: number): ReadonlyArray<number> {
-    return [...this.leases].filter(([, { until }]) => until < now).map(([id]) => id)
+    return [...this.leases].filter(([, { expiresAt }]) => expiresAt < now).map(([id]) => id)
   }
   /** Its entries are deleted under one new revision; true: there were some. */
   revokeLease(id: number): boolean {
@@ -78,27 +78,27 @@
     const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key)
     if (keys.length === 0) return false
     this.revision++
-    for (const key of keys) this.change(key, null)
+    for (const key of keys) this.applyChange(key, null)
     return true
   }
   /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
   leaseShareElapsed(id: number | null, now: number): number {
     const lease = this.leases.get(id ?? -1)
-    return lease === undefined ? 0 : 1 - (lease.until - now) / lease.ttl
+    return lease === undefined ? 0 : 1 - (lease.expiresAt - now) / lease.ttlMs
   }
 
   /** Carries out all operations under one new revision. */
   apply(operations: ReadonlyArray<StoreOperation>): void {
     this.revision++
     for (const operation of operations) {
-      if (operation.type === "delete") this.change(operation.key, null)
+      if (operation.type === "delete") this.applyChange(operation.key, null)
       else {
         const { key, value, leaseId } = operation
-        this.change(key, { value, modRevision: this.revision, leaseId })
+        this.applyChange(key, { value, modRevision: this.revision, leaseId })
       }
     }
   }
-  private change(key: string, entry: StoredEntry | null): void {
+  private applyChange(key: string, entry: StoredEntry | null): void {
     const before = this.entries.get(key)
     if (entry === null) this.entries.delete(key)
     else this.entries.set(key, entry)
--- a/packages/testkit/src/services/machine-codec.ts
+++ b/packages/testkit/src/services/machine-codec.ts
@@ -130,20 +130,20 @@
   (body as { readonly steward?: string } | null)?.steward ?? null
 
 /** A task as plain data, in the order of fields that fixtures have. */
-const dumpTask = (task: WorkerTask): TaskDump => {
-  const { job, index, attempt, phase, exitReason, checkpointed, since } = task
+const encodeTask = (task: WorkerTask): TaskDump => {
+  const { job, index, attempt, phase, exitReason, checkpointed, startedAt: since } = task
   const status = statusOf(phase)
   return { job, index, attempt, status, cause: exitReason, stored: checkpointed, progressS: 0, since }
 }
 /** The task that a dump speaks of, without a timer. */
-const restoredTask = (dump: TaskDump): WorkerTask => ({
+const decodeTask = (dump: TaskDump): WorkerTask => ({
   job: dump.job,
   index: dump.index,
   attempt: dump.attempt,
   phase: phaseOf(dump.status),
   exitReason: dump.cause,
   checkpointed: dump.stored,
-  since: dump.since,
+  startedAt: dump.since,
   cancelTimer: () => {},
 })
 
@@ -154,7 +154,7 @@
   readonly agentEpoch: number
   readonly sequence: number
   readonly fencingToken: number
-  readonly lastAnswered: number
+  readonly lastAnsweredAt: number
   readonly images: ReadonlyArray<string>
   readonly tasks: ReadonlyArray<WorkerTask>
 }
@@ -176,10 +176,10 @@
   tenure: state.agentEpoch,
   tick: state.sequence,
   baton: state.fencingToken,
-  lastAnswered: state.lastAnswered,
+  lastAnswered: state.lastAnsweredAt,
   type: machineType,
   images: state.images,
-  tasks: state.tasks.map(dumpTask),
+  tasks: state.tasks.map(encodeTask),
 })
 /** What a dump says of a machine; its tasks have no timers. */
 export const decodeMachineDump = (dump: MachineDump): MachineState => ({
@@ -188,7 +188,7 @@
   agentEpoch: dump.tenure,
   sequence: dump.tick,
   fencingToken: dump.baton,
-  lastAnswered: dump.lastAnswered,
+  lastAnsweredAt: dump.lastAnswered,
   images: dump.images,
-  tasks: dump.tasks.map(restoredTask),
+  tasks: dump.tasks.map(decodeTask),
 })
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -16,7 +16,7 @@
   type MachineDump,
   type MachineStatus,
 } from "./machine-codec.ts"
-import { type Occupant, type TaskHost, type TaskSurroundings, WorkerTasks } from "./worker-tasks.ts"
+import { type Occupant, type TaskEnvironment, type TaskHost, WorkerTasks } from "./worker-tasks.ts"
 
 /** Of the platform's file: how often workers send heartbeats, and after how long unanswered they end. Seconds. */
 export interface WorkerTimes {
@@ -24,7 +24,7 @@
   readonly lease_s: number
 }
 /** What a machine is made of. */
-export interface MachineOptions extends TaskSurroundings {
+export interface MachineOptions extends TaskEnvironment {
   readonly id: string
   readonly type: WireMachineType
   readonly zone: string
@@ -41,7 +41,7 @@
 const COMMAND_TIMEOUT_MS = 3_000
 const HEARTBEAT_TIMEOUT_MS = 4_000
 /** After a heartbeat without a useful answer, the next node is asked this much later. */
-const RETRY_MS = 1_000
+const RETRY_DELAY_MS = 1_000
 /** Heartbeats about changes are at least this far apart. */
 const MIN_HEARTBEAT_INTERVAL_MS = 500
 const LEASE_CHECK_INTERVAL_MS = 250
@@ -69,7 +69,7 @@
   rentedAt: number
   private sequence = 0
   private fencingToken = 0
-  private lastAnswered: number
+  private lastAnsweredAt: number
   private nodeIndex: number
   private isHeartbeatPending = false
   /** Something changed since the last heartbeat. */
@@ -78,7 +78,7 @@
   private cancelHeartbeat: () => void = () => {}
   private hung = false
   /** Numbers its boots: what an earlier one waited for means nothing to this one. */
-  private boots = 0
+  private bootCount = 0
   private deferred: Array<() => void> = []
   private readonly tasks: WorkerTasks
   private readonly simulation: Simulation
@@ -92,7 +92,7 @@
     this.simulation = simulation
     this.tasks = new WorkerTasks(this, options)
     this.rentedAt = simulation.now
-    this.lastAnswered = simulation.now
+    this.lastAnsweredAt = simulation.now
     this.nodeIndex = Math.floor(simulation.random.next() * nodes.length)
   }
 
@@ -101,17 +101,17 @@
   boot(): void {
     if (this.gone) return
     this.status = "running"
-    this.lastAnswered = this.simulation.now
+    this.lastAnsweredAt = this.simulation.now
     this.options.network.listen(
       this.id,
       (request, _from, answer) => {
         const arrivedAt = this.simulation.now
-        this.whenAwake(() => answer(this.serve(request, arrivedAt)))
+        this.runWhenAwake(() => answer(this.serve(request, arrivedAt)))
       },
       true,
     )
     this.scheduleHeartbeat(0)
-    this.checkLease(this.boots)
+    this.checkLease(this.bootCount)
   }
   /** Off and on again: it knows nothing of its former self, whatever it cached or ran. */
   reboot(afterMs: number): void {
@@ -122,7 +122,7 @@
     this.agentEpoch = 1
     this.sequence = 0
     this.fencingToken = 0
-    this.boots++
+    this.bootCount++
     this.isHeartbeatPending = false
     this.deferred = []
     this.hung = false
@@ -143,27 +143,27 @@
     this.tasks.dropAll()
   }
 
-  hang(on: boolean): void {
-    this.hung = on
-    if (on) return
+  setHung(isHung: boolean): void {
+    this.hung = isHung
+    if (isHung) return
     this.simulation.lastResumedAt = this.simulation.now
     const { deferred } = this
     this.deferred = []
     for (const run of deferred) run()
   }
-  whenAwake(run: () => void): void {
+  runWhenAwake(run: () => void): void {
     if (this.gone) return
-    if (this.hung) this.deferred.push(() => this.whenAwake(run))
+    if (this.hung) this.deferred.push(() => this.runWhenAwake(run))
     else run()
   }
 
   // --- as plain data, and seen from outside ------------------------------------
 
   dump(): MachineDump {
-    const { id, zone, spot, status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered } = this
+    const { id, zone, spot, status, rentedAt, agentEpoch, sequence, fencingToken, lastAnsweredAt } = this
     const images = [...this.tasks.cachedImages]
     const tasks = [...this.tasks.all()].map(([, task]) => task)
-    const state = { status, rentedAt, agentEpoch, sequence, fencingToken, lastAnswered, images, tasks }
+    const state = { status, rentedAt, agentEpoch, sequence, fencingToken, lastAnsweredAt, images, tasks }
     return encodeMachineDump({ id, machineType: this.type.name, zone, spot }, state)
   }
   /** Goes on where the machine of the dump stood; what it was saving, it begins to save anew. */
@@ -176,7 +176,7 @@
     this.fencingToken = state.fencingToken
     this.tasks.restoreImages(state.images)
     this.boot()
-    this.lastAnswered = state.lastAnswered
+    this.lastAnsweredAt = state.lastAnsweredAt
     for (const task of state.tasks) this.tasks.restore(task)
   }
   /** Sequence number of the last heartbeat or response. */
@@ -185,14 +185,14 @@
   }
   /** How long ago the last answered heartbeat was sent, if the machine has tasks to lose. */
   unansweredForMs(): number {
-    const running = this.status === "running" && this.tasks.size > 0
-    return running ? this.simulation.now - this.lastAnswered : 0
+    const hasTasksToLose = this.status === "running" && this.tasks.size > 0
+    return hasTasksToLose ? this.simulation.now - this.lastAnsweredAt : 0
   }
   get isHung(): boolean {
     return this.hung
   }
   /** Tasks that run or save. */
-  get runningTasks(): number {
+  get runningTaskCount(): number {
     return this.tasks.runningCount
   }
   /** Tasks that take room here, those whose image is being pulled included. */
@@ -207,17 +207,17 @@
   // --- lease ------------------------------------------------------------------
 
   private checkLease(boot: number): void {
-    if (this.gone || boot !== this.boots) return
+    if (this.gone || boot !== this.bootCount) return
     // Also while it hangs: it can resume within its lease only, and runs nothing until then.
-    this.expire()
+    this.expireLease()
     this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.checkLease(boot))
   }
-  private expire(): void {
-    if (this.simulation.now - this.lastAnswered <= this.options.times.lease_s * 1000) return
-    this.simulation.occurrences.count("tasks lost by their lease", this.runningTasks)
+  private expireLease(): void {
+    if (this.simulation.now - this.lastAnsweredAt <= this.options.times.lease_s * 1000) return
+    this.simulation.occurrences.count("tasks lost by their lease", this.runningTaskCount)
     this.tasks.dropAll()
     this.agentEpoch++
-    this.lastAnswered = this.simulation.now
+    this.lastAnsweredAt = this.simulation.now
     this.requestHeartbeat()
   }
 
@@ -228,10 +228,12 @@
     const { fencingToken, agentEpoch, commands } = decodeCommands(request.body)
     if (fencingToken === undefined || agentEpoch === undefined) return { status: 400, body: {} }
     const { occurrences, now } = this.simulation
-    const isDeposed = fencingToken < this.fencingToken
-    if (isDeposed || agentEpoch !== this.agentEpoch) {
+    const isFromDeposedLeader = fencingToken < this.fencingToken
+    if (isFromDeposedLeader || agentEpoch !== this.agentEpoch) {
       occurrences.count(
-        isDeposed ? "commands of a deposed leader refused" : "commands of an earlier session refused",
+        isFromDeposedLeader
+          ? "commands of a deposed leader refused"
+          : "commands of an earlier session refused",
       )
       return { status: 409, body: this.encodeHeartbeat() }
     }
@@ -260,14 +262,14 @@
 
   requestHeartbeat(): void {
     this.hasChanged = true
-    this.scheduleHeartbeat(this.untilNextAllowedMs())
+    this.scheduleHeartbeat(this.nextHeartbeatDelayMs())
   }
-  private untilNextAllowedMs(): number {
+  private nextHeartbeatDelayMs(): number {
     return Math.max(0, this.lastSentAt + MIN_HEARTBEAT_INTERVAL_MS - this.simulation.now)
   }
   private scheduleHeartbeat(ms: number): void {
     this.cancelHeartbeat()
-    this.cancelHeartbeat = this.simulation.after(ms, () => this.whenAwake(() => this.sendHeartbeat()))
+    this.cancelHeartbeat = this.simulation.after(ms, () => this.runWhenAwake(() => this.sendHeartbeat()))
   }
   private encodeHeartbeat(): WireHeartbeat {
     const { id, type, zone, spot, agentEpoch, fencingToken, preemptedAt, simulation } = this
@@ -288,31 +290,31 @@
     if (this.isHeartbeatPending) return
     this.isHeartbeatPending = true
     this.hasChanged = false
-    const { agentEpoch, boots: boot, simulation } = this
+    const { agentEpoch, bootCount: boot, simulation } = this
     const exchange: HeartbeatExchange = { sentAt: simulation.now, agentEpoch, boot, isOver: false }
     this.lastSentAt = exchange.sentAt
     const node = this.options.nodes[this.nodeIndex]!
     simulation.after(HEARTBEAT_TIMEOUT_MS, () =>
-      this.whenAwake(() => this.finish(exchange, () => this.tryNextNode())),
+      this.runWhenAwake(() => this.finishExchange(exchange, () => this.tryNextNode())),
     )
     const request = { method: "POST", path: "/v1/report", body: this.encodeHeartbeat() }
     this.options.network.request(this.id, node, request, (answer) =>
-      this.whenAwake(() => {
+      this.runWhenAwake(() => {
         if (simulation.now - exchange.sentAt >= HEARTBEAT_TIMEOUT_MS) return
-        this.finish(exchange, () => this.handleAnswer(exchange, answer))
+        this.finishExchange(exchange, () => this.handleAnswer(exchange, answer))
       }),
     )
   }
   /** Ends an exchange once, unless the machine ended or booted again meanwhile. */
-  private finish(exchange: HeartbeatExchange, next: () => void): void {
-    if (exchange.isOver || this.gone || exchange.boot !== this.boots) return
+  private finishExchange(exchange: HeartbeatExchange, next: () => void): void {
+    if (exchange.isOver || this.gone || exchange.boot !== this.bootCount) return
     exchange.isOver = true
     this.isHeartbeatPending = false
     next()
   }
   private tryNextNode(): void {
     this.nodeIndex = (this.nodeIndex + 1) % this.options.nodes.length
-    this.scheduleHeartbeat(RETRY_MS)
+    this.scheduleHeartbeat(RETRY_DELAY_MS)
   }
   private handleAnswer(exchange: HeartbeatExchange, answer: Answer | null): void {
     if (answer?.status === 421) return this.followRedirect(answer)
@@ -320,12 +322,12 @@
     const { fencingToken = -1, commands } = decodeCommands(answer.body)
     // An answer to an earlier session, or under a lower token than was seen, extends no lease.
     if (exchange.agentEpoch === this.agentEpoch && fencingToken >= this.fencingToken) {
-      this.lastAnswered = exchange.sentAt
+      this.lastAnsweredAt = exchange.sentAt
       this.raiseFencingToken(fencingToken)
       this.execute(commands)
     }
-    const regularMs = this.options.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
-    this.scheduleHeartbeat(this.hasChanged ? this.untilNextAllowedMs() : regularMs)
+    const intervalMs = this.options.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
+    this.scheduleHeartbeat(this.hasChanged ? this.nextHeartbeatDelayMs() : intervalMs)
   }
   /** The answering node names the one that owns this machine. */
   private followRedirect(answer: Answer): void {
--- a/packages/testkit/src/services/operations.ts
+++ b/packages/testkit/src/services/operations.ts
@@ -21,29 +21,29 @@
   }
 
   /** `before` and `after`: the key's values; undefined: it doesn't exist. */
-  note(path: string, before: unknown, after: unknown): void {
+  countChange(path: string, before: unknown, after: unknown): void {
     // The state service knows paths; what a path holds is the controllers' agreement.
     const key = path as StoreKey<unknown>
-    const record = (value: unknown) => (value === undefined ? undefined : decodeRecord(key, value))
-    this.count[kindOf(path, record(before), record(after))]++
+    const decode = (value: unknown) => (value === undefined ? undefined : decodeRecord(key, value))
+    this.count[kindOf(path, decode(before), decode(after))]++
   }
   /** All that jobs cost from their submission to their end. */
-  get ofJobs(): number {
+  get jobOperations(): number {
     const { other, ...kinds } = this.count
     return Object.values(kinds).reduce((sum, count) => sum + count, 0)
   }
 }
 
 const kindOf = (path: string, before: unknown, after: unknown): Operation => {
-  if (path.startsWith("s/job/")) return pageChange(before as JobPage | undefined, after as JobPage)
+  if (path.startsWith("s/job/")) return kindOfPageChange(before as JobPage | undefined, after as JobPage)
   if (path.startsWith("s/ends/")) return "end"
   if (path.startsWith("final/")) return "archive"
   if (path.startsWith("place/")) return (after as PlacementRecord).placed.length > 0 ? "start" : "finish"
   return "other"
 }
-const pageChange = (before: JobPage | undefined, after: JobPage): Operation => {
-  const known = new Map(before?.jobs.map((job) => [job.spec.id, job]))
-  if (after.jobs.some((job) => !known.has(job.spec.id))) return "create"
-  const cancelled = after.jobs.some((job) => job.cancelled && !known.get(job.spec.id)?.cancelled)
+const kindOfPageChange = (before: JobPage | undefined, after: JobPage): Operation => {
+  const previousJobs = new Map(before?.jobs.map((job) => [job.spec.id, job]))
+  if (after.jobs.some((job) => !previousJobs.has(job.spec.id))) return "create"
+  const cancelled = after.jobs.some((job) => job.cancelled && !previousJobs.get(job.spec.id)?.cancelled)
   return cancelled ? "cancel" : "fold"
 }
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -4,18 +4,18 @@
  */
 import type { Simulation } from "../simulation/simulation.ts"
 
-const MIN_DELAY_MS = 2_000
-const MAX_DELAY_MS = 12_000
+const MIN_LATE_TRANSACTION_MS = 2_000
+const MAX_LATE_TRANSACTION_MS = 12_000
 const OUTAGE_CHECK_INTERVAL_MS = 100
 
 /** What the state service does to transactions besides carrying them out, and how often it happened. */
 export class StateFaults {
   /** Share of transactions that get no answer and are carried out seconds later. */
-  lateShare = 0
+  lateTransactionShare = 0
   /** Share of transactions that are carried out at once, and whose answer is lost. */
-  lostShare = 0
+  lostAnswerShare = 0
   /** Every answer takes up to this much longer, in part before the request is carried out. */
-  slowMs = 0
+  maxExtraDelayMs = 0
   readonly count = {
     /** Transactions held back, those of them that a condition stopped, and those that changed something. */
     late: 0,
@@ -29,56 +29,60 @@
     slow: 0,
   }
   /** Transactions carried out so far, by controller. */
-  private readonly carriedOut = new Map<string, number>()
+  private readonly transactionCounts = new Map<string, number>()
   /** Writers of changes whose answers were lost, by revision, until somebody reads them. */
-  private readonly unread = new Map<number, string>()
+  private readonly unreadWriters = new Map<number, string>()
 
   constructor(private readonly simulation: Simulation) {}
 
-  areOn(): boolean {
-    return this.lateShare > 0 || this.lostShare > 0 || this.slowMs > 0
+  areActive(): boolean {
+    return this.lateTransactionShare > 0 || this.lostAnswerShare > 0 || this.maxExtraDelayMs > 0
   }
 
   /**
    * True: this transaction is held back. `run` then carries it out, and says
    * whether it changed anything, or null while the service is out.
    */
-  holdsBack(from: string, run: () => boolean | null): boolean {
-    if (this.lateShare === 0 || !this.simulation.random.chance(this.lateShare)) return false
+  holdBack(from: string, run: () => boolean | null): boolean {
+    if (this.lateTransactionShare === 0 || !this.simulation.random.chance(this.lateTransactionShare))
+      return false
     this.count.late++
-    const before = this.carriedOut.get(from) ?? 0
-    const carryOut = () => {
+    const countWhenHeld = this.transactionCounts.get(from) ?? 0
+    const executeLate = () => {
       const applied = run()
-      if (applied === null) return this.simulation.after(OUTAGE_CHECK_INTERVAL_MS, carryOut)
-      if ((this.carriedOut.get(from) ?? 0) > before) this.count.lateAfterNewer++
+      if (applied === null) return this.simulation.after(OUTAGE_CHECK_INTERVAL_MS, executeLate)
+      if ((this.transactionCounts.get(from) ?? 0) > countWhenHeld) this.count.lateAfterNewer++
       if (applied) this.count.lateApplied++
       else this.count.lateRefused++
     }
-    this.simulation.after(this.simulation.random.between(MIN_DELAY_MS, MAX_DELAY_MS), carryOut)
+    this.simulation.after(
+      this.simulation.random.between(MIN_LATE_TRANSACTION_MS, MAX_LATE_TRANSACTION_MS),
+      executeLate,
+    )
     return true
   }
   /** A transaction was carried out at once; true: its answer is lost. */
-  losesAnswer(from: string, revision: number): boolean {
-    this.carriedOut.set(from, (this.carriedOut.get(from) ?? 0) + 1)
-    if (!this.simulation.random.chance(this.lostShare)) return false
+  loseAnswer(from: string, revision: number): boolean {
+    this.transactionCounts.set(from, (this.transactionCounts.get(from) ?? 0) + 1)
+    if (!this.simulation.random.chance(this.lostAnswerShare)) return false
     this.count.lostAnswers++
-    this.unread.set(revision, from)
+    this.unreadWriters.set(revision, from)
     return true
   }
   /** A controller received the changes of these revisions. */
-  read(by: string, revisions: Iterable<number>): void {
-    if (this.unread.size === 0) return
+  countRead(reader: string, revisions: Iterable<number>): void {
+    if (this.unreadWriters.size === 0) return
     for (const revision of revisions) {
-      const writer = this.unread.get(revision)
+      const writer = this.unreadWriters.get(revision)
       if (writer === undefined) continue
-      this.unread.delete(revision)
-      if (writer !== by) this.count.lostReadByOthers++
+      this.unreadWriters.delete(revision)
+      if (writer !== reader) this.count.lostReadByOthers++
     }
   }
   /** How much longer one leg of a request takes: the way there, or the answer. */
   delayMs(): number {
-    if (this.slowMs === 0) return 0
+    if (this.maxExtraDelayMs === 0) return 0
     this.count.slow++
-    return this.simulation.random.between(0, this.slowMs / 2)
+    return this.simulation.random.between(0, this.maxExtraDelayMs / 2)
   }
 }
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -30,7 +30,7 @@
   readonly delete?: string
 }
 
-const MAX_PAGE = 1_000
+const MAX_PAGE_SIZE = 1_000
 /** Conditions that a transaction may have, by each of its changes that are allowed. */
 const CONDITIONS_PER_OPERATION = 4
 const MAX_TRANSACTION_BYTES = 65_536
@@ -41,30 +41,30 @@
 /** A stand-in of the state service. */
 export class StateService {
   private readonly store: KeyValueStore
-  private waiting: Array<() => void> = []
+  private waitingWatches: Array<() => void> = []
   private down = false
   /** When it last came back for everybody or for one node. */
   lastBackAt = Number.NEGATIVE_INFINITY
-  private readonly changedAt = new Map<string, number>()
-  private readonly refused = new Set<string>()
+  private readonly lastChangedAt = new Map<string, number>()
+  private readonly refusedNodes = new Set<string>()
   readonly faults: StateFaults
   readonly operations = new Operations()
   /** Requests and changes asked for, and those turned away for being too many. */
   readonly count = { requests: 0, changes: 0, refused: 0 }
   /** Called at every change, with the key's new value or null. */
   readonly listeners: Array<(key: string, value: unknown) => void> = []
-  private readonly requests: Bucket
-  private readonly changes: Bucket
+  private readonly requestTokens: TokenBucket
+  private readonly changeTokens: TokenBucket
 
   constructor(
     private readonly simulation: Simulation,
     network: Network,
     private readonly limits: StateLimits,
   ) {
-    this.store = new KeyValueStore((key, before, after) => this.changed(key, before, after))
+    this.store = new KeyValueStore((key, before, after) => this.recordChange(key, before, after))
     this.faults = new StateFaults(simulation)
-    this.requests = new Bucket(limits.rps)
-    this.changes = new Bucket(limits.write_rps)
+    this.requestTokens = new TokenBucket(limits.rps)
+    this.changeTokens = new TokenBucket(limits.write_rps)
     network.listen("state", (request, from, answer) => this.receive(request, from, answer))
     this.expireLeases()
   }
@@ -76,24 +76,24 @@
   // --- outages, and what is seen from outside -----------------------------------
 
   /** Nobody is answered; all leases begin anew as it comes back. */
-  outage(on: boolean): void {
-    this.down = on
-    if (on) return
+  setOutage(isDown: boolean): void {
+    this.down = isDown
+    if (isDown) return
     this.lastBackAt = this.simulation.now
     this.store.keepAllAlive(this.simulation.now)
   }
   /** One node alone gets 503, and its leases run out. */
-  refuse(node: string, on: boolean): void {
-    if (on) this.refused.add(node)
-    else this.refused.delete(node)
-    if (!on) this.lastBackAt = this.simulation.now
+  setRefused(node: string, isRefused: boolean): void {
+    if (isRefused) this.refusedNodes.add(node)
+    else this.refusedNodes.delete(node)
+    if (!isRefused) this.lastBackAt = this.simulation.now
   }
   isDown(): boolean {
     return this.down
   }
   /** Out for everybody, or for this node alone. */
   isOutFor(node: string): boolean {
-    return this.down || this.refused.has(node)
+    return this.down || this.refusedNodes.has(node)
   }
   get entries(): ReadonlyMap<string, StoredEntry> {
     return this.store.entries
@@ -104,7 +104,7 @@
   }
   /** When a key with the prefix was last written or deleted. */
   lastChangeAt(prefix: string): number {
-    const times = [...this.changedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
+    const times = [...this.lastChangedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
     return Math.max(Number.NEGATIVE_INFINITY, ...times)
   }
   /** Everything that it holds, as plain data. */
@@ -115,9 +115,9 @@
   restore(dump: StoreDump): void {
     this.store.restore(decodeStoreDump(dump))
   }
-  private changed(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
-    this.operations.note(key, before?.value, after?.value)
-    this.changedAt.set(key, this.simulation.now)
+  private recordChange(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
+    this.operations.countChange(key, before?.value, after?.value)
+    this.lastChangedAt.set(key, this.simulation.now)
     for (const listener of this.listeners) listener(key, after?.value ?? null)
   }
 
@@ -127,9 +127,10 @@
     const { simulation, faults } = this
     const { random } = simulation
     const delayMs = random.chance(0.02) ? random.between(50, 300) : random.between(1, 6)
-    const answerLater: typeof answer = (what) => simulation.after(faults.delayMs(), () => answer(what))
+    const answerLater: typeof answer = (response) =>
+      simulation.after(faults.delayMs(), () => answer(response))
     simulation.after(delayMs + faults.delayMs(), () =>
-      this.serve(request, from, faults.slowMs > 0 ? answerLater : answer),
+      this.serve(request, from, faults.maxExtraDelayMs > 0 ? answerLater : answer),
     )
   }
   private serve(request: Request, from: string, answer: (answer: Answer) => void): void {
@@ -138,7 +139,7 @@
       return answer({ status: 503, body: { error: "trouble" } })
     }
     const url = new URL(request.path, "http://state")
-    if (!this.admits(url, request)) {
+    if (!this.admit(url, request)) {
       this.count.refused++
       return answer({ status: 429, body: { error: "too many" } })
     }
@@ -149,30 +150,30 @@
     answer(this.serveLease(url.pathname, request.body))
   }
   /** Counts the request, and takes it from what a second has left. */
-  private admits({ pathname }: URL, { body }: Request): boolean {
+  private admit({ pathname }: URL, { body }: Request): boolean {
     const changes = pathname === "/multi" ? ((body as WireTransaction).apply?.length ?? 0) : 0
     this.count.requests++
     this.count.changes += changes
     const { now } = this.simulation
-    return this.requests.take(1, now) && this.changes.take(changes, now)
+    return this.requestTokens.take(1, now) && this.changeTokens.take(changes, now)
   }
 
   private read(key: string, from: string): Answer {
     const entry = this.store.entries.get(key)
     if (entry === undefined) return { status: 404, body: { epoch: this.store.revision } }
-    this.faults.read(from, [entry.modRevision])
+    this.faults.countRead(from, [entry.modRevision])
     return { status: 200, body: { path: key, v: entry.value, stamp: entry.modRevision } }
   }
   private list(query: URLSearchParams): Answer {
     const prefix = query.get("starts") ?? ""
     const after = query.get("after") ?? ""
-    const page = Math.min(MAX_PAGE, Number(query.get("page") ?? MAX_PAGE))
+    const pageSize = Math.min(MAX_PAGE_SIZE, Number(query.get("page") ?? MAX_PAGE_SIZE))
     const all = [...this.store.entries].filter(([key]) => key.startsWith(prefix) && key > after)
     all.sort(([a], [b]) => (a < b ? -1 : 1))
     const items = all
-      .slice(0, page)
+      .slice(0, pageSize)
       .map(([path, { value, modRevision }]) => ({ path, v: value, stamp: modRevision }))
-    return { status: 200, body: { items, more: all.length > page, epoch: this.store.revision } }
+    return { status: 200, body: { items, more: all.length > pageSize, epoch: this.store.revision } }
   }
 
   private serveLease(path: string, body: unknown): Answer {
@@ -181,10 +182,10 @@
       const { ttl_ms } = body as { readonly ttl_ms: number }
       return { status: 200, body: { permit: this.store.grantLease(ttl_ms, now) } }
     }
-    const found = /^\/grants\/(\d+)(\/touch)?$/.exec(path)
-    const id = Number(found?.[1])
-    if (found === null || !this.store.hasLease(id)) return { status: 404, body: {} }
-    if (found[2] === undefined) this.revokeLease(id)
+    const match = /^\/grants\/(\d+)(\/touch)?$/.exec(path)
+    const id = Number(match?.[1])
+    if (match === null || !this.store.hasLease(id)) return { status: 404, body: {} }
+    if (match[2] === undefined) this.revokeLease(id)
     else this.store.keepAlive(id, now)
     return { status: 200, body: {} }
   }
@@ -200,16 +201,16 @@
     answer: (answer: Answer) => void,
   ): void {
     // Held back, it is carried out at some later time; null: not yet, as the service is out.
-    const carryOutLater = () => (this.down ? null : this.carryOut(transaction).status === 200)
-    if (this.faults.holdsBack(from, carryOutLater)) return
-    const done = this.carryOut(transaction)
-    const isLost = done.status === 200 && this.faults.losesAnswer(from, this.store.revision)
-    if (!isLost) answer(done)
+    const executeLater = () => (this.down ? null : this.execute(transaction).status === 200)
+    if (this.faults.holdBack(from, executeLater)) return
+    const result = this.execute(transaction)
+    const isLost = result.status === 200 && this.faults.loseAnswer(from, this.store.revision)
+    if (!isLost) answer(result)
   }
   /** All of it or nothing. */
-  private carryOut(transaction: WireTransaction): Answer {
+  private execute(transaction: WireTransaction): Answer {
     const { when = [], apply = [] } = transaction
-    this.checkSize(transaction)
+    this.checkLimits(transaction)
     const { entries } = this.store
     const failed = when.filter(({ path, stamp }) => (entries.get(path)?.modRevision ?? 0) !== stamp)
     if (failed.length > 0)
@@ -223,15 +224,15 @@
     return { status: 200, body: { epoch: this.store.revision } }
   }
   /** A controller that exceeds the limits is wrong: the run fails. */
-  private checkSize(transaction: WireTransaction): void {
+  private checkLimits(transaction: WireTransaction): void {
     const { when = [], apply = [] } = transaction
     const { txn_ops, value_kb } = this.limits
     const hasLargeValue = apply.some(({ v }) => JSON.stringify(v ?? null).length > value_kb * 1024)
-    const size = JSON.stringify(transaction).length
+    const sizeBytes = JSON.stringify(transaction).length
     const hasTooMany = apply.length > txn_ops || when.length > CONDITIONS_PER_OPERATION * txn_ops
-    if (!hasTooMany && !hasLargeValue && size <= MAX_TRANSACTION_BYTES) return
+    if (!hasTooMany && !hasLargeValue && sizeBytes <= MAX_TRANSACTION_BYTES) return
     throw new Error(
-      `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${size} bytes`,
+      `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${sizeBytes} bytes`,
     )
   }
 
@@ -248,7 +249,7 @@
       const isBlocked = this.isOutFor(from)
       const events = isBlocked ? [] : this.store.eventsSince(after, prefix)
       if (events.length === 0 && (!isTimeOver || isBlocked)) {
-        this.waiting.push(() => check(false))
+        this.waitingWatches.push(() => check(false))
         if (isTimeOver) this.simulation.after(BLOCKED_WATCH_INTERVAL_MS, () => check(true))
         return
       }
@@ -258,7 +259,7 @@
           ? { delete: key, stamp: revision }
           : { set: key, v: entry.value, stamp: entry.modRevision },
       )
-      this.faults.read(
+      this.faults.countRead(
         from,
         news.map(({ stamp }) => stamp),
       )
@@ -268,8 +269,8 @@
     if (!isOver) this.simulation.after(Number(query.get("block_ms") ?? 0), () => check(true))
   }
   private wakeWatches(): void {
-    const { waiting } = this
-    this.waiting = []
+    const { waitingWatches: waiting } = this
+    this.waitingWatches = []
     for (const check of waiting) this.simulation.enqueue(check)
   }
 }
@@ -280,17 +281,20 @@
 }
 
 /** So many a second, and a second's worth at once. */
-class Bucket {
-  private has: number
-  private last = 0
-  constructor(private readonly perSecond: number) {
-    this.has = perSecond
+class TokenBucket {
+  private tokens: number
+  private refilledAt = 0
+  constructor(private readonly ratePerSecond: number) {
+    this.tokens = ratePerSecond
   }
   take(cost: number, now: number): boolean {
-    this.has = Math.min(this.perSecond, this.has + ((now - this.last) / 1000) * this.perSecond)
-    this.last = now
-    if (this.has < cost) return false
-    this.has -= cost
+    this.tokens = Math.min(
+      this.ratePerSecond,
+      this.tokens + ((now - this.refilledAt) / 1000) * this.ratePerSecond,
+    )
+    this.refilledAt = now
+    if (this.tokens < cost) return false
+    this.tokens -= cost
     return true
   }
 }
--- a/packages/testkit/src/services/store-codec.ts
+++ b/packages/testkit/src/services/store-codec.ts
@@ -20,7 +20,7 @@
 export const encodeStoreDump = ({ revision, lastLeaseId, leases, entries }: StoreState): StoreDump => ({
   epoch: revision,
   permits: lastLeaseId,
-  grants: [...leases].map(([permit, { ttl, until }]) => ({ permit, ttl, until })),
+  grants: [...leases].map(([permit, { ttlMs: ttl, expiresAt: until }]) => ({ permit, ttl, until })),
   entries: [...entries].map(([path, { value, modRevision, leaseId }]) => ({
     path,
     v: value,
@@ -32,7 +32,7 @@
 export const decodeStoreDump = ({ epoch, permits, grants, entries }: StoreDump): StoreState => ({
   revision: epoch,
   lastLeaseId: permits,
-  leases: new Map(grants.map(({ permit, ttl, until }) => [permit, { ttl, until }])),
+  leases: new Map(grants.map(({ permit, ttl, until }) => [permit, { ttlMs: ttl, expiresAt: until }])),
   entries: new Map(
     entries.map(({ path, v, stamp, permit }) => [path, { value: v, modRevision: stamp, leaseId: permit }]),
   ),
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -8,13 +8,13 @@
 import type { Simulation } from "../simulation/simulation.ts"
 
 /** A user's request was answered; status 0: not in time. */
-type Answered = (status: number, state: string | null) => void
+type AnswerCallback = (status: number, state: string | null) => void
 /** A user received a first answer that says so. */
 export type UserEvent = "accepted" | "cancelled"
 
-const ANSWER_MS: Record<UserRequestKind, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
-const RETRY_MS = 1_000
-const POLL_EVERY_MS = 5_000
+const ANSWER_TIMEOUT_MS: Record<UserRequestKind, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
+const RETRY_DELAY_MS = 1_000
+const POLL_INTERVAL_MS = 5_000
 
 /** A stand-in of the users: they submit, poll and cancel jobs as the protocol says, at any node. */
 export class Users {
@@ -30,19 +30,25 @@
   ) {}
 
   /** Asks one node, any by default. */
-  ask(kind: UserRequestKind, job: string, body: unknown, done: Answered, at?: NodeName): void {
-    const asked = this.simulation.now
-    let over = false
+  sendRequest(
+    kind: UserRequestKind,
+    job: string,
+    body: unknown,
+    done: AnswerCallback,
+    node?: NodeName,
+  ): void {
+    const askedAt = this.simulation.now
+    let isOver = false
     const finish = (status: number, state: string | null) => {
-      if (over) return
-      over = true
-      this.invariants.answered(job, kind, status, state, asked)
+      if (isOver) return
+      isOver = true
+      this.invariants.answered(job, kind, status, state, askedAt)
       done(status, state)
     }
     this.invariants.asked(job)
-    this.simulation.after(ANSWER_MS[kind], () => finish(0, null))
+    this.simulation.after(ANSWER_TIMEOUT_MS[kind], () => finish(0, null))
     const request = { method: kind === "poll" ? "GET" : "POST", path: pathOf(kind, job), body }
-    this.network.request("users", at ?? this.simulation.random.pick(this.nodes), request, (answer) =>
+    this.network.request("users", node ?? this.simulation.random.pick(this.nodes), request, (answer) =>
       finish(answer?.status ?? 0, stateOf(answer?.body)),
     )
   }
@@ -50,57 +56,58 @@
   submit(request: WireJob): void {
     this.invariants.submits(request)
     this.jobs.push(request.id)
-    this.attempt(request)
+    this.submitUntilAnswered(request)
   }
   /** Goes on with jobs that were submitted to an earlier deployment, and that the invariants know. */
   resume(jobs: Iterable<JobId>): void {
     for (const id of jobs) {
       this.jobs.push(id)
-      if (this.invariants.isAccepted(id)) this.poll(id)
-      else this.attempt(this.invariants.submitted.get(id)!)
+      if (this.invariants.isAccepted(id)) this.pollRegularly(id)
+      else this.submitUntilAnswered(this.invariants.submitted.get(id)!)
       if (this.invariants.askedToCancel.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
     }
   }
-  private attempt(request: WireJob): void {
-    const attempt = () =>
-      this.ask("submit", request.id, request, (status) => {
-        if (status === 200 || status === 201) this.accepted(request.id)
-        else if (status !== 400 && status !== 422) this.simulation.after(RETRY_MS, attempt)
+  private submitUntilAnswered(request: WireJob): void {
+    const send = () =>
+      this.sendRequest("submit", request.id, request, (status) => {
+        if (status === 200 || status === 201) this.handleAccepted(request.id)
+        else if (status !== 400 && status !== 422) this.simulation.after(RETRY_DELAY_MS, send)
       })
-    attempt()
+    send()
   }
-  private accepted(id: JobId): void {
-    this.poll(id)
+  private handleAccepted(id: JobId): void {
+    this.pollRegularly(id)
     this.notify("accepted", id)
   }
   /** A repeated submission, at any later time. */
-  resubmit(id: JobId, at?: NodeName): void {
-    this.ask("submit", id, this.invariants.submitted.get(id), () => {}, at)
+  resubmit(id: JobId, node?: NodeName): void {
+    this.sendRequest("submit", id, this.invariants.submitted.get(id), () => {}, node)
   }
   /** One question at one node. */
-  pollAt(id: JobId, at: NodeName, done: Answered = () => {}): void {
-    this.ask("poll", id, null, done, at)
+  pollAt(id: JobId, node: NodeName, done: AnswerCallback = () => {}): void {
+    this.sendRequest("poll", id, null, done, node)
   }
-  private poll(id: JobId): void {
-    const again = () => this.ask("poll", id, null, () => this.simulation.after(POLL_EVERY_MS, again))
-    this.simulation.after(this.simulation.random.between(500, 5_000), again)
+  private pollRegularly(id: JobId): void {
+    const pollOnce = () =>
+      this.sendRequest("poll", id, null, () => this.simulation.after(POLL_INTERVAL_MS, pollOnce))
+    this.simulation.after(this.simulation.random.between(500, 5_000), pollOnce)
   }
   /** Repeated until it is answered. */
-  cancel(id: JobId, done: Answered = () => {}, at?: NodeName): void {
+  cancel(id: JobId, done: AnswerCallback = () => {}, node?: NodeName): void {
     this.invariants.asksToCancel(id)
-    const answered: Answered = (status, state) => {
-      if (status !== 200) return this.simulation.after(RETRY_MS, () => this.cancel(id, done))
+    const handleAnswer: AnswerCallback = (status, state) => {
+      if (status !== 200) return this.simulation.after(RETRY_DELAY_MS, () => this.cancel(id, done))
       if (state === "withdrawn") this.notify("cancelled", id)
       done(status, state)
     }
-    this.ask("cancel", id, {}, answered, at)
+    this.sendRequest("cancel", id, {}, handleAnswer, node)
   }
   /** A cancellation that comes too late: the user has the answer that the job is done. */
   cancelDone(id: JobId): void {
-    this.ask("cancel", id, {}, () => {})
+    this.sendRequest("cancel", id, {}, () => {})
   }
   pollUnknownJob(): void {
-    this.ask("poll", "run-999999", null, () => {})
+    this.sendRequest("poll", "run-999999", null, () => {})
   }
   private notify(event: UserEvent, job: JobId): void {
     for (const listener of this.listeners) listener(event, job)
@@ -108,7 +115,7 @@
 
   counts(): { readonly done: number; readonly cancelled: number; readonly jobs: number } {
     const states = this.jobs.map((id) => this.invariants.state(id))
-    const done = states.filter((s) => s === "done").length
+    const done = states.filter((state) => state === "done").length
     return { done, cancelled: states.filter((s) => s === "withdrawn").length, jobs: this.jobs.length }
   }
 }
--- a/packages/testkit/src/services/wire-builders.ts
+++ b/packages/testkit/src/services/wire-builders.ts
@@ -9,7 +9,7 @@
 export type JobFields = Readonly<Record<string, unknown>>
 
 /** A usual job without its id. */
-const usualJob = {
+const defaultJob = {
   lane: "bulk",
   owner: "red",
   shape: "batch",
@@ -33,10 +33,10 @@
 
 /** A job as its user submits it. */
 export const jobRequest = (id: string, fields: JobFields = {}): WireJob =>
-  ({ id: id as JobId, ...usualJob, ...fields }) as unknown as WireJob
+  ({ id: id as JobId, ...defaultJob, ...fields }) as unknown as WireJob
 /** As `jobRequest`, with the id at the end, and unchecked. */
 export const uncheckedJob = (id: string, fields: JobFields = {}): JobFields => ({
-  ...usualJob,
+  ...defaultJob,
   ...fields,
   id,
 })
@@ -45,8 +45,8 @@
 export const machineTypeOffer = (
   fields: { readonly name: string; readonly cores: number; readonly mem_gb: number } & JobFields,
 ): WireMachineType => {
-  const { name, cores, mem_gb, ...others } = fields
-  const usual = { accelerators: 0, mem_gb, cache_gb: 50, pull_gb_per_s: 1, hourly: 1, spot_price: 0.2 }
-  const offer = { name, cores, ...usual, startup_s: 6, sites: ["a"], ...others }
+  const { name, cores, mem_gb, ...overrides } = fields
+  const defaults = { accelerators: 0, mem_gb, cache_gb: 50, pull_gb_per_s: 1, hourly: 1, spot_price: 0.2 }
+  const offer = { name, cores, ...defaults, startup_s: 6, sites: ["a"], ...overrides }
   return offer as unknown as WireMachineType
 }
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -20,7 +20,7 @@
   /** It saved its progress before it exited. */
   checkpointed: boolean
   /** When its image began to be pulled, or it began to run. Milliseconds. */
-  since: number
+  startedAt: number
   /** Stops the timer of its present phase. */
   cancelTimer: () => void
 }
@@ -41,12 +41,12 @@
   /** Its power is off for good. */
   readonly gone: boolean
   /** Runs it at once, or when the machine no longer hangs. */
-  whenAwake(run: () => void): void
+  runWhenAwake(run: () => void): void
   /** Has a heartbeat sent soon, as something changed. */
   requestHeartbeat(): void
 }
 /** What tasks need beside their machine. */
-export interface TaskSurroundings {
+export interface TaskEnvironment {
   readonly simulation: Simulation
   readonly invariants: Invariants
   /** Progress saved by task id, in seconds: kept outside of the machine. */
@@ -54,7 +54,7 @@
 }
 
 /** How soon after its start a task fails whose job has a mistake, or whose machine is faulty. */
-const FAILS_AFTER_MS = 1_000
+const FAILURE_DELAY_MS = 1_000
 
 /** The id of a task on the wire. */
 const taskIdOf = ({ job, index }: Occupant): string => `${job}/${index}`
@@ -68,10 +68,10 @@
 
   constructor(
     private readonly host: TaskHost,
-    private readonly surroundings: TaskSurroundings,
+    private readonly environment: TaskEnvironment,
   ) {
-    this.simulation = surroundings.simulation
-    this.invariants = surroundings.invariants
+    this.simulation = environment.simulation
+    this.invariants = environment.invariants
   }
 
   get(taskId: string): WorkerTask | undefined {
@@ -113,8 +113,8 @@
   }
 
   start(taskId: string, attempt: number): void {
-    const known = this.byId.get(taskId)
-    if (known !== undefined && (known.attempt === attempt || known.phase !== "exited")) return
+    const existing = this.byId.get(taskId)
+    if (existing !== undefined && (existing.attempt === attempt || existing.phase !== "exited")) return
     const task = newTask(taskId, attempt, this.simulation.now)
     this.byId.set(taskId, task)
     const request = this.invariants.submitted.get(task.job)
@@ -122,7 +122,7 @@
     if (!this.hasRoom()) return this.exit(task, "no_room")
     const { pull_gb_per_s } = this.host.type
     const pullS = this.images.has(request.bundle) ? 0 : request.image_gb / pull_gb_per_s
-    this.setTimer(task, pullS * 1000, () => this.begin(task, request))
+    this.setTimer(task, pullS * 1000, () => this.run(task, request))
   }
   /** The tasks that take room, with one just added, fit on the machine. */
   private hasRoom(): boolean {
@@ -131,27 +131,27 @@
     return cores >= -1e-6
   }
   private setTimer(task: WorkerTask, ms: number, run: () => void): void {
-    task.cancelTimer = this.simulation.after(ms, () => this.host.whenAwake(run))
+    task.cancelTimer = this.simulation.after(ms, () => this.host.runWhenAwake(run))
   }
 
-  private begin(task: WorkerTask, request: WireJob): void {
+  private run(task: WorkerTask, request: WireJob): void {
     if (task.phase !== "pulling" || this.host.gone) return
     this.images.add(request.bundle)
     task.phase = "running"
-    task.since = this.simulation.now
+    task.startedAt = this.simulation.now
     const { id, type, zone, spot } = this.host
     this.invariants.began(task.job, task.index, { machine: id, type: type.name, zone, spot })
     this.host.requestHeartbeat()
-    if (this.host.faulty || this.invariants.mistaken.has(task.job)) return this.failSoon(task)
+    if (this.host.faulty || this.invariants.mistaken.has(task.job)) return this.scheduleFailure(task)
     const isFinished = this.invariants.isFinished(task.job, task.index)
-    const leftS = isFinished ? 0 : request.expected_s - this.savedS(task)
-    this.setTimer(task, leftS * 1000, () => this.complete(task))
+    const remainingS = isFinished ? 0 : request.expected_s - this.checkpointedS(task)
+    this.setTimer(task, remainingS * 1000, () => this.complete(task))
   }
-  private failSoon(task: WorkerTask): void {
+  private scheduleFailure(task: WorkerTask): void {
     this.simulation.occurrences.count(
       this.host.faulty ? "tasks failed by their machine" : "tasks failed by their job",
     )
-    this.setTimer(task, FAILS_AFTER_MS, () => {
+    this.setTimer(task, FAILURE_DELAY_MS, () => {
       if (task.phase === "running" && !this.host.gone) this.exit(task, "error")
     })
   }
@@ -160,8 +160,8 @@
     this.invariants.finished(task.job, task.index)
     this.exit(task, "done")
   }
-  private savedS(task: WorkerTask): number {
-    return this.surroundings.checkpoints.get(taskIdOf(task)) ?? 0
+  private checkpointedS(task: WorkerTask): number {
+    return this.environment.checkpoints.get(taskIdOf(task)) ?? 0
   }
 
   /** It saves its progress first if its job does so and the grace period is long enough. */
@@ -176,10 +176,10 @@
       gracePeriodS >= request.flush_s
     if (!canSave) return this.exit(task, "stopped")
     task.phase = "checkpointing"
-    const ranS = (this.simulation.now - task.since) / 1000
+    const ranS = (this.simulation.now - task.startedAt) / 1000
     this.setTimer(task, request.flush_s * 1000, () => {
       if (task.phase !== "checkpointing" || this.host.gone) return
-      this.surroundings.checkpoints.set(taskIdOf(task), this.savedS(task) + ranS)
+      this.environment.checkpoints.set(taskIdOf(task), this.checkpointedS(task) + ranS)
       task.checkpointed = true
       this.exit(task, "stopped")
     })
@@ -210,19 +210,19 @@
   restore(task: WorkerTask): void {
     this.byId.set(taskIdOf(task), task)
     if (task.phase === "exited") return
-    const { phase, since } = task
+    const { phase, startedAt } = task
     const request = this.invariants.submitted.get(task.job)!
-    const elapsedS = (this.simulation.now - since) / 1000
+    const elapsedS = (this.simulation.now - startedAt) / 1000
     if (phase === "pulling") {
       const pullS = request.image_gb / this.host.type.pull_gb_per_s
-      return this.setTimer(task, Math.max(0, (pullS - elapsedS) * 1000), () => this.begin(task, request))
+      return this.setTimer(task, Math.max(0, (pullS - elapsedS) * 1000), () => this.run(task, request))
     }
     task.phase = "pulling"
-    this.begin(task, request)
-    task.since = since
+    this.run(task, request)
+    task.startedAt = startedAt
     task.cancelTimer()
-    const leftS = Math.max(0, request.expected_s - this.savedS(task) - elapsedS)
-    this.setTimer(task, leftS * 1000, () => this.complete(task))
+    const remainingS = Math.max(0, request.expected_s - this.checkpointedS(task) - elapsedS)
+    this.setTimer(task, remainingS * 1000, () => this.complete(task))
     if (phase === "checkpointing") this.stop(task, request.flush_s)
   }
 }
@@ -236,7 +236,7 @@
     phase: "pulling",
     exitReason: null,
     checkpointed: false,
-    since: now,
+    startedAt: now,
     cancelTimer: () => {},
   }
 }
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -40,5 +40,5 @@
   readonly names: ReadonlyArray<NodeName>
   readonly logged: ReadonlyArray<string>
   zoneOf(host: string): string | null
-  crash(name: NodeName, backAfterMs: number): void
+  crash(name: NodeName, restartAfterMs: number): void
 }
--- a/packages/testkit/src/simulation/loopback-network.ts
+++ b/packages/testkit/src/simulation/loopback-network.ts
@@ -17,7 +17,7 @@
   readonly traffic = new Map<string, { requests: number; bytes: number; answeredBytes: number }>()
 
   /** Hosts outside of this process, such as the controllers. */
-  locate(host: string, port: number): void {
+  setPort(host: string, port: number): void {
     this.ports.set(host, port)
   }
   portOf(host: string): number {
@@ -39,7 +39,7 @@
           body: text === "" ? null : JSON.parse(text),
         }
         server(request, "somebody", (answer) => {
-          const body = this.withPorts(JSON.stringify(answer.body ?? null))
+          const body = this.replaceMachineAddresses(JSON.stringify(answer.body ?? null))
           this.count(host, path, text.length, body.length)
           response.writeHead(answer.status, { "content-type": "application/json" })
           response.end(body)
@@ -64,7 +64,8 @@
   }
 
   override request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
-    const text = request.method === "GET" ? "" : this.withPorts(JSON.stringify(request.body ?? null))
+    const text =
+      request.method === "GET" ? "" : this.replaceMachineAddresses(JSON.stringify(request.body ?? null))
     const outgoing = httpRequest(
       {
         agent: this.agentOf(from),
@@ -79,9 +80,9 @@
         incoming.on("data", (chunk: Buffer) => chunks.push(chunk))
         incoming.on("error", () => done(null))
         incoming.on("end", () => {
-          const answered = Buffer.concat(chunks)
-          this.count(from === USERS ? USERS : "workers", request.path, text.length, answered.length)
-          done({ status: incoming.statusCode ?? 0, body: JSON.parse(answered.toString("utf8")) })
+          const responseBody = Buffer.concat(chunks)
+          this.count(from === USERS ? USERS : "workers", request.path, text.length, responseBody.length)
+          done({ status: incoming.statusCode ?? 0, body: JSON.parse(responseBody.toString("utf8")) })
         })
       },
     )
@@ -89,26 +90,26 @@
     outgoing.end(text)
   }
   private agentOf(host: string): Agent {
-    const known = this.agents.get(host)
-    if (known !== undefined) return known
+    const existing = this.agents.get(host)
+    if (existing !== undefined) return existing
     const agent = new Agent({ keepAlive: true, maxSockets: host === USERS ? 64 : 2 })
     this.agents.set(host, agent)
     return agent
   }
 
-  private withPorts(text: string): string {
-    return text.replace(MACHINE_ADDRESS, (whole, host: string) => {
+  private replaceMachineAddresses(text: string): string {
+    return text.replace(MACHINE_ADDRESS, (address, host: string) => {
       const port = this.ports.get(host)
-      return port === undefined ? whole : `"${LOOPBACK}:${port}"`
+      return port === undefined ? address : `"${LOOPBACK}:${port}"`
     })
   }
   private count(host: string, path: string, bytes: number, answeredBytes: number): void {
     const family = path.startsWith("/v1/jobs/") ? "/v1/jobs/ID" : path.split(/[?\d]/)[0]!
-    const kind = `${host.startsWith("i-") ? "machines" : host} ${family}`
-    const of = this.traffic.get(kind) ?? { requests: 0, bytes: 0, answeredBytes: 0 }
-    of.requests++
-    of.bytes += bytes
-    of.answeredBytes += answeredBytes
-    this.traffic.set(kind, of)
+    const key = `${host.startsWith("i-") ? "machines" : host} ${family}`
+    const counters = this.traffic.get(key) ?? { requests: 0, bytes: 0, answeredBytes: 0 }
+    counters.requests++
+    counters.bytes += bytes
+    counters.answeredBytes += answeredBytes
+    this.traffic.set(key, counters)
   }
 }
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -38,7 +38,7 @@
   readonly oneWay: boolean
   readonly separates: (a: string, b: string) => boolean
   readonly mode: CutMode
-  held: Array<() => void>
+  heldDeliveries: Array<() => void>
 }
 
 /**
@@ -48,17 +48,17 @@
  */
 export class Network {
   private readonly servers = new Map<string, Server>()
-  private readonly connectionsEnd = new Set<string>()
+  private readonly connectionBoundHosts = new Set<string>()
   private readonly cuts = new Set<Cut>()
   /** When the last cut healed. */
   lastHealedAt = Number.NEGATIVE_INFINITY
   private readonly interceptors = new Set<Interceptor>()
-  loss = 0
-  repeat = 0
+  lossProbability = 0
+  repeatProbability = 0
   /** Every message takes up to this much longer. */
-  slowMs = 0
+  maxExtraDelayMs = 0
   /** Copies come at most this much later. */
-  repeatWithinMs = 20_000
+  maxRepeatDelayMs = 20_000
   /** Takes in every message; null: nothing is traced. */
   trace: TraceDigest | null = null
 
@@ -68,9 +68,9 @@
    * `connectionsEnd`: what was sent to a former server of this host never
    * reaches this one, as a connection ends with the machine that it led to.
    */
-  listen(host: string, server: Server, connectionsEnd = false): void {
+  listen(host: string, server: Server, bindsConnections = false): void {
     this.servers.set(host, server)
-    if (connectionsEnd) this.connectionsEnd.add(host)
+    if (bindsConnections) this.connectionBoundHosts.add(host)
   }
   close(host: string): void {
     this.servers.delete(host)
@@ -80,22 +80,28 @@
     return this.cuts.size > 0
   }
   isUnreliable(): boolean {
-    return this.loss > 0 || this.repeat > 0 || this.slowMs > 0 || this.interceptors.size > 0
+    return (
+      this.lossProbability > 0 ||
+      this.repeatProbability > 0 ||
+      this.maxExtraDelayMs > 0 ||
+      this.interceptors.size > 0
+    )
   }
 
   /** Returns how to heal it. */
   cut(separates: Cut["separates"], mode: CutMode): () => void {
-    return this.open({ separates, mode, oneWay: false, held: [] })
+    return this.addCut({ separates, mode, oneWay: false, heldDeliveries: [] })
   }
   cutOneWay(separates: Cut["separates"], mode: CutMode): () => void {
-    return this.open({ separates, mode, oneWay: true, held: [] })
+    return this.addCut({ separates, mode, oneWay: true, heldDeliveries: [] })
   }
-  private open(cut: Cut): () => void {
+  private addCut(cut: Cut): () => void {
     this.cuts.add(cut)
     return () => {
       this.cuts.delete(cut)
       this.lastHealedAt = this.simulation.now
-      for (const deliver of cut.held) this.simulation.after(this.simulation.random.between(0, 50), deliver)
+      for (const deliver of cut.heldDeliveries)
+        this.simulation.after(this.simulation.random.between(0, 50), deliver)
     }
   }
 
@@ -107,11 +113,11 @@
       this.lastHealedAt = this.simulation.now
     }
   }
-  private verdict(from: string, to: string, request: Request, text: string): Verdict {
+  private verdictOf(from: string, to: string, request: Request, text: string): Verdict {
     const deliverCopy: OutgoingRequest["deliverCopy"] = (host, afterMs, answered = () => {}) => {
       const sentTo = this.servers.get(host)
       this.simulation.after(afterMs, () => {
-        if (this.hasEnded(host, sentTo)) return
+        if (this.hasConnectionEnded(host, sentTo)) return
         this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(host, from, request, answer)
           answered(answer)
@@ -120,8 +126,8 @@
     }
     let verdict: Verdict = "pass"
     for (const interceptor of this.interceptors) {
-      const said = interceptor({ from, to, request, deliverCopy })
-      if (said !== "pass") verdict = said
+      const decision = interceptor({ from, to, request, deliverCopy })
+      if (decision !== "pass") verdict = decision
     }
     return verdict
   }
@@ -132,54 +138,56 @@
   }
 
   /** The connection over which this went has ended, together with the server that it led to. */
-  private hasEnded(host: string, sentTo: Server | undefined): boolean {
-    return this.connectionsEnd.has(host) && sentTo !== undefined && sentTo !== this.servers.get(host)
+  private hasConnectionEnded(host: string, sentTo: Server | undefined): boolean {
+    return this.connectionBoundHosts.has(host) && sentTo !== undefined && sentTo !== this.servers.get(host)
   }
 
   /** Does a cut keep messages between the two from arriving? */
-  isApart(a: string, b: string): boolean {
+  isSeparated(a: string, b: string): boolean {
     for (const cut of this.cuts) if (cut.separates(a, b) || cut.separates(b, a)) return true
     return false
   }
 
   /** One message one way; `lost` is called when its sender can tell. */
-  carry(from: string, to: string, deliver: () => void, lost: () => void = () => {}): void {
+  transmit(from: string, to: string, deliver: () => void, onLost: () => void = () => {}): void {
     for (const cut of this.cuts) {
       if (!cut.separates(from, to) && (cut.oneWay || !cut.separates(to, from))) continue
-      if (cut.mode === "hold") cut.held.push(() => this.carry(from, to, deliver, lost))
-      else if (cut.mode === "reset") this.simulation.after(1, lost)
+      if (cut.mode === "hold") cut.heldDeliveries.push(() => this.transmit(from, to, deliver, onLost))
+      else if (cut.mode === "reset") this.simulation.after(1, onLost)
       return
     }
-    if (this.simulation.random.chance(this.loss)) return
-    const slow = this.slowMs === 0 ? 0 : this.simulation.random.between(0, this.slowMs)
-    this.simulation.after(slow + this.simulation.random.between(0.3, 3), deliver)
-    if (this.simulation.random.chance(this.repeat))
-      this.simulation.after(this.simulation.random.between(5, this.repeatWithinMs), deliver)
+    if (this.simulation.random.chance(this.lossProbability)) return
+    const extraDelayMs =
+      this.maxExtraDelayMs === 0 ? 0 : this.simulation.random.between(0, this.maxExtraDelayMs)
+    this.simulation.after(extraDelayMs + this.simulation.random.between(0.3, 3), deliver)
+    if (this.simulation.random.chance(this.repeatProbability))
+      this.simulation.after(this.simulation.random.between(5, this.maxRepeatDelayMs), deliver)
   }
 
   /** `done(null)`: refused or reset. No call of `done` at all: silence. */
   request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
     const text = JSON.stringify(request.body ?? null)
     this.trace?.request(this.simulation.now, from, to, request.method, request.path, text)
-    const verdict = this.verdict(from, to, request, text)
+    const verdict = this.verdictOf(from, to, request, text)
     if (verdict === "refuse") this.simulation.after(1, () => done(null))
     if (verdict !== "pass") return
-    let first = true
+    let isFirstDelivery = true
     const sentTo = this.servers.get(to)
-    this.carry(
+    this.transmit(
       from,
       to,
       () => {
         const server = this.servers.get(to)
-        if (server === undefined || this.hasEnded(to, sentTo)) return this.carry(to, from, () => done(null))
-        const answered = first
-        first = false
+        if (server === undefined || this.hasConnectionEnded(to, sentTo))
+          return this.transmit(to, from, () => done(null))
+        const isAnswerDelivered = isFirstDelivery
+        isFirstDelivery = false
         // A repeated delivery is carried out as well; its answer reaches nobody.
         server({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(to, from, request, answer)
-          if (!answered) return
+          if (!isAnswerDelivered) return
           const body = JSON.parse(JSON.stringify(answer.body ?? null)) as unknown
-          this.carry(to, from, () => done({ status: answer.status, body }))
+          this.transmit(to, from, () => done({ status: answer.status, body }))
         })
       },
       () => done(null),
--- a/packages/testkit/src/simulation/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -32,14 +32,14 @@
 export class Occurrences {
   private readonly counts = new Map<MachineEvent, number>()
 
-  count(what: MachineEvent, times = 1): void {
-    this.counts.set(what, this.of(what) + times)
+  count(event: MachineEvent, times = 1): void {
+    this.counts.set(event, this.countOf(event) + times)
   }
-  of(what: MachineEvent): number {
+  countOf(what: MachineEvent): number {
     return this.counts.get(what) ?? 0
   }
   /** Each event by its name, those that never came about included. */
   all(): Readonly<Record<string, number>> {
-    return Object.fromEntries(MACHINE_EVENTS.map((what) => [what, this.of(what)]))
+    return Object.fromEntries(MACHINE_EVENTS.map((event) => [event, this.countOf(event)]))
   }
 }
--- a/packages/testkit/src/simulation/process.ts
+++ b/packages/testkit/src/simulation/process.ts
@@ -3,7 +3,7 @@
  * and standing still. It decides when work of the process runs, never what.
  */
 import { Clock, Duration, Effect, Scheduler } from "effect"
-import { Processor, TIMER_MS } from "./processor.ts"
+import { Processor, TIMER_COST_MS } from "./processor.ts"
 
 /** What a process needs of its simulation. Milliseconds. */
 interface Timeline {
@@ -19,7 +19,7 @@
 
 /** Clocks run on whatever the process does. */
 export class Process {
-  private isAlive = true
+  private alive = true
   /** What came while it stands still; null: it doesn't. */
   private deferred: Array<() => void> | null = null
   private readonly processor: Processor
@@ -29,14 +29,14 @@
   /** `wallOffsetMs`: how far its wall clock is off; `share`: of a core, null if its work takes no time. */
   constructor(
     private readonly timeline: Timeline,
-    private readonly wallOffsetMs: number,
+    private readonly wallClockOffsetMs: number,
     share: number | null,
   ) {
     this.processor = new Processor(share, timeline.now)
     this.clock = this.makeClock()
     this.scheduler = new Scheduler.MixedScheduler("async", (run) => {
       // What follows from an event belongs to its work.
-      timeline.enqueue(() => this.unlessStill(run))
+      timeline.enqueue(() => this.runUnlessFrozen(run))
       return () => {}
     })
   }
@@ -50,38 +50,38 @@
   }
   /** Nothing that it waits for ever comes. */
   kill(): void {
-    this.isAlive = false
+    this.alive = false
   }
-  alive(): boolean {
-    return this.isAlive
+  isAlive(): boolean {
+    return this.alive
   }
   /** At once, or when the process goes on, or its processor is free; takes so much of a core. */
-  whenAwake(run: () => void, workMs = 0): void {
+  runWhenAwake(run: () => void, workMs = 0): void {
     const { now } = this.timeline
     const at = this.processor.schedule(now, workMs)
-    if (at <= now) this.unlessStill(run)
-    else this.timeline.after(at - now, () => this.unlessStill(run))
+    if (at <= now) this.runUnlessFrozen(run)
+    else this.timeline.after(at - now, () => this.runUnlessFrozen(run))
   }
   /** It stands still for that long. */
   freeze(ms: number): void {
     if (this.deferred !== null) return
     this.deferred = []
     this.timeline.after(ms, () => {
-      const late = this.deferred ?? []
+      const deferred = this.deferred ?? []
       this.deferred = null
       this.timeline.lastResumedAt = this.timeline.now
-      for (const run of late) this.timeline.enqueue(() => this.unlessStill(run))
+      for (const run of deferred) this.timeline.enqueue(() => this.runUnlessFrozen(run))
     })
   }
 
-  private unlessStill(run: () => void): void {
-    if (!this.isAlive) return
+  private runUnlessFrozen(run: () => void): void {
+    if (!this.alive) return
     if (this.deferred === null) run()
     else this.deferred.push(run)
   }
   private makeClock(): Clock.Clock {
     const { timeline } = this
-    const wallMs = () => Math.floor(EPOCH_MS + timeline.now + this.wallOffsetMs)
+    const wallMs = () => Math.floor(EPOCH_MS + timeline.now + this.wallClockOffsetMs)
     const wallNanos = () => BigInt(wallMs()) * 1_000_000n
     const monotonicNanos = () => BigInt(Math.round(timeline.now * 1e6))
     return {
@@ -94,7 +94,7 @@
       sleep: (duration) =>
         Effect.callback<void>((resume) => {
           const cancel = timeline.after(Duration.toMillis(duration), () =>
-            this.whenAwake(() => resume(Effect.void), TIMER_MS),
+            this.runWhenAwake(() => resume(Effect.void), TIMER_COST_MS),
           )
           return Effect.sync(cancel)
         }),
--- a/packages/testkit/src/simulation/processor.ts
+++ b/packages/testkit/src/simulation/processor.ts
@@ -1,12 +1,12 @@
 /** What a controller's work takes of its processor, for simulated nodes that have a share of one. */
 
 /** Milliseconds on a whole core; rounded up from what `npm run measure` shows for young processes. */
-const START_MS = 330
+const STARTUP_COST_MS = 330
 /** What a timer costs, in milliseconds on a whole core. */
-export const TIMER_MS = 0.03
+export const TIMER_COST_MS = 0.03
 /** A collection of garbage comes after so many events, and nothing else happens meanwhile. */
-const EVENTS_A_COLLECTION = 400
-const COLLECTION_MS = 10
+const EVENTS_PER_COLLECTION = 400
+const COLLECTION_PAUSE_MS = 10
 
 /**
  * One process's processor: events are handled one after the other, each for as long as its work takes at
@@ -20,7 +20,7 @@
     private readonly share: number | null,
     startedAt: number,
   ) {
-    this.freeAt = share === null ? startedAt : startedAt + START_MS / share
+    this.freeAt = share === null ? startedAt : startedAt + STARTUP_COST_MS / share
   }
 
   /** When an event that comes now is handled, which takes so much of a core. */
@@ -28,8 +28,8 @@
     if (this.share === null) return now
     const at = Math.max(now, this.freeAt)
     if (workMs === 0) return at
-    const collects = ++this.events % EVENTS_A_COLLECTION === 0
-    this.freeAt = at + (workMs + (collects ? COLLECTION_MS : 0)) / this.share
+    const isCollectionDue = ++this.events % EVENTS_PER_COLLECTION === 0
+    this.freeAt = at + (workMs + (isCollectionDue ? COLLECTION_PAUSE_MS : 0)) / this.share
     return at
   }
 }
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -19,13 +19,13 @@
 import type { Answer, Network, Request } from "./network.ts"
 import type { Process } from "./process.ts"
 import type { Simulation } from "./simulation.ts"
-import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
+import { ANSWER_COST_MS, peerMessageCostMs, requestCostMs } from "./work-costs.ts"
 
 /** What a controller may be about to send when it is made to stand still; the words are those of scenarios. */
 export type FreezePoint = "answer" | "command" | "transaction" | "take-over" | "touch"
 
 /** What a controller's process is surrounded by. */
-export interface ControllerSurroundings {
+export interface ControllerEnvironment {
   readonly simulation: Simulation
   readonly network: Network
   /** The share of a core that a controller's work really has; null: its work takes no time. */
@@ -35,7 +35,7 @@
   /** A frame between controllers is sent. */
   frameSent(bytes: Uint8Array): void
   /** So many commands are under way at one controller. */
-  commandsUnderWay(count: number): void
+  commandsInFlightChanged(count: number): void
   /** A heartbeat arrived. */
   heartbeatReceived(machine: string, node: NodeName): void
   /** A request was answered with 200. */
@@ -59,23 +59,23 @@
   private readonly process: Process
   private receiveFrame: ((frame: Uint8Array) => void) | null = null
   /** It stands still as soon as it is about to send such a message, which leaves when it goes on. */
-  private freezeAt: { readonly at: FreezePoint; readonly ms: number } | null = null
-  private commands = 0
+  private pendingFreeze: { readonly point: FreezePoint; readonly ms: number } | null = null
+  private commandsInFlight = 0
 
   constructor(
     private readonly identity: ControllerIdentity,
-    private readonly surroundings: ControllerSurroundings,
+    private readonly environment: ControllerEnvironment,
   ) {
-    const { simulation, processorShare } = surroundings
-    const offsetMs = simulation.random.between(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS)
-    this.process = simulation.process(offsetMs, processorShare)
+    const { simulation, processorShare } = environment
+    const clockOffsetMs = simulation.random.between(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS)
+    this.process = simulation.process(clockOffsetMs, processorShare)
   }
 
   /** Begins as soon as the process is up. */
   start(): void {
-    const making = makeNode(this.identity.platform, defaultOperators(), this.links(), this.logger())
-    this.process.whenAwake(() =>
-      Effect.runCallback(this.withServices(making), {
+    const nodeEffect = makeNode(this.identity.platform, defaultOperators(), this.links(), this.logger())
+    this.process.runWhenAwake(() =>
+      Effect.runCallback(this.withServices(nodeEffect), {
         onExit: (exit) => {
           if (Exit.isSuccess(exit)) this.serve(exit.value)
         },
@@ -86,13 +86,13 @@
     this.process.kill()
   }
   /** It stands still while its clocks run on: at once, or in the middle of sending something. */
-  freeze(ms: number, at: FreezePoint | null): void {
-    if (at === null) this.process.freeze(ms)
-    else this.freezeAt = { at, ms }
+  freeze(ms: number, point: FreezePoint | null): void {
+    if (point === null) this.process.freeze(ms)
+    else this.pendingFreeze = { point, ms }
   }
   /** A frame of another controller arrived. */
   receive(frame: Uint8Array): void {
-    this.process.whenAwake(() => this.receiveFrame?.(frame), peerMessageMs(frame.length))
+    this.process.runWhenAwake(() => this.receiveFrame?.(frame), peerMessageCostMs(frame.length))
   }
 
   private withServices<A>(effect: Effect.Effect<A, never, HttpClient>): Effect.Effect<A> {
@@ -103,58 +103,58 @@
   private serve(node: Node): void {
     const { name } = this.identity
     Effect.runCallback(this.withServices(node.run))
-    this.surroundings.network.listen(name, (request, from, answer) => {
-      if (isHeartbeat(request)) this.surroundings.heartbeatReceived(from, name)
-      this.process.whenAwake(() => this.handle(node, request, from, answer), requestMs(request))
+    this.environment.network.listen(name, (request, from, answer) => {
+      if (isHeartbeat(request)) this.environment.heartbeatReceived(from, name)
+      this.process.runWhenAwake(() => this.handle(node, request, from, answer), requestCostMs(request))
     })
   }
   private handle(node: Node, request: Request, from: string, answer: (answer: Answer) => void): void {
     const incoming = { method: request.method, path: request.path, body: JSON.stringify(request.body) }
     node.serve(incoming, (outgoing) => {
-      const isGood = outgoing.status === 200
-      if (isGood) this.surroundings.answered(this.identity.name, from, request.path)
-      this.sendAt(isGood && isHeartbeat(request) ? "answer" : null, () => answer(outgoing))
+      const isOk = outgoing.status === 200
+      if (isOk) this.environment.answered(this.identity.name, from, request.path)
+      this.sendUnlessFrozen(isOk && isHeartbeat(request) ? "answer" : null, () => answer(outgoing))
     })
   }
 
   /** Sends at once, unless it stands still, or is to do so before such a message. */
-  private sendAt(point: FreezePoint | null, send: () => void): void {
-    if (this.process.alive() && this.freezeAt !== null && this.freezeAt.at === point) {
-      this.process.freeze(this.freezeAt.ms)
-      this.freezeAt = null
+  private sendUnlessFrozen(point: FreezePoint | null, send: () => void): void {
+    if (this.process.isAlive() && this.pendingFreeze !== null && this.pendingFreeze.point === point) {
+      this.process.freeze(this.pendingFreeze.ms)
+      this.pendingFreeze = null
     }
-    this.process.whenAwake(send)
+    this.process.runWhenAwake(send)
   }
   private call(call: HttpRequest): Effect.Effect<HttpResponse, NoResponseError> {
     const isCommand = call.path === COMMANDS_PATH
     return Effect.callback<HttpResponse, NoResponseError>((resume) => {
       const to = call.address.slice(0, call.address.lastIndexOf(":"))
       const request = { method: call.method, path: call.path, body: call.body }
-      if (isCommand) this.surroundings.commandsUnderWay(++this.commands)
+      if (isCommand) this.environment.commandsInFlightChanged(++this.commandsInFlight)
       const done = (answer: Answer | null) =>
-        this.process.whenAwake(() => resume(responseOf(answer)), ANSWER_MS)
-      this.sendAt(freezePointOf(request), () =>
-        this.surroundings.network.request(this.identity.name, to, request, done),
+        this.process.runWhenAwake(() => resume(responseOf(answer)), ANSWER_COST_MS)
+      this.sendUnlessFrozen(freezePointOf(request), () =>
+        this.environment.network.request(this.identity.name, to, request, done),
       )
     }).pipe(
       Effect.ensuring(
         Effect.sync(() => {
-          if (isCommand) this.commands--
+          if (isCommand) this.commandsInFlight--
         }),
       ),
     )
   }
 
   private links(): Links {
-    const { network, simulation } = this.surroundings
+    const { network, simulation } = this.environment
     const { name } = this.identity
     return {
       send: (to, frame) => {
         const bytes = Uint8Array.from(frame)
-        this.surroundings.frameSent(bytes)
-        this.process.whenAwake(() => {
+        this.environment.frameSent(bytes)
+        this.process.runWhenAwake(() => {
           network.trace?.frame(simulation.now, name, to, bytes)
-          network.carry(name, to, () => this.surroundings.controller(to)?.receive(bytes))
+          network.transmit(name, to, () => this.environment.controller(to)?.receive(bytes))
         })
       },
       receive: (handler) => {
@@ -164,11 +164,9 @@
   }
   private logger(): Log {
     const log = (level: string) => (message: string, fields?: Record<string, unknown>) => {
-      if (!this.process.alive() || (level === "debug" && process.env.VERBOSE !== "debug")) return
-      const atS = (this.surroundings.simulation.now / 1000).toFixed(2)
-      this.surroundings.log(
-        `${atS} ${this.identity.name} ${level} ${message} ${JSON.stringify(fields ?? {})}`,
-      )
+      if (!this.process.isAlive() || (level === "debug" && process.env.VERBOSE !== "debug")) return
+      const atS = (this.environment.simulation.now / 1000).toFixed(2)
+      this.environment.log(`${atS} ${this.identity.name} ${level} ${message} ${JSON.stringify(fields ?? {})}`)
     }
     return { error: log("error"), info: log("info"), debug: log("debug") }
   }
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -17,7 +17,7 @@
 import type { Deployment, DeploymentSetup } from "./deployment.ts"
 import { Network } from "./network.ts"
 import { machineTypesIn, platformFileOf, platformOf } from "./platform-file.ts"
-import { type ControllerSurroundings, type FreezePoint, SimulatedController } from "./simulated-controller.ts"
+import { type ControllerEnvironment, type FreezePoint, SimulatedController } from "./simulated-controller.ts"
 import { Simulation } from "./simulation.ts"
 
 /** Controllers start one after the other. */
@@ -50,22 +50,22 @@
   lastReturnAt = Number.NEGATIVE_INFINITY
   private processesStarted = 0
   /** Bytes between controllers, the most commands under way at one, the most machines whose last heartbeat reached one. */
-  readonly count = { peerBytes: 0, commandsAtOnce: 0, workersAtOne: 0 }
-  private readonly nodeOfWorker = new Map<string, NodeName>()
-  private readonly workersAt = new Map<NodeName, number>()
+  readonly count = { peerBytes: 0, maxConcurrentCommands: 0, maxWorkersAtNode: 0 }
+  private readonly nodeByWorker = new Map<string, NodeName>()
+  private readonly workerCountByNode = new Map<NodeName, number>()
   /** Called with every frame between controllers as it is sent. */
   readonly onFrame: Array<(frame: Uint8Array) => void> = []
-  private readonly surroundings: ControllerSurroundings
+  private readonly controllerEnvironment: ControllerEnvironment
 
   /** `beginsAtMs`: what the clock shows at its beginning, for a deployment that goes on from an earlier one. */
   constructor(
     readonly setup: DeploymentSetup,
-    beginsAtMs = 0,
+    startMs = 0,
   ) {
-    this.simulation = new Simulation(setup.seed, beginsAtMs)
+    this.simulation = new Simulation(setup.seed, startMs)
     this.network = new Network(this.simulation)
     this.names = Array.from({ length: setup.nodes }, (_, i) => `host-${i}` as NodeName)
-    this.surroundings = this.surroundingsOfControllers()
+    this.controllerEnvironment = this.makeControllerEnvironment()
     const types = machineTypesIn(setup.zones)
     const { teams } = platformOf(this.platformFile(0)).deployment
     this.invariants = new Invariants(this.simulation, teams, types, setup.workers.cancel_s)
@@ -73,7 +73,7 @@
     this.cloud = new Cloud(this.simulation, this.network, this.invariants, {
       types,
       capacity: setup.capacity,
-      lagMs: LIST_LAG_MS,
+      listLagMs: LIST_LAG_MS,
       nodes: this.names,
       times: setup.workers,
       neverBoots: setup.neverBoots,
@@ -86,12 +86,12 @@
     this.limitCoincidences = new LimitCoincidences(this)
     for (const [i, name] of this.names.entries())
       this.simulation.after(i * START_INTERVAL_MS, () => this.start(name))
-    this.keepChecking(new WaitingInvariant(this.simulation, this.invariants, this.cloud))
+    this.checkInvariantsRegularly(new WaitingInvariant(this.simulation, this.invariants, this.cloud))
   }
-  private keepChecking(waiting: WaitingInvariant): void {
+  private checkInvariantsRegularly(waiting: WaitingInvariant): void {
     this.invariants.check()
     waiting.check()
-    this.simulation.after(CHECK_INTERVAL_MS, () => this.keepChecking(waiting))
+    this.simulation.after(CHECK_INTERVAL_MS, () => this.checkInvariantsRegularly(waiting))
   }
 
   /** The settings file that the platform hands to one controller. */
@@ -104,14 +104,14 @@
     return this.cloud.machines.get(host)?.zone ?? null
   }
   /** What the state service holds of a job, for a look from outside. */
-  stored(id: JobId): string {
+  storedEntriesOf(id: JobId): string {
     const found = [...this.state.entries].filter(([key]) => key.includes(id) || key.startsWith("s/quota/"))
     return JSON.stringify(found.map(([key, { value }]) => [key, value]))
   }
 
   // --- controllers ------------------------------------------------------------
 
-  private surroundingsOfControllers(): ControllerSurroundings {
+  private makeControllerEnvironment(): ControllerEnvironment {
     return {
       simulation: this.simulation,
       network: this.network,
@@ -121,8 +121,8 @@
         this.count.peerBytes += bytes.length
         for (const listener of this.onFrame) listener(bytes)
       },
-      commandsUnderWay: (count) => {
-        this.count.commandsAtOnce = Math.max(this.count.commandsAtOnce, count)
+      commandsInFlightChanged: (count) => {
+        this.count.maxConcurrentCommands = Math.max(this.count.maxConcurrentCommands, count)
       },
       heartbeatReceived: (machine, node) => this.heartbeatReceived(machine, node),
       answered: (node, from, path) => {
@@ -136,35 +136,36 @@
     if (this.controllers.has(name)) return
     const platform = platformOf(this.platformFile(this.names.indexOf(name)))
     const seed = `${this.setup.seed}/${++this.processesStarted}`
-    const controller = new SimulatedController({ name, platform, seed }, this.surroundings)
+    const controller = new SimulatedController({ name, platform, seed }, this.controllerEnvironment)
     this.controllers.set(name, controller)
     controller.start()
   }
   private heartbeatReceived(machine: string, node: NodeName): void {
-    const before = this.nodeOfWorker.get(machine)
-    if (before === node) return
-    this.nodeOfWorker.set(machine, node)
-    if (before !== undefined) this.workersAt.set(before, this.workersAt.get(before)! - 1)
-    const there = (this.workersAt.get(node) ?? 0) + 1
-    this.workersAt.set(node, there)
-    this.count.workersAtOne = Math.max(this.count.workersAtOne, there)
+    const previousNode = this.nodeByWorker.get(machine)
+    if (previousNode === node) return
+    this.nodeByWorker.set(machine, node)
+    if (previousNode !== undefined)
+      this.workerCountByNode.set(previousNode, this.workerCountByNode.get(previousNode)! - 1)
+    const workerCount = (this.workerCountByNode.get(node) ?? 0) + 1
+    this.workerCountByNode.set(node, workerCount)
+    this.count.maxWorkersAtNode = Math.max(this.count.maxWorkersAtNode, workerCount)
   }
 
   /** The process ends, and another one starts after that time. */
-  crash(name: NodeName, backAfterMs: number): void {
-    this.invariants.faultLasts(backAfterMs)
+  crash(name: NodeName, restartAfterMs: number): void {
+    this.invariants.faultLasts(restartAfterMs)
     this.invariants.lastCrashAt = this.simulation.now
     this.limitCoincidences.crashed(name)
     this.controllers.get(name)?.kill()
     this.controllers.delete(name)
     this.network.close(name)
-    this.simulation.after(backAfterMs, () => {
+    this.simulation.after(restartAfterMs, () => {
       this.lastReturnAt = this.simulation.now
       this.start(name)
     })
   }
   /** It stands still while its clocks run on: at once, or in the middle of sending something. */
-  freeze(name: NodeName, ms: number, at: FreezePoint | null): void {
-    this.controllers.get(name)?.freeze(ms, at)
+  freeze(name: NodeName, ms: number, point: FreezePoint | null): void {
+    this.controllers.get(name)?.freeze(ms, point)
   }
 }
--- a/packages/testkit/src/simulation/simulation.ts
+++ b/packages/testkit/src/simulation/simulation.ts
@@ -8,7 +8,7 @@
 
 interface Timer {
   readonly at: number
-  readonly n: number
+  readonly sequence: number
   run: (() => void) | null
 }
 
@@ -30,11 +30,11 @@
     return Math.floor(this.between(low, high + 1))
   }
   /** True with that probability. */
-  chance(p: number): boolean {
-    return this.next() < p
+  chance(probability: number): boolean {
+    return this.next() < probability
   }
-  pick<A>(from: ReadonlyArray<A>): A {
-    return from[Math.floor(this.next() * from.length)]!
+  pick<A>(items: ReadonlyArray<A>): A {
+    return items[Math.floor(this.next() * items.length)]!
   }
 }
 
@@ -46,16 +46,16 @@
   now = 0
   /** When a process or machine that stood still last went on. */
   lastResumedAt = Number.NEGATIVE_INFINITY
-  private count = 0
+  private timersCreated = 0
   private readonly timers: Array<Timer> = []
   private ready: Array<() => void> = []
   readonly random: RandomSource
   readonly occurrences = new Occurrences()
 
   /** `beginsAtMs`: the time on the simulation's clock when it begins. */
-  constructor(seed: number, beginsAtMs = 0) {
+  constructor(seed: number, startMs = 0) {
     this.random = new RandomSource(seed)
-    this.now = beginsAtMs
+    this.now = startMs
   }
 
   enqueue(run: () => void): void {
@@ -63,13 +63,13 @@
   }
   /** Returns how to call it off. */
   after(ms: number, run: () => void): () => void {
-    const timer: Timer = { at: this.now + Math.max(0, ms), n: this.count++, run }
+    const timer: Timer = { at: this.now + Math.max(0, ms), sequence: this.timersCreated++, run }
     // A binary heap by time, then by order of arrival.
     const heap = this.timers
     let i = heap.push(timer) - 1
     while (i > 0) {
       const parent = (i - 1) >> 1
-      if (!before(heap[i]!, heap[parent]!)) break
+      if (!isEarlier(heap[i]!, heap[parent]!)) break
       ;[heap[i], heap[parent]] = [heap[parent]!, heap[i]!]
       i = parent
     }
@@ -84,13 +84,13 @@
     if (heap.length > 0) {
       heap[0] = last
       for (let i = 0; ; ) {
-        let least = i
+        let earliest = i
         for (const child of [2 * i + 1, 2 * i + 2]) {
-          if (child < heap.length && before(heap[child]!, heap[least]!)) least = child
+          if (child < heap.length && isEarlier(heap[child]!, heap[earliest]!)) earliest = child
         }
-        if (least === i) break
-        ;[heap[i], heap[least]] = [heap[least]!, heap[i]!]
-        i = least
+        if (earliest === i) break
+        ;[heap[i], heap[earliest]] = [heap[earliest]!, heap[i]!]
+        i = earliest
       }
     }
     return top
@@ -113,9 +113,9 @@
   }
 
   /** A process of its own: see `Process`. */
-  process(wallOffsetMs: number, share: number | null = null): Process {
-    return new Process(this, wallOffsetMs, share)
+  process(wallClockOffsetMs: number, share: number | null = null): Process {
+    return new Process(this, wallClockOffsetMs, share)
   }
 }
 
-const before = (a: Timer, b: Timer) => a.at < b.at || (a.at === b.at && a.n < b.n)
+const isEarlier = (a: Timer, b: Timer) => a.at < b.at || (a.at === b.at && a.sequence < b.sequence)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -89,7 +89,7 @@
     for (const { job, state } of answers) {
       if (finalAtFirst(job) !== null || isMistaken(job)) continue
       const cancelled = dump.users.askedToCancel.includes(job)
-      assert.equal(state, cancelled ? "withdrawn" : "done", `${job}: ${deployment.stored(job)}`)
+      assert.equal(state, cancelled ? "withdrawn" : "done", `${job}: ${deployment.storedEntriesOf(job)}`)
     }
   })
   it("goes on trying a job whose tasks fail on every machine", () => {
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -32,7 +32,7 @@
   const network = new Network(simulation)
   const trace = new TraceDigest()
   network.trace = trace
-  network.repeat = repeat
+  network.repeatProbability = repeat
   network.listen("b", (_request, _from, reply) => reply({ status, body: { answer } }))
   simulation.after(at, () =>
     network.request("a", "b", { method: "POST", path: "/p", body: { body } }, () => {}),
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -19,7 +19,7 @@
   const cloud = new Cloud(simulation, network, invariants, {
     types: [type],
     capacity: 2,
-    lagMs: 3_000,
+    listLagMs: 3_000,
     nodes: ["host-0"],
     times: { report_s: 3, lease_s: 27 },
     neverBoots: 0,
@@ -92,8 +92,8 @@
   simulation.after(10_000, () => {
     invariants.users.asksToCancel("run-000001")
     invariants.users.answered("run-000001", "cancel", 200, "withdrawn", simulation.now)
-    machine.hang(true)
-    simulation.after(20_000, () => machine.hang(false))
+    machine.setHung(true)
+    simulation.after(20_000, () => machine.setHung(false))
   })
   simulation.runUntil(10_000 + CANCEL_S * 1000 - 1_000)
   assert.deepEqual(invariants.broken, [])
