--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -81,7 +81,7 @@
 /** Everything but the coincidences has to hold on each seed. */
 const runSeed = (plan: ScenarioPlan, seed: number, { trace, prepare }: RunOptions): Result => {
   const deployment = new SimulatedDeployment({ ...plan.setup, seed })
-  trace?.run(seed)
+  trace?.recordRunStart(seed)
   deployment.network.trace = trace ?? null
   prepare?.(deployment)
   for (const { atS, action, args, lastsS } of plan.events)
--- a/packages/testkit/src/services/cloud.ts
+++ b/packages/testkit/src/services/cloud.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the cloud: it rents machines, boots them, lists them with a lag
- * and takes them back. Bodies have the names of its protocol.
+ * Simulated cloud: it rents out machines, boots them, lists them with a lag and
+ * terminates them. Bodies use the field names of the cloud's protocol.
  */
 import type { WireMachineType } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
@@ -9,31 +9,31 @@
 import { Machine, type WorkerTimes } from "./machine.ts"
 import type { MachineDump } from "./machine-codec.ts"
 
-/** What the cloud has to offer, and how its machines behave. */
+/** Machines that the cloud offers, and their behaviour. */
 export interface CloudSettings {
   readonly types: ReadonlyArray<WireMachineType>
-  /** Machines to be had of each type, zone and kind. */
+  /** Number of machines available of each type, zone and kind (spot or on-demand). */
   capacity: number
-  /** A list shows machines as they were at least this long ago, and at most twice as long. */
+  /** A list shows the machines as of a time between once and twice this lag ago. */
   readonly listLagMs: number
   readonly nodes: ReadonlyArray<string>
   readonly times: WorkerTimes
-  /** Share of machines that never come up. */
+  /** Share of machines that never finish booting. */
   neverBoots: number
-  /** Machines are up within this time; null: as their type says. */
+  /** Upper bound of the boot time; null: boot times depend on the machine type. */
   bootWithinMs: number | null
 }
 
-/** The stand-in's machines and what they saved. */
+/** Machines of the cloud and the checkpoints of their tasks, as plain data. */
 export interface CloudDump {
-  /** Machines ever rented: the next id follows from it. */
+  /** Total number of machines rented so far; the next machine id is derived from it. */
   readonly rented: number
-  /** Progress that tasks saved, in seconds. */
+  /** Progress that tasks have checkpointed, in seconds. */
   readonly checkpoints: ReadonlyArray<readonly [task: string, progressS: number]>
   readonly machines: ReadonlyArray<MachineDump>
 }
 
-/** A request for machines, in the words of the cloud's protocol. */
+/** A rental request on the wire. */
 interface WireRentalRequest {
   readonly hire: string
   readonly build: string
@@ -43,29 +43,29 @@
 }
 type ListedMachines = ReadonlyArray<Record<string, unknown>>
 
-/** The most machines that one request gets. */
+/** Maximum number of machines that one rental request is granted. */
 const MAX_MACHINES_PER_RENTAL = 50
 const DEFAULT_PAGE_SIZE = 500
-/** How often the list is taken down. */
+/** Interval at which the list of machines is recorded. */
 const LIST_INTERVAL_MS = 500
 
-/** A stand-in of the cloud. */
+/** The simulated cloud. */
 export class Cloud {
   readonly machines = new Map<string, Machine>()
-  /** Machines that were made faulty, gone ones included. */
+  /** Ids of all machines that were made faulty, including terminated ones. */
   readonly faulty = new Set<string>()
-  /** Answers to rental requests by their ids: a repeated request gets the same machines. */
+  /** Answers to rental requests by request id: a repeated request gets the same machines. */
   private readonly rentals = new Map<string, unknown>()
   private readonly checkpoints = new Map<string, number>()
   private rentedCount = 0
-  /** Calls asked for. */
+  /** Number of requests received. */
   callCount = 0
-  /** Machines to be had in zones that differ from the others. */
+  /** Capacity of zones that differs from the one in the settings. */
   readonly zoneCapacity = new Map<string, number>()
   private down = false
-  /** When its last outage ended. */
+  /** Time at which the last outage ended. */
   lastBackAt = Number.NEGATIVE_INFINITY
-  /** Lists as they were, oldest first. */
+  /** Recorded lists of machines, oldest first. */
   private listHistory: Array<{ readonly at: number; readonly hosts: ListedMachines }> = []
 
   constructor(
@@ -86,17 +86,17 @@
       this.listHistory.shift()
     this.simulation.after(LIST_INTERVAL_MS, () => this.recordList())
   }
-  /** Machines ever rented. */
+  /** Total number of machines rented so far. */
   get rented(): number {
     return this.rentedCount
   }
 
-  /** Its machines with their workers, and the checkpoints, as plain data. */
+  /** Dumps the machines, their workers and the checkpoints. */
   dump(): CloudDump {
     const machines = [...this.machines.values()].map((machine) => machine.dump())
     return { rented: this.rentedCount, checkpoints: [...this.checkpoints], machines }
   }
-  /** Has the machines of a dump, and has listed them for a while. Those that were booting begin to anew. */
+  /** Restores the machines of a dump. Lists show them at once; booting machines boot from the start. */
   restore(dump: CloudDump): void {
     for (const [task, progressS] of dump.checkpoints) this.checkpoints.set(task, progressS)
     for (const machine of dump.machines) {
@@ -172,7 +172,7 @@
     return (this.zoneCapacity.get(zone) ?? this.settings.capacity) - rented
   }
 
-  /** A new machine, which boots some time later. */
+  /** Adds a new machine, which boots after a delay. */
   rent(type: WireMachineType, zone: string, spot: boolean): Machine {
     const id = `i-${String(++this.rentedCount).padStart(6, "0")}`
     const machine = this.addMachine(id, type, zone, spot)
@@ -195,7 +195,7 @@
     const bootMs = bootWithinMs === null ? defaultBootMs : random.between(0, bootWithinMs)
     this.simulation.after(bootMs, () => machine.boot())
   }
-  /** The machine is given back, or taken away. */
+  /** Ends a machine that is given back by its renter or preempted by the cloud. */
   terminate(id: string): void {
     this.machines.get(id)?.remove()
     this.machines.delete(id)
--- a/packages/testkit/src/services/key-value-store.ts
+++ b/packages/testkit/src/services/key-value-store.ts
@@ -1,33 +1,33 @@
 /**
- * What the simulated state service holds: entries with the revision of their
- * last change, leases that take their entries with them, and the latest changes
- * for watches. It knows neither requests nor faults, and its time is given to it.
+ * Contents of the simulated state service: entries with the revision of their last
+ * change, leases whose entries are deleted with them, and the latest changes for
+ * watches. Requests and faults are handled elsewhere; callers pass the current time.
  */
 
 /** A stored value. */
 export interface StoredEntry {
   readonly value: unknown
-  /** Revision of the store at its last change. */
+  /** Revision of the store at the last change of this entry. */
   readonly modRevision: number
   readonly leaseId: number | null
 }
-/** A change as watches receive it; `entry: null`: the key was deleted. */
+/** A change in the form that watches receive; `entry: null`: the key was deleted. */
 export interface WatchEvent {
   readonly revision: number
   readonly key: string
   readonly entry: StoredEntry | null
 }
-/** A change that a transaction makes. */
+/** A put or delete of a transaction. */
 export type StoreOperation =
   | { readonly type: "put"; readonly key: string; readonly value: unknown; readonly leaseId: number | null }
   | { readonly type: "delete"; readonly key: string }
-/** Times are in milliseconds. */
+/** A lease. `expiresAt` is in milliseconds of the simulated clock. */
 interface Lease {
   readonly ttlMs: number
   expiresAt: number
 }
 
-/** Everything that a store holds but for the changes that watches wait for. */
+/** Contents of a store without its recent changes for watches. */
 export interface StoreState {
   readonly revision: number
   readonly lastLeaseId: number
@@ -37,7 +37,7 @@
 
 const MAX_WATCH_EVENTS = 10_000
 
-/** Entries, leases and the latest changes. */
+/** A key-value store with entries, leases and its recent changes. */
 export class KeyValueStore {
   readonly entries = new Map<string, StoredEntry>()
   revision = 0
@@ -45,7 +45,7 @@
   private readonly leases = new Map<number, Lease>()
   private readonly watchEvents: Array<WatchEvent> = []
 
-  /** `onChange`: called after every change, with the entry before and the one after it. */
+  /** `onChange` is called after every change, with the previous and the new entry. */
   constructor(
     private readonly onChange: (
       key: string,
@@ -54,7 +54,7 @@
     ) => void,
   ) {}
 
-  /** Makes a lease that lasts so long, and returns its id. */
+  /** Grants a lease and returns its id. */
   grantLease(ttlMs: number, now: number): number {
     this.leases.set(++this.lastLeaseId, { ttlMs, expiresAt: now + ttlMs })
     return this.lastLeaseId
@@ -72,7 +72,7 @@
   expiredLeases(now: number): ReadonlyArray<number> {
     return [...this.leases].filter(([, { expiresAt }]) => expiresAt < now).map(([id]) => id)
   }
-  /** Its entries are deleted under one new revision; true: there were some. */
+  /** Deletes a lease, and its entries under one new revision; returns whether it had entries. */
   revokeLease(id: number): boolean {
     this.leases.delete(id)
     const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key)
@@ -81,13 +81,13 @@
     for (const key of keys) this.applyChange(key, null)
     return true
   }
-  /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
+  /** Elapsed share of a lease's time-to-live since its grant or last keep-alive; 0: no such lease. */
   leaseShareElapsed(id: number | null, now: number): number {
     const lease = this.leases.get(id ?? -1)
     return lease === undefined ? 0 : 1 - (lease.expiresAt - now) / lease.ttlMs
   }
 
-  /** Carries out all operations under one new revision. */
+  /** Applies all operations under one new revision. */
   apply(operations: ReadonlyArray<StoreOperation>): void {
     this.revision++
     for (const operation of operations) {
@@ -107,11 +107,11 @@
     this.onChange(key, before, entry)
   }
 
-  /** The kept changes after a revision of keys with a prefix, oldest first. */
+  /** Recorded changes of keys with a prefix after a revision, oldest first. */
   eventsSince(revision: number, prefix: string): ReadonlyArray<WatchEvent> {
     return this.watchEvents.filter((event) => event.revision > revision && event.key.startsWith(prefix))
   }
-  /** Are all changes after this revision kept? */
+  /** Whether all changes after this revision are still recorded. */
   hasEventsSince(revision: number): boolean {
     return revision + 1 >= (this.watchEvents[0]?.revision ?? 1)
   }
@@ -120,7 +120,7 @@
     const { revision, lastLeaseId, leases, entries } = this
     return { revision, lastLeaseId, leases, entries }
   }
-  /** Holds this state, as though it had been there from the beginning. */
+  /** Restores a state without recording any changes for watches. */
   restore(state: StoreState): void {
     this.revision = state.revision
     this.lastLeaseId = state.lastLeaseId
--- a/packages/testkit/src/services/machine-codec.ts
+++ b/packages/testkit/src/services/machine-codec.ts
@@ -1,12 +1,12 @@
 /**
- * How a simulated machine stands on the wire and in dumps of a deployment; the
- * only place of the stand-in where heartbeats' and dumps' names are spelt. Both
- * forms are kept byte for byte: fixtures hold them.
+ * Codec of simulated machines for the wire and for dumps of a deployment; the only
+ * module of the simulated machine that spells the field names of heartbeats and
+ * dumps. Both forms must stay the same byte for byte, as test fixtures contain them.
  */
 import type { WireCommand, WireHeartbeat } from "@sorreltally/protocol"
 import type { TaskPhase, WorkerTask } from "./worker-tasks.ts"
 
-/** A task on a machine, as plain data. Its names are those of the wire; `progressS` is always 0. */
+/** A task on a machine, as plain data with field names of the wire; `progressS` is always 0. */
 export interface TaskDump {
   readonly job: string
   readonly index: number
@@ -17,7 +17,7 @@
   readonly progressS: number
   readonly since: number
 }
-/** `failed`: the cloud says that it ended on its own. */
+/** `failed`: the cloud lists the machine as ended without a request. */
 export type MachineStatus = "booting" | "running" | "failed"
 /** A machine and its worker, as plain data. Times are in milliseconds. */
 export interface MachineDump {
@@ -39,7 +39,7 @@
 const phaseOf = (status: string): TaskPhase =>
   status === "flushing" ? "checkpointing" : (status as Exclude<TaskPhase, "checkpointing">)
 
-/** What a heartbeat says of a worker and its machine. */
+/** Contents of a heartbeat. */
 export interface HeartbeatFields {
   readonly machineId: string
   readonly machineType: string
@@ -48,11 +48,11 @@
   readonly agentEpoch: number
   readonly sequence: number
   readonly fencingToken: number
-  /** Seconds until a spot machine is taken; null: no notice. */
+  /** Seconds until a spot machine is preempted; null: no preemption notice. */
   readonly preemptionNoticeS: number | null
   readonly tasks: Iterable<readonly [taskId: string, task: WorkerTask]>
 }
-/** The body of a heartbeat, and of a worker's answer to commands. */
+/** Encodes the body of a heartbeat, or of a worker's answer to commands. */
 export const encodeHeartbeat = (fields: HeartbeatFields): WireHeartbeat => {
   const pieces = [...fields.tasks].map(([piece, { attempt, phase, exitReason, checkpointed }]) => ({
     piece,
@@ -74,28 +74,28 @@
   } as unknown as WireHeartbeat
 }
 
-/** What the copy of a heartbeat says of its worker. */
+/** Fields of an intercepted heartbeat that faults use. */
 export interface HeartbeatCopy {
   readonly agentEpoch: number
   readonly sequence: number
   readonly tasks: ReadonlyArray<{ readonly taskId: string; readonly attempt: number }>
 }
-/** Reads a heartbeat that was seen on its way. */
+/** Decodes an intercepted heartbeat. */
 export const decodeHeartbeatCopy = (body: unknown): HeartbeatCopy => {
   const { tenure, tick, pieces } = body as WireHeartbeat
   const tasks = pieces.map((task) => ({ taskId: task.piece, attempt: task.try }))
   return { agentEpoch: tenure, sequence: tick, tasks }
 }
 
-/** A command to a worker: `purge` is `forget` on the wire. */
+/** A command to a worker; `purge` is `forget` on the wire. */
 export interface Command {
   readonly type: "start" | "stop" | "purge"
   readonly taskId: string
   readonly attempt: number
-  /** Of a stop: how long the task may take to save its progress, in seconds. */
+  /** For a stop: time that the task has to save its progress, in seconds; otherwise 0. */
   readonly gracePeriodS: number
 }
-/** Commands with what fences them; undefined: the sender left it out. */
+/** Commands with the fencing token and agent epoch that guard them; undefined: missing from the request. */
 export interface CommandBatch {
   readonly fencingToken: number | undefined
   readonly agentEpoch: number | undefined
@@ -112,7 +112,7 @@
   attempt: command.try,
   gracePeriodS: command.verb === "stop" ? command.leeway_s : 0,
 })
-/** The commands in a request to a worker, or in the answer to its heartbeat. */
+/** Decodes the commands in a request to a worker, or in the answer to its heartbeat. */
 export const decodeCommands = (body: unknown): CommandBatch => {
   const {
     baton,
@@ -125,17 +125,17 @@
   }
   return { fencingToken: baton, agentEpoch: tenure, commands: orders.map(commandOf) }
 }
-/** The node that a redirect names; null: it names none. */
+/** Decodes the node that a redirect names; null: it names none. */
 export const decodeRedirect = (body: unknown): string | null =>
   (body as { readonly steward?: string } | null)?.steward ?? null
 
-/** A task as plain data, in the order of fields that fixtures have. */
+/** Encodes a task for a dump, with its fields in the order of the fixtures. */
 const encodeTask = (task: WorkerTask): TaskDump => {
   const { job, index, attempt, phase, exitReason, checkpointed, startedAt: since } = task
   const status = statusOf(phase)
   return { job, index, attempt, status, cause: exitReason, stored: checkpointed, progressS: 0, since }
 }
-/** The task that a dump speaks of, without a timer. */
+/** Decodes a task of a dump; it has no timer. */
 const decodeTask = (dump: TaskDump): WorkerTask => ({
   job: dump.job,
   index: dump.index,
@@ -147,7 +147,7 @@
   cancelTimer: () => {},
 })
 
-/** What a dump keeps of a machine that can change. */
+/** Mutable state of a machine that a dump contains. */
 export interface MachineState {
   readonly status: MachineStatus
   readonly rentedAt: number
@@ -158,7 +158,7 @@
   readonly images: ReadonlyArray<string>
   readonly tasks: ReadonlyArray<WorkerTask>
 }
-/** A machine as plain data, in the order of fields that fixtures have. */
+/** Encodes a machine for a dump, with its fields in the order of the fixtures. */
 export const encodeMachineDump = (
   {
     id,
@@ -181,7 +181,7 @@
   images: state.images,
   tasks: state.tasks.map(encodeTask),
 })
-/** What a dump says of a machine; its tasks have no timers. */
+/** Decodes the state of a machine from a dump; its tasks have no timers. */
 export const decodeMachineDump = (dump: MachineDump): MachineState => ({
   status: dump.status,
   rentedAt: dump.rented,
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in of one machine and its worker: it boots, sends heartbeats, carries
- * out commands under a fencing token, and loses its tasks when no heartbeat was
- * answered for the time of its lease. Its tasks themselves are `WorkerTasks`.
+ * Simulated machine with its worker: it boots, sends heartbeats, executes commands
+ * under a fencing token, and ends its tasks when no heartbeat was answered for the
+ * duration of its agent lease. `WorkerTasks` implements the tasks themselves.
  */
 import type { WireHeartbeat, WireMachineType } from "@sorreltally/protocol"
 import type { Answer, Network, Request } from "../simulation/network.ts"
@@ -18,12 +18,12 @@
 } from "./machine-codec.ts"
 import { type Occupant, type TaskEnvironment, type TaskHost, WorkerTasks } from "./worker-tasks.ts"
 
-/** Of the platform's file: how often workers send heartbeats, and after how long unanswered they end. Seconds. */
+/** Heartbeat interval and agent lease of workers, in seconds; names are those of the settings file. */
 export interface WorkerTimes {
   readonly report_s: number
   readonly lease_s: number
 }
-/** What a machine is made of. */
+/** Options of a machine. */
 export interface MachineOptions extends TaskEnvironment {
   readonly id: string
   readonly type: WireMachineType
@@ -31,22 +31,22 @@
   readonly spot: boolean
   readonly network: Network
   readonly times: WorkerTimes
-  /** Controllers, any of which takes its heartbeats. */
+  /** Names of the controllers; each of them accepts heartbeats. */
   readonly nodes: ReadonlyArray<string>
 }
 
-/** The cloud lists a machine that died as running for so long. */
+/** Time for which the cloud lists a machine that died as running. */
 const LISTED_AS_RUNNING_MS = 30_000
-/** Whoever sent a request to a worker has given up by then. */
+/** Time after which the sender of commands has timed out. */
 const COMMAND_TIMEOUT_MS = 3_000
 const HEARTBEAT_TIMEOUT_MS = 4_000
-/** After a heartbeat without a useful answer, the next node is asked this much later. */
+/** Delay before the next node is tried after a heartbeat without a usable answer. */
 const RETRY_DELAY_MS = 1_000
-/** Heartbeats about changes are at least this far apart. */
+/** Minimum interval between heartbeats that report changes. */
 const MIN_HEARTBEAT_INTERVAL_MS = 500
 const LEASE_CHECK_INTERVAL_MS = 250
 
-/** A heartbeat under way. */
+/** A heartbeat in flight. */
 interface HeartbeatExchange {
   readonly sentAt: number
   readonly agentEpoch: number
@@ -54,7 +54,7 @@
   isOver: boolean
 }
 
-/** A stand-in of one machine and its worker. */
+/** A simulated machine and its worker. */
 export class Machine implements TaskHost {
   readonly id: string
   readonly type: WireMachineType
@@ -62,7 +62,7 @@
   readonly spot: boolean
   status: MachineStatus = "booting"
   agentEpoch = 1
-  /** When a spot machine is taken, in milliseconds; null: no notice was given. */
+  /** Time at which a spot machine will be preempted, in milliseconds; null: no preemption notice. */
   preemptedAt: number | null = null
   gone = false
   faulty = false
@@ -72,12 +72,12 @@
   private lastAnsweredAt: number
   private nodeIndex: number
   private isHeartbeatPending = false
-  /** Something changed since the last heartbeat. */
+  /** Whether anything changed since the last heartbeat was sent. */
   private hasChanged = false
   private lastSentAt = Number.NEGATIVE_INFINITY
   private cancelHeartbeat: () => void = () => {}
   private hung = false
-  /** Numbers its boots: what an earlier one waited for means nothing to this one. */
+  /** Number of reboots; answers and timers of an earlier boot are ignored. */
   private bootCount = 0
   private deferred: Array<() => void> = []
   private readonly tasks: WorkerTasks
@@ -113,7 +113,7 @@
     this.scheduleHeartbeat(0)
     this.checkLease(this.bootCount)
   }
-  /** Off and on again: it knows nothing of its former self, whatever it cached or ran. */
+  /** Restarts the machine; its tasks, cached images, agent epoch and fencing token are lost. */
   reboot(afterMs: number): void {
     if (this.gone || this.status !== "running") return
     this.options.network.close(this.id)
@@ -128,13 +128,13 @@
     this.hung = false
     this.simulation.after(afterMs, () => this.boot())
   }
-  /** It stops on its own; the cloud lists it as running for a while, then as failed. */
+  /** Ends the machine without a request; the cloud first lists it as running, and later as failed. */
   die(): void {
     const { gone } = this
     this.remove()
     if (!gone) this.simulation.after(LISTED_AS_RUNNING_MS, () => (this.status = "failed"))
   }
-  /** Power off: nothing runs, nothing answers. */
+  /** Powers the machine off for good: it runs no tasks and answers no requests. */
   remove(): void {
     if (this.gone) return
     this.gone = true
@@ -157,7 +157,7 @@
     else run()
   }
 
-  // --- as plain data, and seen from outside ------------------------------------
+  // --- dumps and observation ----------------------------------------------------
 
   dump(): MachineDump {
     const { id, zone, spot, status, rentedAt, agentEpoch, sequence, fencingToken, lastAnsweredAt } = this
@@ -166,7 +166,7 @@
     const state = { status, rentedAt, agentEpoch, sequence, fencingToken, lastAnsweredAt, images, tasks }
     return encodeMachineDump({ id, machineType: this.type.name, zone, spot }, state)
   }
-  /** Goes on where the machine of the dump stood; what it was saving, it begins to save anew. */
+  /** Resumes from the state in a dump; checkpoints that were being saved are started again. */
   restore(dump: MachineDump): void {
     const state = decodeMachineDump(dump)
     this.rentedAt = state.rentedAt
@@ -179,11 +179,11 @@
     this.lastAnsweredAt = state.lastAnsweredAt
     for (const task of state.tasks) this.tasks.restore(task)
   }
-  /** Sequence number of the last heartbeat or response. */
+  /** Sequence number of the last heartbeat or answer that was encoded. */
   get lastSequence(): number {
     return this.sequence
   }
-  /** How long ago the last answered heartbeat was sent, if the machine has tasks to lose. */
+  /** Time since the last answered heartbeat was sent; 0 if the machine has no tasks to lose. */
   unansweredForMs(): number {
     const hasTasksToLose = this.status === "running" && this.tasks.size > 0
     return hasTasksToLose ? this.simulation.now - this.lastAnsweredAt : 0
@@ -191,15 +191,15 @@
   get isHung(): boolean {
     return this.hung
   }
-  /** Tasks that run or save. */
+  /** Number of tasks that run or save a checkpoint. */
   get runningTaskCount(): number {
     return this.tasks.runningCount
   }
-  /** Tasks that take room here, those whose image is being pulled included. */
+  /** Tasks that occupy the machine, including those whose image is being pulled. */
   occupants(): Iterable<Occupant> {
     return this.tasks.occupants()
   }
-  /** The highest attempt of a task that this machine knows. */
+  /** Attempt of a task on this machine; 0: it does not have the task. */
   attemptOf(taskId: string): number {
     return this.tasks.get(taskId)?.attempt ?? 0
   }
@@ -208,7 +208,7 @@
 
   private checkLease(boot: number): void {
     if (this.gone || boot !== this.bootCount) return
-    // Also while it hangs: it can resume within its lease only, and runs nothing until then.
+    // Also checked during a hang: the machine runs nothing then, and has to resume within its lease.
     this.expireLease()
     this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.checkLease(boot))
   }
@@ -305,7 +305,7 @@
       }),
     )
   }
-  /** Ends an exchange once, unless the machine ended or booted again meanwhile. */
+  /** Ends an exchange once; does nothing if the machine has ended or rebooted since it was sent. */
   private finishExchange(exchange: HeartbeatExchange, next: () => void): void {
     if (exchange.isOver || this.gone || exchange.boot !== this.bootCount) return
     exchange.isOver = true
@@ -320,7 +320,7 @@
     if (answer?.status === 421) return this.followRedirect(answer)
     if (answer?.status !== 200) return this.tryNextNode()
     const { fencingToken = -1, commands } = decodeCommands(answer.body)
-    // An answer to an earlier session, or under a lower token than was seen, extends no lease.
+    // An answer for an earlier agent epoch, or under a lower fencing token than seen, extends no lease.
     if (exchange.agentEpoch === this.agentEpoch && fencingToken >= this.fencingToken) {
       this.lastAnsweredAt = exchange.sentAt
       this.raiseFencingToken(fencingToken)
@@ -329,7 +329,7 @@
     const intervalMs = this.options.times.report_s * 1000 * this.simulation.random.between(0.75, 1.25)
     this.scheduleHeartbeat(this.hasChanged ? this.nextHeartbeatDelayMs() : intervalMs)
   }
-  /** The answering node names the one that owns this machine. */
+  /** Sends the next heartbeat to the node that the answer names as the owner of this machine. */
   private followRedirect(answer: Answer): void {
     const index = this.options.nodes.indexOf(decodeRedirect(answer.body) ?? "")
     if (index < 0 || index === this.nodeIndex) return this.tryNextNode()
--- a/packages/testkit/src/services/operations.ts
+++ b/packages/testkit/src/services/operations.ts
@@ -1,13 +1,13 @@
 /**
- * Counts the state service's changes by what they are for, so that scenarios can bound
- * what a job costs.
+ * Counts the changes in the state service by their purpose, so that scenarios can limit the
+ * number of changes per job.
  */
 import { decodeRecord, type JobPage, type PlacementRecord, type StoreKey } from "@sorreltally/store"
 
-/** What a change in the state service is for. */
+/** Purpose of a change in the state service. */
 export type Operation = "create" | "cancel" | "fold" | "end" | "start" | "finish" | "archive" | "other"
 
-/** Every put and delete that was carried out, by what it was for. */
+/** Number of puts and deletes that were applied, by purpose. */
 export class Operations {
   readonly count: Record<Operation, number> = {
     create: 0,
@@ -20,14 +20,14 @@
     other: 0,
   }
 
-  /** `before` and `after`: the key's values; undefined: it doesn't exist. */
+  /** `before` and `after` are the values of the key; undefined: the key does not exist. */
   countChange(path: string, before: unknown, after: unknown): void {
-    // The state service knows paths; what a path holds is the controllers' agreement.
+    // The state service stores untyped paths; the controllers define the record type of each path.
     const key = path as StoreKey<unknown>
     const decode = (value: unknown) => (value === undefined ? undefined : decodeRecord(key, value))
     this.count[kindOf(path, decode(before), decode(after))]++
   }
-  /** All that jobs cost from their submission to their end. */
+  /** Number of changes for jobs, from their submission to their end. */
   get jobOperations(): number {
     const { other, ...kinds } = this.count
     return Object.values(kinds).reduce((sum, count) => sum + count, 0)
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of the state service's answers: late transactions, lost answers and slowness. It
- * never changes a request or an answer.
+ * Faults of the state service: late transactions, lost answers and slow answers. They
+ * never change a request or an answer.
  */
 import type { Simulation } from "../simulation/simulation.ts"
 
@@ -8,29 +8,29 @@
 const MAX_LATE_TRANSACTION_MS = 12_000
 const OUTAGE_CHECK_INTERVAL_MS = 100
 
-/** What the state service does to transactions besides carrying them out, and how often it happened. */
+/** Faults that are in force at the state service, and counts of their effects. */
 export class StateFaults {
-  /** Share of transactions that get no answer and are carried out seconds later. */
+  /** Share of transactions that get no answer and are executed seconds later. */
   lateTransactionShare = 0
-  /** Share of transactions that are carried out at once, and whose answer is lost. */
+  /** Share of transactions that are executed at once, but whose answer is lost. */
   lostAnswerShare = 0
-  /** Every answer takes up to this much longer, in part before the request is carried out. */
+  /** Upper bound of the additional delay of every answer; part of it precedes the request's execution. */
   maxExtraDelayMs = 0
   readonly count = {
-    /** Transactions held back, those of them that a condition stopped, and those that changed something. */
+    /** Transactions held back; those of them that failed a condition; and those that were applied. */
     late: 0,
     lateRefused: 0,
     lateApplied: 0,
-    /** Held back until after a newer transaction of the same controller was carried out. */
+    /** Transactions held back until after a newer transaction of the same controller was executed. */
     lateAfterNewer: 0,
     lostAnswers: 0,
-    /** Of these, those whose changes another controller read before their writer. */
+    /** Lost answers to transactions whose changes another controller read before their writer did. */
     lostReadByOthers: 0,
     slow: 0,
   }
-  /** Transactions carried out so far, by controller. */
+  /** Number of transactions executed at once so far, by controller. */
   private readonly transactionCounts = new Map<string, number>()
-  /** Writers of changes whose answers were lost, by revision, until somebody reads them. */
+  /** Writers of changes whose answers were lost, by revision, until a controller reads the change. */
   private readonly unreadWriters = new Map<number, string>()
 
   constructor(private readonly simulation: Simulation) {}
@@ -40,8 +40,8 @@
   }
 
   /**
-   * True: this transaction is held back. `run` then carries it out, and says
-   * whether it changed anything, or null while the service is out.
+   * Decides whether this transaction is held back, and returns true if so. `run` then
+   * executes it later, and returns whether it was applied, or null during an outage.
    */
   holdBack(from: string, run: () => boolean | null): boolean {
     if (this.lateTransactionShare === 0 || !this.simulation.random.chance(this.lateTransactionShare))
@@ -61,7 +61,7 @@
     )
     return true
   }
-  /** A transaction was carried out at once; true: its answer is lost. */
+  /** Counts a transaction that was executed at once; returns whether its answer is lost. */
   loseAnswer(from: string, revision: number): boolean {
     this.transactionCounts.set(from, (this.transactionCounts.get(from) ?? 0) + 1)
     if (!this.simulation.random.chance(this.lostAnswerShare)) return false
@@ -69,7 +69,7 @@
     this.unreadWriters.set(revision, from)
     return true
   }
-  /** A controller received the changes of these revisions. */
+  /** Called when a controller receives the changes of these revisions. */
   countRead(reader: string, revisions: Iterable<number>): void {
     if (this.unreadWriters.size === 0) return
     for (const revision of revisions) {
@@ -79,7 +79,7 @@
       if (writer !== reader) this.count.lostReadByOthers++
     }
   }
-  /** How much longer one leg of a request takes: the way there, or the answer. */
+  /** Additional delay of one direction: of a request, or of its answer. */
   delayMs(): number {
     if (this.maxExtraDelayMs === 0) return 0
     this.count.slow++
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in of the state service: its published protocol over a store that is
- * kept in memory, with the platform's limits, outages and the faults of
- * `StateFaults`. Requests and answers have the names of its protocol here alone.
+ * Simulated state service: its published protocol over an in-memory store, with the
+ * platform's limits, outages and the faults of `StateFaults`. Within the simulated
+ * service, only this module uses the field names of the protocol.
  */
 import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
@@ -10,7 +10,7 @@
 import { StateFaults } from "./state-faults.ts"
 import { decodeStoreDump, encodeStoreDump, type StoreDump } from "./store-codec.ts"
 
-/** Of the platform's file: what the state service takes of each controller and of one transaction. */
+/** Rate limits of the state service and limits of one transaction; names are those of the settings file. */
 export interface StateLimits {
   readonly rps: number
   readonly write_rps: number
@@ -31,27 +31,27 @@
 }
 
 const MAX_PAGE_SIZE = 1_000
-/** Conditions that a transaction may have, by each of its changes that are allowed. */
+/** Number of conditions that a transaction may have for each change that it may have. */
 const CONDITIONS_PER_OPERATION = 4
 const MAX_TRANSACTION_BYTES = 65_536
 const LEASE_CHECK_INTERVAL_MS = 50
-/** A watch whose time is over during an outage is looked at again after this time. */
+/** Interval at which a watch that timed out during an outage is checked again. */
 const BLOCKED_WATCH_INTERVAL_MS = 200
 
-/** A stand-in of the state service. */
+/** The simulated state service. */
 export class StateService {
   private readonly store: KeyValueStore
   private waitingWatches: Array<() => void> = []
   private down = false
-  /** When it last came back for everybody or for one node. */
+  /** Time at which the last outage ended, for all nodes or for one. */
   lastBackAt = Number.NEGATIVE_INFINITY
   private readonly lastChangedAt = new Map<string, number>()
   private readonly refusedNodes = new Set<string>()
   readonly faults: StateFaults
   readonly operations = new Operations()
-  /** Requests and changes asked for, and those turned away for being too many. */
+  /** Number of requests and changes received, and of requests refused by the rate limits. */
   readonly count = { requests: 0, changes: 0, refused: 0 }
-  /** Called at every change, with the key's new value or null. */
+  /** Callbacks that receive every change, with the key's new value or null. */
   readonly listeners: Array<(key: string, value: unknown) => void> = []
   private readonly requestTokens: TokenBucket
   private readonly changeTokens: TokenBucket
@@ -73,16 +73,16 @@
     this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.expireLeases())
   }
 
-  // --- outages, and what is seen from outside -----------------------------------
+  // --- outages and observation ----------------------------------------------------
 
-  /** Nobody is answered; all leases begin anew as it comes back. */
+  /** Starts or ends an outage for all nodes. At its end, all leases get their full time-to-live again. */
   setOutage(isDown: boolean): void {
     this.down = isDown
     if (isDown) return
     this.lastBackAt = this.simulation.now
     this.store.keepAllAlive(this.simulation.now)
   }
-  /** One node alone gets 503, and its leases run out. */
+  /** Starts or ends an outage for one node, which gets status 503 and whose leases expire. */
   setRefused(node: string, isRefused: boolean): void {
     if (isRefused) this.refusedNodes.add(node)
     else this.refusedNodes.delete(node)
@@ -91,27 +91,27 @@
   isDown(): boolean {
     return this.down
   }
-  /** Out for everybody, or for this node alone. */
+  /** Whether there is an outage for all nodes or for this one. */
   isOutFor(node: string): boolean {
     return this.down || this.refusedNodes.has(node)
   }
   get entries(): ReadonlyMap<string, StoredEntry> {
     return this.store.entries
   }
-  /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
+  /** Elapsed share of a lease's time-to-live since its grant or last keep-alive; 0: no such lease. */
   leaseShareElapsed(leaseId: number | null): number {
     return this.store.leaseShareElapsed(leaseId, this.simulation.now)
   }
-  /** When a key with the prefix was last written or deleted. */
+  /** Time at which a key with the prefix was last written or deleted. */
   lastChangeAt(prefix: string): number {
     const times = [...this.lastChangedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
     return Math.max(Number.NEGATIVE_INFINITY, ...times)
   }
-  /** Everything that it holds, as plain data. */
+  /** Dumps the store as plain data. */
   dump(): StoreDump {
     return encodeStoreDump(this.store.state)
   }
-  /** Holds what a dump says, as though it had been there from the beginning. */
+  /** Restores the store of a dump, without recording any changes for watches. */
   restore(dump: StoreDump): void {
     this.store.restore(decodeStoreDump(dump))
   }
@@ -149,7 +149,7 @@
     if (url.pathname.startsWith("/kv/")) return answer(this.read(url.pathname.slice("/kv/".length), from))
     answer(this.serveLease(url.pathname, request.body))
   }
-  /** Counts the request, and takes it from what a second has left. */
+  /** Counts a request, and returns whether the rate limits admit it. */
   private admit({ pathname }: URL, { body }: Request): boolean {
     const changes = pathname === "/multi" ? ((body as WireTransaction).apply?.length ?? 0) : 0
     this.count.requests++
@@ -200,14 +200,14 @@
     from: string,
     answer: (answer: Answer) => void,
   ): void {
-    // Held back, it is carried out at some later time; null: not yet, as the service is out.
+    // Executes a transaction that was held back; null: not yet, because of an outage.
     const executeLater = () => (this.down ? null : this.execute(transaction).status === 200)
     if (this.faults.holdBack(from, executeLater)) return
     const result = this.execute(transaction)
     const isLost = result.status === 200 && this.faults.loseAnswer(from, this.store.revision)
     if (!isLost) answer(result)
   }
-  /** All of it or nothing. */
+  /** Applies all changes of a transaction, or none if a condition fails or a lease does not exist. */
   private execute(transaction: WireTransaction): Answer {
     const { when = [], apply = [] } = transaction
     this.checkLimits(transaction)
@@ -223,16 +223,19 @@
     }
     return { status: 200, body: { epoch: this.store.revision } }
   }
-  /** A controller that exceeds the limits is wrong: the run fails. */
+  /** Throws if a transaction exceeds the limits: that is a bug of the controller, and fails the run. */
   private checkLimits(transaction: WireTransaction): void {
     const { when = [], apply = [] } = transaction
     const { txn_ops, value_kb } = this.limits
     const hasLargeValue = apply.some(({ v }) => JSON.stringify(v ?? null).length > value_kb * 1024)
     const sizeBytes = JSON.stringify(transaction).length
-    const hasTooMany = apply.length > txn_ops || when.length > CONDITIONS_PER_OPERATION * txn_ops
+    const maxConditions = CONDITIONS_PER_OPERATION * txn_ops
+    const hasTooMany = apply.length > txn_ops || when.length > maxConditions
     if (!hasTooMany && !hasLargeValue && sizeBytes <= MAX_TRANSACTION_BYTES) return
     throw new Error(
-      `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${sizeBytes} bytes`,
+      `transaction exceeds a limit: ${apply.length} changes (at most ${txn_ops}), ` +
+        `${when.length} conditions (at most ${maxConditions}), ` +
+        `${sizeBytes} bytes (at most ${MAX_TRANSACTION_BYTES}), value over ${value_kb} KiB: ${hasLargeValue}`,
     )
   }
 
@@ -245,7 +248,7 @@
     let isOver = false
     const check = (isTimeOver: boolean) => {
       if (isOver) return
-      // Open watches wait through an outage, and while their node alone is refused.
+      // Open watches wait until an outage ends, whether it is for all nodes or only for theirs.
       const isBlocked = this.isOutFor(from)
       const events = isBlocked ? [] : this.store.eventsSince(after, prefix)
       if (events.length === 0 && (!isTimeOver || isBlocked)) {
@@ -280,7 +283,7 @@
   return deleted === undefined ? [] : [{ type: "delete", key: deleted }]
 }
 
-/** So many a second, and a second's worth at once. */
+/** Token bucket with a rate per second, and a capacity of one second's tokens. */
 class TokenBucket {
   private tokens: number
   private refilledAt = 0
--- a/packages/testkit/src/services/store-codec.ts
+++ b/packages/testkit/src/services/store-codec.ts
@@ -1,12 +1,12 @@
-/** The store of the simulated state service as plain data. Names and order of fields are those of fixtures. */
+/** Codec of the simulated state service's store for dumps. Fixtures contain its field names and order. */
 import type { StoreState } from "./key-value-store.ts"
 
-/** The whole store as plain data; its names are those of the wire. */
+/** A whole store as plain data, with field names of the wire. */
 export interface StoreDump {
   readonly epoch: number
-  /** Number of the last lease made. */
+  /** Id of the last lease that was granted. */
   readonly permits: number
-  /** Leases: how long each lasts after a touch, and until when it does; in milliseconds. */
+  /** Leases with their time-to-live and expiry time, in milliseconds. */
   readonly grants: ReadonlyArray<{ readonly permit: number; readonly ttl: number; readonly until: number }>
   readonly entries: ReadonlyArray<{
     readonly path: string
@@ -16,7 +16,7 @@
   }>
 }
 
-/** A store's state as plain data. */
+/** Encodes a store's state for a dump. */
 export const encodeStoreDump = ({ revision, lastLeaseId, leases, entries }: StoreState): StoreDump => ({
   epoch: revision,
   permits: lastLeaseId,
@@ -28,7 +28,7 @@
     permit: leaseId,
   })),
 })
-/** The state that a dump holds. */
+/** Decodes a store's state from a dump. */
 export const decodeStoreDump = ({ epoch, permits, grants, entries }: StoreDump): StoreState => ({
   revision: epoch,
   lastLeaseId: permits,
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -1,25 +1,22 @@
-/**
- * A stand-in of the users. They only do what the protocol lets them, and hand every answer
- * to the invariants.
- */
+/** Simulated users. They only do what the protocol allows, and pass every answer to the invariants. */
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
 import type { UserInvariants, UserRequestKind } from "../invariants/user-invariants.ts"
 import type { Network } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
 
-/** A user's request was answered; status 0: not in time. */
+/** Receives the answer to a user's request; status 0: there was no answer in time. */
 type AnswerCallback = (status: number, state: string | null) => void
-/** A user received a first answer that says so. */
+/** Event for which a user has received a first answer. */
 export type UserEvent = "accepted" | "cancelled"
 
 const ANSWER_TIMEOUT_MS: Record<UserRequestKind, number> = { submit: 5_000, poll: 2_000, cancel: 5_000 }
 const RETRY_DELAY_MS = 1_000
 const POLL_INTERVAL_MS = 5_000
 
-/** A stand-in of the users: they submit, poll and cancel jobs as the protocol says, at any node. */
+/** The simulated users. They submit, poll and cancel jobs at any node, as the protocol specifies. */
 export class Users {
   readonly jobs: Array<JobId> = []
-  /** Called as soon as a user received such an answer. */
+  /** Callbacks that receive every event as soon as a user has its answer. */
   readonly listeners: Array<(event: UserEvent, job: JobId) => void> = []
 
   constructor(
@@ -29,7 +26,7 @@
     readonly nodes: ReadonlyArray<NodeName>,
   ) {}
 
-  /** Asks one node, any by default. */
+  /** Sends a request to one node, by default to a random one. */
   sendRequest(
     kind: UserRequestKind,
     job: string,
@@ -56,18 +53,18 @@
   submit(request: WireJob): void {
     this.invariants.submits(request)
     this.jobs.push(request.id)
-    this.submitUntilAnswered(request)
+    this.submitUntilDecided(request)
   }
-  /** Goes on with jobs that were submitted to an earlier deployment, and that the invariants know. */
+  /** Resumes jobs that were submitted to an earlier deployment; the invariants have their requests. */
   resume(jobs: Iterable<JobId>): void {
     for (const id of jobs) {
       this.jobs.push(id)
       if (this.invariants.isAccepted(id)) this.pollRegularly(id)
-      else this.submitUntilAnswered(this.invariants.submitted.get(id)!)
+      else this.submitUntilDecided(this.invariants.submitted.get(id)!)
       if (this.invariants.askedToCancel.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
     }
   }
-  private submitUntilAnswered(request: WireJob): void {
+  private submitUntilDecided(request: WireJob): void {
     const send = () =>
       this.sendRequest("submit", request.id, request, (status) => {
         if (status === 200 || status === 201) this.handleAccepted(request.id)
@@ -79,11 +76,11 @@
     this.pollRegularly(id)
     this.notify("accepted", id)
   }
-  /** A repeated submission, at any later time. */
+  /** Repeats the submission of a job, at any later time. */
   resubmit(id: JobId, node?: NodeName): void {
     this.sendRequest("submit", id, this.invariants.submitted.get(id), () => {}, node)
   }
-  /** One question at one node. */
+  /** Polls a job once at one node. */
   pollAt(id: JobId, node: NodeName, done: AnswerCallback = () => {}): void {
     this.sendRequest("poll", id, null, done, node)
   }
@@ -92,7 +89,7 @@
       this.sendRequest("poll", id, null, () => this.simulation.after(POLL_INTERVAL_MS, pollOnce))
     this.simulation.after(this.simulation.random.between(500, 5_000), pollOnce)
   }
-  /** Repeated until it is answered. */
+  /** Cancels a job; repeats the request until it is answered with 200. */
   cancel(id: JobId, done: AnswerCallback = () => {}, node?: NodeName): void {
     this.invariants.asksToCancel(id)
     const handleAnswer: AnswerCallback = (status, state) => {
@@ -102,7 +99,7 @@
     }
     this.sendRequest("cancel", id, {}, handleAnswer, node)
   }
-  /** A cancellation that comes too late: the user has the answer that the job is done. */
+  /** Sends a cancellation for a job after the user was answered that it is done. */
   cancelDone(id: JobId): void {
     this.sendRequest("cancel", id, {}, () => {})
   }
@@ -116,7 +113,7 @@
   counts(): { readonly done: number; readonly cancelled: number; readonly jobs: number } {
     const states = this.jobs.map((id) => this.invariants.state(id))
     const done = states.filter((state) => state === "done").length
-    return { done, cancelled: states.filter((s) => s === "withdrawn").length, jobs: this.jobs.length }
+    return { done, cancelled: states.filter((state) => state === "withdrawn").length, jobs: this.jobs.length }
   }
 }
 
--- a/packages/testkit/src/services/wire-builders.ts
+++ b/packages/testkit/src/services/wire-builders.ts
@@ -1,14 +1,13 @@
 /**
- * Jobs and machine types as users and the cloud write them, from what matters in
- * one place; everything else is as usual. Fields stand in the order in which
- * they go on the wire.
+ * Builders for jobs and machine types in the wire form. Callers give the fields that
+ * matter to them; the others have defaults. Fields are in the order of the wire.
  */
 import type { JobId, WireJob, WireMachineType } from "@sorreltally/protocol"
 
-/** Fields of a job, checked or not: a stand-in may send what no node accepts. */
+/** Fields of a job, valid or not: a simulated user may send jobs that every node has to refuse. */
 export type JobFields = Readonly<Record<string, unknown>>
 
-/** A usual job without its id. */
+/** Default fields of a job, without its id. */
 const defaultJob = {
   lane: "bulk",
   owner: "red",
@@ -31,17 +30,17 @@
   due_s: null,
 }
 
-/** A job as its user submits it. */
+/** Builds the request body of a job submission. */
 export const jobRequest = (id: string, fields: JobFields = {}): WireJob =>
   ({ id: id as JobId, ...defaultJob, ...fields }) as unknown as WireJob
-/** As `jobRequest`, with the id at the end, and unchecked. */
+/** Like `jobRequest`, but unchecked and with the id as the last field. */
 export const uncheckedJob = (id: string, fields: JobFields = {}): JobFields => ({
   ...defaultJob,
   ...fields,
   id,
 })
 
-/** A machine type of the cloud's catalog that is given its resources, prices per hour and zones. */
+/** Builds a machine type of the cloud's catalog; hourly prices, zones and other fields have defaults. */
 export const machineTypeOffer = (
   fields: { readonly name: string; readonly cores: number; readonly mem_gb: number } & JobFields,
 ): WireMachineType => {
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -1,7 +1,7 @@
 /**
- * The tasks on one simulated worker: images are pulled, tasks run, save a
- * checkpoint when they are stopped in time, and exit. It reports every start
- * and end to the invariants, and never decides when the worker loses its tasks.
+ * Tasks on one simulated worker: images are pulled, tasks run, save a checkpoint when
+ * they are stopped with a sufficient grace period, and exit. Every start and end is
+ * reported to the invariants. `Machine` decides when the worker loses its tasks.
  */
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
@@ -10,56 +10,56 @@
 /** `checkpointing` is `flushing` on the wire; a `gone` task was lost with its worker's lease or machine. */
 export type TaskPhase = "pulling" | "running" | "checkpointing" | "exited" | "gone"
 
-/** A task as a worker knows it. */
+/** State of a task on a worker. */
 export interface WorkerTask {
   readonly job: string
   readonly index: number
   readonly attempt: number
   phase: TaskPhase
   exitReason: string | null
-  /** It saved its progress before it exited. */
+  /** Whether it saved its progress before it exited. */
   checkpointed: boolean
-  /** When its image began to be pulled, or it began to run. Milliseconds. */
+  /** Time at which the image pull began or, from then on, the task began to run. In milliseconds. */
   startedAt: number
-  /** Stops the timer of its present phase. */
+  /** Cancels the timer of the present phase. */
   cancelTimer: () => void
 }
-/** A task that takes room on a machine. */
+/** A task that occupies resources of a machine. */
 export interface Occupant {
   readonly job: string
   readonly index: number
 }
 
-/** What of a machine its tasks depend on. */
+/** Interface of a machine for its tasks. */
 export interface TaskHost {
   readonly id: string
   readonly zone: string
   readonly spot: boolean
   readonly type: { readonly name: string; readonly cores: number; readonly pull_gb_per_s: number }
-  /** Every task that runs here fails soon. */
+  /** Whether every task that runs on this machine fails soon after its start. */
   readonly faulty: boolean
-  /** Its power is off for good. */
+  /** Whether the machine is powered off for good. */
   readonly gone: boolean
-  /** Runs it at once, or when the machine no longer hangs. */
+  /** Runs a function at once, or as soon as the machine no longer hangs. */
   runWhenAwake(run: () => void): void
-  /** Has a heartbeat sent soon, as something changed. */
+  /** Schedules a heartbeat that reports a change. */
   requestHeartbeat(): void
 }
-/** What tasks need beside their machine. */
+/** Dependencies of tasks other than their machine. */
 export interface TaskEnvironment {
   readonly simulation: Simulation
   readonly invariants: Invariants
-  /** Progress saved by task id, in seconds: kept outside of the machine. */
+  /** Saved progress by task id, in seconds; it is stored outside of the machine. */
   readonly checkpoints: Map<string, number>
 }
 
-/** How soon after its start a task fails whose job has a mistake, or whose machine is faulty. */
+/** Time from start to failure of a task whose job has a bug or whose machine is faulty. */
 const FAILURE_DELAY_MS = 1_000
 
-/** The id of a task on the wire. */
+/** Id of a task on the wire. */
 const taskIdOf = ({ job, index }: Occupant): string => `${job}/${index}`
 
-/** The tasks of one worker, by their ids. */
+/** Tasks of one worker by task id. */
 export class WorkerTasks {
   private readonly byId = new Map<string, WorkerTask>()
   private readonly images = new Set<string>()
@@ -86,28 +86,28 @@
   get cachedImages(): Iterable<string> {
     return this.images
   }
-  /** Tasks that run or save. */
+  /** Number of tasks that run or save a checkpoint. */
   get runningCount(): number {
     let count = 0
     for (const { phase } of this.byId.values()) if (phase === "running" || phase === "checkpointing") count++
     return count
   }
-  /** Tasks that take room, those whose image is being pulled included. */
+  /** Tasks that occupy resources, including those whose image is being pulled. */
   *occupants(): Iterable<Occupant> {
     for (const { job, index, phase } of this.byId.values()) if (phase !== "exited") yield { job, index }
   }
 
-  /** All tasks are lost, wherever they stood; images stay. */
+  /** Drops all tasks in whatever phase; cached images stay. */
   dropAll(): void {
     for (const task of this.byId.values()) this.drop(task)
     this.byId.clear()
   }
-  /** As `dropAll`, and the images are lost too. */
+  /** Drops all tasks and the cached images. */
   reset(): void {
     this.dropAll()
     this.images.clear()
   }
-  /** The commanding node knows of the exit: the task need not be kept any more. */
+  /** Removes an exited task: the node that sent the command has received its exit. */
   purge(taskId: string): void {
     if (this.byId.get(taskId)?.phase === "exited") this.byId.delete(taskId)
   }
@@ -124,7 +124,7 @@
     const pullS = this.images.has(request.bundle) ? 0 : request.image_gb / pull_gb_per_s
     this.setTimer(task, pullS * 1000, () => this.run(task, request))
   }
-  /** The tasks that take room, with one just added, fit on the machine. */
+  /** Whether all tasks, including the one just added, fit on the machine. */
   private hasRoom(): boolean {
     let cores = this.host.type.cores
     for (const { job } of this.occupants()) cores -= this.invariants.submitted.get(job)?.cores ?? 0
@@ -164,7 +164,7 @@
     return this.environment.checkpoints.get(taskIdOf(task)) ?? 0
   }
 
-  /** It saves its progress first if its job does so and the grace period is long enough. */
+  /** Stops a task. It first saves its progress if its job has checkpoints and the grace period suffices. */
   stop(task: WorkerTask, gracePeriodS: number): void {
     if (task.phase === "exited") return
     const request = this.invariants.submitted.get(task.job)
@@ -176,10 +176,10 @@
       gracePeriodS >= request.flush_s
     if (!canSave) return this.exit(task, "stopped")
     task.phase = "checkpointing"
-    const ranS = (this.simulation.now - task.startedAt) / 1000
+    const elapsedS = (this.simulation.now - task.startedAt) / 1000
     this.setTimer(task, request.flush_s * 1000, () => {
       if (task.phase !== "checkpointing" || this.host.gone) return
-      this.environment.checkpoints.set(taskIdOf(task), this.checkpointedS(task) + ranS)
+      this.environment.checkpoints.set(taskIdOf(task), this.checkpointedS(task) + elapsedS)
       task.checkpointed = true
       this.exit(task, "stopped")
     })
@@ -206,7 +206,7 @@
   restoreImages(images: Iterable<string>): void {
     for (const image of images) this.images.add(image)
   }
-  /** Goes on where the task stood; what it was saving, it begins to save anew. */
+  /** Resumes a task of a dump; a checkpoint that was being saved is started again. */
   restore(task: WorkerTask): void {
     this.byId.set(taskIdOf(task), task)
     if (task.phase === "exited") return
--- a/packages/testkit/src/simulation/deployment-dump.ts
+++ b/packages/testkit/src/simulation/deployment-dump.ts
@@ -1,7 +1,7 @@
 /**
- * A whole simulated deployment as plain data: what the state service, the cloud,
- * its workers and the users hold at one moment. Controllers are left out: they
- * keep nothing outside of the state service, and begin anew.
+ * Dumps of a simulated deployment: the contents of the state service, the cloud,
+ * its workers and the users at one time, as plain data. Controllers are not part
+ * of a dump: they keep nothing outside of the state service, and are restarted.
  */
 import type { JobId } from "@sorreltally/protocol"
 import type { UserInvariantsDump } from "../invariants/user-invariants.ts"
@@ -10,21 +10,21 @@
 import type { DeploymentSetup } from "./deployment.ts"
 import { SimulatedDeployment } from "./simulated-deployment.ts"
 
-/** Everything outside of the controllers. Times are in milliseconds of the simulation's clock. */
+/** State of a deployment without its controllers. Times are in milliseconds of the simulation's clock. */
 export interface DeploymentDump {
   readonly atMs: number
   readonly setup: DeploymentSetup
   readonly jobs: ReadonlyArray<JobId>
   /** Jobs whose tasks fail on every machine. */
   readonly mistaken: ReadonlyArray<string>
-  /** When the first task of a job began. */
+  /** Time at which the first task of a job began. */
   readonly begunAt: ReadonlyArray<readonly [job: string, at: number]>
   readonly users: UserInvariantsDump
   readonly state: StoreDump
   readonly cloud: CloudDump
 }
 
-/** Takes down what a deployment holds at this moment. */
+/** Dumps the present state of a deployment. */
 export const dumpDeployment = (deployment: SimulatedDeployment): DeploymentDump => ({
   atMs: deployment.simulation.now,
   setup: deployment.setup,
@@ -37,12 +37,13 @@
 })
 
 /**
- * A deployment that goes on from a dump, as though all controllers had ended at that
- * moment and were started again. The seed must differ from the dump's: a
- * controller's identity is drawn from it, and has to be a new one.
+ * Resumes a deployment from a dump, as if all controllers had ended at the time of the
+ * dump and were then restarted. The seed must differ from the dump's: a controller's
+ * identity is drawn from the seed, and a restarted controller needs a new identity.
  */
 export const resumeDeployment = (dump: DeploymentDump, seed: number): SimulatedDeployment => {
-  if (seed === dump.setup.seed) throw new Error("the seed of a resumed deployment must be a new one")
+  if (seed === dump.setup.seed)
+    throw new Error(`seed of a resumed deployment must differ from the seed of its dump: both are ${seed}`)
   const deployment = new SimulatedDeployment({ ...dump.setup, seed }, dump.atMs)
   deployment.invariants.users.restore(dump.users)
   for (const job of dump.mistaken) deployment.invariants.mistaken.add(job)
--- a/packages/testkit/src/simulation/deployment.ts
+++ b/packages/testkit/src/simulation/deployment.ts
@@ -1,4 +1,4 @@
-/** What a simulated deployment is made of, and what of it faults and observers use. */
+/** Setup of a simulated deployment, and its interface for faults and observers. */
 import type { NodeName } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
 import type { Cloud } from "../services/cloud.ts"
@@ -7,7 +7,7 @@
 import type { Network } from "./network.ts"
 import type { Simulation } from "./simulation.ts"
 
-/** What a deployment is like, before it begins. Names are kept in fixtures. */
+/** Parameters of a deployment. Test fixtures store them under these field names. */
 export interface DeploymentSetup {
   readonly seed: number
   readonly nodes: number
@@ -15,20 +15,20 @@
   readonly capacity: number
   readonly neverBoots: number
   readonly teamMax: number
-  /** Requests and changes a second that the state service takes. */
+  /** Requests and changes per second that the state service accepts. */
   readonly stateRps: number
   readonly stateWrites: number
-  /** That a controller may have open. */
+  /** Maximum number of sockets that a controller may have open. */
   readonly sockets: number
-  /** Share of a core that a controller has, as its settings say. */
+  /** Share of a core that a controller has according to its settings. */
   readonly cores: number
-  /** The share of a core that its work really has; null: its work takes no time. */
+  /** Share of a core that is simulated for a controller's work; null: its work takes no time. */
   readonly processorShare: number | null
-  /** How often workers send heartbeats, after how long unanswered they end, and how soon cancelled tasks are gone. */
+  /** In seconds: heartbeat interval, agent lease, and time within which cancelled tasks must have ended. */
   readonly workers: { readonly report_s: number; readonly lease_s: number; readonly cancel_s: number }
 }
 
-/** What of a simulated deployment its faults act on, and what observers see. */
+/** Parts of a simulated deployment that faults act on and observers read. */
 export interface Deployment {
   readonly setup: DeploymentSetup
   readonly simulation: Simulation
--- a/packages/testkit/src/simulation/loopback-network.ts
+++ b/packages/testkit/src/simulation/loopback-network.ts
@@ -1,28 +1,28 @@
-/** The stand-ins' network over real sockets: every host listens on a loopback port of its own. */
+/** Network of the simulated services over real sockets: every host listens on its own loopback port. */
 import { Agent, createServer, type Server as HttpServer, request as httpRequest } from "node:http"
 import type { AddressInfo } from "node:net"
 import { type Answer, Network, type Request, type Server } from "./network.ts"
 
 const LOOPBACK = "127.0.0.1"
-/** How the stand-ins write the address of a machine, see `Machine` and `Cloud`. */
+/** Machine addresses in bodies, as `Machine` and `Cloud` write them. */
 const MACHINE_ADDRESS = /"(i-\d+):9000"/g
 const USERS = "users"
 
-/** Replaces the simulated network: no delay, loss or cut but those of the sockets themselves. */
+/** Replaces the simulated network; the only delays, losses and cuts are those of the sockets. */
 export class LoopbackNetwork extends Network {
   private readonly listeners = new Map<string, HttpServer>()
   private readonly agents = new Map<string, Agent>()
   private readonly ports = new Map<string, number>()
-  /** Requests by path family, with the bytes of their bodies. */
+  /** Number of requests and bytes of their bodies, by host and path family. */
   readonly traffic = new Map<string, { requests: number; bytes: number; answeredBytes: number }>()
 
-  /** Hosts outside of this process, such as the controllers. */
+  /** Sets the port of a host outside of this process, such as a controller. */
   setPort(host: string, port: number): void {
     this.ports.set(host, port)
   }
   portOf(host: string): number {
     const port = this.ports.get(host)
-    if (port === undefined) throw new Error(`nobody knows the port of ${host}`)
+    if (port === undefined) throw new Error(`no port is known for host ${host}`)
     return port
   }
 
@@ -38,7 +38,7 @@
           path,
           body: text === "" ? null : JSON.parse(text),
         }
-        server(request, "somebody", (answer) => {
+        server(request, "unknown", (answer) => {
           const body = this.replaceMachineAddresses(JSON.stringify(answer.body ?? null))
           this.count(host, path, text.length, body.length)
           response.writeHead(answer.status, { "content-type": "application/json" })
--- a/packages/testkit/src/simulation/network.ts
+++ b/packages/testkit/src/simulation/network.ts
@@ -1,72 +1,72 @@
-/**
- * The simulated network. It alone decides when a message arrives, whether it does, and how
- * often.
- */
+/** Simulated network. It alone decides whether, when and how often a message arrives. */
 import type { Simulation } from "./simulation.ts"
 import type { TraceDigest } from "./trace-digest.ts"
 
-/** A request over HTTP; `body` is what its JSON says. */
+/** An HTTP request; `body` is its decoded JSON. */
 export interface Request {
   readonly method: string
   readonly path: string
   readonly body: unknown
 }
-/** The answer to a request. */
+/** The HTTP response to a request; `body` is its decoded JSON. */
 export interface Answer {
   readonly status: number
   readonly body: unknown
 }
-/** Calls `answer` at most once; a server that never does is one that hangs. */
+/** Handles a request and calls `answer` at most once; a server that never calls it simulates a hang. */
 export type Server = (request: Request, from: string, answer: (answer: Answer) => void) => void
 
-/** What a cut does with messages: keeps them until it heals, loses them, or resets connections. */
+/** Treatment of messages by a cut: held until the cut heals, dropped, or answered by a connection reset. */
 export type CutMode = "hold" | "drop" | "reset"
-/** A request that is about to set out. */
+/** A request that is about to be sent. */
 export interface OutgoingRequest {
   readonly from: string
   readonly to: string
   readonly request: Request
-  /** Delivers a copy at a later time, past all cuts; its answer reaches `answered` alone. */
+  /** Delivers a copy later, regardless of cuts; only `answered` receives the answer. */
   readonly deliverCopy: (to: string, afterMs: number, answered?: (answer: Answer) => void) => void
 }
-/** `withhold`: it never arrives by itself, and its sender gets no answer; `refuse`: no connection. */
+/**
+ * `withhold`: the request is not delivered (copies of it may be) and its sender gets no answer;
+ * `refuse`: the connection is refused.
+ */
 export type Verdict = "pass" | "withhold" | "refuse"
-/** Looks at a request and decides on it. */
+/** Decides whether a request is delivered. */
 export type Interceptor = (outgoing: OutgoingRequest) => Verdict
 
 interface Cut {
-  readonly oneWay: boolean
+  readonly isOneWay: boolean
   readonly separates: (a: string, b: string) => boolean
   readonly mode: CutMode
   heldDeliveries: Array<() => void>
 }
 
 /**
- * Messages between named hosts. They are delayed, may be lost or repeated, and
- * a cut can hold them back and deliver them once it heals, long after their
- * sender has given up.
+ * Network between named hosts. Messages are delayed and may be lost or repeated.
+ * A cut can hold messages and deliver them once it heals, long after their sender
+ * has timed out.
  */
 export class Network {
   private readonly servers = new Map<string, Server>()
   private readonly connectionBoundHosts = new Set<string>()
   private readonly cuts = new Set<Cut>()
-  /** When the last cut healed. */
+  /** Time at which the last cut healed or the last interceptor was removed. */
   lastHealedAt = Number.NEGATIVE_INFINITY
   private readonly interceptors = new Set<Interceptor>()
   lossProbability = 0
   repeatProbability = 0
-  /** Every message takes up to this much longer. */
+  /** Upper bound of the additional delay of every message. */
   maxExtraDelayMs = 0
-  /** Copies come at most this much later. */
+  /** Upper bound of the additional delay of a repeated message. */
   maxRepeatDelayMs = 20_000
-  /** Takes in every message; null: nothing is traced. */
+  /** Digest of every message; null: tracing is off. */
   trace: TraceDigest | null = null
 
   constructor(private readonly simulation: Simulation) {}
 
   /**
-   * `connectionsEnd`: what was sent to a former server of this host never
-   * reaches this one, as a connection ends with the machine that it led to.
+   * `bindsConnections`: requests that were sent to an earlier server of this host
+   * never reach the new one, because a connection ends when its machine does.
    */
   listen(host: string, server: Server, bindsConnections = false): void {
     this.servers.set(host, server)
@@ -88,12 +88,12 @@
     )
   }
 
-  /** Returns how to heal it. */
+  /** Cuts both directions; returns a function that heals the cut. */
   cut(separates: Cut["separates"], mode: CutMode): () => void {
-    return this.addCut({ separates, mode, oneWay: false, heldDeliveries: [] })
+    return this.addCut({ separates, mode, isOneWay: false, heldDeliveries: [] })
   }
   cutOneWay(separates: Cut["separates"], mode: CutMode): () => void {
-    return this.addCut({ separates, mode, oneWay: true, heldDeliveries: [] })
+    return this.addCut({ separates, mode, isOneWay: true, heldDeliveries: [] })
   }
   private addCut(cut: Cut): () => void {
     this.cuts.add(cut)
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Looks at every request before it sets out; returns how to end this. */
+  /** Adds an interceptor for all requests; returns a function that removes it. */
   intercept(interceptor: Interceptor): () => void {
     this.interceptors.add(interceptor)
     return () => {
@@ -115,9 +115,9 @@
   }
   private verdictOf(from: string, to: string, request: Request, text: string): Verdict {
     const deliverCopy: OutgoingRequest["deliverCopy"] = (host, afterMs, answered = () => {}) => {
-      const sentTo = this.servers.get(host)
+      const serverWhenSent = this.servers.get(host)
       this.simulation.after(afterMs, () => {
-        if (this.hasConnectionEnded(host, sentTo)) return
+        if (this.hasConnectionEnded(host, serverWhenSent)) return
         this.servers.get(host)?.({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(host, from, request, answer)
           answered(answer)
@@ -132,26 +132,30 @@
     return verdict
   }
 
-  /** Answers to copies and repetitions as well: that nobody receives them doesn't undo what the server did. */
+  /** Traces answers to copies and repetitions too: the server did the work even if no host receives them. */
   private traceAnswer(server: string, to: string, { path }: Request, { status, body }: Answer): void {
-    this.trace?.answer(this.simulation.now, server, to, path, status, JSON.stringify(body ?? null))
+    this.trace?.recordAnswer(this.simulation.now, server, to, path, status, JSON.stringify(body ?? null))
   }
 
-  /** The connection over which this went has ended, together with the server that it led to. */
-  private hasConnectionEnded(host: string, sentTo: Server | undefined): boolean {
-    return this.connectionBoundHosts.has(host) && sentTo !== undefined && sentTo !== this.servers.get(host)
+  /** Whether the connection that a request was sent on has ended together with its server. */
+  private hasConnectionEnded(host: string, serverWhenSent: Server | undefined): boolean {
+    return (
+      this.connectionBoundHosts.has(host) &&
+      serverWhenSent !== undefined &&
+      serverWhenSent !== this.servers.get(host)
+    )
   }
 
-  /** Does a cut keep messages between the two from arriving? */
+  /** Whether a cut stops messages between two hosts, in either direction. */
   isSeparated(a: string, b: string): boolean {
     for (const cut of this.cuts) if (cut.separates(a, b) || cut.separates(b, a)) return true
     return false
   }
 
-  /** One message one way; `lost` is called when its sender can tell. */
+  /** Sends one message one way; `onLost` is called if the sender can detect the loss. */
   transmit(from: string, to: string, deliver: () => void, onLost: () => void = () => {}): void {
     for (const cut of this.cuts) {
-      if (!cut.separates(from, to) && (cut.oneWay || !cut.separates(to, from))) continue
+      if (!cut.separates(from, to) && (cut.isOneWay || !cut.separates(to, from))) continue
       if (cut.mode === "hold") cut.heldDeliveries.push(() => this.transmit(from, to, deliver, onLost))
       else if (cut.mode === "reset") this.simulation.after(1, onLost)
       return
@@ -164,25 +168,25 @@
       this.simulation.after(this.simulation.random.between(5, this.maxRepeatDelayMs), deliver)
   }
 
-  /** `done(null)`: refused or reset. No call of `done` at all: silence. */
+  /** Calls `done(null)` if the connection is refused or reset, and never calls it if there is no answer. */
   request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
     const text = JSON.stringify(request.body ?? null)
-    this.trace?.request(this.simulation.now, from, to, request.method, request.path, text)
+    this.trace?.recordRequest(this.simulation.now, from, to, request.method, request.path, text)
     const verdict = this.verdictOf(from, to, request, text)
     if (verdict === "refuse") this.simulation.after(1, () => done(null))
     if (verdict !== "pass") return
     let isFirstDelivery = true
-    const sentTo = this.servers.get(to)
+    const serverWhenSent = this.servers.get(to)
     this.transmit(
       from,
       to,
       () => {
         const server = this.servers.get(to)
-        if (server === undefined || this.hasConnectionEnded(to, sentTo))
+        if (server === undefined || this.hasConnectionEnded(to, serverWhenSent))
           return this.transmit(to, from, () => done(null))
         const isAnswerDelivered = isFirstDelivery
         isFirstDelivery = false
-        // A repeated delivery is carried out as well; its answer reaches nobody.
+        // The server also handles a repeated delivery, but its answer is discarded.
         server({ ...request, body: JSON.parse(text) }, from, (answer) => {
           this.traceAnswer(to, from, request, answer)
           if (!isAnswerDelivered) return
--- a/packages/testkit/src/simulation/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -1,4 +1,4 @@
-/** What is counted about machines and their messages. */
+/** Counted events of machines and their messages. */
 const MACHINE_EVENTS = [
   "cancellations confirmed while a controller is isolated",
   "commands carried out on resuming",
@@ -25,10 +25,10 @@
   "tasks on machines at a take-over: receives nothing",
   "tasks on machines at a take-over: sends nothing",
 ] as const
-/** One of the events; the names are those of the scenario format. */
+/** Name of a counted event, as the scenario format writes it. */
 export type MachineEvent = (typeof MACHINE_EVENTS)[number]
 
-/** How often each kind of event came about in a simulated day; scenarios assert that their faults met. */
+/** Counts of each event in a simulated run; scenarios use them to check that their faults took effect. */
 export class Occurrences {
   private readonly counts = new Map<MachineEvent, number>()
 
@@ -38,7 +38,7 @@
   countOf(what: MachineEvent): number {
     return this.counts.get(what) ?? 0
   }
-  /** Each event by its name, those that never came about included. */
+  /** Counts of all events by name, including those that are 0. */
   all(): Readonly<Record<string, number>> {
     return Object.fromEntries(MACHINE_EVENTS.map((event) => [event, this.countOf(event)]))
   }
--- a/packages/testkit/src/simulation/platform-file.ts
+++ b/packages/testkit/src/simulation/platform-file.ts
@@ -1,6 +1,6 @@
 /**
- * What the platform hands to the controllers of a simulated deployment, and the
- * machine types of its cloud. Names are those of the settings file.
+ * Settings files of the controllers of a simulated deployment, and the machine
+ * types of its cloud. Names are those of the settings file.
  */
 import type { NodeName, WireMachineType } from "@sorreltally/protocol"
 import {
@@ -14,7 +14,7 @@
 import { machineTypeOffer } from "../services/wire-builders.ts"
 import type { DeploymentSetup } from "./deployment.ts"
 
-/** A deployment as scenarios have it unless they say otherwise. */
+/** Default setup of scenarios. */
 export const defaultSetup: DeploymentSetup = {
   seed: 1,
   nodes: 3,
@@ -63,7 +63,7 @@
     },
   } as unknown as WirePlatform
 }
-/** A settings file as decoded. A limit of 0 stays one here, as teams have no GPUs, but for the guests. */
+/** Decodes a settings file. A limit of 0 means 0, as teams have no GPUs; only the guests have no limits. */
 export const platformOf = (file: WirePlatform): Platform => {
   const platform = platformFromWire(file)
   const teams = file.facts.teams.map(({ name, cpus, cpus_max, gpus, gpus_max }): Team => {
@@ -73,7 +73,7 @@
   return { ...platform, deployment: { ...platform.deployment, teams } }
 }
 
-/** A small and a large machine type, in all zones. */
+/** A small and a large machine type that are offered in all zones. */
 export const machineTypesIn = (sites: ReadonlyArray<string>): ReadonlyArray<WireMachineType> => [
   machineTypeOffer({ name: "small", cores: 8, mem_gb: 32, hourly: 0.6, spot_price: 0.12, sites }),
   machineTypeOffer({
--- a/packages/testkit/src/simulation/process.ts
+++ b/packages/testkit/src/simulation/process.ts
@@ -1,32 +1,35 @@
 /**
- * A process on simulated time: its clock and scheduler for effects, its end,
- * and standing still. It decides when work of the process runs, never what.
+ * A process on simulated time: its clock and its scheduler for effects, its end, and
+ * freezes. This module decides when work of the process runs, never which work.
  */
 import { Clock, Duration, Effect, Scheduler } from "effect"
 import { Processor, TIMER_COST_MS } from "./processor.ts"
 
-/** What a process needs of its simulation. Milliseconds. */
+/** The simulation as a process uses it. Times are in milliseconds. */
 interface Timeline {
   readonly now: number
-  /** When a process or machine that stood still last went on. */
+  /** Time at which a frozen process or hung machine last resumed. */
   lastResumedAt: number
   enqueue(run: () => void): void
   after(ms: number, run: () => void): () => void
 }
 
-/** Any time of day will do. */
+/** Wall-clock time at the start of the simulated clock; the value is arbitrary. */
 const EPOCH_MS = 1_700_000_000_000
 
-/** Clocks run on whatever the process does. */
+/** A simulated process. Its clocks keep running while it is frozen. */
 export class Process {
   private alive = true
-  /** What came while it stands still; null: it doesn't. */
+  /** Events that arrived during a freeze; null: the process is not frozen. */
   private deferred: Array<() => void> | null = null
   private readonly processor: Processor
   private readonly clock: Clock.Clock
   private readonly scheduler: Scheduler.Scheduler
 
-  /** `wallOffsetMs`: how far its wall clock is off; `share`: of a core, null if its work takes no time. */
+  /**
+   * `wallClockOffsetMs`: offset of its wall clock from the simulation's;
+   * `share`: its share of a core, or null if its work takes no time.
+   */
   constructor(
     private readonly timeline: Timeline,
     private readonly wallClockOffsetMs: number,
@@ -35,34 +38,34 @@
     this.processor = new Processor(share, timeline.now)
     this.clock = this.makeClock()
     this.scheduler = new Scheduler.MixedScheduler("async", (run) => {
-      // What follows from an event belongs to its work.
+      // Continuations of an event are part of its work, and add no processor cost.
       timeline.enqueue(() => this.runUnlessFrozen(run))
       return () => {}
     })
   }
 
-  /** The effect runs on this process's clock and scheduler. */
+  /** Makes an effect run on this process's clock and scheduler. */
   provide<A, E, R>(effect: Effect.Effect<A, E, R>): Effect.Effect<A, E, R> {
     return effect.pipe(
       Effect.provideService(Clock.Clock, this.clock),
       Effect.provideService(Scheduler.Scheduler, this.scheduler),
     )
   }
-  /** Nothing that it waits for ever comes. */
+  /** Ends the process: its pending events and timers never run. */
   kill(): void {
     this.alive = false
   }
   isAlive(): boolean {
     return this.alive
   }
-  /** At once, or when the process goes on, or its processor is free; takes so much of a core. */
+  /** Runs work once the process is not frozen and its processor is free; `workMs`: time on a whole core. */
   runWhenAwake(run: () => void, workMs = 0): void {
     const { now } = this.timeline
     const at = this.processor.schedule(now, workMs)
     if (at <= now) this.runUnlessFrozen(run)
     else this.timeline.after(at - now, () => this.runUnlessFrozen(run))
   }
-  /** It stands still for that long. */
+  /** Runs nothing of this process for the given time, and then what was deferred. */
   freeze(ms: number): void {
     if (this.deferred !== null) return
     this.deferred = []
--- a/packages/testkit/src/simulation/processor.ts
+++ b/packages/testkit/src/simulation/processor.ts
@@ -1,16 +1,16 @@
-/** What a controller's work takes of its processor, for simulated nodes that have a share of one. */
+/** Processor time of a controller's work, for simulated nodes that have a share of a core. */
 
-/** Milliseconds on a whole core; rounded up from what `npm run measure` shows for young processes. */
+/** Milliseconds on a whole core; rounded up from what `npm run measure` shows for newly started processes. */
 const STARTUP_COST_MS = 330
-/** What a timer costs, in milliseconds on a whole core. */
+/** Cost of a timer, in milliseconds on a whole core. */
 export const TIMER_COST_MS = 0.03
-/** A collection of garbage comes after so many events, and nothing else happens meanwhile. */
+/** Garbage is collected after this number of events, and no other work runs during a collection. */
 const EVENTS_PER_COLLECTION = 400
 const COLLECTION_PAUSE_MS = 10
 
 /**
- * One process's processor: events are handled one after the other, each for as long as its work takes at
- * the process's share of a core. Null is a processor on which nothing takes time.
+ * The processor of one process. Events are handled one after the other, each for as long as its work takes
+ * at the process's share of a core. With a share of null, work takes no time.
  */
 export class Processor {
   private freeAt: number
@@ -23,7 +23,7 @@
     this.freeAt = share === null ? startedAt : startedAt + STARTUP_COST_MS / share
   }
 
-  /** When an event that comes now is handled, which takes so much of a core. */
+  /** Returns when an event that arrives now is handled; `workMs`: time that it takes on a whole core. */
   schedule(now: number, workMs: number): number {
     if (this.share === null) return now
     const at = Math.max(now, this.freeAt)
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -1,7 +1,7 @@
 /**
- * One process of a controller on simulated time: the service itself, with its
- * HTTP client, links and log led into the simulation. A new start after an end
- * is a new object; what the former one waited for never comes.
+ * One process of a controller on simulated time: the production service, with its
+ * HTTP client, links and log connected to the simulation. A restart is a new object;
+ * pending answers and timers of the earlier one are never delivered.
  */
 import { makeNode, type Node } from "@sorreltally/daemon/node"
 import type { Links } from "@sorreltally/peers"
@@ -21,44 +21,44 @@
 import type { Simulation } from "./simulation.ts"
 import { ANSWER_COST_MS, peerMessageCostMs, requestCostMs } from "./work-costs.ts"
 
-/** What a controller may be about to send when it is made to stand still; the words are those of scenarios. */
+/** Kind of message before which a controller can be frozen, as the scenario format names it. */
 export type FreezePoint = "answer" | "command" | "transaction" | "take-over" | "touch"
 
-/** What a controller's process is surrounded by. */
+/** Simulation, network and observers of a controller's process. */
 export interface ControllerEnvironment {
   readonly simulation: Simulation
   readonly network: Network
-  /** The share of a core that a controller's work really has; null: its work takes no time. */
+  /** Share of a core that is simulated for a controller's work; null: its work takes no time. */
   readonly processorShare: number | null
-  /** The process that another controller runs at the moment. */
+  /** The present process of a controller, if it has one. */
   controller(name: NodeName): SimulatedController | undefined
-  /** A frame between controllers is sent. */
+  /** Called when a frame is sent to another controller. */
   frameSent(bytes: Uint8Array): void
-  /** So many commands are under way at one controller. */
+  /** Called with the number of commands in flight at one controller, each time it sends one. */
   commandsInFlightChanged(count: number): void
-  /** A heartbeat arrived. */
+  /** Called when a heartbeat arrives. */
   heartbeatReceived(machine: string, node: NodeName): void
-  /** A request was answered with 200. */
+  /** Called when a request was answered with 200. */
   answered(node: NodeName, from: string, path: string): void
-  /** A line of a controller's log. */
+  /** Called with every line of a controller's log. */
   log(line: string): void
 }
-/** Which controller it is. */
+/** Name, settings and seed of a controller's process. */
 export interface ControllerIdentity {
   readonly name: NodeName
   readonly platform: Platform
-  /** Of its random draws: another one at each start. */
+  /** Seed of its random draws; differs at each start. */
   readonly seed: string
 }
 
-/** How far the wall clocks of controllers are apart from the simulation's, at most. */
+/** Maximum offset of a controller's wall clock from the simulation's. */
 const MAX_CLOCK_OFFSET_MS = 900
 
 /** A controller from its start to its end. */
 export class SimulatedController {
   private readonly process: Process
   private receiveFrame: ((frame: Uint8Array) => void) | null = null
-  /** It stands still as soon as it is about to send such a message, which leaves when it goes on. */
+  /** Freeze before the next message of a kind; that message is sent once the controller resumes. */
   private pendingFreeze: { readonly point: FreezePoint; readonly ms: number } | null = null
   private commandsInFlight = 0
 
@@ -71,7 +71,7 @@
     this.process = simulation.process(clockOffsetMs, processorShare)
   }
 
-  /** Begins as soon as the process is up. */
+  /** Serves as soon as the process has started. */
   start(): void {
     const nodeEffect = makeNode(this.identity.platform, defaultOperators(), this.links(), this.logger())
     this.process.runWhenAwake(() =>
@@ -85,12 +85,12 @@
   kill(): void {
     this.process.kill()
   }
-  /** It stands still while its clocks run on: at once, or in the middle of sending something. */
+  /** Freezes the process while its clocks run on: at once, or before it sends the next message of a kind. */
   freeze(ms: number, point: FreezePoint | null): void {
     if (point === null) this.process.freeze(ms)
     else this.pendingFreeze = { point, ms }
   }
-  /** A frame of another controller arrived. */
+  /** Handles a frame of another controller. */
   receive(frame: Uint8Array): void {
     this.process.runWhenAwake(() => this.receiveFrame?.(frame), peerMessageCostMs(frame.length))
   }
@@ -117,7 +117,7 @@
     })
   }
 
-  /** Sends at once, unless it stands still, or is to do so before such a message. */
+  /** Sends at once, or after a freeze that is in progress or is due before this kind of message. */
   private sendUnlessFrozen(point: FreezePoint | null, send: () => void): void {
     if (this.process.isAlive() && this.pendingFreeze !== null && this.pendingFreeze.point === point) {
       this.process.freeze(this.pendingFreeze.ms)
@@ -153,7 +153,7 @@
         const bytes = Uint8Array.from(frame)
         this.environment.frameSent(bytes)
         this.process.runWhenAwake(() => {
-          network.trace?.frame(simulation.now, name, to, bytes)
+          network.trace?.recordFrame(simulation.now, name, to, bytes)
           network.transmit(name, to, () => this.environment.controller(to)?.receive(bytes))
         })
       },
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment on one simulated clock: controllers, their surroundings,
- * users, faults, and the invariants that are checked all the while.
+ * A whole deployment on one simulated clock: controllers, services, users, faults,
+ * and the invariants, which are checked at regular intervals.
  */
 import type { JobId, NodeName } from "@sorreltally/protocol"
 import type { WirePlatform } from "@sorreltally/settings"
@@ -20,13 +20,13 @@
 import { type ControllerEnvironment, type FreezePoint, SimulatedController } from "./simulated-controller.ts"
 import { Simulation } from "./simulation.ts"
 
-/** Controllers start one after the other. */
+/** Interval between the starts of two controllers. */
 const START_INTERVAL_MS = 150
 const CHECK_INTERVAL_MS = 500
-/** How long ago the cloud's list shows machines, at least. */
+/** Minimum age of the state that the cloud's list of machines shows. */
 const LIST_LAG_MS = 3_000
 
-/** A whole deployment: controllers, their surroundings, users, and the invariants. */
+/** A simulated deployment. */
 export class SimulatedDeployment implements Deployment {
   readonly simulation: Simulation
   readonly network: Network
@@ -41,23 +41,26 @@
   readonly names: ReadonlyArray<NodeName>
   private readonly controllers = new Map<NodeName, SimulatedController>()
   readonly logged: Array<string> = []
-  /** Jobs that the scenario submitted so far: the next one's id follows from it. */
+  /** Number of jobs that the scenario has submitted; the next job's id is derived from it. */
   scenarioJobs = 0
-  /** Pairs of faults that the scenario names, in order. */
+  /** Pairs of faults in the order in which the scenario names them. */
   readonly pairs: Array<DrawnPair> = []
   readonly effects = new EffectObserver(this)
-  /** When a controller last started again after it had ended. */
+  /** Time of the last restart of a controller. */
   lastReturnAt = Number.NEGATIVE_INFINITY
   private processesStarted = 0
-  /** Bytes between controllers, the most commands under way at one, the most machines whose last heartbeat reached one. */
+  /**
+   * Bytes sent between controllers, maximum number of commands in flight at one controller,
+   * and maximum number of machines whose last heartbeat reached the same controller.
+   */
   readonly count = { peerBytes: 0, maxConcurrentCommands: 0, maxWorkersAtNode: 0 }
   private readonly nodeByWorker = new Map<string, NodeName>()
   private readonly workerCountByNode = new Map<NodeName, number>()
-  /** Called with every frame between controllers as it is sent. */
+  /** Callbacks that receive every frame between controllers when it is sent. */
   readonly onFrame: Array<(frame: Uint8Array) => void> = []
   private readonly controllerEnvironment: ControllerEnvironment
 
-  /** `beginsAtMs`: what the clock shows at its beginning, for a deployment that goes on from an earlier one. */
+  /** `startMs`: initial time of the clock, for a deployment that resumes an earlier one. */
   constructor(
     readonly setup: DeploymentSetup,
     startMs = 0,
@@ -94,7 +97,7 @@
     this.simulation.after(CHECK_INTERVAL_MS, () => this.checkInvariantsRegularly(waiting))
   }
 
-  /** The settings file that the platform hands to one controller. */
+  /** Settings file of one controller. */
   platformFile(index: number): WirePlatform {
     return platformFileOf(this.setup, this.names, index)
   }
@@ -103,7 +106,7 @@
     if (index >= 0) return this.setup.zones[index % this.setup.zones.length]!
     return this.cloud.machines.get(host)?.zone ?? null
   }
-  /** What the state service holds of a job, for a look from outside. */
+  /** Entries of the state service about a job and all quota entries, as JSON for error messages. */
   storedEntriesOf(id: JobId): string {
     const found = [...this.state.entries].filter(([key]) => key.includes(id) || key.startsWith("s/quota/"))
     return JSON.stringify(found.map(([key, { value }]) => [key, value]))
@@ -151,7 +154,7 @@
     this.count.maxWorkersAtNode = Math.max(this.count.maxWorkersAtNode, workerCount)
   }
 
-  /** The process ends, and another one starts after that time. */
+  /** Ends a controller's process, and starts a new one after the given time. */
   crash(name: NodeName, restartAfterMs: number): void {
     this.invariants.faultLasts(restartAfterMs)
     this.invariants.lastCrashAt = this.simulation.now
@@ -164,7 +167,7 @@
       this.start(name)
     })
   }
-  /** It stands still while its clocks run on: at once, or in the middle of sending something. */
+  /** Freezes a controller while its clocks run on: at once, or before it sends the next message of a kind. */
   freeze(name: NodeName, ms: number, point: FreezePoint | null): void {
     this.controllers.get(name)?.freeze(ms, point)
   }
--- a/packages/testkit/src/simulation/simulation.ts
+++ b/packages/testkit/src/simulation/simulation.ts
@@ -1,7 +1,4 @@
-/**
- * Simulated time and randomness: one queue and one clock, so that equal seeds give equal
- * runs.
- */
+/** Simulated time and randomness: one queue and one clock, so that equal seeds give equal runs. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus"
 import { Occurrences } from "./occurrences.ts"
 import { Process } from "./process.ts"
@@ -12,24 +9,24 @@
   run: (() => void) | null
 }
 
-/** Seeded randomness; every draw of a simulation comes from one of these. */
+/** Seeded random number generator; every draw of a simulation uses one of these. */
 export class RandomSource {
   private readonly generator
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed)
   }
-  /** From 0 to just below 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     return (this.generator.next() >>> 0) / 2 ** 32
   }
   between(low: number, high: number): number {
     return low + (high - low) * this.next()
   }
-  /** A whole number; both ends may come. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integerBetween(low: number, high: number): number {
     return Math.floor(this.between(low, high + 1))
   }
-  /** True with that probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean {
     return this.next() < probability
   }
@@ -40,11 +37,11 @@
 
 /**
  * One thread, one queue and one clock for a whole simulated deployment: runs
- * that start alike go alike, and hours pass in seconds.
+ * with equal inputs are identical, and hours are simulated in seconds.
  */
 export class Simulation {
   now = 0
-  /** When a process or machine that stood still last went on. */
+  /** Time at which a frozen process or hung machine last resumed. */
   lastResumedAt = Number.NEGATIVE_INFINITY
   private timersCreated = 0
   private readonly timers: Array<Timer> = []
@@ -52,7 +49,7 @@
   readonly random: RandomSource
   readonly occurrences = new Occurrences()
 
-  /** `beginsAtMs`: the time on the simulation's clock when it begins. */
+  /** `startMs`: initial time of the simulation's clock. */
   constructor(seed: number, startMs = 0) {
     this.random = new RandomSource(seed)
     this.now = startMs
@@ -61,10 +58,10 @@
   enqueue(run: () => void): void {
     this.ready.push(run)
   }
-  /** Returns how to call it off. */
+  /** Runs a function after a delay; returns a function that cancels it. */
   after(ms: number, run: () => void): () => void {
     const timer: Timer = { at: this.now + Math.max(0, ms), sequence: this.timersCreated++, run }
-    // A binary heap by time, then by order of arrival.
+    // A binary heap ordered by time, then by order of insertion.
     const heap = this.timers
     let i = heap.push(timer) - 1
     while (i > 0) {
@@ -112,7 +109,7 @@
     this.now = Math.max(this.now, end)
   }
 
-  /** A process of its own: see `Process`. */
+  /** Creates a process with its own clock and scheduler; see `Process` for the parameters. */
   process(wallClockOffsetMs: number, share: number | null = null): Process {
     return new Process(this, wallClockOffsetMs, share)
   }
