--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -101,8 +101,8 @@
   },
   /** Puts and deletes from submission to end, over all jobs. */
   "operations-a-job-at-most": (deployment, args) => {
-    const { jobOperations: ofJobs, count } = deployment.state.operations
-    const each = ofJobs / deployment.users.jobs.length
+    const { jobOperations, count } = deployment.state.operations
+    const each = jobOperations / deployment.users.jobs.length
     return each <= number(args, 0, 2) ? null : `${each.toFixed(2)} changes a job: ${JSON.stringify(count)}`
   },
   "happened-at-most": (deployment, args) => {
--- a/packages/testkit/test/trace-digest.test.ts
+++ b/packages/testkit/test/trace-digest.test.ts
@@ -47,7 +47,7 @@
   return trace.digest()
 }
 
-test("the digest depends on each byte of a body or answer, on the status, the time and repetitions", () => {
+test("the digest changes with a byte of a body or answer, the status, the time or a repetition", () => {
   const digests = [
     exchangeDigest(),
     exchangeDigest({ body: "b" }),
@@ -60,7 +60,7 @@
   assert.equal(exchangeDigest(), digests[0])
 })
 
-test("the digest depends on each byte of a frame and on the boundaries between frames", () => {
+test("the digest changes with a byte of a frame or with the boundary between two frames", () => {
   const framesDigest = (...frames: ReadonlyArray<ReadonlyArray<number>>): string => {
     const trace = new TraceDigest()
     for (const frame of frames) trace.recordFrame(1, "a", "b", Uint8Array.from(frame))
