--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -66,7 +66,7 @@
     "cloud-outage": () => this.deployment.cloud.isDown(),
     "network-cut": () => this.deployment.network.isCut(),
     "messages-unreliable": () =>
-      this.deployment.network.isUnreliable() || this.deployment.state.faults.areOn(),
+      this.deployment.network.isUnreliable() || this.deployment.state.faults.areActive(),
     "machines-silent": () => this.machineIsSilent(),
     "work-lost": () => this.within(this.deployment.invariants.workLostAt, WORK_LOST_LASTS_MS),
     cancelling: () => this.deployment.invariants.cancellationUnderWay(),
--- a/packages/testkit/src/measure/measure.ts
+++ b/packages/testkit/src/measure/measure.ts
@@ -101,7 +101,7 @@
 const cloud = new Cloud(simulation, network, invariants, {
   types: machineTypes,
   capacity: 300 * scale,
-  lagMs: 3_000,
+  listLagMs: 3_000,
   nodes: nodeNames,
   times: WORKER_SETTINGS,
   neverBoots: 0,
@@ -118,7 +118,7 @@
   const ports: Array<readonly [number, number]> = []
   for (const name of nodeNames) {
     ports.push([await freePort(), await freePort()])
-    network.locate(name, ports.at(-1)![0])
+    network.setPort(name, ports.at(-1)![0])
   }
   const address = (port: number) => `127.0.0.1:${port}`
   return nodeNames.map((name, i) => {
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -72,8 +72,8 @@
     for (const name of deployment.names) deployment.crash(name, numberArgument(args, 0, 4) * 1000)
   },
   "cloud-outage": (deployment, args) => {
-    deployment.cloud.outage(true)
-    deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () => deployment.cloud.outage(false))
+    deployment.cloud.setOutage(true)
+    deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () => deployment.cloud.setOutage(false))
   },
   /** Announces the second fault of a pair, and records whether the effect of the first one is present. */
   "fault-pair": (deployment, [first, effect, second]) => {
--- a/packages/testkit/src/scenarios/expectations.ts
+++ b/packages/testkit/src/scenarios/expectations.ts
@@ -45,17 +45,18 @@
     atMost("requests to the state service", deployment.state.count.requests, args),
   "state-changes-at-most": (deployment, args) =>
     atMost("changes in the state service", deployment.state.count.changes, args),
-  "cloud-calls-at-most": (deployment, args) => atMost("requests to the cloud", deployment.cloud.calls, args),
+  "cloud-calls-at-most": (deployment, args) =>
+    atMost("requests to the cloud", deployment.cloud.callCount, args),
   "peer-kilobytes-at-most": (deployment, args) =>
     atMost("kilobytes between controllers", Math.round(deployment.count.peerBytes / 1024), args),
   "concurrent-commands-at-most": (deployment, args) =>
-    atMost("concurrent commands", deployment.count.commandsAtOnce, args),
+    atMost("concurrent commands", deployment.count.maxConcurrentCommands, args),
   "workers-at-one-node-at-least": (deployment, args) =>
-    deployment.count.workersAtOne >= numberArgument(args, 0, 0)
+    deployment.count.maxWorkersAtNode >= numberArgument(args, 0, 0)
       ? null
-      : `${deployment.count.workersAtOne} workers at one node, expected at least ${args[0] ?? 0}`,
+      : `${deployment.count.maxWorkersAtNode} workers at one node, expected at least ${args[0] ?? 0}`,
   "workers-at-one-node-at-most": (deployment, args) =>
-    atMost("workers at one node", deployment.count.workersAtOne, args),
+    atMost("workers at one node", deployment.count.maxWorkersAtNode, args),
   "machines-rented-at-most": (deployment, args) => atMost("machines rented", deployment.cloud.rented, args),
   /** At least this many machines were returned as faulty, and every one of them is. */
   "faulty-machines-returned": (deployment, args) => {
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -51,16 +51,16 @@
   "preempt-spot": (deployment, args) =>
     deployment.faults.takeSpot(numberArgument(args, 0, 1), numberArgument(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
-    deployment.network.loss = numberArgument(args, 0, 0.05)
+    deployment.network.lossProbability = numberArgument(args, 0, 0.05)
     deployment.simulation.after(numberArgument(args, 1, 20) * 1000, () => {
-      deployment.network.loss = 0
+      deployment.network.lossProbability = 0
     })
   },
   "repeat-messages": (deployment, args) => {
-    deployment.network.repeat = numberArgument(args, 0, 0.05)
-    deployment.network.repeatWithinMs = numberArgument(args, 2, 20) * 1000
+    deployment.network.repeatProbability = numberArgument(args, 0, 0.05)
+    deployment.network.maxRepeatDelayMs = numberArgument(args, 2, 20) * 1000
     deployment.simulation.after(numberArgument(args, 1, 20) * 1000, () => {
-      deployment.network.repeat = 0
+      deployment.network.repeatProbability = 0
     })
   },
   "orphan-machines": (deployment, args) => {
@@ -73,9 +73,9 @@
     deployment.cloud.zoneCapacity.set(args[0]!, numberArgument(args, 1, 0)),
   /** Arguments: largest extra delay of a message, and duration, both in seconds. */
   "slow-links": (deployment, args) => {
-    deployment.network.slowMs = numberArgument(args, 0, 0.4) * 1000
+    deployment.network.maxExtraDelayMs = numberArgument(args, 0, 0.4) * 1000
     deployment.simulation.after(numberArgument(args, 1, 60) * 1000, () => {
-      deployment.network.slowMs = 0
+      deployment.network.maxExtraDelayMs = 0
     })
   },
 }
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -26,9 +26,9 @@
     deployment.membershipFaults.endLeader(numberArgument(args, 0, 0.3) * 1000),
   "state-refuses-leader": (deployment, args) => {
     const leader = deployment.membershipFaults.leader()
-    deployment.state.refuse(leader, true)
+    deployment.state.setRefused(leader, true)
     deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () =>
-      deployment.state.refuse(leader, false),
+      deployment.state.setRefused(leader, false),
     )
   },
   /** Cancels a job at one node; the user tries another one if that node can't answer. */
--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -82,7 +82,7 @@
 /** Runs one seed; all expectations but the minimum counts of events are checked for it alone. */
 const runSeed = (plan: ScenarioPlan, seed: number, { trace, prepare }: RunOptions): ScenarioResult => {
   const deployment = new SimulatedDeployment({ ...plan.setup, seed })
-  trace?.run(seed)
+  trace?.recordRunStart(seed)
   deployment.network.trace = trace ?? null
   prepare?.(deployment)
   for (const { atS, action, args, faultDurationS } of plan.events)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -12,35 +12,35 @@
 /** Actions about users and the state service. Times are in seconds. */
 export const userActions: Record<string, Action> = {
   "state-outage": (deployment, args) => {
-    deployment.state.outage(true)
-    deployment.simulation.after(millisecondsArgument(args, 0, 10), () => deployment.state.outage(false))
+    deployment.state.setOutage(true)
+    deployment.simulation.after(millisecondsArgument(args, 0, 10), () => deployment.state.setOutage(false))
   },
   "state-refuses": (deployment, args) => {
     const refused = nodeArgument(deployment, args)
-    deployment.state.refuse(refused, true)
+    deployment.state.setRefused(refused, true)
     deployment.simulation.after(millisecondsArgument(args, 1, 10), () =>
-      deployment.state.refuse(refused, false),
+      deployment.state.setRefused(refused, false),
     )
   },
   /** Arguments: largest extra delay of each answer of the state service, in ms, and duration in seconds. */
   "state-slow": (deployment, args) => {
-    deployment.state.faults.slowMs = numberArgument(args, 0, 800)
+    deployment.state.faults.maxExtraDelayMs = numberArgument(args, 0, 800)
     deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
-      deployment.state.faults.slowMs = 0
+      deployment.state.faults.maxExtraDelayMs = 0
     })
   },
   /** A share of transactions gets no answer and is applied 2 to 12 s later. */
   "late-transactions": (deployment, args) => {
-    deployment.state.faults.lateShare = numberArgument(args, 0, 0.2)
+    deployment.state.faults.lateTransactionShare = numberArgument(args, 0, 0.2)
     deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
-      deployment.state.faults.lateShare = 0
+      deployment.state.faults.lateTransactionShare = 0
     })
   },
   /** A share of transactions is applied at once, and their answers are lost. */
   "lost-answers": (deployment, args) => {
-    deployment.state.faults.lostShare = numberArgument(args, 0, 0.2)
+    deployment.state.faults.lostAnswerShare = numberArgument(args, 0, 0.2)
     deployment.simulation.after(millisecondsArgument(args, 1, 20), () => {
-      deployment.state.faults.lostShare = 0
+      deployment.state.faults.lostAnswerShare = 0
     })
   },
   "cancel-burst": (deployment, args) => {
@@ -49,8 +49,8 @@
     if (hangMs <= 0) return
     for (const machine of deployment.cloud.machines.values()) {
       if (!machines.has(machine.id)) continue
-      machine.hang(true)
-      deployment.simulation.after(hangMs, () => machine.hang(false))
+      machine.setHung(true)
+      deployment.simulation.after(hangMs, () => machine.setHung(false))
     }
   },
   "cancel-at-end": (deployment, args) =>
@@ -149,8 +149,8 @@
   },
   /** Puts and deletes from submission to end, as the average over all jobs. */
   "changes-per-job-at-most": (deployment, args) => {
-    const { ofJobs, count } = deployment.state.operations
-    const changesPerJob = ofJobs / deployment.users.jobs.length
+    const { jobOperations, count } = deployment.state.operations
+    const changesPerJob = jobOperations / deployment.users.jobs.length
     const byKind = JSON.stringify(count)
     return changesPerJob <= numberArgument(args, 0, 2)
       ? null
--- a/packages/testkit/src/services/state-faults.ts
+++ b/packages/testkit/src/services/state-faults.ts
@@ -1,84 +1,88 @@
 /**
- * Faults of the state service's answers: late transactions, lost answers and slowness. It
- * never changes a request or an answer.
+ * Faults of the state service: late transactions, lost answers and slow answers. They
+ * never change a request or an answer.
  */
 import type { Simulation } from "../simulation/simulation.ts"
 
-const MIN_DELAY_MS = 2_000
-const MAX_DELAY_MS = 12_000
+const MIN_LATE_TRANSACTION_MS = 2_000
+const MAX_LATE_TRANSACTION_MS = 12_000
 const OUTAGE_CHECK_INTERVAL_MS = 100
 
-/** What the state service does to transactions besides carrying them out, and how often it happened. */
+/** Faults that are in force at the state service, and counts of their effects. */
 export class StateFaults {
-  /** Share of transactions that get no answer and are carried out seconds later. */
-  lateShare = 0
-  /** Share of transactions that are carried out at once, and whose answer is lost. */
-  lostShare = 0
-  /** Every answer takes up to this much longer, in part before the request is carried out. */
-  slowMs = 0
+  /** Share of transactions that get no answer and are executed seconds later. */
+  lateTransactionShare = 0
+  /** Share of transactions that are executed at once, but whose answer is lost. */
+  lostAnswerShare = 0
+  /** Upper bound of the additional delay of every answer; part of it precedes the request's execution. */
+  maxExtraDelayMs = 0
   readonly count = {
-    /** Transactions held back, those of them that a condition stopped, and those that changed something. */
+    /** Transactions held back; those of them that failed a condition; and those that were applied. */
     late: 0,
     lateRefused: 0,
     lateApplied: 0,
-    /** Held back until after a newer transaction of the same controller was carried out. */
+    /** Transactions held back until after a newer transaction of the same controller was executed. */
     lateAfterNewer: 0,
     lostAnswers: 0,
-    /** Of these, those whose changes another controller read before their writer. */
+    /** Lost answers to transactions whose changes another controller read before their writer did. */
     lostReadByOthers: 0,
     slow: 0,
   }
-  /** Transactions carried out so far, by controller. */
-  private readonly carriedOut = new Map<string, number>()
-  /** Writers of changes whose answers were lost, by revision, until somebody reads them. */
-  private readonly unread = new Map<number, string>()
+  /** Number of transactions executed at once so far, by controller. */
+  private readonly transactionCounts = new Map<string, number>()
+  /** Writers of changes whose answers were lost, by revision, until a controller reads the change. */
+  private readonly unreadWriters = new Map<number, string>()
 
   constructor(private readonly simulation: Simulation) {}
 
-  areOn(): boolean {
-    return this.lateShare > 0 || this.lostShare > 0 || this.slowMs > 0
+  areActive(): boolean {
+    return this.lateTransactionShare > 0 || this.lostAnswerShare > 0 || this.maxExtraDelayMs > 0
   }
 
   /**
-   * True: this transaction is held back. `run` then carries it out, and says
-   * whether it changed anything, or null while the service is out.
+   * Decides whether this transaction is held back, and returns true if so. `run` then
+   * executes it later, and returns whether it was applied, or null during an outage.
    */
-  holdsBack(from: string, run: () => boolean | null): boolean {
-    if (this.lateShare === 0 || !this.simulation.random.chance(this.lateShare)) return false
+  holdBack(from: string, run: () => boolean | null): boolean {
+    if (this.lateTransactionShare === 0 || !this.simulation.random.chance(this.lateTransactionShare))
+      return false
     this.count.late++
-    const before = this.carriedOut.get(from) ?? 0
-    const carryOut = () => {
+    const countWhenHeld = this.transactionCounts.get(from) ?? 0
+    const executeLate = () => {
       const applied = run()
-      if (applied === null) return this.simulation.after(OUTAGE_CHECK_INTERVAL_MS, carryOut)
-      if ((this.carriedOut.get(from) ?? 0) > before) this.count.lateAfterNewer++
+      if (applied === null) return this.simulation.after(OUTAGE_CHECK_INTERVAL_MS, executeLate)
+      if ((this.transactionCounts.get(from) ?? 0) > countWhenHeld) this.count.lateAfterNewer++
       if (applied) this.count.lateApplied++
       else this.count.lateRefused++
     }
-    this.simulation.after(this.simulation.random.between(MIN_DELAY_MS, MAX_DELAY_MS), carryOut)
+    this.simulation.after(
+      this.simulation.random.between(MIN_LATE_TRANSACTION_MS, MAX_LATE_TRANSACTION_MS),
+      executeLate,
+    )
     return true
   }
-  /** A transaction was carried out at once; true: its answer is lost. */
-  losesAnswer(from: string, revision: number): boolean {
-    this.carriedOut.set(from, (this.carriedOut.get(from) ?? 0) + 1)
-    if (!this.simulation.random.chance(this.lostShare)) return false
+  /** Counts a transaction that was executed at once; returns whether its answer is lost. */
+  loseAnswer(from: string, revision: number): boolean {
+    this.transactionCounts.set(from, (this.transactionCounts.get(from) ?? 0) + 1)
+    if (!this.simulation.random.chance(this.lostAnswerShare)) return false
     this.count.lostAnswers++
-    this.unread.set(revision, from)
+    this.unreadWriters.set(revision, from)
     return true
   }
-  /** A controller received the changes of these revisions. */
-  read(by: string, revisions: Iterable<number>): void {
-    if (this.unread.size === 0) return
+  /** Called when a controller receives the changes of these revisions. */
+  countRead(reader: string, revisions: Iterable<number>): void {
+    if (this.unreadWriters.size === 0) return
     for (const revision of revisions) {
-      const writer = this.unread.get(revision)
+      const writer = this.unreadWriters.get(revision)
       if (writer === undefined) continue
-      this.unread.delete(revision)
-      if (writer !== by) this.count.lostReadByOthers++
+      this.unreadWriters.delete(revision)
+      if (writer !== reader) this.count.lostReadByOthers++
     }
   }
-  /** How much longer one leg of a request takes: the way there, or the answer. */
+  /** Additional delay of one direction: of a request, or of its answer. */
   delayMs(): number {
-    if (this.slowMs === 0) return 0
+    if (this.maxExtraDelayMs === 0) return 0
     this.count.slow++
-    return this.simulation.random.between(0, this.slowMs / 2)
+    return this.simulation.random.between(0, this.maxExtraDelayMs / 2)
   }
 }
--- a/packages/testkit/src/services/state-service.ts
+++ b/packages/testkit/src/services/state-service.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in of the state service: its published protocol over a store that is
- * kept in memory, with the platform's limits, outages and the faults of
- * `StateFaults`. Requests and answers have the names of its protocol here alone.
+ * Simulated state service: its published protocol over an in-memory store, with the
+ * platform's limits, outages and the faults of `StateFaults`. Within the simulated
+ * service, only this module uses the field names of the protocol.
  */
 import type { Answer, Network, Request } from "../simulation/network.ts"
 import type { Simulation } from "../simulation/simulation.ts"
@@ -10,7 +10,7 @@
 import { StateFaults } from "./state-faults.ts"
 import { decodeStoreDump, encodeStoreDump, type StoreDump } from "./store-codec.ts"
 
-/** Of the platform's file: what the state service takes of each controller and of one transaction. */
+/** Rate limits of the state service and limits of one transaction; names are those of the settings file. */
 export interface StateLimits {
   readonly rps: number
   readonly write_rps: number
@@ -30,41 +30,41 @@
   readonly delete?: string
 }
 
-const MAX_PAGE = 1_000
-/** Conditions that a transaction may have, by each of its changes that are allowed. */
+const MAX_PAGE_SIZE = 1_000
+/** Number of conditions that a transaction may have for each change that it may have. */
 const CONDITIONS_PER_OPERATION = 4
 const MAX_TRANSACTION_BYTES = 65_536
 const LEASE_CHECK_INTERVAL_MS = 50
-/** A watch whose time is over during an outage is looked at again after this time. */
+/** Interval at which a watch that timed out during an outage is checked again. */
 const BLOCKED_WATCH_INTERVAL_MS = 200
 
-/** A stand-in of the state service. */
+/** The simulated state service. */
 export class StateService {
   private readonly store: KeyValueStore
-  private waiting: Array<() => void> = []
+  private waitingWatches: Array<() => void> = []
   private down = false
-  /** When it last came back for everybody or for one node. */
+  /** Time at which the last outage ended, for all nodes or for one. */
   lastBackAt = Number.NEGATIVE_INFINITY
-  private readonly changedAt = new Map<string, number>()
-  private readonly refused = new Set<string>()
+  private readonly lastChangedAt = new Map<string, number>()
+  private readonly refusedNodes = new Set<string>()
   readonly faults: StateFaults
   readonly operations = new Operations()
-  /** Requests and changes asked for, and those turned away for being too many. */
+  /** Number of requests and changes received, and of requests refused by the rate limits. */
   readonly count = { requests: 0, changes: 0, refused: 0 }
-  /** Called at every change, with the key's new value or null. */
+  /** Callbacks that receive every change, with the key's new value or null. */
   readonly listeners: Array<(key: string, value: unknown) => void> = []
-  private readonly requests: Bucket
-  private readonly changes: Bucket
+  private readonly requestTokens: TokenBucket
+  private readonly changeTokens: TokenBucket
 
   constructor(
     private readonly simulation: Simulation,
     network: Network,
     private readonly limits: StateLimits,
   ) {
-    this.store = new KeyValueStore((key, before, after) => this.changed(key, before, after))
+    this.store = new KeyValueStore((key, before, after) => this.recordChange(key, before, after))
     this.faults = new StateFaults(simulation)
-    this.requests = new Bucket(limits.rps)
-    this.changes = new Bucket(limits.write_rps)
+    this.requestTokens = new TokenBucket(limits.rps)
+    this.changeTokens = new TokenBucket(limits.write_rps)
     network.listen("state", (request, from, answer) => this.receive(request, from, answer))
     this.expireLeases()
   }
@@ -73,51 +73,51 @@
     this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.expireLeases())
   }
 
-  // --- outages, and what is seen from outside -----------------------------------
+  // --- outages and observation ----------------------------------------------------
 
-  /** Nobody is answered; all leases begin anew as it comes back. */
-  outage(on: boolean): void {
-    this.down = on
-    if (on) return
+  /** Starts or ends an outage for all nodes. At its end, all leases get their full time-to-live again. */
+  setOutage(isDown: boolean): void {
+    this.down = isDown
+    if (isDown) return
     this.lastBackAt = this.simulation.now
     this.store.keepAllAlive(this.simulation.now)
   }
-  /** One node alone gets 503, and its leases run out. */
-  refuse(node: string, on: boolean): void {
-    if (on) this.refused.add(node)
-    else this.refused.delete(node)
-    if (!on) this.lastBackAt = this.simulation.now
+  /** Starts or ends an outage for one node, which gets status 503 and whose leases expire. */
+  setRefused(node: string, isRefused: boolean): void {
+    if (isRefused) this.refusedNodes.add(node)
+    else this.refusedNodes.delete(node)
+    if (!isRefused) this.lastBackAt = this.simulation.now
   }
   isDown(): boolean {
     return this.down
   }
-  /** Out for everybody, or for this node alone. */
+  /** Whether there is an outage for all nodes or for this one. */
   isOutFor(node: string): boolean {
-    return this.down || this.refused.has(node)
+    return this.down || this.refusedNodes.has(node)
   }
   get entries(): ReadonlyMap<string, StoredEntry> {
     return this.store.entries
   }
-  /** How much of a lease's time is over since it was made or kept alive; 0 if there is no such lease. */
+  /** Elapsed share of a lease's time-to-live since its grant or last keep-alive; 0: no such lease. */
   leaseShareElapsed(leaseId: number | null): number {
     return this.store.leaseShareElapsed(leaseId, this.simulation.now)
   }
-  /** When a key with the prefix was last written or deleted. */
+  /** Time at which a key with the prefix was last written or deleted. */
   lastChangeAt(prefix: string): number {
-    const times = [...this.changedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
+    const times = [...this.lastChangedAt].filter(([key]) => key.startsWith(prefix)).map(([, at]) => at)
     return Math.max(Number.NEGATIVE_INFINITY, ...times)
   }
-  /** Everything that it holds, as plain data. */
+  /** Dumps the store as plain data. */
   dump(): StoreDump {
     return encodeStoreDump(this.store.state)
   }
-  /** Holds what a dump says, as though it had been there from the beginning. */
+  /** Restores the store of a dump, without recording any changes for watches. */
   restore(dump: StoreDump): void {
     this.store.restore(decodeStoreDump(dump))
   }
-  private changed(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
-    this.operations.note(key, before?.value, after?.value)
-    this.changedAt.set(key, this.simulation.now)
+  private recordChange(key: string, before: StoredEntry | undefined, after: StoredEntry | null): void {
+    this.operations.countChange(key, before?.value, after?.value)
+    this.lastChangedAt.set(key, this.simulation.now)
     for (const listener of this.listeners) listener(key, after?.value ?? null)
   }
 
@@ -127,9 +127,10 @@
     const { simulation, faults } = this
     const { random } = simulation
     const delayMs = random.chance(0.02) ? random.between(50, 300) : random.between(1, 6)
-    const answerLater: typeof answer = (what) => simulation.after(faults.delayMs(), () => answer(what))
+    const answerLater: typeof answer = (response) =>
+      simulation.after(faults.delayMs(), () => answer(response))
     simulation.after(delayMs + faults.delayMs(), () =>
-      this.serve(request, from, faults.slowMs > 0 ? answerLater : answer),
+      this.serve(request, from, faults.maxExtraDelayMs > 0 ? answerLater : answer),
     )
   }
   private serve(request: Request, from: string, answer: (answer: Answer) => void): void {
@@ -138,7 +139,7 @@
       return answer({ status: 503, body: { error: "trouble" } })
     }
     const url = new URL(request.path, "http://state")
-    if (!this.admits(url, request)) {
+    if (!this.admit(url, request)) {
       this.count.refused++
       return answer({ status: 429, body: { error: "too many" } })
     }
@@ -148,31 +149,31 @@
     if (url.pathname.startsWith("/kv/")) return answer(this.read(url.pathname.slice("/kv/".length), from))
     answer(this.serveLease(url.pathname, request.body))
   }
-  /** Counts the request, and takes it from what a second has left. */
-  private admits({ pathname }: URL, { body }: Request): boolean {
+  /** Counts a request, and returns whether the rate limits admit it. */
+  private admit({ pathname }: URL, { body }: Request): boolean {
     const changes = pathname === "/multi" ? ((body as WireTransaction).apply?.length ?? 0) : 0
     this.count.requests++
     this.count.changes += changes
     const { now } = this.simulation
-    return this.requests.take(1, now) && this.changes.take(changes, now)
+    return this.requestTokens.take(1, now) && this.changeTokens.take(changes, now)
   }
 
   private read(key: string, from: string): Answer {
     const entry = this.store.entries.get(key)
     if (entry === undefined) return { status: 404, body: { epoch: this.store.revision } }
-    this.faults.read(from, [entry.modRevision])
+    this.faults.countRead(from, [entry.modRevision])
     return { status: 200, body: { path: key, v: entry.value, stamp: entry.modRevision } }
   }
   private list(query: URLSearchParams): Answer {
     const prefix = query.get("starts") ?? ""
     const after = query.get("after") ?? ""
-    const page = Math.min(MAX_PAGE, Number(query.get("page") ?? MAX_PAGE))
+    const pageSize = Math.min(MAX_PAGE_SIZE, Number(query.get("page") ?? MAX_PAGE_SIZE))
     const all = [...this.store.entries].filter(([key]) => key.startsWith(prefix) && key > after)
     all.sort(([a], [b]) => (a < b ? -1 : 1))
     const items = all
-      .slice(0, page)
+      .slice(0, pageSize)
       .map(([path, { value, modRevision }]) => ({ path, v: value, stamp: modRevision }))
-    return { status: 200, body: { items, more: all.length > page, epoch: this.store.revision } }
+    return { status: 200, body: { items, more: all.length > pageSize, epoch: this.store.revision } }
   }
 
   private serveLease(path: string, body: unknown): Answer {
@@ -181,10 +182,10 @@
       const { ttl_ms } = body as { readonly ttl_ms: number }
       return { status: 200, body: { permit: this.store.grantLease(ttl_ms, now) } }
     }
-    const found = /^\/grants\/(\d+)(\/touch)?$/.exec(path)
-    const id = Number(found?.[1])
-    if (found === null || !this.store.hasLease(id)) return { status: 404, body: {} }
-    if (found[2] === undefined) this.revokeLease(id)
+    const match = /^\/grants\/(\d+)(\/touch)?$/.exec(path)
+    const id = Number(match?.[1])
+    if (match === null || !this.store.hasLease(id)) return { status: 404, body: {} }
+    if (match[2] === undefined) this.revokeLease(id)
     else this.store.keepAlive(id, now)
     return { status: 200, body: {} }
   }
@@ -199,17 +200,17 @@
     from: string,
     answer: (answer: Answer) => void,
   ): void {
-    // Held back, it is carried out at some later time; null: not yet, as the service is out.
-    const carryOutLater = () => (this.down ? null : this.carryOut(transaction).status === 200)
-    if (this.faults.holdsBack(from, carryOutLater)) return
-    const done = this.carryOut(transaction)
-    const isLost = done.status === 200 && this.faults.losesAnswer(from, this.store.revision)
-    if (!isLost) answer(done)
+    // Executes a transaction that was held back; null: not yet, because of an outage.
+    const executeLater = () => (this.down ? null : this.execute(transaction).status === 200)
+    if (this.faults.holdBack(from, executeLater)) return
+    const result = this.execute(transaction)
+    const isLost = result.status === 200 && this.faults.loseAnswer(from, this.store.revision)
+    if (!isLost) answer(result)
   }
-  /** All of it or nothing. */
-  private carryOut(transaction: WireTransaction): Answer {
+  /** Applies all changes of a transaction, or none if a condition fails or a lease does not exist. */
+  private execute(transaction: WireTransaction): Answer {
     const { when = [], apply = [] } = transaction
-    this.checkSize(transaction)
+    this.checkLimits(transaction)
     const { entries } = this.store
     const failed = when.filter(({ path, stamp }) => (entries.get(path)?.modRevision ?? 0) !== stamp)
     if (failed.length > 0)
@@ -222,16 +223,19 @@
     }
     return { status: 200, body: { epoch: this.store.revision } }
   }
-  /** A controller that exceeds the limits is wrong: the run fails. */
-  private checkSize(transaction: WireTransaction): void {
+  /** Throws if a transaction exceeds the limits: that is a bug of the controller, and fails the run. */
+  private checkLimits(transaction: WireTransaction): void {
     const { when = [], apply = [] } = transaction
     const { txn_ops, value_kb } = this.limits
     const hasLargeValue = apply.some(({ v }) => JSON.stringify(v ?? null).length > value_kb * 1024)
-    const size = JSON.stringify(transaction).length
-    const hasTooMany = apply.length > txn_ops || when.length > CONDITIONS_PER_OPERATION * txn_ops
-    if (!hasTooMany && !hasLargeValue && size <= MAX_TRANSACTION_BYTES) return
+    const sizeBytes = JSON.stringify(transaction).length
+    const maxConditions = CONDITIONS_PER_OPERATION * txn_ops
+    const hasTooMany = apply.length > txn_ops || when.length > maxConditions
+    if (!hasTooMany && !hasLargeValue && sizeBytes <= MAX_TRANSACTION_BYTES) return
     throw new Error(
-      `transaction over the limits: ${apply.length} changes, ${when.length} conditions, ${size} bytes`,
+      `transaction exceeds a limit: ${apply.length} changes (at most ${txn_ops}), ` +
+        `${when.length} conditions (at most ${maxConditions}), ` +
+        `${sizeBytes} bytes (at most ${MAX_TRANSACTION_BYTES}), value over ${value_kb} KiB: ${hasLargeValue}`,
     )
   }
 
@@ -244,11 +248,11 @@
     let isOver = false
     const check = (isTimeOver: boolean) => {
       if (isOver) return
-      // Open watches wait through an outage, and while their node alone is refused.
+      // Open watches wait until an outage ends, whether it is for all nodes or only for theirs.
       const isBlocked = this.isOutFor(from)
       const events = isBlocked ? [] : this.store.eventsSince(after, prefix)
       if (events.length === 0 && (!isTimeOver || isBlocked)) {
-        this.waiting.push(() => check(false))
+        this.waitingWatches.push(() => check(false))
         if (isTimeOver) this.simulation.after(BLOCKED_WATCH_INTERVAL_MS, () => check(true))
         return
       }
@@ -258,7 +262,7 @@
           ? { delete: key, stamp: revision }
           : { set: key, v: entry.value, stamp: entry.modRevision },
       )
-      this.faults.read(
+      this.faults.countRead(
         from,
         news.map(({ stamp }) => stamp),
       )
@@ -268,8 +272,8 @@
     if (!isOver) this.simulation.after(Number(query.get("block_ms") ?? 0), () => check(true))
   }
   private wakeWatches(): void {
-    const { waiting } = this
-    this.waiting = []
+    const { waitingWatches: waiting } = this
+    this.waitingWatches = []
     for (const check of waiting) this.simulation.enqueue(check)
   }
 }
@@ -279,18 +283,21 @@
   return deleted === undefined ? [] : [{ type: "delete", key: deleted }]
 }
 
-/** So many a second, and a second's worth at once. */
-class Bucket {
-  private has: number
-  private last = 0
-  constructor(private readonly perSecond: number) {
-    this.has = perSecond
+/** Token bucket with a rate per second, and a capacity of one second's tokens. */
+class TokenBucket {
+  private tokens: number
+  private refilledAt = 0
+  constructor(private readonly ratePerSecond: number) {
+    this.tokens = ratePerSecond
   }
   take(cost: number, now: number): boolean {
-    this.has = Math.min(this.perSecond, this.has + ((now - this.last) / 1000) * this.perSecond)
-    this.last = now
-    if (this.has < cost) return false
-    this.has -= cost
+    this.tokens = Math.min(
+      this.ratePerSecond,
+      this.tokens + ((now - this.refilledAt) / 1000) * this.ratePerSecond,
+    )
+    this.refilledAt = now
+    if (this.tokens < cost) return false
+    this.tokens -= cost
     return true
   }
 }
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -1,7 +1,7 @@
 /**
- * The tasks on one simulated worker: images are pulled, tasks run, save a
- * checkpoint when they are stopped in time, and exit. It reports every start
- * and end to the invariants, and never decides when the worker loses its tasks.
+ * Tasks on one simulated worker: images are pulled, tasks run, save a checkpoint when
+ * they are stopped with a sufficient grace period, and exit. Every start and end is
+ * reported to the invariants. `Machine` decides when the worker loses its tasks.
  */
 import type { JobId, WireJob } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
@@ -10,56 +10,56 @@
 /** `checkpointing` is `flushing` on the wire; a `gone` task was lost with its worker's lease or machine. */
 export type TaskPhase = "pulling" | "running" | "checkpointing" | "exited" | "gone"
 
-/** A task as a worker knows it. */
+/** State of a task on a worker. */
 export interface WorkerTask {
   readonly job: string
   readonly index: number
   readonly attempt: number
   phase: TaskPhase
   exitReason: string | null
-  /** It saved its progress before it exited. */
+  /** Whether it saved its progress before it exited. */
   checkpointed: boolean
-  /** When its image began to be pulled, or it began to run. Milliseconds. */
-  since: number
-  /** Stops the timer of its present phase. */
+  /** Time at which the image pull began or, from then on, the task began to run. In milliseconds. */
+  startedAt: number
+  /** Cancels the timer of the present phase. */
   cancelTimer: () => void
 }
-/** A task that takes room on a machine. */
+/** A task that occupies resources of a machine. */
 export interface Occupant {
   readonly job: string
   readonly index: number
 }
 
-/** What of a machine its tasks depend on. */
+/** Interface of a machine for its tasks. */
 export interface TaskHost {
   readonly id: string
   readonly zone: string
   readonly spot: boolean
   readonly type: { readonly name: string; readonly cores: number; readonly pull_gb_per_s: number }
-  /** Every task that runs here fails soon. */
+  /** Whether every task that runs on this machine fails soon after its start. */
   readonly faulty: boolean
-  /** Its power is off for good. */
+  /** Whether the machine is powered off for good. */
   readonly gone: boolean
-  /** Runs it at once, or when the machine no longer hangs. */
-  whenAwake(run: () => void): void
-  /** Has a heartbeat sent soon, as something changed. */
+  /** Runs a function at once, or as soon as the machine no longer hangs. */
+  runWhenAwake(run: () => void): void
+  /** Schedules a heartbeat that reports a change. */
   requestHeartbeat(): void
 }
-/** What tasks need beside their machine. */
-export interface TaskSurroundings {
+/** Dependencies of tasks other than their machine. */
+export interface TaskEnvironment {
   readonly simulation: Simulation
   readonly invariants: Invariants
-  /** Progress saved by task id, in seconds: kept outside of the machine. */
+  /** Saved progress by task id, in seconds; it is stored outside of the machine. */
   readonly checkpoints: Map<string, number>
 }
 
-/** How soon after its start a task fails whose job has a mistake, or whose machine is faulty. */
-const FAILS_AFTER_MS = 1_000
+/** Time from start to failure of a task whose job has a bug or whose machine is faulty. */
+const FAILURE_DELAY_MS = 1_000
 
-/** The id of a task on the wire. */
+/** Id of a task on the wire. */
 const taskIdOf = ({ job, index }: Occupant): string => `${job}/${index}`
 
-/** The tasks of one worker, by their ids. */
+/** Tasks of one worker by task id. */
 export class WorkerTasks {
   private readonly byId = new Map<string, WorkerTask>()
   private readonly images = new Set<string>()
@@ -68,10 +68,10 @@
 
   constructor(
     private readonly host: TaskHost,
-    private readonly surroundings: TaskSurroundings,
+    private readonly environment: TaskEnvironment,
   ) {
-    this.simulation = surroundings.simulation
-    this.invariants = surroundings.invariants
+    this.simulation = environment.simulation
+    this.invariants = environment.invariants
   }
 
   get(taskId: string): WorkerTask | undefined {
@@ -86,35 +86,35 @@
   get cachedImages(): Iterable<string> {
     return this.images
   }
-  /** Tasks that run or save. */
+  /** Number of tasks that run or save a checkpoint. */
   get runningCount(): number {
     let count = 0
     for (const { phase } of this.byId.values()) if (phase === "running" || phase === "checkpointing") count++
     return count
   }
-  /** Tasks that take room, those whose image is being pulled included. */
+  /** Tasks that occupy resources, including those whose image is being pulled. */
   *occupants(): Iterable<Occupant> {
     for (const { job, index, phase } of this.byId.values()) if (phase !== "exited") yield { job, index }
   }
 
-  /** All tasks are lost, wherever they stood; images stay. */
+  /** Drops all tasks in whatever phase; cached images stay. */
   dropAll(): void {
     for (const task of this.byId.values()) this.drop(task)
     this.byId.clear()
   }
-  /** As `dropAll`, and the images are lost too. */
+  /** Drops all tasks and the cached images. */
   reset(): void {
     this.dropAll()
     this.images.clear()
   }
-  /** The commanding node knows of the exit: the task need not be kept any more. */
+  /** Removes an exited task: the node that sent the command has received its exit. */
   purge(taskId: string): void {
     if (this.byId.get(taskId)?.phase === "exited") this.byId.delete(taskId)
   }
 
   start(taskId: string, attempt: number): void {
-    const known = this.byId.get(taskId)
-    if (known !== undefined && (known.attempt === attempt || known.phase !== "exited")) return
+    const existing = this.byId.get(taskId)
+    if (existing !== undefined && (existing.attempt === attempt || existing.phase !== "exited")) return
     const task = newTask(taskId, attempt, this.simulation.now)
     this.byId.set(taskId, task)
     const request = this.invariants.submitted.get(task.job)
@@ -122,36 +122,36 @@
     if (!this.hasRoom()) return this.exit(task, "no_room")
     const { pull_gb_per_s } = this.host.type
     const pullS = this.images.has(request.bundle) ? 0 : request.image_gb / pull_gb_per_s
-    this.setTimer(task, pullS * 1000, () => this.begin(task, request))
+    this.setTimer(task, pullS * 1000, () => this.run(task, request))
   }
-  /** The tasks that take room, with one just added, fit on the machine. */
+  /** Whether all tasks, including the one just added, fit on the machine. */
   private hasRoom(): boolean {
     let cores = this.host.type.cores
     for (const { job } of this.occupants()) cores -= this.invariants.submitted.get(job)?.cores ?? 0
     return cores >= -1e-6
   }
   private setTimer(task: WorkerTask, ms: number, run: () => void): void {
-    task.cancelTimer = this.simulation.after(ms, () => this.host.whenAwake(run))
+    task.cancelTimer = this.simulation.after(ms, () => this.host.runWhenAwake(run))
   }
 
-  private begin(task: WorkerTask, request: WireJob): void {
+  private run(task: WorkerTask, request: WireJob): void {
     if (task.phase !== "pulling" || this.host.gone) return
     this.images.add(request.bundle)
     task.phase = "running"
-    task.since = this.simulation.now
+    task.startedAt = this.simulation.now
     const { id, type, zone, spot } = this.host
     this.invariants.began(task.job, task.index, { machine: id, type: type.name, zone, spot })
     this.host.requestHeartbeat()
-    if (this.host.faulty || this.invariants.mistaken.has(task.job)) return this.failSoon(task)
+    if (this.host.faulty || this.invariants.mistaken.has(task.job)) return this.scheduleFailure(task)
     const isFinished = this.invariants.isFinished(task.job, task.index)
-    const leftS = isFinished ? 0 : request.expected_s - this.savedS(task)
-    this.setTimer(task, leftS * 1000, () => this.complete(task))
+    const remainingS = isFinished ? 0 : request.expected_s - this.checkpointedS(task)
+    this.setTimer(task, remainingS * 1000, () => this.complete(task))
   }
-  private failSoon(task: WorkerTask): void {
+  private scheduleFailure(task: WorkerTask): void {
     this.simulation.occurrences.count(
       this.host.faulty ? "tasks failed because of their machine" : "tasks failed because of their job",
     )
-    this.setTimer(task, FAILS_AFTER_MS, () => {
+    this.setTimer(task, FAILURE_DELAY_MS, () => {
       if (task.phase === "running" && !this.host.gone) this.exit(task, "error")
     })
   }
@@ -160,11 +160,11 @@
     this.invariants.finished(task.job, task.index)
     this.exit(task, "done")
   }
-  private savedS(task: WorkerTask): number {
-    return this.surroundings.checkpoints.get(taskIdOf(task)) ?? 0
+  private checkpointedS(task: WorkerTask): number {
+    return this.environment.checkpoints.get(taskIdOf(task)) ?? 0
   }
 
-  /** It saves its progress first if its job does so and the grace period is long enough. */
+  /** Stops a task. It first saves its progress if its job has checkpoints and the grace period suffices. */
   stop(task: WorkerTask, gracePeriodS: number): void {
     if (task.phase === "exited") return
     const request = this.invariants.submitted.get(task.job)
@@ -176,10 +176,10 @@
       gracePeriodS >= request.flush_s
     if (!canSave) return this.exit(task, "stopped")
     task.phase = "checkpointing"
-    const ranS = (this.simulation.now - task.since) / 1000
+    const elapsedS = (this.simulation.now - task.startedAt) / 1000
     this.setTimer(task, request.flush_s * 1000, () => {
       if (task.phase !== "checkpointing" || this.host.gone) return
-      this.surroundings.checkpoints.set(taskIdOf(task), this.savedS(task) + ranS)
+      this.environment.checkpoints.set(taskIdOf(task), this.checkpointedS(task) + elapsedS)
       task.checkpointed = true
       this.exit(task, "stopped")
     })
@@ -206,23 +206,23 @@
   restoreImages(images: Iterable<string>): void {
     for (const image of images) this.images.add(image)
   }
-  /** Goes on where the task stood; what it was saving, it begins to save anew. */
+  /** Resumes a task of a dump; a checkpoint that was being saved is started again. */
   restore(task: WorkerTask): void {
     this.byId.set(taskIdOf(task), task)
     if (task.phase === "exited") return
-    const { phase, since } = task
+    const { phase, startedAt } = task
     const request = this.invariants.submitted.get(task.job)!
-    const elapsedS = (this.simulation.now - since) / 1000
+    const elapsedS = (this.simulation.now - startedAt) / 1000
     if (phase === "pulling") {
       const pullS = request.image_gb / this.host.type.pull_gb_per_s
-      return this.setTimer(task, Math.max(0, (pullS - elapsedS) * 1000), () => this.begin(task, request))
+      return this.setTimer(task, Math.max(0, (pullS - elapsedS) * 1000), () => this.run(task, request))
     }
     task.phase = "pulling"
-    this.begin(task, request)
-    task.since = since
+    this.run(task, request)
+    task.startedAt = startedAt
     task.cancelTimer()
-    const leftS = Math.max(0, request.expected_s - this.savedS(task) - elapsedS)
-    this.setTimer(task, leftS * 1000, () => this.complete(task))
+    const remainingS = Math.max(0, request.expected_s - this.checkpointedS(task) - elapsedS)
+    this.setTimer(task, remainingS * 1000, () => this.complete(task))
     if (phase === "checkpointing") this.stop(task, request.flush_s)
   }
 }
@@ -236,7 +236,7 @@
     phase: "pulling",
     exitReason: null,
     checkpointed: false,
-    since: now,
+    startedAt: now,
     cancelTimer: () => {},
   }
 }
--- a/packages/testkit/src/simulation/loopback-network.ts
+++ b/packages/testkit/src/simulation/loopback-network.ts
@@ -1,28 +1,28 @@
-/** The stand-ins' network over real sockets: every host listens on a loopback port of its own. */
+/** Network of the simulated services over real sockets: every host listens on its own loopback port. */
 import { Agent, createServer, type Server as HttpServer, request as httpRequest } from "node:http"
 import type { AddressInfo } from "node:net"
 import { type Answer, Network, type Request, type Server } from "./network.ts"
 
 const LOOPBACK = "127.0.0.1"
-/** How the stand-ins write the address of a machine, see `Machine` and `Cloud`. */
+/** Machine addresses in bodies, as `Machine` and `Cloud` write them. */
 const MACHINE_ADDRESS = /"(i-\d+):9000"/g
 const USERS = "users"
 
-/** Replaces the simulated network: no delay, loss or cut but those of the sockets themselves. */
+/** Replaces the simulated network; the only delays, losses and cuts are those of the sockets. */
 export class LoopbackNetwork extends Network {
   private readonly listeners = new Map<string, HttpServer>()
   private readonly agents = new Map<string, Agent>()
   private readonly ports = new Map<string, number>()
-  /** Requests by path family, with the bytes of their bodies. */
+  /** Number of requests and bytes of their bodies, by host and path family. */
   readonly traffic = new Map<string, { requests: number; bytes: number; answeredBytes: number }>()
 
-  /** Hosts outside of this process, such as the controllers. */
-  locate(host: string, port: number): void {
+  /** Sets the port of a host outside of this process, such as a controller. */
+  setPort(host: string, port: number): void {
     this.ports.set(host, port)
   }
   portOf(host: string): number {
     const port = this.ports.get(host)
-    if (port === undefined) throw new Error(`nobody knows the port of ${host}`)
+    if (port === undefined) throw new Error(`no port is known for host ${host}`)
     return port
   }
 
@@ -38,8 +38,8 @@
           path,
           body: text === "" ? null : JSON.parse(text),
         }
-        server(request, "somebody", (answer) => {
-          const body = this.withPorts(JSON.stringify(answer.body ?? null))
+        server(request, "unknown", (answer) => {
+          const body = this.replaceMachineAddresses(JSON.stringify(answer.body ?? null))
           this.count(host, path, text.length, body.length)
           response.writeHead(answer.status, { "content-type": "application/json" })
           response.end(body)
@@ -64,7 +64,8 @@
   }
 
   override request(from: string, to: string, request: Request, done: (answer: Answer | null) => void): void {
-    const text = request.method === "GET" ? "" : this.withPorts(JSON.stringify(request.body ?? null))
+    const text =
+      request.method === "GET" ? "" : this.replaceMachineAddresses(JSON.stringify(request.body ?? null))
     const outgoing = httpRequest(
       {
         agent: this.agentOf(from),
@@ -79,9 +80,9 @@
         incoming.on("data", (chunk: Buffer) => chunks.push(chunk))
         incoming.on("error", () => done(null))
         incoming.on("end", () => {
-          const answered = Buffer.concat(chunks)
-          this.count(from === USERS ? USERS : "workers", request.path, text.length, answered.length)
-          done({ status: incoming.statusCode ?? 0, body: JSON.parse(answered.toString("utf8")) })
+          const responseBody = Buffer.concat(chunks)
+          this.count(from === USERS ? USERS : "workers", request.path, text.length, responseBody.length)
+          done({ status: incoming.statusCode ?? 0, body: JSON.parse(responseBody.toString("utf8")) })
         })
       },
     )
@@ -89,26 +90,26 @@
     outgoing.end(text)
   }
   private agentOf(host: string): Agent {
-    const known = this.agents.get(host)
-    if (known !== undefined) return known
+    const existing = this.agents.get(host)
+    if (existing !== undefined) return existing
     const agent = new Agent({ keepAlive: true, maxSockets: host === USERS ? 64 : 2 })
     this.agents.set(host, agent)
     return agent
   }
 
-  private withPorts(text: string): string {
-    return text.replace(MACHINE_ADDRESS, (whole, host: string) => {
+  private replaceMachineAddresses(text: string): string {
+    return text.replace(MACHINE_ADDRESS, (address, host: string) => {
       const port = this.ports.get(host)
-      return port === undefined ? whole : `"${LOOPBACK}:${port}"`
+      return port === undefined ? address : `"${LOOPBACK}:${port}"`
     })
   }
   private count(host: string, path: string, bytes: number, answeredBytes: number): void {
     const family = path.startsWith("/v1/jobs/") ? "/v1/jobs/ID" : path.split(/[?\d]/)[0]!
-    const kind = `${host.startsWith("i-") ? "machines" : host} ${family}`
-    const of = this.traffic.get(kind) ?? { requests: 0, bytes: 0, answeredBytes: 0 }
-    of.requests++
-    of.bytes += bytes
-    of.answeredBytes += answeredBytes
-    this.traffic.set(kind, of)
+    const key = `${host.startsWith("i-") ? "machines" : host} ${family}`
+    const counters = this.traffic.get(key) ?? { requests: 0, bytes: 0, answeredBytes: 0 }
+    counters.requests++
+    counters.bytes += bytes
+    counters.answeredBytes += answeredBytes
+    this.traffic.set(key, counters)
   }
 }
--- a/packages/testkit/src/simulation/occurrences.ts
+++ b/packages/testkit/src/simulation/occurrences.ts
@@ -1,4 +1,4 @@
-/** What is counted about machines and their messages. */
+/** Counted events of machines and their messages. */
 const MACHINE_EVENTS = [
   "cancellations confirmed while a controller is isolated",
   "commands carried out on resuming",
@@ -25,21 +25,21 @@
   "tasks on machines at a failover: receives nothing",
   "tasks on machines at a failover: sends nothing",
 ] as const
-/** One of the events; the names are those of the scenario format. */
+/** Name of a counted event, as the scenario format writes it. */
 export type MachineEvent = (typeof MACHINE_EVENTS)[number]
 
-/** How often each kind of event came about in a simulated day; scenarios assert that their faults met. */
+/** Counts of each event in a simulated run; scenarios use them to check that their faults took effect. */
 export class Occurrences {
   private readonly counts = new Map<MachineEvent, number>()
 
-  count(what: MachineEvent, times = 1): void {
-    this.counts.set(what, this.of(what) + times)
+  count(event: MachineEvent, times = 1): void {
+    this.counts.set(event, this.countOf(event) + times)
   }
-  of(what: MachineEvent): number {
+  countOf(what: MachineEvent): number {
     return this.counts.get(what) ?? 0
   }
-  /** Each event by its name, those that never came about included. */
+  /** Counts of all events by name, including those that are 0. */
   all(): Readonly<Record<string, number>> {
-    return Object.fromEntries(MACHINE_EVENTS.map((what) => [what, this.of(what)]))
+    return Object.fromEntries(MACHINE_EVENTS.map((event) => [event, this.countOf(event)]))
   }
 }
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -1,7 +1,7 @@
 /**
- * One process of a controller on simulated time: the service itself, with its
- * HTTP client, links and log led into the simulation. A new start after an end
- * is a new object; what the former one waited for never comes.
+ * One process of a controller on simulated time: the production service, with its
+ * HTTP client, links and log connected to the simulation. A restart is a new object;
+ * pending answers and timers of the earlier one are never delivered.
  */
 import { makeNode, type Node } from "@sorreltally/daemon/node"
 import type { Links } from "@sorreltally/peers"
@@ -19,63 +19,63 @@
 import type { Answer, Network, Request } from "./network.ts"
 import type { Process } from "./process.ts"
 import type { Simulation } from "./simulation.ts"
-import { ANSWER_MS, peerMessageMs, requestMs } from "./work-costs.ts"
+import { ANSWER_COST_MS, peerMessageCostMs, requestCostMs } from "./work-costs.ts"
 
-/** What a controller may be about to send when it is made to stand still; the words are those of scenarios. */
+/** Kind of message before which a controller can be frozen, as the scenario format names it. */
 export type FreezePoint = "answer" | "command" | "transaction" | "shard-acquisition" | "keep-alive"
 
-/** What a controller's process is surrounded by. */
-export interface ControllerSurroundings {
+/** Simulation, network and observers of a controller's process. */
+export interface ControllerEnvironment {
   readonly simulation: Simulation
   readonly network: Network
-  /** The share of a core that a controller's work really has; null: its work takes no time. */
+  /** Share of a core that is simulated for a controller's work; null: its work takes no time. */
   readonly processorShare: number | null
-  /** The process that another controller runs at the moment. */
+  /** The present process of a controller, if it has one. */
   controller(name: NodeName): SimulatedController | undefined
-  /** A frame between controllers is sent. */
+  /** Called when a frame is sent to another controller. */
   frameSent(bytes: Uint8Array): void
-  /** So many commands are under way at one controller. */
-  commandsUnderWay(count: number): void
-  /** A heartbeat arrived. */
+  /** Called with the number of commands in flight at one controller, each time it sends one. */
+  commandsInFlightChanged(count: number): void
+  /** Called when a heartbeat arrives. */
   heartbeatReceived(machine: string, node: NodeName): void
-  /** A request was answered with 200. */
+  /** Called when a request was answered with 200. */
   answered(node: NodeName, from: string, path: string): void
-  /** A line of a controller's log. */
+  /** Called with every line of a controller's log. */
   log(line: string): void
 }
-/** Which controller it is. */
+/** Name, settings and seed of a controller's process. */
 export interface ControllerIdentity {
   readonly name: NodeName
   readonly platform: Platform
-  /** Of its random draws: another one at each start. */
+  /** Seed of its random draws; differs at each start. */
   readonly seed: string
 }
 
-/** How far the wall clocks of controllers are apart from the simulation's, at most. */
+/** Maximum offset of a controller's wall clock from the simulation's. */
 const MAX_CLOCK_OFFSET_MS = 900
 
 /** A controller from its start to its end. */
 export class SimulatedController {
   private readonly process: Process
   private receiveFrame: ((frame: Uint8Array) => void) | null = null
-  /** It stands still as soon as it is about to send such a message, which leaves when it goes on. */
-  private freezeAt: { readonly at: FreezePoint; readonly ms: number } | null = null
-  private commands = 0
+  /** Freeze before the next message of a kind; that message is sent once the controller resumes. */
+  private pendingFreeze: { readonly point: FreezePoint; readonly ms: number } | null = null
+  private commandsInFlight = 0
 
   constructor(
     private readonly identity: ControllerIdentity,
-    private readonly surroundings: ControllerSurroundings,
+    private readonly environment: ControllerEnvironment,
   ) {
-    const { simulation, processorShare } = surroundings
-    const offsetMs = simulation.random.between(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS)
-    this.process = simulation.process(offsetMs, processorShare)
+    const { simulation, processorShare } = environment
+    const clockOffsetMs = simulation.random.between(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS)
+    this.process = simulation.process(clockOffsetMs, processorShare)
   }
 
-  /** Begins as soon as the process is up. */
+  /** Serves as soon as the process has started. */
   start(): void {
-    const making = makeNode(this.identity.platform, defaultOperators(), this.links(), this.logger())
-    this.process.whenAwake(() =>
-      Effect.runCallback(this.withServices(making), {
+    const nodeEffect = makeNode(this.identity.platform, defaultOperators(), this.links(), this.logger())
+    this.process.runWhenAwake(() =>
+      Effect.runCallback(this.withServices(nodeEffect), {
         onExit: (exit) => {
           if (Exit.isSuccess(exit)) this.serve(exit.value)
         },
@@ -85,14 +85,14 @@
   kill(): void {
     this.process.kill()
   }
-  /** It stands still while its clocks run on: at once, or in the middle of sending something. */
-  freeze(ms: number, at: FreezePoint | null): void {
-    if (at === null) this.process.freeze(ms)
-    else this.freezeAt = { at, ms }
+  /** Freezes the process while its clocks run on: at once, or before it sends the next message of a kind. */
+  freeze(ms: number, point: FreezePoint | null): void {
+    if (point === null) this.process.freeze(ms)
+    else this.pendingFreeze = { point, ms }
   }
-  /** A frame of another controller arrived. */
+  /** Handles a frame of another controller. */
   receive(frame: Uint8Array): void {
-    this.process.whenAwake(() => this.receiveFrame?.(frame), peerMessageMs(frame.length))
+    this.process.runWhenAwake(() => this.receiveFrame?.(frame), peerMessageCostMs(frame.length))
   }
 
   private withServices<A>(effect: Effect.Effect<A, never, HttpClient>): Effect.Effect<A> {
@@ -103,58 +103,58 @@
   private serve(node: Node): void {
     const { name } = this.identity
     Effect.runCallback(this.withServices(node.run))
-    this.surroundings.network.listen(name, (request, from, answer) => {
-      if (isHeartbeat(request)) this.surroundings.heartbeatReceived(from, name)
-      this.process.whenAwake(() => this.handle(node, request, from, answer), requestMs(request))
+    this.environment.network.listen(name, (request, from, answer) => {
+      if (isHeartbeat(request)) this.environment.heartbeatReceived(from, name)
+      this.process.runWhenAwake(() => this.handle(node, request, from, answer), requestCostMs(request))
     })
   }
   private handle(node: Node, request: Request, from: string, answer: (answer: Answer) => void): void {
     const incoming = { method: request.method, path: request.path, body: JSON.stringify(request.body) }
     node.serve(incoming, (outgoing) => {
-      const isGood = outgoing.status === 200
-      if (isGood) this.surroundings.answered(this.identity.name, from, request.path)
-      this.sendAt(isGood && isHeartbeat(request) ? "answer" : null, () => answer(outgoing))
+      const isOk = outgoing.status === 200
+      if (isOk) this.environment.answered(this.identity.name, from, request.path)
+      this.sendUnlessFrozen(isOk && isHeartbeat(request) ? "answer" : null, () => answer(outgoing))
     })
   }
 
-  /** Sends at once, unless it stands still, or is to do so before such a message. */
-  private sendAt(point: FreezePoint | null, send: () => void): void {
-    if (this.process.alive() && this.freezeAt !== null && this.freezeAt.at === point) {
-      this.process.freeze(this.freezeAt.ms)
-      this.freezeAt = null
+  /** Sends at once, or after a freeze that is in progress or is due before this kind of message. */
+  private sendUnlessFrozen(point: FreezePoint | null, send: () => void): void {
+    if (this.process.isAlive() && this.pendingFreeze !== null && this.pendingFreeze.point === point) {
+      this.process.freeze(this.pendingFreeze.ms)
+      this.pendingFreeze = null
     }
-    this.process.whenAwake(send)
+    this.process.runWhenAwake(send)
   }
   private call(call: HttpRequest): Effect.Effect<HttpResponse, NoResponseError> {
     const isCommand = call.path === COMMANDS_PATH
     return Effect.callback<HttpResponse, NoResponseError>((resume) => {
       const to = call.address.slice(0, call.address.lastIndexOf(":"))
       const request = { method: call.method, path: call.path, body: call.body }
-      if (isCommand) this.surroundings.commandsUnderWay(++this.commands)
+      if (isCommand) this.environment.commandsInFlightChanged(++this.commandsInFlight)
       const done = (answer: Answer | null) =>
-        this.process.whenAwake(() => resume(responseOf(answer)), ANSWER_MS)
-      this.sendAt(freezePointOf(request), () =>
-        this.surroundings.network.request(this.identity.name, to, request, done),
+        this.process.runWhenAwake(() => resume(responseOf(answer)), ANSWER_COST_MS)
+      this.sendUnlessFrozen(freezePointOf(request), () =>
+        this.environment.network.request(this.identity.name, to, request, done),
       )
     }).pipe(
       Effect.ensuring(
         Effect.sync(() => {
-          if (isCommand) this.commands--
+          if (isCommand) this.commandsInFlight--
         }),
       ),
     )
   }
 
   private links(): Links {
-    const { network, simulation } = this.surroundings
+    const { network, simulation } = this.environment
     const { name } = this.identity
     return {
       send: (to, frame) => {
         const bytes = Uint8Array.from(frame)
-        this.surroundings.frameSent(bytes)
-        this.process.whenAwake(() => {
-          network.trace?.frame(simulation.now, name, to, bytes)
-          network.carry(name, to, () => this.surroundings.controller(to)?.receive(bytes))
+        this.environment.frameSent(bytes)
+        this.process.runWhenAwake(() => {
+          network.trace?.recordFrame(simulation.now, name, to, bytes)
+          network.transmit(name, to, () => this.environment.controller(to)?.receive(bytes))
         })
       },
       receive: (handler) => {
@@ -164,11 +164,9 @@
   }
   private logger(): Log {
     const log = (level: string) => (message: string, fields?: Record<string, unknown>) => {
-      if (!this.process.alive() || (level === "debug" && process.env.VERBOSE !== "debug")) return
-      const atS = (this.surroundings.simulation.now / 1000).toFixed(2)
-      this.surroundings.log(
-        `${atS} ${this.identity.name} ${level} ${message} ${JSON.stringify(fields ?? {})}`,
-      )
+      if (!this.process.isAlive() || (level === "debug" && process.env.VERBOSE !== "debug")) return
+      const atS = (this.environment.simulation.now / 1000).toFixed(2)
+      this.environment.log(`${atS} ${this.identity.name} ${level} ${message} ${JSON.stringify(fields ?? {})}`)
     }
     return { error: log("error"), info: log("info"), debug: log("debug") }
   }
--- a/packages/testkit/src/simulation/simulation.ts
+++ b/packages/testkit/src/simulation/simulation.ts
@@ -1,75 +1,72 @@
-/**
- * Simulated time and randomness: one queue and one clock, so that equal seeds give equal
- * runs.
- */
+/** Simulated time and randomness: one queue and one clock, so that equal seeds give equal runs. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus"
 import { Occurrences } from "./occurrences.ts"
 import { Process } from "./process.ts"
 
 interface Timer {
   readonly at: number
-  readonly n: number
+  readonly sequence: number
   run: (() => void) | null
 }
 
-/** Seeded randomness; every draw of a simulation comes from one of these. */
+/** Seeded random number generator; every draw of a simulation uses one of these. */
 export class RandomSource {
   private readonly generator
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed)
   }
-  /** From 0 to just below 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     return (this.generator.next() >>> 0) / 2 ** 32
   }
   between(low: number, high: number): number {
     return low + (high - low) * this.next()
   }
-  /** A whole number; both ends may come. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integerBetween(low: number, high: number): number {
     return Math.floor(this.between(low, high + 1))
   }
-  /** True with that probability. */
-  chance(p: number): boolean {
-    return this.next() < p
+  /** Returns true with the given probability. */
+  chance(probability: number): boolean {
+    return this.next() < probability
   }
-  pick<A>(from: ReadonlyArray<A>): A {
-    return from[Math.floor(this.next() * from.length)]!
+  pick<A>(items: ReadonlyArray<A>): A {
+    return items[Math.floor(this.next() * items.length)]!
   }
 }
 
 /**
  * One thread, one queue and one clock for a whole simulated deployment: runs
- * that start alike go alike, and hours pass in seconds.
+ * with equal inputs are identical, and hours are simulated in seconds.
  */
 export class Simulation {
   now = 0
-  /** When a process or machine that stood still last went on. */
+  /** Time at which a frozen process or hung machine last resumed. */
   lastResumedAt = Number.NEGATIVE_INFINITY
-  private count = 0
+  private timersCreated = 0
   private readonly timers: Array<Timer> = []
   private ready: Array<() => void> = []
   readonly random: RandomSource
   readonly occurrences = new Occurrences()
 
-  /** `beginsAtMs`: the time on the simulation's clock when it begins. */
-  constructor(seed: number, beginsAtMs = 0) {
+  /** `startMs`: initial time of the simulation's clock. */
+  constructor(seed: number, startMs = 0) {
     this.random = new RandomSource(seed)
-    this.now = beginsAtMs
+    this.now = startMs
   }
 
   enqueue(run: () => void): void {
     this.ready.push(run)
   }
-  /** Returns how to call it off. */
+  /** Runs a function after a delay; returns a function that cancels it. */
   after(ms: number, run: () => void): () => void {
-    const timer: Timer = { at: this.now + Math.max(0, ms), n: this.count++, run }
-    // A binary heap by time, then by order of arrival.
+    const timer: Timer = { at: this.now + Math.max(0, ms), sequence: this.timersCreated++, run }
+    // A binary heap ordered by time, then by order of insertion.
     const heap = this.timers
     let i = heap.push(timer) - 1
     while (i > 0) {
       const parent = (i - 1) >> 1
-      if (!before(heap[i]!, heap[parent]!)) break
+      if (!isEarlier(heap[i]!, heap[parent]!)) break
       ;[heap[i], heap[parent]] = [heap[parent]!, heap[i]!]
       i = parent
     }
@@ -84,13 +81,13 @@
     if (heap.length > 0) {
       heap[0] = last
       for (let i = 0; ; ) {
-        let least = i
+        let earliest = i
         for (const child of [2 * i + 1, 2 * i + 2]) {
-          if (child < heap.length && before(heap[child]!, heap[least]!)) least = child
+          if (child < heap.length && isEarlier(heap[child]!, heap[earliest]!)) earliest = child
         }
-        if (least === i) break
-        ;[heap[i], heap[least]] = [heap[least]!, heap[i]!]
-        i = least
+        if (earliest === i) break
+        ;[heap[i], heap[earliest]] = [heap[earliest]!, heap[i]!]
+        i = earliest
       }
     }
     return top
@@ -112,10 +109,10 @@
     this.now = Math.max(this.now, end)
   }
 
-  /** A process of its own: see `Process`. */
-  process(wallOffsetMs: number, share: number | null = null): Process {
-    return new Process(this, wallOffsetMs, share)
+  /** Creates a process with its own clock and scheduler; see `Process` for the parameters. */
+  process(wallClockOffsetMs: number, share: number | null = null): Process {
+    return new Process(this, wallClockOffsetMs, share)
   }
 }
 
-const before = (a: Timer, b: Timer) => a.at < b.at || (a.at === b.at && a.n < b.n)
+const isEarlier = (a: Timer, b: Timer) => a.at < b.at || (a.at === b.at && a.sequence < b.sequence)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -89,7 +89,7 @@
     for (const { job, state } of answers) {
       if (recordedFinalState(job) !== null || alwaysFails(job)) continue
       const isCancelled = dump.users.askedToCancel.includes(job)
-      assert.equal(state, isCancelled ? "withdrawn" : "done", `${job}: ${deployment.stored(job)}`)
+      assert.equal(state, isCancelled ? "withdrawn" : "done", `${job}: ${deployment.storedEntriesOf(job)}`)
     }
   })
   it("keeps retrying a job whose tasks fail on every machine", () => {
