--- a/packages/testkit/src/faults/effects.ts
+++ b/packages/testkit/src/faults/effects.ts
@@ -1,15 +1,14 @@
 /**
- * Effects of faults as seen from outside, by which random days place a second fault inside
- * the effect of a first one. Names of effects are those of the scenario format.
+ * Effects of faults as observed from outside the controllers. Random days place a second fault inside the
+ * effect of a first one. The names of effects are those of the scenario format.
  */
 import type { Deployment } from "../simulation/deployment.ts"
 import type { MembershipFaults } from "./membership-faults.ts"
 import type { UserFaults } from "./user-faults.ts"
 
 /**
- * What a fault does to the deployment for some time. Random days place a
- * second fault inside such an effect of a first one, and a run tells whether
- * the effect was really there by then.
+ * Temporary effects of faults on a deployment. Random days place a second fault inside such an effect of a
+ * first one, and a run records whether the effect was present when the second fault began.
  */
 export const faultEffects = [
   "entitlement-lapses",
@@ -25,36 +24,41 @@
   "fast-boots",
   "after-return",
 ] as const
-/** One of the effects. */
+/** Name of an effect. */
 export type FaultEffect = (typeof faultEffects)[number]
 
-/** A second fault that was meant to meet an effect of a first one, and whether it did. */
+/** A second fault that was placed inside an effect of a first one. */
 export interface DrawnPair {
   readonly first: string
   readonly effect: FaultEffect
   readonly second: string
+  /** Whether the effect was present when the second fault began. */
   readonly met: boolean
 }
 
-/** A node that can touches its lease long before this share of its time is over. */
-const OVERDUE_SHARE = 0.45
-const FAILOVER_LASTS_MS = 5_000
-const RETURN_LASTS_MS = 10_000
-const WORK_LOST_LASTS_MS = 30_000
-/** A worker that was last answered longer ago than this has missed a heartbeat or two. */
-const SILENT_MS = 5_000
+/** A healthy node renews its lease long before this share of the lease's time to live has elapsed. */
+const OVERDUE_LEASE_SHARE = 0.45
+/** A failover counts as in progress for this long after a shard was acquired. */
+const FAILOVER_MS = 5_000
+/** Effects of a host or service coming back count as present for this long. */
+const RETURN_EFFECTS_MS = 10_000
+/** Effects of lost tasks count as present for this long. */
+const WORK_LOST_EFFECTS_MS = 30_000
+/** A worker whose last answered heartbeat is older than this has missed one or two heartbeats. */
+const MAX_UNANSWERED_MS = 5_000
 
-/** What the effects are seen by, beside the deployment itself. */
+/** The deployment with the fault injectors that the observer reads. */
 interface ObservedDeployment extends Deployment {
   readonly userFaults: UserFaults
   readonly membershipFaults: MembershipFaults
   readonly lastReturnAt: number
 }
 
-/** Looks at a simulated deployment from outside: which effects there are at this moment. */
+/** Determines which effects are present in a simulated deployment at the current time. */
 export class EffectObserver {
   constructor(private readonly deployment: ObservedDeployment) {}
 
+  /** Whether the effect is present now. */
   has(effect: FaultEffect): boolean {
     return this.checks[effect]()
   }
@@ -67,39 +71,40 @@
     "network-cut": () => this.deployment.network.isCut(),
     "messages-astray": () => this.deployment.network.isUnreliable() || this.deployment.state.faults.areOn(),
     "machines-silent": () => this.machineIsSilent(),
-    "work-lost": () => this.within(this.deployment.invariants.workLostAt, WORK_LOST_LASTS_MS),
-    cancelling: () => this.deployment.invariants.cancellationUnderWay(),
-    "user-pressure": () => this.deployment.userFaults.areOn() || this.deployment.membershipFaults.areOn(),
+    "work-lost": () => this.isWithin(this.deployment.invariants.workLostAt, WORK_LOST_EFFECTS_MS),
+    cancelling: () => this.deployment.invariants.hasCancellationInProgress(),
+    "user-pressure": () =>
+      this.deployment.userFaults.areActive() || this.deployment.membershipFaults.areActive(),
     "fast-boots": () => this.deployment.cloud.settings.bootWithinMs !== null,
-    "after-return": () => this.within(this.lastReturn(), RETURN_LASTS_MS),
+    "after-return": () => this.isWithin(this.lastReturn(), RETURN_EFFECTS_MS),
   }
 
-  private within(sinceMs: number, lastsMs: number): boolean {
-    return this.deployment.simulation.now <= sinceMs + lastsMs
+  private isWithin(startMs: number, durationMs: number): boolean {
+    return this.deployment.simulation.now <= startMs + durationMs
   }
-  private records(prefix: string) {
+  private recordsUnder(prefix: string) {
     return [...this.deployment.state.entries].filter(([path]) => path.startsWith(prefix))
   }
   private leaseIsOverdue(): boolean {
-    return this.records("s/live/").some(
-      ([, { leaseId }]) => this.deployment.state.leaseShareElapsed(leaseId) > OVERDUE_SHARE,
+    return this.recordsUnder("s/live/").some(
+      ([, { leaseId }]) => this.deployment.state.leaseShareElapsed(leaseId) > OVERDUE_LEASE_SHARE,
     )
   }
   private shardIsWithoutOwner(): boolean {
-    const standing = new Set(
-      this.records("s/live/").map(([, { value }]) => (value as { incarnation: string }).incarnation),
+    const liveIncarnations = new Set(
+      this.recordsUnder("s/live/").map(([, { value }]) => (value as { incarnation: string }).incarnation),
     )
-    return this.records("s/part/").some(([, { value }]) => {
+    return this.recordsUnder("s/part/").some(([, { value }]) => {
       const { incarnation } = value as { incarnation: string | null }
-      return incarnation === null || !standing.has(incarnation)
+      return incarnation === null || !liveIncarnations.has(incarnation)
     })
   }
   private shardWasJustAcquired(): boolean {
-    return this.within(this.deployment.state.lastChangeAt("s/part/"), FAILOVER_LASTS_MS)
+    return this.isWithin(this.deployment.state.lastChangeAt("s/part/"), FAILOVER_MS)
   }
   private machineIsSilent(): boolean {
     return [...this.deployment.cloud.machines.values()].some(
-      (machine) => machine.unansweredForMs() > SILENT_MS,
+      (machine) => machine.unansweredForMs() > MAX_UNANSWERED_MS,
     )
   }
   private lastReturn(): number {
--- a/packages/testkit/src/faults/fault-draws.ts
+++ b/packages/testkit/src/faults/fault-draws.ts
@@ -1,90 +1,92 @@
 /**
- * How a fault of a random day is drawn, and when which of its effects is to be
- * expected. All randomness comes from the source that is handed in.
+ * Random draws of the faults of a random day, and the times at which their effects are expected. All
+ * randomness comes from the random source that is passed in.
  */
 import { cancellationBudget } from "@sorreltally/settings"
 import type { RandomSource } from "../simulation/simulation.ts"
 import type { FaultEffect } from "./effects.ts"
 
-/** What the draws of a day depend on. */
+/** Settings of a random day on which its draws depend. */
 export interface DaySettings {
   readonly nodes: number
   readonly zones: ReadonlyArray<string>
   readonly leaseS: number
   readonly cancelS: number
   readonly teamLimit: number
-  /** Machines to be had of each type, zone and kind. */
+  /** Number of machines that can be rented of each type, zone and kind (spot or on-demand). */
   readonly capacity: number
   readonly stateRps: number
   readonly stateWrites: number
-  /** Share of a core that a controller has. */
+  /** Share of a core that a controller has, according to its settings. */
   readonly cores: number
-  /** The share that its work really has; null: its work takes no time. */
+  /** Share of a core that a controller's work actually gets; null: work takes no simulated time. */
   readonly processorShare: number | null
 }
-/** When an effect of a fault is to be expected, in seconds after the fault began. */
+/** Time window in which an effect of a fault is expected, in seconds after the fault began. */
 export interface EffectWindow {
   readonly effect: FaultEffect
   readonly fromS: number
   readonly toS: number
 }
-/** One fault as drawn: its scenario verb with arguments, and how long it lasts. */
+/** A drawn fault: its scenario action with arguments, its duration, and the windows of its effects. */
 export interface DrawnFault {
   readonly form: string
-  readonly lastsS: number
+  readonly durationS: number
   readonly windows: ReadonlyArray<EffectWindow>
 }
-/** A kind of fault and how one of it is drawn. */
+/** A kind of fault, and the function that draws a fault of this kind. */
 export interface FaultKind {
   readonly name: string
   readonly draw: (random: RandomSource, settings: DaySettings) => DrawnFault
 }
 
-/** How long a failover goes on once the former owner's lease has ended. */
+/** Duration of a failover from the end of the previous owner's lease. */
 export const FAILOVER_S = 4
-const AFTER_RETURN_S = 6
-/** A silence shows once a heartbeat or two are missed. */
-const SILENCE_NOTICED_S = 6
+/** Effects of a host or service coming back last this long. */
+const RETURN_EFFECTS_S = 6
+/** A silent machine is detected after one or two missed heartbeats. */
+const SILENCE_DETECTION_S = 6
+/** Lost work is restarted within this time. */
 const RECOVERY_S = 20
 
-/** The effect is to be expected between two times; none if there is no time between them. */
+/** Returns the window between two times, or none if it is empty. */
 export const effectWindow = (effect: FaultEffect, fromS: number, toS: number): ReadonlyArray<EffectWindow> =>
   toS > fromS ? [{ effect, fromS, toS }] : []
 
-/** How long the node lease of a controller lasts that can't renew it, in seconds. */
+/** Time to live of a node lease that is not renewed, in seconds. */
 export const leaseTtlS = ({ leaseS, cancelS }: DaySettings): number => {
   const times = { leaseS, cancellationLimitS: cancelS }
   return cancellationBudget(times, { nodeLeaseTtlMs: null, nodeLeaseMarginMs: null }).leaseTtlMs / 1000
 }
-/** A controller that acts no longer, and can renew its lease again after `lastsS`. */
-export const leaseLapse = (lastsS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
+/** Windows for a controller that can't act or renew its lease until `durationS` after the fault began. */
+export const leaseLapse = (durationS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
   const ttlS = leaseTtlS(settings)
   return [
-    ...effectWindow("entitlement-lapses", ttlS / 2, Math.min(lastsS, ttlS)),
-    ...(lastsS > ttlS ? effectWindow("take-over", ttlS, ttlS + FAILOVER_S) : []),
-    ...afterReturn(lastsS),
+    ...effectWindow("entitlement-lapses", ttlS / 2, Math.min(durationS, ttlS)),
+    ...(durationS > ttlS ? effectWindow("take-over", ttlS, ttlS + FAILOVER_S) : []),
+    ...afterReturn(durationS),
   ]
 }
-/** Something comes back after `lastsS`: its effect lasts on for some seconds. */
-export const afterReturn = (lastsS: number): ReadonlyArray<EffectWindow> =>
-  effectWindow("after-return", lastsS + 0.1, lastsS + AFTER_RETURN_S)
-/** Tasks are lost at `fromS`, and the work is taken up again. */
+/** Window after the end of a fault, in which its effects still last. */
+export const afterReturn = (durationS: number): ReadonlyArray<EffectWindow> =>
+  effectWindow("after-return", durationS + 0.1, durationS + RETURN_EFFECTS_S)
+/** Window after tasks were lost at `fromS`, in which their work is restarted. */
 export const workLostAfter = (fromS: number): ReadonlyArray<EffectWindow> =>
   effectWindow("work-lost", fromS + 0.2, fromS + RECOVERY_S)
-/** Machines that reach nobody, or that nobody reaches: up to their lease, then what they ran is lost. */
-export const machineSilence = (lastsS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
-  ...effectWindow("machines-silent", SILENCE_NOTICED_S, Math.min(lastsS, leaseS)),
-  ...(lastsS > leaseS + 1 ? workLostAfter(leaseS + 1) : []),
+/** Windows for machines that no message leaves or reaches: their tasks are lost with the agent lease. */
+export const machineSilence = (durationS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
+  ...effectWindow("machines-silent", SILENCE_DETECTION_S, Math.min(durationS, leaseS)),
+  ...(durationS > leaseS + 1 ? workLostAfter(leaseS + 1) : []),
 ]
 
-/** The leader of the moment, or any controller, as scenarios name them. */
+/** Draws the current leader or any controller, by its name in scenarios. */
 export const drawController = (random: RandomSource, { nodes }: DaySettings) =>
   random.chance(0.5) ? "leader" : `host-${random.integerBetween(0, nodes - 1)}`
-/** What a cut does with messages, as scenarios name it. */
+/** Draws the effect of a network cut on messages, by its name in scenarios. */
 export const drawCutMode = (random: RandomSource) => random.pick(["hold", "hold", "drop", "reset"])
-/** Half of the spells end within the workers' lease, the others after it. */
-export const drawSpellS = (random: RandomSource, { leaseS }: DaySettings) =>
+/** Draws a duration in seconds; half of them end before the agent lease does, the others after it. */
+export const drawDurationS = (random: RandomSource, { leaseS }: DaySettings) =>
   random.chance(0.5) ? random.integerBetween(3, leaseS - 2) : random.integerBetween(leaseS + 2, leaseS + 33)
 
-/** A row of the table of faults. */
+/** Builds an entry of the table of faults. */
 export const faultKind = (name: string, draw: FaultKind["draw"]): FaultKind => ({ name, draw })
--- a/packages/testkit/src/faults/fault-kinds.ts
+++ b/packages/testkit/src/faults/fault-kinds.ts
@@ -1,12 +1,12 @@
 /**
- * The table of faults that random days draw. Its order decides which pairs of
- * faults a day's seed gives: new ones go to its end.
+ * The table of faults that random days draw. Its order determines the pairs of faults that a seed yields:
+ * new kinds are added at the end.
  */
 import {
   afterReturn,
   drawController,
   drawCutMode,
-  drawSpellS,
+  drawDurationS,
   effectWindow,
   FAILOVER_S,
   type FaultKind,
@@ -17,253 +17,254 @@
   workLostAfter,
 } from "./fault-draws.ts"
 
-/** Every fault that random days draw, mostly under the name of its scenario verb. */
+/** All kinds of faults that random days draw, most of them named after their scenario action. */
 export const faultKinds: ReadonlyArray<FaultKind> = [
   faultKind("crash", (random, settings) => {
-    const backS = random.pick([0.2, 1, 4, 8, 20])
-    const windows = backS < leaseTtlS(settings) ? effectWindow("take-over", 0.3, backS + FAILOVER_S) : []
+    const downS = random.pick([0.2, 1, 4, 8, 20])
+    const windows = downS < leaseTtlS(settings) ? effectWindow("take-over", 0.3, downS + FAILOVER_S) : []
     return {
-      form: `(crash ${drawController(random, settings)} ${backS})`,
-      lastsS: backS,
-      windows: [...windows, ...leaseLapse(backS, settings)],
+      form: `(crash ${drawController(random, settings)} ${downS})`,
+      durationS: downS,
+      windows: [...windows, ...leaseLapse(downS, settings)],
     }
   }),
   faultKind("crash-all", (random, { leaseS }) => {
-    const backS = random.pick([0.3, 3, 8, leaseS + 4])
+    const downS = random.pick([0.3, 3, 8, leaseS + 4])
     return {
-      form: `(crash-all ${backS})`,
-      lastsS: backS,
+      form: `(crash-all ${downS})`,
+      durationS: downS,
       windows: [
-        ...effectWindow("take-over", 0.1, backS + FAILOVER_S),
-        ...afterReturn(backS),
-        ...machineSilence(backS, leaseS),
+        ...effectWindow("take-over", 0.1, downS + FAILOVER_S),
+        ...afterReturn(downS),
+        ...machineSilence(downS, leaseS),
       ],
     }
   }),
   faultKind("end-leaders", (random) => {
     const times = random.integerBetween(3, 10)
     const everyS = random.pick([1, 3, 8, 12])
-    const backS = random.pick([0.2, 1, 4])
+    const downS = random.pick([0.2, 1, 4])
     return {
-      form: `(end-leaders ${times} ${everyS} ${backS})`,
-      lastsS: times * everyS,
+      form: `(end-leaders ${times} ${everyS} ${downS})`,
+      durationS: times * everyS,
       windows: effectWindow("take-over", 0.3, times * everyS),
     }
   }),
   faultKind("end-each", (random, { nodes }) => {
     const everyS = random.pick([0.2, 1, 5])
-    const backS = random.pick([0.2, 1, 8])
-    const lastsS = nodes * everyS + backS
+    const downS = random.pick([0.2, 1, 8])
+    const durationS = nodes * everyS + downS
     return {
-      form: `(end-each ${everyS} ${backS})`,
-      lastsS,
-      windows: [...effectWindow("take-over", 0.3, lastsS), ...afterReturn(lastsS)],
+      form: `(end-each ${everyS} ${downS})`,
+      durationS,
+      windows: [...effectWindow("take-over", 0.3, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("cancel-at-hand-overs", (random) => {
-    const lastsS = random.integerBetween(20, 60)
+    const durationS = random.integerBetween(20, 60)
     return {
-      form: `(cancel-at-hand-overs ${random.integerBetween(1, 3)} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("user-pressure", 0, lastsS),
+      form: `(cancel-at-hand-overs ${random.integerBetween(1, 3)} ${durationS})`,
+      durationS,
+      windows: effectWindow("user-pressure", 0, durationS),
     }
   }),
   faultKind("state-outage", (random, settings) => {
-    const lastsS = random.chance(0.6)
+    const durationS = random.chance(0.6)
       ? random.integerBetween(3, 25)
       : random.integerBetween(settings.cancelS, settings.cancelS + 8)
     return {
-      form: `(state-outage ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("state-outage", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(state-outage ${durationS})`,
+      durationS,
+      windows: [...effectWindow("state-outage", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("state-refuses", (random, settings) => {
-    const lastsS = random.integerBetween(3, 40)
+    const durationS = random.integerBetween(3, 40)
     return {
-      form: `(state-refuses ${drawController(random, settings)} ${lastsS})`,
-      lastsS,
-      windows: leaseLapse(lastsS, settings),
+      form: `(state-refuses ${drawController(random, settings)} ${durationS})`,
+      durationS,
+      windows: leaseLapse(durationS, settings),
     }
   }),
   faultKind("state-slow", (random) => {
-    const lastsS = random.integerBetween(5, 40)
+    const durationS = random.integerBetween(5, 40)
     return {
-      form: `(state-slow ${random.pick([200, 800, 2_000])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(state-slow ${random.pick([200, 800, 2_000])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("late-transactions", (random) => {
-    const lastsS = random.integerBetween(5, 40)
+    const durationS = random.integerBetween(5, 40)
     return {
-      form: `(late-transactions ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(late-transactions ${random.pick([0.05, 0.2, 0.5])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("lost-answers", (random) => {
-    const lastsS = random.integerBetween(5, 40)
+    const durationS = random.integerBetween(5, 40)
     return {
-      form: `(lost-answers ${random.pick([0.05, 0.2, 0.5])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(lost-answers ${random.pick([0.05, 0.2, 0.5])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("cloud-outage", (random) => {
-    const lastsS = random.integerBetween(3, 30)
+    const durationS = random.integerBetween(3, 30)
     return {
-      form: `(cloud-outage ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("cloud-outage", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(cloud-outage ${durationS})`,
+      durationS,
+      windows: [...effectWindow("cloud-outage", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("cut-machines", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(cut-machines ${random.integerBetween(1, 6)} ${lastsS} ${drawCutMode(random)})`,
-      lastsS,
+      form: `(cut-machines ${random.integerBetween(1, 6)} ${durationS} ${drawCutMode(random)})`,
+      durationS,
       windows: [
-        ...effectWindow("network-cut", 0, lastsS),
-        ...machineSilence(lastsS, settings.leaseS),
-        ...afterReturn(lastsS),
+        ...effectWindow("network-cut", 0, durationS),
+        ...machineSilence(durationS, settings.leaseS),
+        ...afterReturn(durationS),
       ],
     }
   }),
   faultKind("cut-zones", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(cut-zones ${lastsS} ${drawCutMode(random)})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(cut-zones ${durationS} ${drawCutMode(random)})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("cut-zone", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(cut-zone ${random.pick(settings.zones)} ${lastsS} ${drawCutMode(random)})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...leaseLapse(lastsS, settings)],
+      form: `(cut-zone ${random.pick(settings.zones)} ${durationS} ${drawCutMode(random)})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapse(durationS, settings)],
     }
   }),
   faultKind("cut-peers", (random, settings) => {
-    const lastsS = random.integerBetween(3, 40)
+    const durationS = random.integerBetween(3, 40)
     return {
-      form: `(cut-peers ${drawController(random, settings)} ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(cut-peers ${drawController(random, settings)} ${durationS})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("refuse-peers", (random) => {
-    const lastsS = random.integerBetween(3, 30)
+    const durationS = random.integerBetween(3, 30)
     return {
-      form: `(refuse-peers ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(refuse-peers ${durationS})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("cut-orders", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(cut-orders ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...afterReturn(lastsS)],
+      form: `(cut-orders ${durationS})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
     }
   }),
   faultKind("isolate", (random, settings) => {
-    const lastsS = random.integerBetween(3, 50)
+    const durationS = random.integerBetween(3, 50)
     return {
-      form: `(isolate ${drawController(random, settings)} ${lastsS})`,
-      lastsS,
-      windows: [...effectWindow("network-cut", 0, lastsS), ...leaseLapse(lastsS, settings)],
+      form: `(isolate ${drawController(random, settings)} ${durationS})`,
+      durationS,
+      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapse(durationS, settings)],
     }
   }),
   faultKind("freeze", (random, settings) => {
-    const lastsS = random.integerBetween(5, 35)
-    const sending = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
+    const durationS = random.integerBetween(5, 35)
+    const frozenRequest = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
     return {
-      form: `(freeze ${drawController(random, settings)} ${lastsS}${sending})`,
-      lastsS,
+      form: `(freeze ${drawController(random, settings)} ${durationS}${frozenRequest})`,
+      durationS,
       windows:
-        sending === ""
-          ? leaseLapse(lastsS, settings)
+        frozenRequest === ""
+          ? leaseLapse(durationS, settings)
           : effectWindow("entitlement-lapses", 0.6 * leaseTtlS(settings), leaseTtlS(settings)),
     }
   }),
   faultKind("hang", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(hang ${random.integerBetween(1, 6)} ${lastsS})`,
-      lastsS,
-      windows: [...machineSilence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
+      form: `(hang ${random.integerBetween(1, 6)} ${durationS})`,
+      durationS,
+      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
     }
   }),
   faultKind("machines-receive-nothing", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
     return {
-      form: `(machines-receive-nothing ${random.integerBetween(1, 6)} ${lastsS})`,
-      lastsS,
-      windows: [...machineSilence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
+      form: `(machines-receive-nothing ${random.integerBetween(1, 6)} ${durationS})`,
+      durationS,
+      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
     }
   }),
   faultKind("machines-send-nothing", (random, settings) => {
-    const lastsS = drawSpellS(random, settings)
+    const durationS = drawDurationS(random, settings)
+    const count = random.integerBetween(1, 6)
     return {
-      form: `(machines-send-nothing ${random.integerBetween(1, 6)} ${lastsS} ${random.pick(["reset", "drop"])})`,
-      lastsS,
-      windows: [...machineSilence(lastsS, settings.leaseS), ...afterReturn(lastsS)],
+      form: `(machines-send-nothing ${count} ${durationS} ${random.pick(["reset", "drop"])})`,
+      durationS,
+      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
     }
   }),
   faultKind("late-reports", (random) => {
-    const lastsS = random.integerBetween(10, 40)
+    const durationS = random.integerBetween(10, 40)
     return {
-      form: `(late-reports ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(late-reports ${random.pick([0.1, 0.3, 0.6])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("late-reports-for-next", (random) => {
-    const lastsS = random.integerBetween(10, 40)
+    const durationS = random.integerBetween(10, 40)
     return {
-      form: `(late-reports ${random.pick([0.1, 0.3])} ${lastsS} for-next)`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(late-reports ${random.pick([0.1, 0.3])} ${durationS} for-next)`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("late-commands", (random) => {
-    const lastsS = random.integerBetween(10, 40)
+    const durationS = random.integerBetween(10, 40)
     return {
-      form: `(late-commands ${random.pick([0.1, 0.3, 0.6])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(late-commands ${random.pick([0.1, 0.3, 0.6])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("fast-boots", (random) => {
-    const lastsS = random.integerBetween(20, 60)
+    const durationS = random.integerBetween(20, 60)
     return {
-      form: `(fast-boots ${lastsS} ${random.pick([1, 2])})`,
-      lastsS,
-      windows: effectWindow("fast-boots", 0, lastsS),
+      form: `(fast-boots ${durationS} ${random.pick([1, 2])})`,
+      durationS,
+      windows: effectWindow("fast-boots", 0, durationS),
     }
   }),
   faultKind("reboot", (random) => {
     const downS = random.pick([0.1, 0.5, 5])
     return {
       form: `(reboot ${random.integerBetween(1, 6)} ${downS})`,
-      lastsS: downS,
+      durationS: downS,
       windows: workLostAfter(0),
     }
   }),
   faultKind("die", (random) => ({
     form: `(die ${random.integerBetween(1, 6)})`,
-    lastsS: 0,
+    durationS: 0,
     windows: workLostAfter(0),
   })),
   faultKind("take-spot", (random) => {
     const noticeS = random.pick([0, 0, 8, 15])
     return {
       form: `(take-spot ${random.integerBetween(1, 6)} ${noticeS})`,
-      lastsS: noticeS,
+      durationS: noticeS,
       windows: workLostAfter(noticeS),
     }
   }),
@@ -271,7 +272,7 @@
     const hangS = random.pick([0, 0, 8, leaseS - 2, leaseS + 10])
     return {
       form: `(cancel-burst ${random.integerBetween(2, 6)} ${hangS})`,
-      lastsS: hangS,
+      durationS: hangS,
       windows: [
         ...effectWindow("cancelling", 0.05, Math.max(0.5, Math.min(hangS, leaseS))),
         ...(hangS > 0 ? afterReturn(hangS) : []),
@@ -279,43 +280,51 @@
     }
   }),
   faultKind("cancel-at-end", (random) => {
-    const lastsS = random.integerBetween(30, 90)
+    const durationS = random.integerBetween(30, 90)
     return {
-      form: `(cancel-at-end ${random.pick([0.2, 0.5])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("user-pressure", 0, lastsS),
+      form: `(cancel-at-end ${random.pick([0.2, 0.5])} ${durationS})`,
+      durationS,
+      windows: effectWindow("user-pressure", 0, durationS),
     }
   }),
   faultKind("odd-requests", (random) => {
-    const lastsS = random.integerBetween(20, 60)
-    return { form: `(odd-requests ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
+    const durationS = random.integerBetween(20, 60)
+    return {
+      form: `(odd-requests ${durationS})`,
+      durationS,
+      windows: effectWindow("user-pressure", 0, durationS),
+    }
   }),
   faultKind("close-polls", (random) => {
-    const lastsS = random.integerBetween(20, 60)
-    return { form: `(close-polls ${lastsS})`, lastsS, windows: effectWindow("user-pressure", 0, lastsS) }
+    const durationS = random.integerBetween(20, 60)
+    return {
+      form: `(close-polls ${durationS})`,
+      durationS,
+      windows: effectWindow("user-pressure", 0, durationS),
+    }
   }),
   faultKind("lose-messages", (random) => {
-    const lastsS = random.integerBetween(5, 30)
+    const durationS = random.integerBetween(5, 30)
     return {
-      form: `(lose-messages 0.03 ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(lose-messages 0.03 ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("slow-links", (random) => {
-    const lastsS = random.integerBetween(10, 40)
+    const durationS = random.integerBetween(10, 40)
     return {
-      form: `(slow-links ${random.pick([0.1, 0.4, 0.8])} ${lastsS})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(slow-links ${random.pick([0.1, 0.4, 0.8])} ${durationS})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
   faultKind("repeat-messages", (random) => {
-    const lastsS = random.integerBetween(5, 30)
+    const durationS = random.integerBetween(5, 30)
     return {
-      form: `(repeat-messages 0.05 ${lastsS} ${random.pick([5, 20, 70])})`,
-      lastsS,
-      windows: effectWindow("messages-astray", 0, lastsS),
+      form: `(repeat-messages 0.05 ${durationS} ${random.pick([5, 20, 70])})`,
+      durationS,
+      windows: effectWindow("messages-astray", 0, durationS),
     }
   }),
 ]
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of machines and of the network between them and the controllers. It acts on the
- * stand-ins alone, never on a controller's state.
+ * Faults of machines and of the network between them and the controllers. They act on the simulated
+ * services only, never on the state of a controller.
  */
 import type { NodeName } from "@sorreltally/protocol"
 import type { Machine } from "../services/machine.ts"
@@ -10,24 +10,24 @@
 
 const SHARD_PREFIX = "s/part/"
 const MACHINE_BLOCK_PREFIX = "s/block/"
-/** Late copies of heartbeats come at most this many leases later. */
+/** Longest delay of a copy of a heartbeat, in agent lease durations. */
 const MAX_HEARTBEAT_DELAY_LEASES = 2.2
 const MAX_COMMAND_DELAY_MS = 16_000
 /** Within this time a new owner has read the records of its shard and received its first heartbeats. */
 const NEW_LEADER_STARTUP_MS = 2_000
 
-/** By then a controller can tell that a machine's heartbeats don't come any more. */
-const SILENCE_NOTICED_MS = 10_000
+/** After this time a controller can detect that a machine sends no heartbeats. */
+const SILENCE_DETECTION_MS = 10_000
 
 const startsTasks = ({ path, body }: Request): boolean =>
   path === "/orders" && decodeCommands(body).commands.some(({ type }) => type === "start")
 
-/** What a machine can suffer without being gone; the words are those of counted events. */
+/** Faults that a machine survives. The names are part of the names of counted occurrences. */
 type MachineFault = "receives nothing" | "sends nothing" | "cut" | "hung"
 
 /** Faults of machines and of the network between them and the controllers. */
 export class InfrastructureFaults {
-  /** Machines that are under each kind of fault right now. */
+  /** For each kind of fault, the times until which machines are affected, by machine id. */
   private readonly affectedUntil: Record<MachineFault, Map<string, number>> = {
     "receives nothing": new Map(),
     "sends nothing": new Map(),
@@ -46,30 +46,31 @@
     })
   }
 
-  // --- what meets what ----------------------------------------------------------
+  // --- coincidences of faults ---------------------------------------------------
 
-  private markAffected(by: MachineFault, ids: Iterable<string>, forMs: number): void {
-    const until = this.deployment.simulation.now + forMs
-    for (const id of ids) this.affectedUntil[by].set(id, Math.max(until, this.affectedUntil[by].get(id) ?? 0))
+  private markAffected(fault: MachineFault, ids: Iterable<string>, durationMs: number): void {
+    const until = this.deployment.simulation.now + durationMs
+    for (const id of ids)
+      this.affectedUntil[fault].set(id, Math.max(until, this.affectedUntil[fault].get(id) ?? 0))
   }
-  private isAffected(by: MachineFault, id: string): boolean {
-    return this.deployment.simulation.now < (this.affectedUntil[by].get(id) ?? 0)
+  private isAffected(fault: MachineFault, id: string): boolean {
+    return this.deployment.simulation.now < (this.affectedUntil[fault].get(id) ?? 0)
   }
-  /** A shard has a new owner. */
-  private shardAcquired(part: string): void {
+  /** Counts the faults that coincide with the acquisition of a shard. */
+  private shardAcquired(key: string): void {
     const { simulation, cloud } = this.deployment
-    const first = !this.acquiredAt.has(part)
-    this.acquiredAt.set(part, simulation.now)
-    if (first) return
-    for (const by of Object.keys(this.affectedUntil) as Array<MachineFault>) {
-      for (const machine of this.running())
-        if (this.isAffected(by, machine.id))
-          simulation.occurrences.count(`tasks on machines at a take-over: ${by}`, machine.runningTasks)
+    const isFirst = !this.acquiredAt.has(key)
+    this.acquiredAt.set(key, simulation.now)
+    if (isFirst) return
+    for (const fault of Object.keys(this.affectedUntil) as Array<MachineFault>) {
+      for (const machine of this.runningMachines())
+        if (this.isAffected(fault, machine.id))
+          simulation.occurrences.count(`tasks on machines at a take-over: ${fault}`, machine.runningTasks)
     }
-    const recorded = [...this.deployment.state.entries].filter(([path]) =>
+    const machineBlocks = [...this.deployment.state.entries].filter(([path]) =>
       path.startsWith(MACHINE_BLOCK_PREFIX),
     )
-    const records = recorded.map(([, { value }]) => JSON.stringify(value))
+    const records = machineBlocks.map(([, { value }]) => JSON.stringify(value))
     for (const { id, status } of cloud.machines.values()) {
       if (status === "running" && !records.some((record) => record.includes(id)))
         simulation.occurrences.count("machines up without a record at a take-over")
@@ -77,7 +78,7 @@
     this.deliverKeptHeartbeats()
   }
   /** A controller answered a request with 200. */
-  answered(node: NodeName, path: string): void {
+  requestAnswered(node: NodeName, path: string): void {
     const { occurrences } = this.deployment.simulation
     if (path === "/v1/report" && this.isolated.has(node))
       occurrences.count("reports answered by an isolated controller")
@@ -85,38 +86,38 @@
       occurrences.count("cancellations confirmed while a controller is isolated")
   }
 
-  // --- messages late --------------------------------------------------------------
+  // --- late and lost messages -----------------------------------------------------
 
-  /** Of that share of the workers' heartbeats a copy arrives again, from 2 s to well over a lease later. */
-  delayHeartbeats(share: number, forMs: number): void {
+  /** Delivers a copy of that share of heartbeats again, from 2 s to more than two agent leases later. */
+  delayHeartbeats(share: number, durationMs: number): void {
     const { simulation, network } = this.deployment
-    const longestMs = this.deployment.cloud.settings.times.lease_s * 1000 * MAX_HEARTBEAT_DELAY_LEASES
-    this.deployment.invariants.faultLasts(forMs + longestMs)
-    const end = network.intercept((outgoing) => {
+    const maxDelayMs = this.deployment.cloud.settings.times.lease_s * 1000 * MAX_HEARTBEAT_DELAY_LEASES
+    this.deployment.invariants.recordFault(durationMs + maxDelayMs)
+    const stopIntercepting = network.intercept((outgoing) => {
       if (outgoing.request.path === "/v1/report" && simulation.random.chance(share)) {
-        const afterMs = simulation.random.between(2_000, longestMs)
+        const afterMs = simulation.random.between(2_000, maxDelayMs)
         outgoing.deliverCopy(outgoing.to, afterMs)
         simulation.after(afterMs, () => this.countLateHeartbeat(outgoing))
       }
       return "pass"
     })
-    simulation.after(forMs, end)
+    simulation.after(durationMs, stopIntercepting)
   }
-  /** Copies of that share are kept until a shard has a new owner, and then reach all controllers at once. */
-  keepHeartbeatsForNextLeader(share: number, forMs: number): void {
+  /** Keeps a share of heartbeats until a shard has a new owner, then sends them to all controllers. */
+  keepHeartbeatsForNextLeader(share: number, durationMs: number): void {
     const { simulation, network } = this.deployment
-    const end = network.intercept((outgoing) => {
+    const stopIntercepting = network.intercept((outgoing) => {
       if (outgoing.request.path === "/v1/report" && simulation.random.chance(share))
         this.keptHeartbeats.push(outgoing)
       return "pass"
     })
-    simulation.after(forMs, end)
+    simulation.after(durationMs, stopIntercepting)
   }
   private deliverKeptHeartbeats(): void {
     const { simulation, names } = this.deployment
-    if (this.keptHeartbeats.length > 0) this.deployment.invariants.faultLasts(NEW_LEADER_STARTUP_MS)
+    if (this.keptHeartbeats.length > 0) this.deployment.invariants.recordFault(NEW_LEADER_STARTUP_MS)
     for (const outgoing of this.keptHeartbeats.splice(0)) {
-      // Before, while and after the new owner reads the records of its shard.
+      // The copies arrive before, while and after the new owner reads the records of its shard.
       const afterMs = simulation.random.between(0, NEW_LEADER_STARTUP_MS)
       for (const node of names) outgoing.deliverCopy(node, afterMs)
       simulation.after(afterMs, () => {
@@ -135,172 +136,179 @@
     if (agentEpoch > machine.agentEpoch || isAhead)
       occurrences.count("late reports of a worker's former self")
     if (agentEpoch < machine.agentEpoch) occurrences.count("late reports of an earlier session")
-    const newestAttempt = (taskId: string) => Math.max(...this.running().map((m) => m.attemptOf(taskId)))
+    const newestAttempt = (taskId: string) =>
+      Math.max(...this.runningMachines().map((m) => m.attemptOf(taskId)))
     if (tasks.some(({ taskId, attempt }) => attempt < newestAttempt(taskId)))
       occurrences.count("late reports of an earlier attempt")
   }
-  /** That share of direct commands is held up, unanswered, and carried out once, 2 to 16 s late. */
-  delayCommands(share: number, forMs: number): void {
+  /** Delays that share of direct commands by 2 to 16 s. They run once; their sender gets no answer. */
+  delayCommands(share: number, durationMs: number): void {
     const { simulation, network } = this.deployment
-    this.deployment.invariants.faultLasts(forMs + MAX_COMMAND_DELAY_MS)
-    const end = network.intercept((outgoing) => {
+    this.deployment.invariants.recordFault(durationMs + MAX_COMMAND_DELAY_MS)
+    const stopIntercepting = network.intercept((outgoing) => {
       if (outgoing.request.path !== "/orders" || !simulation.random.chance(share)) return "pass"
-      const sent = simulation.now
+      const sentAt = simulation.now
       outgoing.deliverCopy(
         outgoing.to,
         simulation.random.between(2_000, MAX_COMMAND_DELAY_MS),
         ({ status }) => {
           simulation.occurrences.count(status === 200 ? "late commands carried out" : "late commands refused")
-          const leaderChanged = [...this.acquiredAt.values()].some((at) => at > sent)
+          const leaderChanged = [...this.acquiredAt.values()].some((at) => at > sentAt)
           if (leaderChanged) simulation.occurrences.count("late commands of a leader before the present one")
         },
       )
       return "withhold"
     })
-    simulation.after(forMs, end)
+    simulation.after(durationMs, stopIntercepting)
   }
-  /** Machines that reach no controller, while direct commands reach them and are answered. */
-  machinesSendNothing(count: number, forMs: number, mode: CutMode): void {
+  /** Machines whose messages reach no controller, while direct commands reach them and are answered. */
+  machinesSendNothing(count: number, durationMs: number, mode: CutMode): void {
     const { simulation, network, names } = this.deployment
     const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
     const nodes = new Set<string>(names)
-    this.markAffected("sends nothing", ids, forMs)
+    this.markAffected("sends nothing", ids, durationMs)
     const verdict = mode === "reset" ? "refuse" : "withhold"
-    const silentFrom = simulation.now + SILENCE_NOTICED_MS
-    const end = network.intercept(({ from, to, request }) => {
+    const silentFrom = simulation.now + SILENCE_DETECTION_MS
+    const stopIntercepting = network.intercept(({ from, to, request }) => {
       if (ids.has(to) && simulation.now > silentFrom && startsTasks(request))
         simulation.occurrences.count("starts sent to machines that send nothing")
       return ids.has(from) && nodes.has(to) ? verdict : "pass"
     })
-    simulation.after(forMs, end)
+    simulation.after(durationMs, stopIntercepting)
   }
-  /** New machines are up within so long. */
-  bootFast(withinMs: number, forMs: number): void {
+  /** Machines rented within `durationMs` boot within `maxBootMs`. */
+  limitBootTime(maxBootMs: number, durationMs: number): void {
     const { settings } = this.deployment.cloud
-    settings.bootWithinMs = withinMs
-    this.deployment.simulation.after(forMs, () => {
+    settings.bootWithinMs = maxBootMs
+    this.deployment.simulation.after(durationMs, () => {
       settings.bootWithinMs = null
     })
   }
 
   // --- machines and cuts -------------------------------------------------------------
 
-  /** One zone apart from everything outside of it. */
-  cutZone(zone: string, forMs: number, mode: CutMode): void {
+  /** Cuts one zone off from all hosts outside of it. */
+  cutZone(zone: string, durationMs: number, mode: CutMode): void {
     const isInside = (host: string) => this.deployment.zoneOf(host) === zone
-    const ids = this.running()
+    const ids = this.runningMachines()
       .filter((m) => m.zone === zone)
       .map((m) => m.id)
-    this.markAffected("cut", ids, forMs)
+    this.markAffected("cut", ids, durationMs)
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cut((a, b) => isInside(a) && !isInside(b), mode),
     )
   }
-  /** Controllers can't connect to each other. */
-  refusePeers(forMs: number): void {
+  /** Connections between controllers are refused. */
+  refusePeers(durationMs: number): void {
     const nodes = new Set<string>(this.deployment.names)
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cut((a, b) => nodes.has(a) && nodes.has(b), "reset"),
     )
   }
-  /** Machines stop with all that is on them; the list says so much later. */
-  die(count: number): void {
-    for (const machine of this.someMachines(count)) machine.die()
+  /** Stops machines with all their tasks; the cloud's machine list shows it only much later. */
+  killMachines(count: number): void {
+    for (const machine of this.pickMachines(count)) machine.die()
   }
 
-  running(): ReadonlyArray<Machine> {
+  runningMachines(): ReadonlyArray<Machine> {
     return [...this.deployment.cloud.machines.values()].filter((m) => m.status === "running" && !m.gone)
   }
-  someMachines(count: number): ReadonlyArray<Machine> {
-    const from = [...this.running()]
-    const out: Array<Machine> = []
-    while (out.length < count && from.length > 0) {
-      out.push(...from.splice(Math.floor(this.deployment.simulation.random.next() * from.length), 1))
+  /** Picks up to `count` running machines at random. */
+  pickMachines(count: number): ReadonlyArray<Machine> {
+    const candidates = [...this.runningMachines()]
+    const picked: Array<Machine> = []
+    while (picked.length < count && candidates.length > 0) {
+      picked.push(
+        ...candidates.splice(Math.floor(this.deployment.simulation.random.next() * candidates.length), 1),
+      )
     }
-    return out
+    return picked
   }
-  /** Machines with tasks before idle ones: a fault of a machine without work says little. */
+  /** Picks random machines, those with tasks first: a fault of an idle machine tests little. */
   private busyMachinesFirst(count: number): ReadonlyArray<Machine> {
-    const shuffled = this.someMachines(Number.POSITIVE_INFINITY)
+    const shuffled = this.pickMachines(Number.POSITIVE_INFINITY)
     return [...shuffled]
       .sort((a, b) => Number(b.runningTasks > 0) - Number(a.runningTasks > 0))
       .slice(0, count)
   }
-  cutMachines(count: number, forMs: number, mode: CutMode): void {
-    const ids = new Set(this.someMachines(count).map((m) => m.id))
-    this.markAffected("cut", ids, forMs)
+  /** Cuts random machines off from all other hosts. */
+  cutMachines(count: number, durationMs: number, mode: CutMode): void {
+    const ids = new Set(this.pickMachines(count).map((m) => m.id))
+    this.markAffected("cut", ids, durationMs)
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cut((a) => ids.has(a), mode),
     )
   }
-  cutZones(forMs: number, mode: CutMode): void {
-    const [one, two] = this.deployment.setup.zones
+  /** Cuts the first two zones off from each other. */
+  cutZones(durationMs: number, mode: CutMode): void {
+    const [first, second] = this.deployment.setup.zones
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cut(
-        (a, b) => this.deployment.zoneOf(a) === one && this.deployment.zoneOf(b) === two,
+        (a, b) => this.deployment.zoneOf(a) === first && this.deployment.zoneOf(b) === second,
         mode,
       ),
     )
   }
-  /** One controller apart from the others; everything else reaches it. */
-  cutPeers(node: NodeName, forMs: number): void {
+  /** Cuts one controller off from the other controllers; all other hosts still reach it. */
+  cutPeers(node: NodeName, durationMs: number): void {
     const others = new Set<string>(this.deployment.names.filter((n) => n !== node))
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cut((a, b) => a === node && others.has(b), "drop"),
     )
   }
-  /** Only the way from controllers to some machines: late `/orders`, while heartbeats go through. */
-  cutCommands(forMs: number): void {
+  /** Holds messages from controllers to all running machines: `/orders` are late, while heartbeats arrive. */
+  cutCommands(durationMs: number): void {
     const nodes = new Set<string>(this.deployment.names)
-    const ids = new Set(this.running().map((m) => m.id))
+    const ids = new Set(this.runningMachines().map((m) => m.id))
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cutOneWay((from, to) => nodes.has(from) && ids.has(to), "hold"),
     )
   }
-  /** One controller that its workers and users still reach, without state service and other controllers. */
-  isolate(node: NodeName, forMs: number): void {
+  /** Cuts one controller off from the state service and all other controllers, not from workers and users. */
+  isolate(node: NodeName, durationMs: number): void {
     this.isolated.add(node)
-    this.deployment.simulation.after(forMs, () => this.isolated.delete(node))
-    const lost = new Set<string>(["state", ...this.deployment.names.filter((n) => n !== node)])
+    this.deployment.simulation.after(durationMs, () => this.isolated.delete(node))
+    const unreachable = new Set<string>(["state", ...this.deployment.names.filter((n) => n !== node)])
     this.deployment.simulation.after(
-      forMs,
-      this.deployment.network.cut((a, b) => a === node && lost.has(b), "drop"),
+      durationMs,
+      this.deployment.network.cut((a, b) => a === node && unreachable.has(b), "drop"),
     )
   }
-  /** Machines whose heartbeats arrive, and that receive nothing. */
-  machinesReceiveNothing(count: number, forMs: number): void {
+  /** Machines whose heartbeats arrive, and that receive no messages. */
+  machinesReceiveNothing(count: number, durationMs: number): void {
     const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
-    this.markAffected("receives nothing", ids, forMs)
+    this.markAffected("receives nothing", ids, durationMs)
     this.deployment.simulation.after(
-      forMs,
+      durationMs,
       this.deployment.network.cutOneWay((_, to) => ids.has(to), "drop"),
     )
   }
-  reboot(count: number, afterMs: number): void {
-    for (const machine of this.someMachines(count)) machine.reboot(afterMs)
+  reboot(count: number, downMs: number): void {
+    for (const machine of this.pickMachines(count)) machine.reboot(downMs)
   }
-  hang(count: number, forMs: number): void {
-    for (const machine of this.someMachines(count)) {
-      this.markAffected("hung", [machine.id], forMs)
+  hang(count: number, durationMs: number): void {
+    for (const machine of this.pickMachines(count)) {
+      this.markAffected("hung", [machine.id], durationMs)
       machine.hang(true)
-      this.deployment.simulation.after(forMs, () => machine.hang(false))
+      this.deployment.simulation.after(durationMs, () => machine.hang(false))
     }
   }
-  /** From now on, every task that runs on these machines fails. */
+  /** Makes every task fail that runs on these machines from now on. */
   makeFaulty(count: number): void {
-    for (const machine of this.someMachines(count)) {
+    for (const machine of this.pickMachines(count)) {
       machine.faulty = true
       this.deployment.cloud.faulty.add(machine.id)
     }
   }
-  takeSpot(count: number, noticeMs: number): void {
-    for (const machine of this.someMachines(count)) {
+  /** Takes machines away after a preemption notice of `noticeMs`; without any notice if it is 0. */
+  preemptMachines(count: number, noticeMs: number): void {
+    for (const machine of this.pickMachines(count)) {
       machine.preemptedAt = noticeMs > 0 ? this.deployment.simulation.now + noticeMs : null
       if (noticeMs > 0) machine.requestHeartbeat()
       this.deployment.simulation.after(noticeMs, () => this.deployment.cloud.terminate(machine.id))
--- a/packages/testkit/src/faults/limit-coincidences.ts
+++ b/packages/testkit/src/faults/limit-coincidences.ts
@@ -1,100 +1,105 @@
-/** Counts faults that meet while teams are at their limits. It only observes. */
+/** Counts faults that coincide with teams at their CPU limits. It only observes the deployment. */
 import type { Deployment } from "../simulation/deployment.ts"
 
-/** A new leader acts within some tens of milliseconds: what was so at the change has to be seen before. */
+/**
+ * A new leader acts within some tens of milliseconds after a change; the state at the change must be
+ * observed before that.
+ */
 const LEADER_CHECK_INTERVAL_MS = 20
 const OVERLOAD_CHECK_INTERVAL_MS = 500
 
 /**
- * Counts how often faults met while teams were at their limits, so that a
- * scenario can assert that its meeting came about. Judged by what the
- * stand-ins know: tasks that run, machines that hang or are cut off, and who
- * owns the leader's shard.
+ * Counts how often faults coincided with teams at their CPU limits, so that a scenario can assert that the
+ * coincidence it tests took place. It reads the simulated services only: running tasks, machines that hang
+ * or are cut off, and the owner of the leader's shard.
  */
 export class LimitCoincidences {
   readonly count = {
-    /** Changes of the leader while every team was at its limit and had work waiting. */
+    /** Changes of the leader while every team with a limit was at it and had jobs waiting. */
     leaderChangesAtLimit: 0,
-    /** Tasks of cancelled jobs on machines out of reach when the leader had changed. */
+    /** Tasks of jobs with a cancel request, on unreachable machines, at a change of the leader. */
     cancelledOutOfReach: 0,
-    /** Jobs whose cancellation was asked for after a leader had ended and before the next one owned its shard. */
+    /** Jobs with a cancel request sent after a leader crashed and before the next one acquired its shard. */
     cancelledBetweenLeaders: 0,
-    /** Looks at which urgent and other work waited in vain for room while links were slow. */
+    /** Periodic checks at which both urgent and other jobs were waiting while links were slow. */
     overloadedOnSlowLinks: 0,
   }
   private leader: string | null = null
-  private incarnation: string | null = null
-  private cancelledAtEnd: ReadonlySet<string> | null = null
+  private ownerIncarnation: string | null = null
+  private cancelRequestedAtCrash: ReadonlySet<string> | null = null
 
   constructor(private readonly deployment: Deployment) {
-    this.every(LEADER_CHECK_INTERVAL_MS, () => this.checkLeader())
-    this.every(OVERLOAD_CHECK_INTERVAL_MS, () => {
-      if (deployment.network.slowMs > 0 && this.urgentAndOthersWait()) this.count.overloadedOnSlowLinks++
+    this.repeat(LEADER_CHECK_INTERVAL_MS, () => this.checkLeader())
+    this.repeat(OVERLOAD_CHECK_INTERVAL_MS, () => {
+      if (deployment.network.slowMs > 0 && this.urgentAndOtherJobsWait()) this.count.overloadedOnSlowLinks++
     })
   }
-  private every(ms: number, check: () => void): void {
-    this.deployment.simulation.after(ms, () => {
+  private repeat(intervalMs: number, check: () => void): void {
+    this.deployment.simulation.after(intervalMs, () => {
       check()
-      this.every(ms, check)
+      this.repeat(intervalMs, check)
     })
   }
 
-  /** A controller is about to end. */
-  crashed(name: string): void {
-    if (this.leader !== name || this.cancelledAtEnd !== null) return
-    this.cancelledAtEnd = new Set(this.deployment.invariants.users.askedToCancel)
+  /** A controller is about to crash. */
+  controllerCrashed(name: string): void {
+    if (this.leader !== name || this.cancelRequestedAtCrash !== null) return
+    this.cancelRequestedAtCrash = new Set(this.deployment.invariants.users.cancelRequested)
   }
 
   private checkLeader(): void {
     const owner = this.deployment.state.entries.get("s/part/deadline")?.value as
       | { readonly owner: string; readonly incarnation: string }
       | undefined
-    if (owner === undefined || owner.incarnation === this.incarnation) return
-    const first = this.incarnation === null
-    this.incarnation = owner.incarnation
+    if (owner === undefined || owner.incarnation === this.ownerIncarnation) return
+    const isFirst = this.ownerIncarnation === null
+    this.ownerIncarnation = owner.incarnation
     this.leader = owner.owner
-    if (!first) this.leaderChanged()
+    if (!isFirst) this.leaderChanged()
   }
 
   private leaderChanged(): void {
     const { users } = this.deployment.invariants
     if (this.deployment.invariants.limitedTeams().every((team) => this.isAtLimit(team)))
       this.count.leaderChangesAtLimit++
-    for (const { job, machine } of this.deployment.invariants.placed())
-      if (users.askedToCancel.has(job) && this.isOutOfReach(machine)) this.count.cancelledOutOfReach++
-    const before = this.cancelledAtEnd
-    this.cancelledAtEnd = null
-    if (before === null) return
-    for (const job of users.askedToCancel) if (!before.has(job)) this.count.cancelledBetweenLeaders++
+    for (const { job, machine } of this.deployment.invariants.placedTasks())
+      if (users.cancelRequested.has(job) && this.isUnreachable(machine)) this.count.cancelledOutOfReach++
+    const beforeCrash = this.cancelRequestedAtCrash
+    this.cancelRequestedAtCrash = null
+    if (beforeCrash === null) return
+    for (const job of users.cancelRequested) if (!beforeCrash.has(job)) this.count.cancelledBetweenLeaders++
   }
 
-  /** Has it work waiting, of which its limit lets nothing start? */
+  /** Whether the team has jobs waiting and its limit allows none of them to start a task. */
   private isAtLimit(team: string): boolean {
-    let smallest = Number.POSITIVE_INFINITY
-    for (const { owner, cores } of this.waiting()) if (owner === team) smallest = Math.min(smallest, cores)
+    let fewestCores = Number.POSITIVE_INFINITY
+    for (const { owner, cores } of this.waitingJobs())
+      if (owner === team) fewestCores = Math.min(fewestCores, cores)
     const { invariants } = this.deployment
-    return Number.isFinite(smallest) && invariants.usedBy(team) + smallest > invariants.limitOf(team)
+    return (
+      Number.isFinite(fewestCores) && invariants.cpusUsedBy(team) + fewestCores > invariants.cpuLimitOf(team)
+    )
   }
-  private urgentAndOthersWait(): boolean {
-    let urgent = false
-    let other = false
-    for (const { urgency } of this.waiting()) {
-      if (urgency === "high" || urgency === "production") urgent = true
-      else other = true
+  private urgentAndOtherJobsWait(): boolean {
+    let hasUrgent = false
+    let hasOther = false
+    for (const { urgency } of this.waitingJobs()) {
+      if (urgency === "high" || urgency === "production") hasUrgent = true
+      else hasOther = true
     }
-    return urgent && other
+    return hasUrgent && hasOther
   }
-  /** Accepted jobs that aren't cancelled, with tasks that don't run. */
-  private *waiting() {
+  /** Accepted jobs without a cancel request that have tasks neither running nor finished. */
+  private *waitingJobs() {
     const { invariants } = this.deployment
-    const placed = new Map<string, number>()
-    for (const { job } of invariants.placed()) placed.set(job, (placed.get(job) ?? 0) + 1)
+    const runningByJob = new Map<string, number>()
+    for (const { job } of invariants.placedTasks()) runningByJob.set(job, (runningByJob.get(job) ?? 0) + 1)
     for (const [job, request] of invariants.submitted) {
-      if (!invariants.users.isAccepted(job) || invariants.users.askedToCancel.has(job)) continue
-      if (invariants.users.finishedTasks(job) + (placed.get(job) ?? 0) < request.pieces) yield request
+      if (!invariants.users.isAccepted(job) || invariants.users.cancelRequested.has(job)) continue
+      if (invariants.users.finishedTasks(job) + (runningByJob.get(job) ?? 0) < request.pieces) yield request
     }
   }
-  private isOutOfReach(machine: string): boolean {
+  private isUnreachable(machine: string): boolean {
     const { cloud, network, names } = this.deployment
     return (
       cloud.machines.get(machine)?.isHung === true || names.every((node) => network.isApart(machine, node))
--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -1,17 +1,14 @@
-/**
- * Faults around node leases and the ownership of shards, and the check that a shard has
- * one owner at a time.
- */
+/** Faults around node leases and shard ownership, and the check that a shard has one owner at a time. */
 import { DEADLINE_SHARD, shardOf } from "@sorreltally/membership"
 import type { JobId, NodeName, ShardName } from "@sorreltally/protocol"
 import type { Deployment } from "../simulation/deployment.ts"
 
-/** A cancelled job still has this much of its estimate to go, so that only a stop ends its tasks. */
-const LONG_TO_GO_S = 20
-/** Cancellations are spread over this time around the change of hands. */
-const CANCEL_WITHIN_MS = 900
-/** A cancellation confirmed this soon after its job's shard changed hands met the change. */
-const OWNER_CHANGE_MS = 3_000
+/** Cancelled jobs have at least this much of their estimate left, so that only a stop ends their tasks. */
+const MIN_TIME_LEFT_S = 20
+/** Cancellations are spread over this time after the change of owner. */
+const CANCEL_SPREAD_MS = 900
+/** A cancellation confirmed this soon after the job's shard changed owner coincides with the change. */
+const OWNER_CHANGE_EFFECT_MS = 3_000
 
 interface ShardRecord {
   readonly owner: NodeName | null
@@ -19,121 +16,121 @@
 }
 
 /**
- * Faults around leases and shards: leaders that end one after another, jobs
- * cancelled while their shard changes hands, and counts of what really met.
+ * Faults around leases and shards: leaders that crash one after another, jobs cancelled while their shard
+ * changes owner, and counts of the events that actually coincided.
  */
 export class MembershipFaults {
   readonly count = {
-    /** Shards released for another node, and shards taken by one. */
+    /** Shards relinquished, and shards acquired. */
     handBacks: 0,
     takeOvers: 0,
-    /** Of the failovers, those of the leader's shard; and those by a process that owned the shard before. */
+    /** Of the shards acquired: those that were the leader's, and those acquired again by the same process. */
     leaderChanges: 0,
     retaken: 0,
-    /** Cancellations confirmed in the moments after their job's shard changed hands. */
+    /** Cancellations confirmed within seconds after the job's shard changed owner. */
     cancelledAtHandOver: 0,
-    /** Heartbeats answered 200 by a controller without state service to machines with tasks cancelled by then. */
+    /** Heartbeats of machines with cancelled tasks that a controller without state service answered 200. */
     answersWithoutState: 0,
-    /** Times that a controller obtained a lease and published it. */
+    /** Node leases that controllers obtained and published. */
     joins: 0,
-    /** From the ends of leaders that a scenario brought about to the next failover of their shard. */
+    /** Seconds from injected crashes of the leader to the next acquisition of its shard, in total. */
     secondsWithoutLeader: 0,
   }
-  private cancelAtOwnerChange = { perChange: 0, until: 0 }
-  private leaderEndedAt: number | null = null
-  private readonly changedAt = new Map<ShardName, number>()
-  private readonly records = new Map<ShardName, ShardRecord>()
+  private ownerChangeCancellations = { perChange: 0, until: 0 }
+  private leaderCrashedAt: number | null = null
+  private readonly ownerChangedAt = new Map<ShardName, number>()
+  private readonly shardRecords = new Map<ShardName, ShardRecord>()
 
   constructor(private readonly deployment: Deployment) {
-    deployment.state.listeners.push((key, value) => this.changed(key, value))
+    deployment.state.listeners.push((key, value) => this.recordChanged(key, value))
     deployment.users.listeners.push((event, job) => {
-      if (event === "cancelled") this.cancelled(job)
+      if (event === "cancelled") this.cancellationConfirmed(job)
     })
   }
-  /** The owner on record still has the live key under which it took the shard over. */
+  /** The recorded owner still has the live key under which it acquired the shard. */
   private leaseIsHeld({ owner, incarnation }: ShardRecord): boolean {
-    const live = this.deployment.state.entries.get(`s/live/${owner}`)?.value as
+    const liveRecord = this.deployment.state.entries.get(`s/live/${owner}`)?.value as
       | { incarnation: string }
       | undefined
-    return live !== undefined && live.incarnation === incarnation
+    return liveRecord !== undefined && liveRecord.incarnation === incarnation
   }
 
-  /** Are jobs cancelled at changes of owner? */
-  areOn(): boolean {
-    return this.deployment.simulation.now < this.cancelAtOwnerChange.until
+  /** Whether jobs are cancelled at changes of owner now. */
+  areActive(): boolean {
+    return this.deployment.simulation.now < this.ownerChangeCancellations.until
   }
-  /** The controller that owns the leader's shard by the record; the first one if none does. */
+  /** The recorded owner of the leader's shard; the first controller if there is none. */
   leader(): NodeName {
     const record = this.deployment.state.entries.get(`s/part/${DEADLINE_SHARD}`)?.value as
       | ShardRecord
       | undefined
     return record?.owner ?? this.deployment.names[0]!
   }
-  /** The leader of the moment ends, again and again. */
-  endLeaders(times: number, everyMs: number, backAfterMs: number): void {
+  /** Crashes the current leader `times` times, once every `intervalMs`. */
+  endLeaders(times: number, intervalMs: number, restartAfterMs: number): void {
     for (let i = 0; i < times; i++)
-      this.deployment.simulation.after(i * everyMs, () => this.endLeader(backAfterMs))
+      this.deployment.simulation.after(i * intervalMs, () => this.endLeader(restartAfterMs))
   }
-  endLeader(backAfterMs: number): void {
-    this.leaderEndedAt ??= this.deployment.simulation.now
-    this.deployment.crash(this.leader(), backAfterMs)
+  /** Crashes the current leader, which starts again after `restartAfterMs`. */
+  endLeader(restartAfterMs: number): void {
+    this.leaderCrashedAt ??= this.deployment.simulation.now
+    this.deployment.crash(this.leader(), restartAfterMs)
   }
-  /** Some running jobs of each shard that changes hands are cancelled in that moment. */
-  cancelAtOwnerChanges(perChange: number, forMs: number): void {
-    this.cancelAtOwnerChange = { perChange, until: this.deployment.simulation.now + forMs }
+  /** Cancels up to `perChange` running jobs of each shard that changes owner within `durationMs`. */
+  cancelAtOwnerChanges(perChange: number, durationMs: number): void {
+    this.ownerChangeCancellations = { perChange, until: this.deployment.simulation.now + durationMs }
   }
-  /** A heartbeat from this machine was answered 200. */
-  answered(node: string, machine: string): void {
+  /** A controller answered a heartbeat of this machine with 200. */
+  heartbeatAnswered(node: string, machine: string): void {
     if (!this.deployment.state.isOutFor(node)) return
     if (this.deployment.invariants.hasCancelledTask(machine)) this.count.answersWithoutState++
   }
 
-  private changed(key: string, value: unknown): void {
+  private recordChanged(key: string, value: unknown): void {
     if (key.startsWith("s/live/") && value !== null) this.count.joins++
     if (key.startsWith("s/part/") && value !== null)
       this.shardChanged(key.slice("s/part/".length) as ShardName, value as ShardRecord)
   }
   private shardChanged(shard: ShardName, record: ShardRecord): void {
     const { simulation } = this.deployment
-    const former = this.records.get(shard) ?? { owner: null, incarnation: null }
-    this.records.set(shard, record)
-    this.changedAt.set(shard, simulation.now)
-    this.checkSingleOwner(shard, former, record)
+    const previous = this.shardRecords.get(shard) ?? { owner: null, incarnation: null }
+    this.shardRecords.set(shard, record)
+    this.ownerChangedAt.set(shard, simulation.now)
+    this.checkSingleOwner(shard, previous, record)
     if (record.owner === null) {
       this.count.handBacks++
     } else {
       this.count.takeOvers++
       if (shard === DEADLINE_SHARD) this.leaderChanged()
-      if (former.incarnation === record.incarnation) this.count.retaken++
+      if (previous.incarnation === record.incarnation) this.count.retaken++
     }
-    const { perChange, until } = this.cancelAtOwnerChange
+    const { perChange, until } = this.ownerChangeCancellations
     if (simulation.now >= until) return
     const jobs = this.deployment.invariants
-      .jobsWithLongToGo(LONG_TO_GO_S)
+      .jobsWithTimeLeft(MIN_TIME_LEFT_S)
       .filter((job) => this.shardOfJob(job) === shard)
     for (const job of jobs.slice(0, perChange))
-      simulation.after(simulation.random.between(0, CANCEL_WITHIN_MS), () =>
+      simulation.after(simulation.random.between(0, CANCEL_SPREAD_MS), () =>
         this.deployment.users.cancel(job as JobId),
       )
   }
   private leaderChanged(): void {
     this.count.leaderChanges++
-    if (this.leaderEndedAt === null) return
-    this.count.secondsWithoutLeader += (this.deployment.simulation.now - this.leaderEndedAt) / 1000
-    this.leaderEndedAt = null
+    if (this.leaderCrashedAt === null) return
+    this.count.secondsWithoutLeader += (this.deployment.simulation.now - this.leaderCrashedAt) / 1000
+    this.leaderCrashedAt = null
   }
-  /** A shard changes hands when its owner's lease has ended, or the owner has let it go: never before. */
-  private checkSingleOwner(shard: ShardName, former: ShardRecord, record: ShardRecord): void {
+  /** A shard changes owner only after its owner's lease has ended, or the owner has relinquished it. */
+  private checkSingleOwner(shard: ShardName, previous: ShardRecord, record: ShardRecord): void {
     const { invariants, simulation } = this.deployment
-    if (former.owner === null || former.incarnation === record.incarnation) return
-    if (!this.leaseIsHeld(former)) return
-    if (record.owner === null && !this.hasAcquired(former.owner, shard)) return
-    const to = record.owner ?? "nobody"
-    invariants.broken.push(
-      `two_owners at ${(simulation.now / 1000).toFixed(1)} s: ${shard} of ${former.owner} given to ${to}`,
-    )
-  }
-  /** The last that a controller logged of the shard is that it has taken it. */
+    if (previous.owner === null || previous.incarnation === record.incarnation) return
+    if (!this.leaseIsHeld(previous)) return
+    if (record.owner === null && !this.hasAcquired(previous.owner, shard)) return
+    const newOwner = record.owner ?? "none"
+    const change = `${shard} passed from ${previous.owner} to ${newOwner} while ${previous.owner} held it`
+    invariants.violations.push(`two_owners at ${(simulation.now / 1000).toFixed(1)} s: ${change}`)
+  }
+  /** The last log line of a controller about the shard says that it acquired the shard. */
   private hasAcquired(node: NodeName, shard: ShardName): boolean {
     const { logged } = this.deployment
     for (let i = logged.length - 1; i >= 0; i--) {
@@ -148,9 +145,9 @@
     const hasDeadline = this.deployment.invariants.submitted.get(job)?.due_s != null
     return shardOf(job as JobId, hasDeadline, this.deployment.names.length)
   }
-  private cancelled(job: string): void {
-    const at = this.changedAt.get(this.shardOfJob(job))
-    if (at !== undefined && this.deployment.simulation.now <= at + OWNER_CHANGE_MS)
+  private cancellationConfirmed(job: string): void {
+    const changedAt = this.ownerChangedAt.get(this.shardOfJob(job))
+    if (changedAt !== undefined && this.deployment.simulation.now <= changedAt + OWNER_CHANGE_EFFECT_MS)
       this.count.cancelledAtHandOver++
   }
 }
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -1,43 +1,47 @@
-/** Requests of users that come close to each other, in bursts, or that no node may accept. */
+/** Requests of users that follow each other closely, come in bursts, or must be refused. */
 import type { JobId, NodeName, WireJob } from "@sorreltally/protocol"
 import type { Invariants } from "../invariants/invariants.ts"
-import type { Refusal } from "../invariants/user-invariants.ts"
+import type { RefusalReason } from "../invariants/user-invariants.ts"
 import type { UserEvent, Users } from "../services/users.ts"
 import { type JobFields, uncheckedJob } from "../services/wire-builders.ts"
 import type { Simulation } from "../simulation/simulation.ts"
 
-/** After an event, all nodes are asked this much later each time. */
+/** Delays after an event at which all nodes are polled. */
 const CLOSE_POLLS_MS = [0, 0.3, 1, 2, 4, 8, 15, 30, 60, 120]
-/** An answer so soon after the event met its effects. */
-const CLOSE_MS = 150
-/** Of jobs that are cancelled soon: how soon after they were accepted. */
-const CANCELLED_WITHIN_MS = 10_000
-const BURST_WITHIN_MS = 200
-/** A task has long to go if this much of its estimate is left. */
-const LONG_TO_GO_S = 15
-const MAX_HUNG = 8
+/** An answer this soon after an event counts as close to it. */
+const CLOSE_ANSWER_MS = 150
+/** Longest delay from the acceptance of a job to its early cancellation. */
+const MAX_CANCEL_DELAY_MS = 10_000
+/** Cancellations of a burst are spread over this time. */
+const BURST_SPREAD_MS = 200
+/** Jobs cancelled in bursts have a task with at least this much of its estimate left. */
+const MIN_TIME_LEFT_S = 15
+const MAX_HUNG_MACHINES = 8
+/** Tasks that finish more than this apart count as far apart. */
 const FAR_APART_MS = 15_000
-const ODD_REQUEST_EVERY_MS = 700
+/** Mean time between odd requests. */
+const ODD_REQUEST_INTERVAL_MS = 700
 
-/** Requests of users that meet each other, or are odd; each can be counted. */
+/** Sends requests of users that follow each other closely or are odd, and counts them. */
 export class UserFaults {
   private closePollsUntil = 0
-  /** Of the jobs accepted meanwhile, the share that is cancelled at once. */
-  private cancelledAtOnce = 0
-  private cancelSoon = { share: 0, until: 0 }
-  private cancelAtEnd = { share: 0, until: 0 }
-  private oddUntil = 0
+  /** Share of the jobs accepted during close polls that is cancelled at once. */
+  private cancelledAtOnceShare = 0
+  private earlyCancellations = { share: 0, until: 0 }
+  private cancellationsAtEnd = { share: 0, until: 0 }
+  private oddRequestsUntil = 0
   private oddJobs = 0
   readonly count = {
-    /** Answers within a moment of an acceptance, a confirmed cancellation, and the end of a job's last task. */
+    /** Answers soon after an acceptance, a confirmed cancellation, and the end of a job's last task. */
     closeAfterAccepted: 0,
     closeAfterCancelled: 0,
     closeAfterEnd: 0,
-    /** Of the jobs that were cancelled as their last task ended: how the user was answered. */
+    /** Jobs cancelled as their last task ended, by the answer to the user: cancelled, or done. */
     endsCancelled: 0,
     endsTold: 0,
-    /** Jobs whose tasks ended on both sides of a controller's end, many seconds apart. */
+    /** Jobs with tasks that finished before and after a controller crash, many seconds apart. */
     endsFarApart: 0,
+    /** Jobs cancelled in bursts, machines hung with them, odd requests, and refusals of invalid jobs. */
     burst: 0,
     burstHung: 0,
     odd: 0,
@@ -49,29 +53,33 @@
     private readonly users: Users,
     private readonly invariants: Invariants,
   ) {
-    users.listeners.push((event, job) => this.changed(event, job))
-    invariants.onComplete.push((job) => this.completed(job as JobId))
+    users.listeners.push((event, job) => this.jobChanged(event, job))
+    invariants.onComplete.push((job) => this.jobCompleted(job as JobId))
   }
 
-  areOn(): boolean {
-    return this.simulation.now < Math.max(this.closePollsUntil, this.cancelAtEnd.until, this.oddUntil)
+  /** Whether close polls, cancellations at job ends or odd requests are under way. */
+  areActive(): boolean {
+    return (
+      this.simulation.now <
+      Math.max(this.closePollsUntil, this.cancellationsAtEnd.until, this.oddRequestsUntil)
+    )
   }
-  /** All nodes are polled within milliseconds of each event, and submissions repeated. */
-  closePolls(forMs: number, cancelledAtOnce: number): void {
-    this.cancelledAtOnce = cancelledAtOnce
-    this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + forMs)
+  /** Polls all nodes within milliseconds of each event, and repeats submissions, for `durationMs`. */
+  closePolls(durationMs: number, cancelledAtOnceShare: number): void {
+    this.cancelledAtOnceShare = cancelledAtOnceShare
+    this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + durationMs)
   }
-  private changed(event: UserEvent, job: JobId): void {
+  private jobChanged(event: UserEvent, job: JobId): void {
     if (event === "accepted") this.cancelLater(job)
     if (this.simulation.now >= this.closePollsUntil) return
-    if (event === "cancelled") return this.askAll(job, () => this.count.closeAfterCancelled++)
-    this.askAll(job, () => this.count.closeAfterAccepted++)
-    if (this.simulation.random.chance(this.cancelledAtOnce)) this.users.cancel(job)
+    if (event === "cancelled") return this.pollAllNodes(job, () => this.count.closeAfterCancelled++)
+    this.pollAllNodes(job, () => this.count.closeAfterAccepted++)
+    if (this.simulation.random.chance(this.cancelledAtOnceShare)) this.users.cancel(job)
   }
-  private askAll(job: JobId, met: () => void): void {
-    const event = this.simulation.now
+  private pollAllNodes(job: JobId, onCloseAnswer: () => void): void {
+    const eventAt = this.simulation.now
     const answered = (status: number) => {
-      if (status === 200 && this.simulation.now <= event + CLOSE_MS) met()
+      if (status === 200 && this.simulation.now <= eventAt + CLOSE_ANSWER_MS) onCloseAnswer()
     }
     for (const ms of CLOSE_POLLS_MS) {
       for (const node of this.users.nodes)
@@ -80,27 +88,28 @@
     for (const ms of [1, 20, 90]) this.simulation.after(ms, () => this.users.resubmit(job))
   }
 
-  /** That share of the jobs accepted meanwhile is cancelled soon after. */
-  cancelSome(share: number, forMs: number): void {
-    this.cancelSoon = { share, until: this.simulation.now + forMs }
+  /** Cancels that share of the jobs accepted within `durationMs`, soon after their acceptance. */
+  cancelSome(share: number, durationMs: number): void {
+    this.earlyCancellations = { share, until: this.simulation.now + durationMs }
   }
   private cancelLater(job: JobId): void {
-    const { share, until } = this.cancelSoon
+    const { share, until } = this.earlyCancellations
     if (this.simulation.now >= until || !this.simulation.random.chance(share)) return
-    this.simulation.after(this.simulation.random.between(0, CANCELLED_WITHIN_MS), () =>
+    this.simulation.after(this.simulation.random.between(0, MAX_CANCEL_DELAY_MS), () =>
       this.users.cancel(job),
     )
   }
-  /** That share of the jobs that end is cancelled as the last task does. */
-  cancelAtEnds(share: number, forMs: number): void {
-    this.cancelAtEnd = { share, until: this.simulation.now + forMs }
+  /** Cancels that share of the jobs that end within `durationMs`, at the end of their last task. */
+  cancelAtEnds(share: number, durationMs: number): void {
+    this.cancellationsAtEnd = { share, until: this.simulation.now + durationMs }
   }
-  private completed(job: JobId): void {
-    if (this.simulation.now < this.closePollsUntil) this.askAll(job, () => this.count.closeAfterEnd++)
-    const first = this.invariants.users.firstFinishedAt.get(job) ?? this.simulation.now
+  private jobCompleted(job: JobId): void {
+    if (this.simulation.now < this.closePollsUntil) this.pollAllNodes(job, () => this.count.closeAfterEnd++)
+    const firstFinishedAt = this.invariants.users.firstFinishedAt.get(job) ?? this.simulation.now
     const { lastCrashAt } = this.invariants
-    if (first < lastCrashAt && first + FAR_APART_MS < this.simulation.now) this.count.endsFarApart++
-    const { share, until } = this.cancelAtEnd
+    if (firstFinishedAt < lastCrashAt && firstFinishedAt + FAR_APART_MS < this.simulation.now)
+      this.count.endsFarApart++
+    const { share, until } = this.cancellationsAtEnd
     if (this.simulation.now >= until || !this.simulation.random.chance(share)) return
     this.users.cancel(job, (_, state) => {
       if (state === "done") this.count.endsTold++
@@ -108,52 +117,52 @@
     })
   }
 
-  /** Cancels jobs that run and have long to go, within a moment; returns machines of theirs, to hang. */
+  /** Cancels running jobs with much time left, almost at once; returns machines of these jobs, to hang. */
   cancelBurst(count: number): ReadonlyArray<string> {
-    const jobs = this.invariants.jobsWithLongToGo(LONG_TO_GO_S).slice(0, count)
+    const jobs = this.invariants.jobsWithTimeLeft(MIN_TIME_LEFT_S).slice(0, count)
     const machines = new Set<string>()
     for (const job of jobs) {
       this.count.burst++
       for (const machine of this.invariants.machinesOf(job)) machines.add(machine)
-      this.simulation.after(this.simulation.random.between(0, BURST_WITHIN_MS), () =>
+      this.simulation.after(this.simulation.random.between(0, BURST_SPREAD_MS), () =>
         this.users.cancel(job as JobId),
       )
     }
-    const hung = [...machines].slice(0, MAX_HUNG)
-    this.count.burstHung += hung.length
-    return hung
+    const machinesToHang = [...machines].slice(0, MAX_HUNG_MACHINES)
+    this.count.burstHung += machinesToHang.length
+    return machinesToHang
   }
 
-  /** Repeated submissions of unfinished jobs, cancels of done ones, jobs that no node may accept. */
-  oddRequests(forMs: number): void {
-    const until = this.simulation.now + forMs
-    this.oddUntil = Math.max(this.oddUntil, until)
-    const next = () => {
+  /** Sends repeated submissions of unfinished jobs, cancellations of done jobs, and invalid jobs. */
+  oddRequests(durationMs: number): void {
+    const until = this.simulation.now + durationMs
+    this.oddRequestsUntil = Math.max(this.oddRequestsUntil, until)
+    const sendNext = () => {
       if (this.simulation.now >= until) return
       this.oddRequest()
-      this.simulation.after(this.simulation.random.between(0.5, 1.5) * ODD_REQUEST_EVERY_MS, next)
+      this.simulation.after(this.simulation.random.between(0.5, 1.5) * ODD_REQUEST_INTERVAL_MS, sendNext)
     }
-    next()
+    sendNext()
   }
   private oddRequest(): void {
     const { random } = this.simulation
-    const finals = (done: boolean) =>
-      this.users.jobs.filter((id) => (this.invariants.users.finalState(id) !== null) === done)
-    const unfinished = finals(false).filter((id) => this.invariants.users.isAccepted(id))
-    const done = finals(true).filter((id) => this.invariants.users.finalState(id) === "done")
-    const kind = random.next()
+    const jobsByOutcome = (isFinal: boolean) =>
+      this.users.jobs.filter((id) => (this.invariants.users.finalState(id) !== null) === isFinal)
+    const unfinished = jobsByOutcome(false).filter((id) => this.invariants.users.isAccepted(id))
+    const done = jobsByOutcome(true).filter((id) => this.invariants.users.finalState(id) === "done")
+    const draw = random.next()
     this.count.odd++
-    if (kind < 0.25 && unfinished.length > 0) return this.users.resubmit(random.pick(unfinished))
-    if (kind < 0.4 && done.length > 0) return this.users.cancelDone(random.pick(done))
-    if (kind < 0.5) return this.users.pollUnknownJob()
+    if (draw < 0.25 && unfinished.length > 0) return this.users.resubmit(random.pick(unfinished))
+    if (draw < 0.4 && done.length > 0) return this.users.cancelDone(random.pick(done))
+    if (draw < 0.5) return this.users.pollUnknownJob()
     this.submitInvalid()
   }
   private submitInvalid(): void {
     const id = `run-${String(900_000 + ++this.oddJobs).padStart(6, "0")}` as JobId
     const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
     const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
-    this.invariants.users.submitsInvalid(id, refusal)
-    const attempt = (node?: NodeName) =>
+    this.invariants.users.recordInvalidSubmission(id, refusal)
+    const submitTo = (node?: NodeName) =>
       this.users.ask(
         "submit",
         id,
@@ -163,53 +172,53 @@
         },
         node,
       )
-    attempt()
-    // At each node, some of which may not know the machine types yet.
+    submitTo()
+    // Also at each node, some of which may not have received the machine types yet.
     for (const node of this.users.nodes)
-      this.simulation.after(this.simulation.random.between(1, 2_000), () => attempt(node))
+      this.simulation.after(this.simulation.random.between(1, 2_000), () => submitTo(node))
     this.simulation.after(this.simulation.random.between(1, 20_000), () =>
       this.users.pollAt(id, this.users.nodes[0]!),
     )
   }
 }
 
-/** What each of them has in common, before something is wrong with it. */
+/** Fields of a valid job, from which the odd jobs are derived. */
 const ODD_JOB_FIELDS: JobFields = { pieces: 2, cores: 2, expected_s: 5 }
-const without =
+const withoutField =
   (field: keyof WireJob) =>
   (request: JobFields): JobFields => {
     const { [field]: _, ...rest } = request
     return rest
   }
-const having =
+const withFields =
   (fields: JobFields) =>
   (request: JobFields): JobFields => ({ ...request, ...fields })
 const ODD_JOBS: ReadonlyArray<{
   readonly change: (request: JobFields) => JobFields
-  readonly refusal: Refusal
+  readonly refusal: RefusalReason
 }> = [
-  { change: without("owner"), refusal: "malformed" },
-  { change: without("lane"), refusal: "malformed" },
-  { change: without("pieces"), refusal: "malformed" },
-  { change: without("cores"), refusal: "malformed" },
-  { change: without("mem_gb"), refusal: "malformed" },
-  { change: without("bundle"), refusal: "malformed" },
-  { change: without("loaners"), refusal: "malformed" },
-  { change: without("expected_s"), refusal: "malformed" },
-  { change: without("snapshot_s"), refusal: "malformed" },
-  { change: without("together"), refusal: "malformed" },
-  { change: having({ pieces: 0 }), refusal: "malformed" },
-  { change: having({ pieces: 100_001 }), refusal: "malformed" },
-  { change: having({ cores: "four" }), refusal: "malformed" },
-  { change: having({ shape: "tree" }), refusal: "malformed" },
-  { change: having({ urgency: "now" }), refusal: "malformed" },
-  { change: having({ expected_s: -1 }), refusal: "malformed" },
-  { change: having({ owner: "nobody" }), refusal: "unfit" },
-  { change: having({ cores: 33 }), refusal: "unfit" },
-  { change: having({ mem_gb: 4_000 }), refusal: "unfit" },
-  { change: having({ accelerators: 1 }), refusal: "unfit" },
-  { change: having({ builds: ["unheard-of"] }), refusal: "unfit" },
-  { change: having({ builds: ["small"], cores: 16 }), refusal: "unfit" },
-  { change: having({ builds: [] }), refusal: "unfit" },
-  { change: having({ site: "nowhere" }), refusal: "unfit" },
+  { change: withoutField("owner"), refusal: "malformed" },
+  { change: withoutField("lane"), refusal: "malformed" },
+  { change: withoutField("pieces"), refusal: "malformed" },
+  { change: withoutField("cores"), refusal: "malformed" },
+  { change: withoutField("mem_gb"), refusal: "malformed" },
+  { change: withoutField("bundle"), refusal: "malformed" },
+  { change: withoutField("loaners"), refusal: "malformed" },
+  { change: withoutField("expected_s"), refusal: "malformed" },
+  { change: withoutField("snapshot_s"), refusal: "malformed" },
+  { change: withoutField("together"), refusal: "malformed" },
+  { change: withFields({ pieces: 0 }), refusal: "malformed" },
+  { change: withFields({ pieces: 100_001 }), refusal: "malformed" },
+  { change: withFields({ cores: "four" }), refusal: "malformed" },
+  { change: withFields({ shape: "tree" }), refusal: "malformed" },
+  { change: withFields({ urgency: "now" }), refusal: "malformed" },
+  { change: withFields({ expected_s: -1 }), refusal: "malformed" },
+  { change: withFields({ owner: "nobody" }), refusal: "unfit" },
+  { change: withFields({ cores: 33 }), refusal: "unfit" },
+  { change: withFields({ mem_gb: 4_000 }), refusal: "unfit" },
+  { change: withFields({ accelerators: 1 }), refusal: "unfit" },
+  { change: withFields({ builds: ["unheard-of"] }), refusal: "unfit" },
+  { change: withFields({ builds: ["small"], cores: 16 }), refusal: "unfit" },
+  { change: withFields({ builds: [] }), refusal: "unfit" },
+  { change: withFields({ site: "nowhere" }), refusal: "unfit" },
 ]
--- a/packages/testkit/src/golden/recording.ts
+++ b/packages/testkit/src/golden/recording.ts
@@ -38,7 +38,7 @@
 /** Users cancel some of the largest jobs that aren't over. */
 const cancelLiveJobs = ({ invariants, users }: SimulatedDeployment): void => {
   const piecesOf = (id: JobId): number => invariants.submitted.get(id)!.pieces
-  const live = users.jobs.filter((id) => invariants.isLive(id)).sort((a, b) => piecesOf(b) - piecesOf(a))
+  const live = users.jobs.filter((id) => invariants.isActive(id)).sort((a, b) => piecesOf(b) - piecesOf(a))
   for (const id of live.slice(0, CANCELLED_EACH_TIME)) users.cancel(id)
 }
 
--- a/packages/testkit/src/invariants/epoch-invariant.ts
+++ b/packages/testkit/src/invariants/epoch-invariant.ts
@@ -1,13 +1,13 @@
-/** Judges ownership of shards by what controllers log. */
+/** Checks the ownership of shards against the log lines of the controllers. */
 
-/** A shard that a controller says that it acquired. */
+/** The acquisition of a shard, as its new owner logged it. */
 export interface Acquisition {
   readonly node: string
   readonly shard: string
   readonly epoch: number
 }
 
-/** Every `shard acquired` line of a log, in its order. */
+/** Returns an entry for each `shard acquired` line of a log, in log order. */
 export const acquisitionsIn = (logged: ReadonlyArray<string>): ReadonlyArray<Acquisition> =>
   logged.flatMap((line) => {
     const [, node, , ...rest] = line.split(" ")
@@ -18,16 +18,16 @@
   })
 
 /**
- * No process owns a shard twice under one epoch: its attempts and write numbers
- * start anew with each ownership, and only a new epoch fences the former one's.
+ * Reports shards that were acquired twice under the same epoch. Attempt and write numbers restart with
+ * each ownership, and only a new epoch fences those of the previous owner.
  */
 export const epochsOwnedTwice = (logged: ReadonlyArray<string>): ReadonlyArray<string> => {
   const seen = new Set<string>()
-  const twice: Array<string> = []
+  const violations: Array<string> = []
   for (const { node, shard, epoch } of acquisitionsIn(logged)) {
     const ownership = `${shard} under epoch ${epoch}`
-    if (seen.has(ownership)) twice.push(`owned_twice: ${ownership}, again by ${node}`)
+    if (seen.has(ownership)) violations.push(`owned_twice: ${ownership}, acquired again by ${node}`)
     seen.add(ownership)
   }
-  return twice
+  return violations
 }
--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -1,46 +1,50 @@
 /**
- * The protocol's invariants about tasks: where and how often they run, within which
- * limits, and not after a cancellation. It judges what the stand-ins saw, never what
- * controllers say.
+ * The protocol's invariants about tasks: their location, the number of concurrent runs, the CPU limits of
+ * teams, and no runs after a cancellation. They are checked against what the simulated services observe,
+ * never against what controllers report.
  */
 import type { WireJob, WireMachineType } from "@sorreltally/protocol"
 import { isLimited, type Team } from "@sorreltally/settings"
 import type { Simulation } from "../simulation/simulation.ts"
 import { UserInvariants } from "./user-invariants.ts"
 
-/** The machine on which a task runs. */
-export interface MachineOfTask {
+/** The machine on which a task runs, with the properties that its job may restrict. */
+export interface TaskLocation {
   readonly machine: string
   readonly type: string
   readonly zone: string
   readonly spot: boolean
 }
 
-/** How long after a confirmed cancellation a task may still start, with no fault on or just over. */
+/** A task may still start this long after a confirmed cancellation, unless a fault is active or recent. */
 const LATE_START_MS = 3_000
+/** A fault counts as recent for this long after its end. */
 const FAULT_AFTERMATH_MS = 30_000
 
-/** Checks the protocol's rules at every step of a simulated day. */
+/** Checks the protocol's rules at every start and end of a task, and periodically. */
 export class Invariants {
-  readonly broken: Array<string> = []
+  /** Broken rules, each as `RULE at TIME s: DETAIL`. */
+  readonly violations: Array<string> = []
   readonly users: UserInvariants
-  private readonly places = new Map<string, MachineOfTask & { readonly since: number }>()
-  /** CPUs by team. */
-  private readonly used = new Map<string, number>()
+  private readonly placements = new Map<string, TaskLocation & { readonly since: number }>()
+  /** CPUs used by each team's tasks. */
+  private readonly usedCpus = new Map<string, number>()
+  /** Number of task starts. */
   starts = 0
-  /** When a machine last lost a running task without a command to stop it. */
+  /** When a machine last lost a running task without a stop command. */
   workLostAt = Number.NEGATIVE_INFINITY
   private readonly startsByJob = new Map<string, number>()
-  /** Starts of jobs that a user already had confirmed as cancelled. */
+  /** Number of task starts of jobs whose cancellation had been confirmed to a user. */
   startsAfterCancellation = 0
-  /** No fault is under way after this. */
-  quietFrom = 0
-  /** When a controller last ended. */
+  /** When the last fault recorded so far ends. Milliseconds. */
+  lastFaultEndsAt = 0
+  /** When a controller last crashed. */
   lastCrashAt = Number.NEGATIVE_INFINITY
-  readonly begunAt = new Map<string, number>()
-  /** Jobs submitted with a mistake: their tasks fail on every machine. */
-  readonly mistaken = new Set<string>()
-  /** Called when a job's last task has completed, at that very moment. */
+  /** When the first task of a job started. */
+  readonly firstStartAt = new Map<string, number>()
+  /** Jobs with a faulty program: their tasks fail on every machine. */
+  readonly failingJobs = new Set<string>()
+  /** Called synchronously when the last task of a job finishes. */
   readonly onComplete: Array<(job: string) => void> = []
 
   constructor(
@@ -49,35 +53,36 @@
     private readonly types: ReadonlyArray<WireMachineType>,
     private readonly cancelS: number,
   ) {
-    this.users = new UserInvariants(simulation, (rule, what) => this.report(rule, what))
+    this.users = new UserInvariants(simulation, (rule, detail) => this.reportViolation(rule, detail))
   }
 
   get submitted(): ReadonlyMap<string, WireJob> {
     return this.users.submitted
   }
 
-  /** An invariant is broken. */
-  report(rule: string, what: string): void {
-    this.broken.push(`${rule} at ${(this.simulation.now / 1000).toFixed(1)} s: ${what}`)
+  /** Records that a rule was broken. */
+  reportViolation(rule: string, detail: string): void {
+    this.violations.push(`${rule} at ${(this.simulation.now / 1000).toFixed(1)} s: ${detail}`)
   }
 
-  /** The task has its image and runs from now on. */
-  began(job: string, index: number, at: MachineOfTask): void {
+  /** Records that a task, its image loaded, starts to run. */
+  taskStarted(job: string, index: number, at: TaskLocation): void {
     this.starts++
-    this.startsByJob.set(job, this.startsOf(job) + 1)
-    if (!this.begunAt.has(job)) this.begunAt.set(job, this.simulation.now)
+    this.startsByJob.set(job, this.startsOfJob(job) + 1)
+    if (!this.firstStartAt.has(job)) this.firstStartAt.set(job, this.simulation.now)
     const request = this.submitted.get(job)!
     const task = `${job}/${index}`
-    const other = this.places.get(task)
-    if (other !== undefined) this.report("ran_twice", `${task} on ${at.machine} while on ${other.machine}`)
-    this.checkCancelled(task, job)
-    this.checkStart(task, job)
-    this.checkPlace(request, index, at)
-    this.places.set(task, { ...at, since: this.simulation.now })
+    const other = this.placements.get(task)
+    if (other !== undefined)
+      this.reportViolation("ran_twice", `${task} started on ${at.machine} while running on ${other.machine}`)
+    this.checkRunAfterCancellation(task, job)
+    this.checkStartAfterCancellation(task, job)
+    this.checkLocation(request, index, at)
+    this.placements.set(task, { ...at, since: this.simulation.now })
     this.addUsage(request, other === undefined ? request.cores : 0)
   }
-  /** A task runs on a machine that its job allows, in one zone or spread over zones as the job asks. */
-  private checkPlace(request: WireJob, index: number, at: MachineOfTask): void {
+  /** Checks that the job allows the machine, and that its tasks share or spread over zones as it requires. */
+  private checkLocation(request: WireJob, index: number, at: TaskLocation): void {
     const isAllowed =
       (request.builds == null || request.builds.some((type) => type === at.type)) &&
       (request.site == null || request.site === at.zone) &&
@@ -87,115 +92,129 @@
     const isTooClose = request.scatter && zones.get(at.zone)! > Math.ceil(request.pieces / 2)
     if (isAllowed && !(request.together && zones.size > 1) && !isTooClose) return
     const place = `${at.type}, ${at.zone}, ${at.spot ? "spot" : "on-demand"}`
-    this.report("wrong_place", `${request.id}/${index} on ${at.machine} (${place})`)
+    this.reportViolation("wrong_place", `${request.id}/${index} on ${at.machine} (${place})`)
   }
-  /** Tasks of a job that cares for zones, by zone, with one that begins in this zone. */
+  /** Tasks by zone of a job with zone constraints, with the one that starts in `zone`. */
   private zonesOf(request: WireJob, index: number, zone: string): ReadonlyMap<string, number> {
     const zones = new Map([[zone, 1]])
     if (!request.together && !request.scatter) return zones
     for (let i = 0; i < request.pieces; i++) {
-      const place = i === index ? undefined : this.places.get(`${request.id}/${i}`)
+      const place = i === index ? undefined : this.placements.get(`${request.id}/${i}`)
       if (place !== undefined) zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1)
     }
     return zones
   }
   private addUsage({ owner }: WireJob, cores: number): void {
-    const used = this.usedBy(owner) + cores
-    this.used.set(owner, used)
+    const used = this.cpusUsedBy(owner) + cores
+    this.usedCpus.set(owner, used)
     const team = this.teams.find(({ name }) => name === owner)!
-    if (used > team.maxCpus + 1e-6) this.report("quota", `${team.name} uses ${used} of ${team.maxCpus}`)
+    if (used > team.maxCpus + 1e-6)
+      this.reportViolation("quota", `team ${team.name} uses ${used} of ${team.maxCpus} CPUs`)
   }
-  ended(job: string, index: number, machine: string): void {
-    if (this.places.get(`${job}/${index}`)?.machine !== machine) return
-    this.places.delete(`${job}/${index}`)
+  /** Records that a task no longer runs on the machine, for whatever reason. */
+  taskStopped(job: string, index: number, machine: string): void {
+    if (this.placements.get(`${job}/${index}`)?.machine !== machine) return
+    this.placements.delete(`${job}/${index}`)
     const { owner, cores } = this.submitted.get(job)!
-    this.used.set(owner, this.used.get(owner)! - cores)
+    this.usedCpus.set(owner, this.usedCpus.get(owner)! - cores)
   }
-  finished(job: string, index: number): void {
-    const before = this.users.isComplete(job)
-    this.users.finished(job, index)
-    if (before || !this.users.isComplete(job)) return
+  /** Records that a task finished its work. */
+  taskFinished(job: string, index: number): void {
+    const wasComplete = this.users.isComplete(job)
+    this.users.taskFinished(job, index)
+    if (wasComplete || !this.users.isComplete(job)) return
     for (const listener of this.onComplete) listener(job)
   }
-  /** Tasks of a job that ever began, repetitions included. */
-  startsOf(job: string): number {
+  /** Number of task starts of a job, repetitions included. */
+  startsOfJob(job: string): number {
     return this.startsByJob.get(job) ?? 0
   }
-  /** Accepted, and neither over nor asked to be cancelled. */
-  isLive(job: string): boolean {
+  /** The job is accepted, has no final state, and no user asked to cancel it. */
+  isActive(job: string): boolean {
     const { users } = this
-    return users.isAccepted(job) && users.finalState(job) === null && !users.askedToCancel.has(job)
+    return users.isAccepted(job) && users.finalState(job) === null && !users.cancelRequested.has(job)
   }
-  limitOf(team: string): number {
+  /** Largest number of CPUs that a team's tasks may use; 0 for an unknown team. */
+  cpuLimitOf(team: string): number {
     return this.teams.find(({ name }) => name === team)?.maxCpus ?? 0
   }
   isFinished(job: string, index: number): boolean {
     return this.users.isFinished(job, index)
   }
-  /** Every task that is on a machine. */
-  *placed(): Iterable<{ readonly job: string; readonly machine: string }> {
-    for (const [task, { machine }] of this.places) yield { job: task.slice(0, task.indexOf("/")), machine }
+  /** Job and machine of every running task. */
+  *placedTasks(): Iterable<{ readonly job: string; readonly machine: string }> {
+    for (const [task, { machine }] of this.placements)
+      yield { job: task.slice(0, task.indexOf("/")), machine }
   }
-  /** CPUs that a team's tasks use. */
-  usedBy(team: string): number {
-    return this.used.get(team) ?? 0
+  /** CPUs that a team's tasks use now. */
+  cpusUsedBy(team: string): number {
+    return this.usedCpus.get(team) ?? 0
   }
-  /** Teams that have a limit. */
+  /** Names of the teams with a CPU limit. */
   limitedTeams(): ReadonlyArray<string> {
     return this.teams.filter(({ maxCpus }) => isLimited(maxCpus)).map(({ name }) => name)
   }
-  /** Machines on which tasks of the job are. */
+  /** Ids of the machines that run tasks of the job. */
   machinesOf(job: string): ReadonlySet<string> {
-    const on = [...this.places].filter(([task]) => task.startsWith(`${job}/`))
-    return new Set(on.map(([, { machine }]) => machine))
+    const placements = [...this.placements].filter(([task]) => task.startsWith(`${job}/`))
+    return new Set(placements.map(([, { machine }]) => machine))
   }
 
-  /** A task is on the machine whose job a user has confirmed as cancelled. */
+  /** Whether the machine runs a task of a job whose cancellation has been confirmed to a user. */
   hasCancelledTask(machine: string): boolean {
-    for (const [task, on] of this.places) {
+    for (const [task, placement] of this.placements) {
       const job = task.slice(0, task.indexOf("/"))
-      if (on.machine === machine && this.users.cancelledAt.has(job)) return true
+      if (placement.machine === machine && this.users.cancelledAt.has(job)) return true
     }
     return false
   }
 
-  /** Running jobs of which some task should run on for this long, by what is left; nobody cancelled them. */
-  jobsWithLongToGo(leastS: number): ReadonlyArray<string> {
+  /**
+   * Running jobs without a cancel request that have a task with at least `minLeftS` of its estimate left,
+   * those with most time left first.
+   */
+  jobsWithTimeLeft(minLeftS: number): ReadonlyArray<string> {
     const left = new Map<string, number>()
-    for (const [task, { since }] of this.places) {
+    for (const [task, { since }] of this.placements) {
       const job = task.slice(0, task.indexOf("/"))
-      if (this.users.askedToCancel.has(job)) continue
+      if (this.users.cancelRequested.has(job)) continue
       const leftS = this.submitted.get(job)!.expected_s - (this.simulation.now - since) / 1000
-      if (leftS >= leastS) left.set(job, Math.max(leftS, left.get(job) ?? 0))
+      if (leftS >= minLeftS) left.set(job, Math.max(leftS, left.get(job) ?? 0))
     }
     return [...left].sort(([, a], [, b]) => b - a).map(([job]) => job)
   }
 
-  /** After a confirmed cancellation no task starts; what was under way to its machine is soon stopped. */
-  private checkStart(task: string, job: string): void {
-    const at = this.users.cancelledAt.get(job)
-    if (at === undefined) return
+  /**
+   * After a confirmed cancellation no task starts, except by a start command that was already sent; such a
+   * task is soon stopped.
+   */
+  private checkStartAfterCancellation(task: string, job: string): void {
+    const cancelledAt = this.users.cancelledAt.get(job)
+    if (cancelledAt === undefined) return
     this.startsAfterCancellation++
-    const quiet = this.simulation.now > this.quietFrom + FAULT_AFTERMATH_MS
-    if (quiet && this.simulation.now > at + LATE_START_MS) this.report("started_cancelled", task)
-  }
-  private checkCancelled(task: string, job: string): void {
-    const at = this.users.cancelledAt.get(job)
-    if (at !== undefined && this.simulation.now > at + this.cancelS * 1000) this.report("ran_cancelled", task)
-  }
-  /** A job that somebody cancels isn't confirmed as over yet, or has tasks on machines. */
-  cancellationUnderWay(): boolean {
-    const { askedToCancel } = this.users
-    if ([...askedToCancel].some((job) => this.users.finalState(job) === null)) return true
-    return [...this.places.keys()].some((task) => askedToCancel.has(task.slice(0, task.indexOf("/"))))
-  }
-  /** A fault begins, and lasts that long. */
-  faultLasts(forMs: number): void {
-    this.quietFrom = Math.max(this.quietFrom, this.simulation.now + forMs)
-  }
-  /** To be called now and then. */
+    const noRecentFault = this.simulation.now > this.lastFaultEndsAt + FAULT_AFTERMATH_MS
+    if (noRecentFault && this.simulation.now > cancelledAt + LATE_START_MS)
+      this.reportViolation("started_cancelled", task)
+  }
+  private checkRunAfterCancellation(task: string, job: string): void {
+    const cancelledAt = this.users.cancelledAt.get(job)
+    if (cancelledAt !== undefined && this.simulation.now > cancelledAt + this.cancelS * 1000)
+      this.reportViolation("ran_cancelled", task)
+  }
+  /** Whether a job with a cancel request has no confirmed final state yet, or still runs tasks. */
+  hasCancellationInProgress(): boolean {
+    const { cancelRequested } = this.users
+    if ([...cancelRequested].some((job) => this.users.finalState(job) === null)) return true
+    return [...this.placements.keys()].some((task) => cancelRequested.has(task.slice(0, task.indexOf("/"))))
+  }
+  /** Records that a fault begins and lasts for `durationMs`. */
+  recordFault(durationMs: number): void {
+    this.lastFaultEndsAt = Math.max(this.lastFaultEndsAt, this.simulation.now + durationMs)
+  }
+  /** Runs the checks that depend on time alone; to be called periodically. */
   check(): void {
-    this.users.checkAnswered(this.quietFrom)
-    for (const task of this.places.keys()) this.checkCancelled(task, task.slice(0, task.indexOf("/")))
+    this.users.checkUnanswered(this.lastFaultEndsAt)
+    for (const task of this.placements.keys())
+      this.checkRunAfterCancellation(task, task.slice(0, task.indexOf("/")))
   }
 }
--- a/packages/testkit/src/invariants/service-objectives.ts
+++ b/packages/testkit/src/invariants/service-objectives.ts
@@ -1,11 +1,11 @@
 /**
- * What users may expect of a whole day: a share of each class and team done, and jobs
- * begun in time.
+ * Service objectives over a whole simulated day: the share of each job class and team that is done, and
+ * the time from submission to the first start.
  */
 import type { WireJob } from "@sorreltally/protocol"
 import type { UserInvariants } from "./user-invariants.ts"
 
-/** Of each class, the share of its jobs that counts as its largest, at least one. */
+/** Share of the jobs of a class that count as its largest; at least one job does. */
 const LARGEST_SHARE = 0.1
 
 interface Tally {
@@ -13,29 +13,30 @@
   done: number
 }
 
-/** Jobs that count: nobody asked to cancel them. */
-const counted = (invariants: UserInvariants): ReadonlyArray<WireJob> =>
-  [...invariants.submitted.values()].filter(({ id }) => !invariants.askedToCancel.has(id))
+/** Jobs to which the objectives apply: those without a cancel request. */
+const jobsNotCancelled = (invariants: UserInvariants): ReadonlyArray<WireJob> =>
+  [...invariants.submitted.values()].filter(({ id }) => !invariants.cancelRequested.has(id))
 
-/** The largest jobs of each class, by their tasks' resources; all that tie with the smallest of them. */
-export const largestOfClasses = (invariants: UserInvariants): ReadonlySet<string> => {
+/** The largest jobs of each class by total cores, including all that tie with the smallest of them. */
+export const largestJobsOfClasses = (invariants: UserInvariants): ReadonlySet<string> => {
   const classes = new Map<string, Array<WireJob>>()
-  for (const job of counted(invariants)) classes.set(job.lane, [...(classes.get(job.lane) ?? []), job])
+  for (const job of jobsNotCancelled(invariants))
+    classes.set(job.lane, [...(classes.get(job.lane) ?? []), job])
   const size = (job: WireJob) => job.pieces * job.cores
   const largest = new Set<string>()
   for (const jobs of classes.values()) {
     const sizes = jobs.map(size).sort((a, b) => b - a)
-    const least = sizes[Math.max(1, Math.floor(sizes.length * LARGEST_SHARE)) - 1] ?? 0
-    for (const job of jobs) if (size(job) >= least) largest.add(job.id)
+    const smallestCounted = sizes[Math.max(1, Math.floor(sizes.length * LARGEST_SHARE)) - 1] ?? 0
+    for (const job of jobs) if (size(job) >= smallestCounted) largest.add(job.id)
   }
   return largest
 }
 
-/** Classes, teams, and the largest jobs of classes, of which less than half is done. */
-export const unserved = (invariants: UserInvariants): ReadonlyArray<string> => {
-  const largest = largestOfClasses(invariants)
+/** Classes, teams and groups of largest jobs with less than half of their jobs done. */
+export const underservedGroups = (invariants: UserInvariants): ReadonlyArray<string> => {
+  const largest = largestJobsOfClasses(invariants)
   const groups = new Map<string, Tally>()
-  for (const { id, lane, owner } of counted(invariants)) {
+  for (const { id, lane, owner } of jobsNotCancelled(invariants)) {
     const names = [`class ${lane}`, `team ${owner}`]
     if (largest.has(id)) names.push(`the largest of class ${lane}`)
     for (const name of names) {
@@ -48,15 +49,15 @@
   return [...groups].filter(([, { jobs, done }]) => 2 * done < jobs).map(([name]) => name)
 }
 
-/** Jobs of which no task began within that time of their submission, largest first. */
-export const notBegunWithin = (
+/** Jobs without a task started within `limitMs` of their submission, those with most tasks first. */
+export const jobsNotStartedWithin = (
   invariants: UserInvariants,
-  begunAt: ReadonlyMap<string, number>,
-  ms: number,
+  firstStartAt: ReadonlyMap<string, number>,
+  limitMs: number,
   now: number,
 ): ReadonlyArray<string> => {
-  const late = counted(invariants).filter(
-    ({ id }) => (begunAt.get(id) ?? now) > (invariants.submittedAt.get(id) ?? 0) + ms,
+  const late = jobsNotCancelled(invariants).filter(
+    ({ id }) => (firstStartAt.get(id) ?? now) > (invariants.submittedAt.get(id) ?? 0) + limitMs,
   )
   return late.sort((a, b) => b.pieces - a.pieces).map(({ id }) => id)
 }
--- a/packages/testkit/src/measure/version-replacement.ts
+++ b/packages/testkit/src/measure/version-replacement.ts
@@ -54,7 +54,7 @@
     await pause(seconds)
     const { jobs, done, cancelled } = users.counts()
     say(`${name}: ${jobs} jobs, ${done} done, ${cancelled} cancelled, ${invariants.starts} starts of tasks,`)
-    say(`  ${invariants.broken.length} broken invariants`)
+    say(`  ${invariants.violations.length} broken invariants`)
   }
 
   await startAll("all nodes of the old build", nodes, oldBuild)
@@ -86,9 +86,9 @@
   const faults = nodes.flatMap((node) => faultLines(`${options.folder}/${node.name}.log`))
   say(`log lines of faults or malformed messages: ${faults.length}`)
   for (const line of faults) say(`  ${line}`)
-  say(`broken invariants: ${invariants.broken.length}`)
-  for (const broken of invariants.broken) say(`  ${broken}`)
-  return areKept && areAnswered && faults.length === 0 && invariants.broken.length === 0
+  say(`broken invariants: ${invariants.violations.length}`)
+  for (const violation of invariants.violations) say(`  ${violation}`)
+  return areKept && areAnswered && faults.length === 0 && invariants.violations.length === 0
 }
 
 const FINAL_STATES: ReadonlySet<string | null> = new Set(["done", "withdrawn"])
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -87,7 +87,7 @@
 const kindNamed = (name: string): FaultKind => faultKinds.find((kind) => kind.name === name)!
 const cancellations = (): DrawnFault => ({
   form: "",
-  lastsS: CANCELLATIONS_LAST_S,
+  durationS: CANCELLATIONS_LAST_S,
   windows: [{ effect: "cancelling", fromS: 0.2, toS: CANCELLATIONS_LAST_S }],
 })
 
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -48,7 +48,7 @@
 const submit: Action = (deployment, args) => {
   const id = `run-${String(++deployment.scenarioJobs).padStart(6, "0")}` as JobId
   const at = args.indexOf("mistake")
-  if (at >= 0 && args[at + 1] === "yes") deployment.invariants.mistaken.add(id)
+  if (at >= 0 && args[at + 1] === "yes") deployment.invariants.failingJobs.add(id)
   deployment.users.submit(jobFrom(id, args))
 }
 
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -12,7 +12,7 @@
   "cut-zone": (deployment, args) =>
     deployment.faults.cutZone(args[0]!, number(args, 1, 30) * 1000, mode(args, 2)),
   "refuse-peers": (deployment, args) => deployment.faults.refusePeers(number(args, 0, 20) * 1000),
-  die: (deployment, args) => deployment.faults.die(number(args, 0, 1)),
+  die: (deployment, args) => deployment.faults.killMachines(number(args, 0, 1)),
   "cut-peers": (deployment, args) =>
     deployment.faults.cutPeers(node(deployment, args), number(args, 1, 20) * 1000),
   "cut-orders": (deployment, args) => deployment.faults.cutCommands(number(args, 0, 20) * 1000),
@@ -36,12 +36,12 @@
     deployment.faults.delayCommands(number(args, 0, 0.2), number(args, 1, 20) * 1000),
   /** For how many seconds new machines are up within how many. */
   "fast-boots": (deployment, args) =>
-    deployment.faults.bootFast(number(args, 1, 2) * 1000, number(args, 0, 60) * 1000),
+    deployment.faults.limitBootTime(number(args, 1, 2) * 1000, number(args, 0, 60) * 1000),
   reboot: (deployment, args) => deployment.faults.reboot(number(args, 0, 1), number(args, 1, 0.3) * 1000),
   hang: (deployment, args) => deployment.faults.hang(number(args, 0, 1), number(args, 1, 20) * 1000),
   faulty: (deployment, args) => deployment.faults.makeFaulty(number(args, 0, 1)),
   "take-spot": (deployment, args) =>
-    deployment.faults.takeSpot(number(args, 0, 1), number(args, 1, 0) * 1000),
+    deployment.faults.preemptMachines(number(args, 0, 1), number(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
     deployment.network.loss = number(args, 0, 0.05)
     deployment.simulation.after(number(args, 1, 20) * 1000, () => {
--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -66,9 +66,9 @@
 }
 
 const failuresOf = (plan: ScenarioPlan, deployment: SimulatedDeployment): ReadonlyArray<string> => {
-  const { broken } = deployment.invariants
-  const failures = broken.slice(0, MAX_LISTED)
-  if (broken.length > MAX_LISTED) failures.push(`… and ${broken.length - MAX_LISTED} more`)
+  const { violations } = deployment.invariants
+  const failures = violations.slice(0, MAX_LISTED)
+  if (violations.length > MAX_LISTED) failures.push(`… and ${violations.length - MAX_LISTED} more`)
   for (const line of deployment.logged) if (line.includes(" error ")) failures.push(line)
   failures.push(...epochsOwnedTwice(deployment.logged))
   for (const expectation of plan.expectations) {
@@ -86,7 +86,7 @@
   prepare?.(deployment)
   for (const { atS, action, args, lastsS } of plan.events)
     deployment.simulation.after(atS * 1000, () => {
-      deployment.invariants.faultLasts(lastsS * 1000)
+      deployment.invariants.recordFault(lastsS * 1000)
       action(deployment, args)
     })
   deployment.simulation.runUntil(plan.untilS * 1000)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -2,7 +2,11 @@
  * Actions and expectations of scenarios about users and the state service, and the events
  * that `happened` counts.
  */
-import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
+import {
+  jobsNotStartedWithin,
+  largestJobsOfClasses,
+  underservedGroups,
+} from "../invariants/service-objectives.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import { type Action, type Args, node, number } from "./actions.ts"
 
@@ -84,18 +88,18 @@
 > = {
   /** At least half of every class, of every team, and of every class's largest jobs is done. */
   served: (deployment) => {
-    const groups = unserved(deployment.invariants.users)
+    const groups = underservedGroups(deployment.invariants.users)
     return groups.length === 0 ? null : `less than half is done of ${groups.join(", ")}`
   },
   "begun-within": (deployment, args) => {
-    const { users, begunAt } = deployment.invariants
-    const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
+    const { users, firstStartAt } = deployment.invariants
+    const late = jobsNotStartedWithin(users, firstStartAt, seconds(args, 0, 240), deployment.simulation.now)
     return late.length === 0 ? null : `nothing began within ${args[0]} s of ${late.join(", ")}`
   },
   "largest-begun-within": (deployment, args) => {
-    const { users, begunAt } = deployment.invariants
-    const largest = largestOfClasses(users)
-    const late = notBegunWithin(users, begunAt, seconds(args, 0, 240), deployment.simulation.now)
+    const { users, firstStartAt } = deployment.invariants
+    const largest = largestJobsOfClasses(users)
+    const late = jobsNotStartedWithin(users, firstStartAt, seconds(args, 0, 240), deployment.simulation.now)
     const missing = late.filter((job) => largest.has(job))
     return missing.length === 0 ? null : `nothing began within ${args[0]} s of ${missing.join(", ")}`
   },
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -36,10 +36,10 @@
     const finish = (status: number, state: string | null) => {
       if (over) return
       over = true
-      this.invariants.answered(job, kind, status, state, asked)
+      this.invariants.recordAnswer(job, kind, status, state, asked)
       done(status, state)
     }
-    this.invariants.asked(job)
+    this.invariants.recordRequest(job)
     this.simulation.after(ANSWER_MS[kind], () => finish(0, null))
     const request = { method: kind === "poll" ? "GET" : "POST", path: pathOf(kind, job), body }
     this.network.request("users", at ?? this.simulation.random.pick(this.nodes), request, (answer) =>
@@ -48,7 +48,7 @@
   }
 
   submit(request: WireJob): void {
-    this.invariants.submits(request)
+    this.invariants.recordSubmission(request)
     this.jobs.push(request.id)
     this.attempt(request)
   }
@@ -58,7 +58,7 @@
       this.jobs.push(id)
       if (this.invariants.isAccepted(id)) this.poll(id)
       else this.attempt(this.invariants.submitted.get(id)!)
-      if (this.invariants.askedToCancel.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
+      if (this.invariants.cancelRequested.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
     }
   }
   private attempt(request: WireJob): void {
@@ -87,7 +87,7 @@
   }
   /** Repeated until it is answered. */
   cancel(id: JobId, done: Answered = () => {}, at?: NodeName): void {
-    this.invariants.asksToCancel(id)
+    this.invariants.recordCancelRequest(id)
     const answered: Answered = (status, state) => {
       if (status !== 200) return this.simulation.after(RETRY_MS, () => this.cancel(id, done))
       if (state === "withdrawn") this.notify("cancelled", id)
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -140,9 +140,9 @@
     task.phase = "running"
     task.since = this.simulation.now
     const { id, type, zone, spot } = this.host
-    this.invariants.began(task.job, task.index, { machine: id, type: type.name, zone, spot })
+    this.invariants.taskStarted(task.job, task.index, { machine: id, type: type.name, zone, spot })
     this.host.requestHeartbeat()
-    if (this.host.faulty || this.invariants.mistaken.has(task.job)) return this.failSoon(task)
+    if (this.host.faulty || this.invariants.failingJobs.has(task.job)) return this.failSoon(task)
     const isFinished = this.invariants.isFinished(task.job, task.index)
     const leftS = isFinished ? 0 : request.expected_s - this.savedS(task)
     this.setTimer(task, leftS * 1000, () => this.complete(task))
@@ -157,7 +157,7 @@
   }
   private complete(task: WorkerTask): void {
     if (task.phase !== "running" || this.host.gone) return
-    this.invariants.finished(task.job, task.index)
+    this.invariants.taskFinished(task.job, task.index)
     this.exit(task, "done")
   }
   private savedS(task: WorkerTask): number {
@@ -187,7 +187,7 @@
   }
   private exit(task: WorkerTask, reason: string): void {
     if (task.phase === "running" || task.phase === "checkpointing")
-      this.invariants.ended(task.job, task.index, this.host.id)
+      this.invariants.taskStopped(task.job, task.index, this.host.id)
     task.phase = "exited"
     task.exitReason = reason
     this.host.requestHeartbeat()
@@ -198,7 +198,7 @@
       this.simulation.occurrences.count("tasks of jobs bound to a zone lost")
     if (task.phase === "running" || task.phase === "checkpointing") {
       this.invariants.workLostAt = this.simulation.now
-      this.invariants.ended(task.job, task.index, this.host.id)
+      this.invariants.taskStopped(task.job, task.index, this.host.id)
     }
     task.phase = "gone"
   }
--- a/packages/testkit/src/simulation/deployment-dump.ts
+++ b/packages/testkit/src/simulation/deployment-dump.ts
@@ -29,8 +29,8 @@
   atMs: deployment.simulation.now,
   setup: deployment.setup,
   jobs: [...deployment.users.jobs],
-  mistaken: [...deployment.invariants.mistaken],
-  begunAt: [...deployment.invariants.begunAt],
+  mistaken: [...deployment.invariants.failingJobs],
+  begunAt: [...deployment.invariants.firstStartAt],
   users: deployment.invariants.users.dump(),
   state: deployment.state.dump(),
   cloud: deployment.cloud.dump(),
@@ -45,9 +45,9 @@
   if (seed === dump.setup.seed) throw new Error("the seed of a resumed deployment must be a new one")
   const deployment = new SimulatedDeployment({ ...dump.setup, seed }, dump.atMs)
   deployment.invariants.users.restore(dump.users)
-  for (const job of dump.mistaken) deployment.invariants.mistaken.add(job)
-  for (const [job, at] of dump.begunAt) deployment.invariants.begunAt.set(job, at)
-  deployment.invariants.faultLasts(0)
+  for (const job of dump.mistaken) deployment.invariants.failingJobs.add(job)
+  for (const [job, at] of dump.begunAt) deployment.invariants.firstStartAt.set(job, at)
+  deployment.invariants.recordFault(0)
   deployment.invariants.lastCrashAt = deployment.simulation.now
   deployment.state.restore(dump.state)
   deployment.cloud.restore(dump.cloud)
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -126,8 +126,8 @@
       },
       heartbeatReceived: (machine, node) => this.heartbeatReceived(machine, node),
       answered: (node, from, path) => {
-        if (path === "/v1/report") this.membershipFaults.answered(node, from)
-        this.faults.answered(node, path)
+        if (path === "/v1/report") this.membershipFaults.heartbeatAnswered(node, from)
+        this.faults.requestAnswered(node, path)
       },
       log: (line) => this.logged.push(line),
     }
@@ -152,9 +152,9 @@
 
   /** The process ends, and another one starts after that time. */
   crash(name: NodeName, backAfterMs: number): void {
-    this.invariants.faultLasts(backAfterMs)
+    this.invariants.recordFault(backAfterMs)
     this.invariants.lastCrashAt = this.simulation.now
-    this.limitCoincidences.crashed(name)
+    this.limitCoincidences.controllerCrashed(name)
     this.controllers.get(name)?.kill()
     this.controllers.delete(name)
     this.network.close(name)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -68,7 +68,7 @@
       )
   })
   it("is taken up without a broken rule or an error in the log", () => {
-    assert.deepEqual(deployment.invariants.broken, [])
+    assert.deepEqual(deployment.invariants.violations, [])
     assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
     assert.deepEqual(
       deployment.logged.filter((line) => line.includes(" error ")),
@@ -99,7 +99,7 @@
   })
   it("has no task of a job run anew that was over", () => {
     for (const job of dump.jobs)
-      if (finalAtFirst(job) !== null) assert.equal(deployment.invariants.startsOf(job), 0, job)
+      if (finalAtFirst(job) !== null) assert.equal(deployment.invariants.startsOfJob(job), 0, job)
   })
   it("has no finished task run anew whose finish was stored", () => {
     assert.ok(deployment.invariants.starts > 0)
@@ -109,8 +109,8 @@
       const left = deployment.invariants.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
       // A task that a machine loses may start again: the day is calm, so none is.
       assert.ok(
-        deployment.invariants.startsOf(job) <= left,
-        `${job}: ${deployment.invariants.startsOf(job)} starts of ${left}`,
+        deployment.invariants.startsOfJob(job) <= left,
+        `${job}: ${deployment.invariants.startsOfJob(job)} starts of ${left}`,
       )
     }
   })
--- a/packages/testkit/test/waiting-invariant.test.ts
+++ b/packages/testkit/test/waiting-invariant.test.ts
@@ -11,8 +11,8 @@
 const CANCEL_S = 47
 const TEAM = { name: "red", cpus: 8, maxCpus: 16, gpus: 0, maxGpus: 0 }
 
-/** One machine under a controller that answers every report and never gives a command. */
-const idleService = (more: Record<string, unknown>) => {
+/** One machine and a controller that answers every heartbeat and never sends a command. */
+const idleService = (fields: Record<string, unknown>) => {
   const simulation = new Simulation(1)
   const network = new Network(simulation)
   const invariants = new Invariants(simulation, [TEAM] as never, [type], CANCEL_S)
@@ -29,13 +29,13 @@
     answer({ status: 200, body: { baton: 1, orders: [] } }),
   )
   const machine = cloud.rent(type, "a", false)
-  const request = jobRequest("run-000001", { pieces: 2, expected_s: 100, ...more })
-  invariants.users.submits(request)
-  invariants.users.answered(request.id, "submit", 201, "queued", 0)
+  const request = jobRequest("run-000001", { pieces: 2, expected_s: 100, ...fields })
+  invariants.users.recordSubmission(request)
+  invariants.users.recordAnswer(request.id, "submit", 201, "queued", 0)
   const waiting = new WaitingInvariant(simulation, invariants, cloud)
   const check = () => {
-    // Its user is answered all the time.
-    invariants.users.answered(request.id, "poll", 200, invariants.users.state(request.id), simulation.now)
+    // The user's requests are answered throughout.
+    invariants.users.recordAnswer(request.id, "poll", 200, invariants.users.state(request.id), simulation.now)
     invariants.check()
     waiting.check()
     simulation.after(500, check)
@@ -43,7 +43,7 @@
   check()
   return { simulation, network, invariants, machine, request }
 }
-const start = (network: Network, machine: string, taskId: string) =>
+const sendStart = (network: Network, machine: string, taskId: string) =>
   network.request(
     "host-0",
     machine,
@@ -55,48 +55,48 @@
     () => {},
   )
 
-test("a job that nobody starts while a machine has room for it is reported after 90 s", () => {
+test("a job that isn't started while a machine has room for it is reported after 90 s", () => {
   const { simulation, invariants } = idleService({})
   simulation.runUntil(85_000)
-  assert.deepEqual(invariants.broken, [])
+  assert.deepEqual(invariants.violations, [])
   simulation.runUntil(95_000)
-  assert.match(invariants.broken.join(), /^left_waiting at 9\d\.\d s: run-000001/)
+  assert.match(invariants.violations.join(), /^left_waiting at 9\d\.\d s: run-000001/)
 })
 
-const kept: ReadonlyArray<readonly [string, Record<string, unknown>]> = [
+const allowedWaits: ReadonlyArray<readonly [string, Record<string, unknown>]> = [
   ["its team would exceed its limit", { cores: 8, pieces: 4, owner: "blue" }],
   ["its zone has no machine", { site: "b" }],
-  ["no allowed machine is there", { builds: ["large"] }],
+  ["there is no machine of an allowed type", { builds: ["large"] }],
   ["the machine is too small", { mem_gb: 64 }],
 ]
-for (const [why, more] of kept) {
-  test(`a job may wait when ${why}`, () => {
-    const { simulation, invariants } = idleService(more)
+for (const [reason, fields] of allowedWaits) {
+  test(`a job may wait when ${reason}`, () => {
+    const { simulation, invariants } = idleService(fields)
     simulation.runUntil(200_000)
-    assert.deepEqual(invariants.broken, [])
+    assert.deepEqual(invariants.violations, [])
   })
 }
 
 test("a fault postpones the 90 s until it is over", () => {
   const { simulation, invariants } = idleService({})
-  invariants.faultLasts(60_000)
+  invariants.recordFault(60_000)
   simulation.runUntil(140_000)
-  assert.deepEqual(invariants.broken, [])
+  assert.deepEqual(invariants.violations, [])
   simulation.runUntil(160_000)
-  assert.equal(invariants.broken.length, 1)
+  assert.equal(invariants.violations.length, 1)
 })
 
-test("a cancelled task that goes on after its machine hung breaks ran_cancelled", () => {
+test("a cancelled task that continues after its machine hung breaks ran_cancelled", () => {
   const { simulation, network, invariants, machine } = idleService({ pieces: 1 })
-  simulation.after(2_000, () => start(network, machine.id, "run-000001/0"))
+  simulation.after(2_000, () => sendStart(network, machine.id, "run-000001/0"))
   simulation.after(10_000, () => {
-    invariants.users.asksToCancel("run-000001")
-    invariants.users.answered("run-000001", "cancel", 200, "withdrawn", simulation.now)
+    invariants.users.recordCancelRequest("run-000001")
+    invariants.users.recordAnswer("run-000001", "cancel", 200, "withdrawn", simulation.now)
     machine.hang(true)
     simulation.after(20_000, () => machine.hang(false))
   })
   simulation.runUntil(10_000 + CANCEL_S * 1000 - 1_000)
-  assert.deepEqual(invariants.broken, [])
+  assert.deepEqual(invariants.violations, [])
   simulation.runUntil(10_000 + CANCEL_S * 1000 + 2_000)
-  assert.match(invariants.broken.join(), /ran_cancelled at 57\.\d s: run-000001\/0/)
+  assert.match(invariants.violations.join(), /ran_cancelled at 57\.\d s: run-000001\/0/)
 })
