--- a/packages/testkit/src/faults/fault-draws.ts
+++ b/packages/testkit/src/faults/fault-draws.ts
@@ -59,24 +59,24 @@
   return cancellationBudget(times, { nodeLeaseTtlMs: null, nodeLeaseMarginMs: null }).leaseTtlMs / 1000
 }
 /** Windows for a controller that can't act or renew its lease until `durationS` after the fault began. */
-export const leaseLapse = (durationS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
+export const leaseLapseWindows = (durationS: number, settings: DaySettings): ReadonlyArray<EffectWindow> => {
   const ttlS = leaseTtlS(settings)
   return [
     ...effectWindow("entitlement-lapses", ttlS / 2, Math.min(durationS, ttlS)),
     ...(durationS > ttlS ? effectWindow("take-over", ttlS, ttlS + FAILOVER_S) : []),
-    ...afterReturn(durationS),
+    ...afterReturnWindow(durationS),
   ]
 }
 /** Window after the end of a fault, in which its effects still last. */
-export const afterReturn = (durationS: number): ReadonlyArray<EffectWindow> =>
+export const afterReturnWindow = (durationS: number): ReadonlyArray<EffectWindow> =>
   effectWindow("after-return", durationS + 0.1, durationS + RETURN_EFFECTS_S)
 /** Window after tasks were lost at `fromS`, in which their work is restarted. */
-export const workLostAfter = (fromS: number): ReadonlyArray<EffectWindow> =>
+export const workLostWindow = (fromS: number): ReadonlyArray<EffectWindow> =>
   effectWindow("work-lost", fromS + 0.2, fromS + RECOVERY_S)
 /** Windows for machines that no message leaves or reaches: their tasks are lost with the agent lease. */
-export const machineSilence = (durationS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
+export const machineSilenceWindows = (durationS: number, leaseS: number): ReadonlyArray<EffectWindow> => [
   ...effectWindow("machines-silent", SILENCE_DETECTION_S, Math.min(durationS, leaseS)),
-  ...(durationS > leaseS + 1 ? workLostAfter(leaseS + 1) : []),
+  ...(durationS > leaseS + 1 ? workLostWindow(leaseS + 1) : []),
 ]
 
 /** Draws the current leader or any controller, by its name in scenarios. */
--- a/packages/testkit/src/faults/fault-kinds.ts
+++ b/packages/testkit/src/faults/fault-kinds.ts
@@ -3,7 +3,7 @@
  * new kinds are added at the end.
  */
 import {
-  afterReturn,
+  afterReturnWindow,
   drawController,
   drawCutMode,
   drawDurationS,
@@ -11,10 +11,10 @@
   FAILOVER_S,
   type FaultKind,
   faultKind,
-  leaseLapse,
+  leaseLapseWindows,
   leaseTtlS,
-  machineSilence,
-  workLostAfter,
+  machineSilenceWindows,
+  workLostWindow,
 } from "./fault-draws.ts"
 
 /** All kinds of faults that random days draw, most of them named after their scenario action. */
@@ -25,7 +25,7 @@
     return {
       form: `(crash ${drawController(random, settings)} ${downS})`,
       durationS: downS,
-      windows: [...windows, ...leaseLapse(downS, settings)],
+      windows: [...windows, ...leaseLapseWindows(downS, settings)],
     }
   }),
   faultKind("crash-all", (random, { leaseS }) => {
@@ -35,8 +35,8 @@
       durationS: downS,
       windows: [
         ...effectWindow("take-over", 0.1, downS + FAILOVER_S),
-        ...afterReturn(downS),
-        ...machineSilence(downS, leaseS),
+        ...afterReturnWindow(downS),
+        ...machineSilenceWindows(downS, leaseS),
       ],
     }
   }),
@@ -57,7 +57,7 @@
     return {
       form: `(end-each ${everyS} ${downS})`,
       durationS,
-      windows: [...effectWindow("take-over", 0.3, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("take-over", 0.3, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("cancel-at-hand-overs", (random) => {
@@ -75,7 +75,7 @@
     return {
       form: `(state-outage ${durationS})`,
       durationS,
-      windows: [...effectWindow("state-outage", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("state-outage", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("state-refuses", (random, settings) => {
@@ -83,7 +83,7 @@
     return {
       form: `(state-refuses ${drawController(random, settings)} ${durationS})`,
       durationS,
-      windows: leaseLapse(durationS, settings),
+      windows: leaseLapseWindows(durationS, settings),
     }
   }),
   faultKind("state-slow", (random) => {
@@ -115,7 +115,7 @@
     return {
       form: `(cloud-outage ${durationS})`,
       durationS,
-      windows: [...effectWindow("cloud-outage", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("cloud-outage", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("cut-machines", (random, settings) => {
@@ -125,8 +125,8 @@
       durationS,
       windows: [
         ...effectWindow("network-cut", 0, durationS),
-        ...machineSilence(durationS, settings.leaseS),
-        ...afterReturn(durationS),
+        ...machineSilenceWindows(durationS, settings.leaseS),
+        ...afterReturnWindow(durationS),
       ],
     }
   }),
@@ -135,7 +135,7 @@
     return {
       form: `(cut-zones ${durationS} ${drawCutMode(random)})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("cut-zone", (random, settings) => {
@@ -143,7 +143,7 @@
     return {
       form: `(cut-zone ${random.pick(settings.zones)} ${durationS} ${drawCutMode(random)})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapse(durationS, settings)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapseWindows(durationS, settings)],
     }
   }),
   faultKind("cut-peers", (random, settings) => {
@@ -151,7 +151,7 @@
     return {
       form: `(cut-peers ${drawController(random, settings)} ${durationS})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("refuse-peers", (random) => {
@@ -159,7 +159,7 @@
     return {
       form: `(refuse-peers ${durationS})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("cut-orders", (random, settings) => {
@@ -167,7 +167,7 @@
     return {
       form: `(cut-orders ${durationS})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturn(durationS)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("isolate", (random, settings) => {
@@ -175,18 +175,18 @@
     return {
       form: `(isolate ${drawController(random, settings)} ${durationS})`,
       durationS,
-      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapse(durationS, settings)],
+      windows: [...effectWindow("network-cut", 0, durationS), ...leaseLapseWindows(durationS, settings)],
     }
   }),
   faultKind("freeze", (random, settings) => {
     const durationS = random.integerBetween(5, 35)
-    const frozenRequest = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
+    const whileSending = random.pick(["", "", " answer", " command", " transaction", " take-over", " touch"])
     return {
-      form: `(freeze ${drawController(random, settings)} ${durationS}${frozenRequest})`,
+      form: `(freeze ${drawController(random, settings)} ${durationS}${whileSending})`,
       durationS,
       windows:
-        frozenRequest === ""
-          ? leaseLapse(durationS, settings)
+        whileSending === ""
+          ? leaseLapseWindows(durationS, settings)
           : effectWindow("entitlement-lapses", 0.6 * leaseTtlS(settings), leaseTtlS(settings)),
     }
   }),
@@ -195,7 +195,7 @@
     return {
       form: `(hang ${random.integerBetween(1, 6)} ${durationS})`,
       durationS,
-      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
+      windows: [...machineSilenceWindows(durationS, settings.leaseS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("machines-receive-nothing", (random, settings) => {
@@ -203,7 +203,7 @@
     return {
       form: `(machines-receive-nothing ${random.integerBetween(1, 6)} ${durationS})`,
       durationS,
-      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
+      windows: [...machineSilenceWindows(durationS, settings.leaseS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("machines-send-nothing", (random, settings) => {
@@ -212,7 +212,7 @@
     return {
       form: `(machines-send-nothing ${count} ${durationS} ${random.pick(["reset", "drop"])})`,
       durationS,
-      windows: [...machineSilence(durationS, settings.leaseS), ...afterReturn(durationS)],
+      windows: [...machineSilenceWindows(durationS, settings.leaseS), ...afterReturnWindow(durationS)],
     }
   }),
   faultKind("late-reports", (random) => {
@@ -252,20 +252,20 @@
     return {
       form: `(reboot ${random.integerBetween(1, 6)} ${downS})`,
       durationS: downS,
-      windows: workLostAfter(0),
+      windows: workLostWindow(0),
     }
   }),
   faultKind("die", (random) => ({
     form: `(die ${random.integerBetween(1, 6)})`,
     durationS: 0,
-    windows: workLostAfter(0),
+    windows: workLostWindow(0),
   })),
   faultKind("take-spot", (random) => {
     const noticeS = random.pick([0, 0, 8, 15])
     return {
       form: `(take-spot ${random.integerBetween(1, 6)} ${noticeS})`,
       durationS: noticeS,
-      windows: workLostAfter(noticeS),
+      windows: workLostWindow(noticeS),
     }
   }),
   faultKind("cancel-burst", (random, { leaseS }) => {
@@ -275,7 +275,7 @@
       durationS: hangS,
       windows: [
         ...effectWindow("cancelling", 0.05, Math.max(0.5, Math.min(hangS, leaseS))),
-        ...(hangS > 0 ? afterReturn(hangS) : []),
+        ...(hangS > 0 ? afterReturnWindow(hangS) : []),
       ],
     }
   }),
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -161,10 +161,10 @@
     })
     simulation.after(durationMs, stopIntercepting)
   }
-  /** Machines whose messages reach no controller, while direct commands reach them and are answered. */
-  machinesSendNothing(count: number, durationMs: number, mode: CutMode): void {
+  /** Blocks messages from some machines to controllers; direct commands still arrive and are answered. */
+  blockMessagesFromMachines(count: number, durationMs: number, mode: CutMode): void {
     const { simulation, network, names } = this.deployment
-    const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
+    const ids = new Set(this.pickBusyMachinesFirst(count).map((m) => m.id))
     const nodes = new Set<string>(names)
     this.markAffected("sends nothing", ids, durationMs)
     const verdict = mode === "reset" ? "refuse" : "withhold"
@@ -227,7 +227,7 @@
     return picked
   }
   /** Picks random machines, those with tasks first: a fault of an idle machine tests little. */
-  private busyMachinesFirst(count: number): ReadonlyArray<Machine> {
+  private pickBusyMachinesFirst(count: number): ReadonlyArray<Machine> {
     const shuffled = this.pickMachines(Number.POSITIVE_INFINITY)
     return [...shuffled]
       .sort((a, b) => Number(b.runningTasks > 0) - Number(a.runningTasks > 0))
@@ -280,19 +280,19 @@
       this.deployment.network.cut((a, b) => a === node && unreachable.has(b), "drop"),
     )
   }
-  /** Machines whose heartbeats arrive, and that receive no messages. */
-  machinesReceiveNothing(count: number, durationMs: number): void {
-    const ids = new Set(this.busyMachinesFirst(count).map((m) => m.id))
+  /** Drops all messages to some machines, while their heartbeats still arrive. */
+  dropMessagesToMachines(count: number, durationMs: number): void {
+    const ids = new Set(this.pickBusyMachinesFirst(count).map((m) => m.id))
     this.markAffected("receives nothing", ids, durationMs)
     this.deployment.simulation.after(
       durationMs,
       this.deployment.network.cutOneWay((_, to) => ids.has(to), "drop"),
     )
   }
-  reboot(count: number, downMs: number): void {
+  rebootMachines(count: number, downMs: number): void {
     for (const machine of this.pickMachines(count)) machine.reboot(downMs)
   }
-  hang(count: number, durationMs: number): void {
+  hangMachines(count: number, durationMs: number): void {
     for (const machine of this.pickMachines(count)) {
       this.markAffected("hung", [machine.id], durationMs)
       machine.hang(true)
--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -60,21 +60,21 @@
     return this.deployment.simulation.now < this.ownerChangeCancellations.until
   }
   /** The recorded owner of the leader's shard; the first controller if there is none. */
-  leader(): NodeName {
+  currentLeader(): NodeName {
     const record = this.deployment.state.entries.get(`s/part/${DEADLINE_SHARD}`)?.value as
       | ShardRecord
       | undefined
     return record?.owner ?? this.deployment.names[0]!
   }
   /** Crashes the current leader `times` times, once every `intervalMs`. */
-  endLeaders(times: number, intervalMs: number, restartAfterMs: number): void {
+  crashLeaders(times: number, intervalMs: number, restartAfterMs: number): void {
     for (let i = 0; i < times; i++)
-      this.deployment.simulation.after(i * intervalMs, () => this.endLeader(restartAfterMs))
+      this.deployment.simulation.after(i * intervalMs, () => this.crashLeader(restartAfterMs))
   }
   /** Crashes the current leader, which starts again after `restartAfterMs`. */
-  endLeader(restartAfterMs: number): void {
+  crashLeader(restartAfterMs: number): void {
     this.leaderCrashedAt ??= this.deployment.simulation.now
-    this.deployment.crash(this.leader(), restartAfterMs)
+    this.deployment.crash(this.currentLeader(), restartAfterMs)
   }
   /** Cancels up to `perChange` running jobs of each shard that changes owner within `durationMs`. */
   cancelAtOwnerChanges(perChange: number, durationMs: number): void {
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -30,7 +30,7 @@
   private earlyCancellations = { share: 0, until: 0 }
   private cancellationsAtEnd = { share: 0, until: 0 }
   private oddRequestsUntil = 0
-  private oddJobs = 0
+  private invalidJobCount = 0
   readonly count = {
     /** Answers soon after an acceptance, a confirmed cancellation, and the end of a job's last task. */
     closeAfterAccepted: 0,
@@ -65,7 +65,7 @@
     )
   }
   /** Polls all nodes within milliseconds of each event, and repeats submissions, for `durationMs`. */
-  closePolls(durationMs: number, cancelledAtOnceShare: number): void {
+  pollClosely(durationMs: number, cancelledAtOnceShare: number): void {
     this.cancelledAtOnceShare = cancelledAtOnceShare
     this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + durationMs)
   }
@@ -134,17 +134,17 @@
   }
 
   /** Sends repeated submissions of unfinished jobs, cancellations of done jobs, and invalid jobs. */
-  oddRequests(durationMs: number): void {
+  sendOddRequests(durationMs: number): void {
     const until = this.simulation.now + durationMs
     this.oddRequestsUntil = Math.max(this.oddRequestsUntil, until)
     const sendNext = () => {
       if (this.simulation.now >= until) return
-      this.oddRequest()
+      this.sendOddRequest()
       this.simulation.after(this.simulation.random.between(0.5, 1.5) * ODD_REQUEST_INTERVAL_MS, sendNext)
     }
     sendNext()
   }
-  private oddRequest(): void {
+  private sendOddRequest(): void {
     const { random } = this.simulation
     const jobsByOutcome = (isFinal: boolean) =>
       this.users.jobs.filter((id) => (this.invariants.users.finalState(id) !== null) === isFinal)
@@ -158,7 +158,7 @@
     this.submitInvalid()
   }
   private submitInvalid(): void {
-    const id = `run-${String(900_000 + ++this.oddJobs).padStart(6, "0")}` as JobId
+    const id = `run-${String(900_000 + ++this.invalidJobCount).padStart(6, "0")}` as JobId
     const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
     const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
     this.invariants.users.recordInvalidSubmission(id, refusal)
--- a/packages/testkit/src/scenarios/actions.ts
+++ b/packages/testkit/src/scenarios/actions.ts
@@ -13,4 +13,4 @@
 
 /** The controller named by the first argument, or whoever leads at that moment. */
 export const node = (deployment: SimulatedDeployment, args: Args): NodeName =>
-  args[0] === "leader" ? deployment.membershipFaults.leader() : (args[0] as NodeName)
+  args[0] === "leader" ? deployment.membershipFaults.currentLeader() : (args[0] as NodeName)
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -19,9 +19,9 @@
   isolate: (deployment, args) =>
     deployment.faults.isolate(node(deployment, args), number(args, 1, 20) * 1000),
   "machines-receive-nothing": (deployment, args) =>
-    deployment.faults.machinesReceiveNothing(number(args, 0, 1), number(args, 1, 20) * 1000),
+    deployment.faults.dropMessagesToMachines(number(args, 0, 1), number(args, 1, 20) * 1000),
   "machines-send-nothing": (deployment, args) =>
-    deployment.faults.machinesSendNothing(
+    deployment.faults.blockMessagesFromMachines(
       number(args, 0, 1),
       number(args, 1, 20) * 1000,
       (args[2] ?? "reset") as CutMode,
@@ -37,8 +37,9 @@
   /** For how many seconds new machines are up within how many. */
   "fast-boots": (deployment, args) =>
     deployment.faults.limitBootTime(number(args, 1, 2) * 1000, number(args, 0, 60) * 1000),
-  reboot: (deployment, args) => deployment.faults.reboot(number(args, 0, 1), number(args, 1, 0.3) * 1000),
-  hang: (deployment, args) => deployment.faults.hang(number(args, 0, 1), number(args, 1, 20) * 1000),
+  reboot: (deployment, args) =>
+    deployment.faults.rebootMachines(number(args, 0, 1), number(args, 1, 0.3) * 1000),
+  hang: (deployment, args) => deployment.faults.hangMachines(number(args, 0, 1), number(args, 1, 20) * 1000),
   faulty: (deployment, args) => deployment.faults.makeFaulty(number(args, 0, 1)),
   "take-spot": (deployment, args) =>
     deployment.faults.preemptMachines(number(args, 0, 1), number(args, 1, 0) * 1000),
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -5,7 +5,7 @@
 export const membershipActions: Record<string, Action> = {
   /** How many leaders end, one every so often, and how soon each is back. */
   "end-leaders": (deployment, args) =>
-    deployment.membershipFaults.endLeaders(
+    deployment.membershipFaults.crashLeaders(
       number(args, 0, 10),
       number(args, 1, 12) * 1000,
       number(args, 2, 1) * 1000,
@@ -19,9 +19,9 @@
         deployment.crash(name, number(args, 1, 0.3) * 1000),
       )
   },
-  "end-leader": (deployment, args) => deployment.membershipFaults.endLeader(number(args, 0, 0.3) * 1000),
+  "end-leader": (deployment, args) => deployment.membershipFaults.crashLeader(number(args, 0, 0.3) * 1000),
   "state-refuses-leader": (deployment, args) => {
-    const leader = deployment.membershipFaults.leader()
+    const leader = deployment.membershipFaults.currentLeader()
     deployment.state.refuse(leader, true)
     deployment.simulation.after(number(args, 0, 10) * 1000, () => deployment.state.refuse(leader, false))
   },
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -58,9 +58,9 @@
     deployment.userFaults.cancelAtEnds(number(args, 0, 0.3), seconds(args, 1, 60)),
   "cancel-some": (deployment, args) =>
     deployment.userFaults.cancelSome(number(args, 0, 0.25), seconds(args, 1, 60)),
-  "odd-requests": (deployment, args) => deployment.userFaults.oddRequests(seconds(args, 0, 60)),
+  "odd-requests": (deployment, args) => deployment.userFaults.sendOddRequests(seconds(args, 0, 60)),
   "close-polls": (deployment, args) =>
-    deployment.userFaults.closePolls(seconds(args, 0, 60), number(args, 1, 0.15)),
+    deployment.userFaults.pollClosely(seconds(args, 0, 60), number(args, 1, 0.15)),
 }
 /** Verbs of which the service takes no harm: the time until questions have to be answered again doesn't wait for their end. */
 export const HARMLESS: ReadonlySet<string> = new Set([
