--- a/packages/testkit/src/faults/membership-faults.ts
+++ b/packages/testkit/src/faults/membership-faults.ts
@@ -5,7 +5,7 @@
 
 /** Cancelled jobs have at least this much of their estimate left, so that only a stop ends their tasks. */
 const MIN_TIME_LEFT_S = 20
-/** Cancellations are spread over this time after the change of owner. */
+/** Cancellations are spread over this time after a change of owner. */
 const CANCEL_SPREAD_MS = 900
 /** A cancellation confirmed this soon after the job's shard changed owner coincides with the change. */
 const OWNER_CHANGE_EFFECT_MS = 3_000
--- a/packages/testkit/src/invariants/invariants.ts
+++ b/packages/testkit/src/invariants/invariants.ts
@@ -16,7 +16,7 @@
   readonly spot: boolean
 }
 
-/** A task may still start this long after a confirmed cancellation, unless a fault is active or recent. */
+/** Latest start of a task after a confirmed cancellation; not checked while a fault is active or recent. */
 const LATE_START_MS = 3_000
 /** A fault counts as recent for this long after its end. */
 const FAULT_AFTERMATH_MS = 30_000
@@ -42,7 +42,7 @@
   lastCrashAt = Number.NEGATIVE_INFINITY
   /** When the first task of a job started. */
   readonly firstStartAt = new Map<string, number>()
-  /** Jobs with a faulty program: their tasks fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   readonly failingJobs = new Set<string>()
   /** Called synchronously when the last task of a job finishes. */
   readonly onComplete: Array<(job: string) => void> = []
