--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -103,7 +103,7 @@
     })
     simulation.after(durationMs, stopIntercepting)
   }
-  /** Keeps copies of a share of heartbeats until a shard has a new owner, then sends these to all controllers. */
+  /** Keeps copies of a share of heartbeats; sends them to all controllers at the next change of owner. */
   keepHeartbeatsForNextLeader(share: number, durationMs: number): void {
     const { simulation, network } = this.deployment
     const stopIntercepting = network.intercept((outgoing) => {
