--- a/packages/testkit/src/golden/recording.ts
+++ b/packages/testkit/src/golden/recording.ts
@@ -38,7 +38,7 @@
 const cancelLiveJobs = ({ invariants, users }: SimulatedDeployment): void => {
   const taskCountOf = (id: JobId): number => invariants.submitted.get(id)!.pieces
   const liveJobs = users.jobs
-    .filter((id) => invariants.isLive(id))
+    .filter((id) => invariants.isActive(id))
     .sort((a, b) => taskCountOf(b) - taskCountOf(a))
   for (const id of liveJobs.slice(0, JOBS_CANCELLED_PER_STEP)) users.cancel(id)
 }
--- a/packages/testkit/src/measure/version-replacement.ts
+++ b/packages/testkit/src/measure/version-replacement.ts
@@ -62,7 +62,7 @@
     printLine(
       `${name}: ${jobs} jobs, ${done} done, ${cancelled} cancelled, ${invariants.starts} task starts,`,
     )
-    printLine(`  ${invariants.broken.length} broken invariants`)
+    printLine(`  ${invariants.violations.length} broken invariants`)
   }
 
   await startAll("all nodes of the old build", nodes, oldBuild)
@@ -98,9 +98,11 @@
   const faultLogLines = nodes.flatMap((node) => readFaultLines(`${options.folder}/${node.name}.log`))
   printLine(`log lines of faults or malformed messages: ${faultLogLines.length}`)
   for (const line of faultLogLines) printLine(`  ${line}`)
-  printLine(`broken invariants: ${invariants.broken.length}`)
-  for (const broken of invariants.broken) printLine(`  ${broken}`)
-  return areStatesKept && areAnswersCorrect && faultLogLines.length === 0 && invariants.broken.length === 0
+  printLine(`broken invariants: ${invariants.violations.length}`)
+  for (const broken of invariants.violations) printLine(`  ${broken}`)
+  return (
+    areStatesKept && areAnswersCorrect && faultLogLines.length === 0 && invariants.violations.length === 0
+  )
 }
 
 const FINAL_STATES: ReadonlySet<string | null> = new Set(["done", "withdrawn"])
--- a/packages/testkit/src/random-days/random-day.ts
+++ b/packages/testkit/src/random-days/random-day.ts
@@ -91,7 +91,7 @@
 const faultKindNamed = (name: string): FaultKind => faultKinds.find((kind) => kind.name === name)!
 const cancellationsAsFault = (): DrawnFault => ({
   form: "",
-  lastsS: CANCELLATION_SPREAD_S,
+  durationS: CANCELLATION_SPREAD_S,
   windows: [{ effect: "cancelling", fromS: 0.2, toS: CANCELLATION_SPREAD_S }],
 })
 
--- a/packages/testkit/src/scenarios/actions.ts
+++ b/packages/testkit/src/scenarios/actions.ts
@@ -13,4 +13,4 @@
 
 /** The controller named by the first argument; for `leader` the present leader. */
 export const nodeArgument = (deployment: SimulatedDeployment, args: Args): NodeName =>
-  args[0] === "leader" ? deployment.membershipFaults.leader() : (args[0] as NodeName)
+  args[0] === "leader" ? deployment.membershipFaults.currentLeader() : (args[0] as NodeName)
--- a/packages/testkit/src/scenarios/all-actions.ts
+++ b/packages/testkit/src/scenarios/all-actions.ts
@@ -47,7 +47,7 @@
 const submit: Action = (deployment, args) => {
   const id = `run-${String(++deployment.scenarioJobs).padStart(6, "0")}` as JobId
   const optionIndex = args.indexOf("always-fails")
-  if (optionIndex >= 0 && args[optionIndex + 1] === "yes") deployment.invariants.mistaken.add(id)
+  if (optionIndex >= 0 && args[optionIndex + 1] === "yes") deployment.invariants.failingJobs.add(id)
   deployment.users.submit(jobFromOptions(id, args))
 }
 
--- a/packages/testkit/src/scenarios/fault-actions.ts
+++ b/packages/testkit/src/scenarios/fault-actions.ts
@@ -18,16 +18,16 @@
     deployment.faults.cutZone(args[0]!, numberArgument(args, 1, 30) * 1000, cutModeArgument(args, 2)),
   "refuse-peer-connections": (deployment, args) =>
     deployment.faults.refusePeers(numberArgument(args, 0, 20) * 1000),
-  "kill-machines": (deployment, args) => deployment.faults.die(numberArgument(args, 0, 1)),
+  "kill-machines": (deployment, args) => deployment.faults.killMachines(numberArgument(args, 0, 1)),
   "cut-peers": (deployment, args) =>
     deployment.faults.cutPeers(nodeArgument(deployment, args), numberArgument(args, 1, 20) * 1000),
   "cut-commands": (deployment, args) => deployment.faults.cutCommands(numberArgument(args, 0, 20) * 1000),
   isolate: (deployment, args) =>
     deployment.faults.isolate(nodeArgument(deployment, args), numberArgument(args, 1, 20) * 1000),
   "machines-receive-nothing": (deployment, args) =>
-    deployment.faults.machinesReceiveNothing(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
+    deployment.faults.dropMessagesToMachines(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
   "machines-send-nothing": (deployment, args) =>
-    deployment.faults.machinesSendNothing(
+    deployment.faults.blockMessagesFromMachines(
       numberArgument(args, 0, 1),
       numberArgument(args, 1, 20) * 1000,
       (args[2] ?? "reset") as CutMode,
@@ -42,14 +42,14 @@
     deployment.faults.delayCommands(numberArgument(args, 0, 0.2), numberArgument(args, 1, 20) * 1000),
   /** Arguments: duration in seconds, and the seconds within which new machines boot during it. */
   "fast-boots": (deployment, args) =>
-    deployment.faults.bootFast(numberArgument(args, 1, 2) * 1000, numberArgument(args, 0, 60) * 1000),
+    deployment.faults.limitBootTime(numberArgument(args, 1, 2) * 1000, numberArgument(args, 0, 60) * 1000),
   "reboot-machines": (deployment, args) =>
-    deployment.faults.reboot(numberArgument(args, 0, 1), numberArgument(args, 1, 0.3) * 1000),
+    deployment.faults.rebootMachines(numberArgument(args, 0, 1), numberArgument(args, 1, 0.3) * 1000),
   "hang-machines": (deployment, args) =>
-    deployment.faults.hang(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
+    deployment.faults.hangMachines(numberArgument(args, 0, 1), numberArgument(args, 1, 20) * 1000),
   "faulty-machines": (deployment, args) => deployment.faults.makeFaulty(numberArgument(args, 0, 1)),
   "preempt-spot": (deployment, args) =>
-    deployment.faults.takeSpot(numberArgument(args, 0, 1), numberArgument(args, 1, 0) * 1000),
+    deployment.faults.preemptMachines(numberArgument(args, 0, 1), numberArgument(args, 1, 0) * 1000),
   "lose-messages": (deployment, args) => {
     deployment.network.lossProbability = numberArgument(args, 0, 0.05)
     deployment.simulation.after(numberArgument(args, 1, 20) * 1000, () => {
--- a/packages/testkit/src/scenarios/membership-actions.ts
+++ b/packages/testkit/src/scenarios/membership-actions.ts
@@ -5,7 +5,7 @@
 export const membershipActions: Record<string, Action> = {
   /** Arguments: number of crashes, interval between them, and downtime of each leader. */
   "crash-leaders": (deployment, args) =>
-    deployment.membershipFaults.endLeaders(
+    deployment.membershipFaults.crashLeaders(
       numberArgument(args, 0, 10),
       numberArgument(args, 1, 12) * 1000,
       numberArgument(args, 2, 1) * 1000,
@@ -23,9 +23,9 @@
       )
   },
   "crash-leader": (deployment, args) =>
-    deployment.membershipFaults.endLeader(numberArgument(args, 0, 0.3) * 1000),
+    deployment.membershipFaults.crashLeader(numberArgument(args, 0, 0.3) * 1000),
   "state-refuses-leader": (deployment, args) => {
-    const leader = deployment.membershipFaults.leader()
+    const leader = deployment.membershipFaults.currentLeader()
     deployment.state.setRefused(leader, true)
     deployment.simulation.after(numberArgument(args, 0, 10) * 1000, () =>
       deployment.state.setRefused(leader, false),
--- a/packages/testkit/src/scenarios/scenario-run.ts
+++ b/packages/testkit/src/scenarios/scenario-run.ts
@@ -66,10 +66,10 @@
 }
 
 const failuresOf = (plan: ScenarioPlan, deployment: SimulatedDeployment): ReadonlyArray<string> => {
-  const { broken } = deployment.invariants
-  const failures = broken.slice(0, MAX_LISTED_VIOLATIONS)
-  if (broken.length > MAX_LISTED_VIOLATIONS)
-    failures.push(`and ${broken.length - MAX_LISTED_VIOLATIONS} more broken invariants`)
+  const { violations } = deployment.invariants
+  const failures = violations.slice(0, MAX_LISTED_VIOLATIONS)
+  if (violations.length > MAX_LISTED_VIOLATIONS)
+    failures.push(`and ${violations.length - MAX_LISTED_VIOLATIONS} more broken invariants`)
   for (const line of deployment.logged) if (line.includes(" error ")) failures.push(line)
   failures.push(...epochsOwnedTwice(deployment.logged))
   for (const expectation of plan.expectations) {
@@ -87,7 +87,7 @@
   prepare?.(deployment)
   for (const { atS, action, args, faultDurationS } of plan.events)
     deployment.simulation.after(atS * 1000, () => {
-      deployment.invariants.faultLasts(faultDurationS * 1000)
+      deployment.invariants.recordFault(faultDurationS * 1000)
       action(deployment, args)
     })
   deployment.simulation.runUntil(plan.untilS * 1000)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -2,7 +2,11 @@
  * Actions and expectations about users and the state service, and the events that `counted-at-least` and
  * `counted-at-most` count.
  */
-import { largestOfClasses, notBegunWithin, unserved } from "../invariants/service-objectives.ts"
+import {
+  jobsNotStartedWithin,
+  largestJobsOfClasses,
+  underservedGroups,
+} from "../invariants/service-objectives.ts"
 import type { SimulatedDeployment } from "../simulation/simulated-deployment.ts"
 import { type Action, type Args, nodeArgument, numberArgument } from "./actions.ts"
 
@@ -58,9 +62,9 @@
   "cancel-some": (deployment, args) =>
     deployment.userFaults.cancelSome(numberArgument(args, 0, 0.25), millisecondsArgument(args, 1, 60)),
   "unusual-requests": (deployment, args) =>
-    deployment.userFaults.oddRequests(millisecondsArgument(args, 0, 60)),
+    deployment.userFaults.sendOddRequests(millisecondsArgument(args, 0, 60)),
   "immediate-polls": (deployment, args) =>
-    deployment.userFaults.closePolls(millisecondsArgument(args, 0, 60), numberArgument(args, 1, 0.15)),
+    deployment.userFaults.pollClosely(millisecondsArgument(args, 0, 60), numberArgument(args, 1, 0.15)),
 }
 /** Actions that don't impair the service: they don't extend the time within which polls may go unanswered. */
 export const HARMLESS_ACTIONS: ReadonlySet<string> = new Set([
@@ -128,20 +132,30 @@
 > = {
   /** At least half of the jobs of every class and team, and of the largest jobs of every class, is done. */
   "half-done-per-group": (deployment) => {
-    const groups = unserved(deployment.invariants.users)
+    const groups = underservedGroups(deployment.invariants.users)
     return groups.length === 0 ? null : `less than half of the jobs done: ${groups.join(", ")}`
   },
   "started-within": (deployment, args) => {
-    const { users, begunAt } = deployment.invariants
-    const late = notBegunWithin(users, begunAt, millisecondsArgument(args, 0, 240), deployment.simulation.now)
+    const { users, firstStartAt } = deployment.invariants
+    const late = jobsNotStartedWithin(
+      users,
+      firstStartAt,
+      millisecondsArgument(args, 0, 240),
+      deployment.simulation.now,
+    )
     return late.length === 0
       ? null
       : `no task started within ${args[0] ?? 240} s of the submission of ${late.join(", ")}`
   },
   "largest-started-within": (deployment, args) => {
-    const { users, begunAt } = deployment.invariants
-    const largest = largestOfClasses(users)
-    const late = notBegunWithin(users, begunAt, millisecondsArgument(args, 0, 240), deployment.simulation.now)
+    const { users, firstStartAt } = deployment.invariants
+    const largest = largestJobsOfClasses(users)
+    const late = jobsNotStartedWithin(
+      users,
+      firstStartAt,
+      millisecondsArgument(args, 0, 240),
+      deployment.simulation.now,
+    )
     const missing = late.filter((job) => largest.has(job))
     return missing.length === 0
       ? null
--- a/packages/testkit/src/services/users.ts
+++ b/packages/testkit/src/services/users.ts
@@ -39,10 +39,10 @@
     const finish = (status: number, state: string | null) => {
       if (isOver) return
       isOver = true
-      this.invariants.answered(job, kind, status, state, askedAt)
+      this.invariants.recordAnswer(job, kind, status, state, askedAt)
       done(status, state)
     }
-    this.invariants.asked(job)
+    this.invariants.recordRequest(job)
     this.simulation.after(ANSWER_TIMEOUT_MS[kind], () => finish(0, null))
     const request = { method: kind === "poll" ? "GET" : "POST", path: pathOf(kind, job), body }
     this.network.request("users", node ?? this.simulation.random.pick(this.nodes), request, (answer) =>
@@ -51,7 +51,7 @@
   }
 
   submit(request: WireJob): void {
-    this.invariants.submits(request)
+    this.invariants.recordSubmission(request)
     this.jobs.push(request.id)
     this.submitUntilDecided(request)
   }
@@ -61,7 +61,7 @@
       this.jobs.push(id)
       if (this.invariants.isAccepted(id)) this.pollRegularly(id)
       else this.submitUntilDecided(this.invariants.submitted.get(id)!)
-      if (this.invariants.askedToCancel.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
+      if (this.invariants.cancelRequested.has(id) && this.invariants.finalState(id) === null) this.cancel(id)
     }
   }
   private submitUntilDecided(request: WireJob): void {
@@ -91,7 +91,7 @@
   }
   /** Cancels a job; repeats the request until it is answered with 200. */
   cancel(id: JobId, done: AnswerCallback = () => {}, node?: NodeName): void {
-    this.invariants.asksToCancel(id)
+    this.invariants.recordCancelRequest(id)
     const handleAnswer: AnswerCallback = (status, state) => {
       if (status !== 200) return this.simulation.after(RETRY_DELAY_MS, () => this.cancel(id, done))
       if (state === "withdrawn") this.notify("cancelled", id)
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -129,8 +129,8 @@
       },
       heartbeatReceived: (machine, node) => this.heartbeatReceived(machine, node),
       answered: (node, from, path) => {
-        if (path === "/v1/report") this.membershipFaults.answered(node, from)
-        this.faults.answered(node, path)
+        if (path === "/v1/report") this.membershipFaults.heartbeatAnswered(node, from)
+        this.faults.requestAnswered(node, path)
       },
       log: (line) => this.logged.push(line),
     }
@@ -156,9 +156,9 @@
 
   /** Ends a controller's process, and starts a new one after the given time. */
   crash(name: NodeName, restartAfterMs: number): void {
-    this.invariants.faultLasts(restartAfterMs)
+    this.invariants.recordFault(restartAfterMs)
     this.invariants.lastCrashAt = this.simulation.now
-    this.limitCoincidences.crashed(name)
+    this.limitCoincidences.controllerCrashed(name)
     this.controllers.get(name)?.kill()
     this.controllers.delete(name)
     this.network.close(name)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -68,7 +68,7 @@
       )
   })
   it("is continued without a broken invariant or an error in the log", () => {
-    assert.deepEqual(deployment.invariants.broken, [])
+    assert.deepEqual(deployment.invariants.violations, [])
     assert.deepEqual(epochsOwnedTwice(deployment.logged), [])
     assert.deepEqual(
       deployment.logged.filter((line) => line.includes(" error ")),
@@ -99,7 +99,7 @@
   })
   it("starts no task of a job that had ended", () => {
     for (const job of dump.jobs)
-      if (recordedFinalState(job) !== null) assert.equal(deployment.invariants.startsOf(job), 0, job)
+      if (recordedFinalState(job) !== null) assert.equal(deployment.invariants.startsOfJob(job), 0, job)
   })
   it("starts no task again whose finish was stored", () => {
     assert.ok(deployment.invariants.starts > 0)
@@ -110,8 +110,8 @@
         deployment.invariants.submitted.get(job)!.pieces - (finished.get(job)?.length ?? 0)
       // Only a lost task may start again, and this run has no faults that lose one.
       assert.ok(
-        deployment.invariants.startsOf(job) <= unfinishedTasks,
-        `${job}: ${deployment.invariants.startsOf(job)} starts of ${unfinishedTasks}`,
+        deployment.invariants.startsOfJob(job) <= unfinishedTasks,
+        `${job}: ${deployment.invariants.startsOfJob(job)} starts of ${unfinishedTasks}`,
       )
     }
   })
