--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -218,7 +218,7 @@
       handOff: (shard, id, handoff) => this.handoffs.send(shard, id, handoff),
       jobIndex: this.jobIndex,
       onJobsEnded: (ends) => this.progress.recordEnds(ends),
-      compactJobPage: (page) => this.jobStore.fold(page),
+      compactJobPage: (page) => this.jobStore.compactJobPage(page),
       nextRentalRequestId: () => this.nextRentalRequestId(),
       fork,
     }
--- a/packages/controller/src/demand-exchange.ts
+++ b/packages/controller/src/demand-exchange.ts
@@ -31,21 +31,21 @@
   constructor(private readonly options: DemandExchangeOptions) {}
 
   /**
-   * Records the demand of a shard of this node. If its demand for machines or quota changed, wakes this
-   * node's other shards to plan again.
+   * Records the demand of a shard of this node. If its demand for machines or quota changed, requests
+   * plans of this node's other shards.
    */
   publish(shard: ShardName, demand: ShardDemand): void {
     const change = this.options.registry.update(shard, demand)
     if (change === "none") return
     this.changed.notify()
     if (change === "claims") return
-    this.options.shards.wakeAll(shard)
+    this.options.shards.requestPlans(shard)
   }
   /** Records demand that another node published; ignores that of shards that this node owns. */
   receive(demands: ReadonlyArray<PublishedDemand>): void {
     const { shards, registry } = this.options
     for (const { shard, demand } of demands) if (!shards.has(shard)) registry.set(shard, demand)
-    shards.wakeAll(null)
+    shards.requestPlans(null)
   }
 
   /** Sends the demand of this node's shards to the other nodes when it changes, and before it expires. */
--- a/packages/controller/src/running-shards.ts
+++ b/packages/controller/src/running-shards.ts
@@ -1,6 +1,6 @@
 /**
  * The shards that this node owns, each with the fiber that runs it. `Membership` alone decides which shards
- * these are: this module starts and stops shards when told to, and never acquires one by itself.
+ * these are: this module starts and stops shards on its request, and never acquires one by itself.
  */
 
 import type { TaskCounts } from "@sorreltally/peers"
@@ -68,8 +68,8 @@
   names(): Iterable<ShardName> {
     return this.running.keys()
   }
-  /** Wakes every shard but the excluded one, so that it soon plans again. */
-  wakeAll(excluded: ShardName | null): void {
+  /** Requests a plan of every shard but the excluded one. */
+  requestPlans(excluded: ShardName | null): void {
     for (const [name, { shard }] of this.running) if (name !== excluded) shard.requestPlan()
   }
   /** Whether any shard has jobs or machines. */
--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -55,21 +55,21 @@
   private readonly pendingCommands = new Map<number, (outcome: CommandOutcome) => void>()
   private readonly commandOutbox: Outbox<ForwardedCommand>
   private readonly resultOutbox: Outbox<ForProcess<CommandResult>>
-  /** Latest known process epochs of the nodes for which this node sends commands. */
-  private readonly processEpochs = new Map<NodeName, number>()
-  private readonly processEpoch: number
+  /** Latest known start times of the processes for which this node sends commands. */
+  private readonly processStartTimes = new Map<NodeName, number>()
+  private readonly processStartedAt: number
   private lastCommandId = 0
 
   constructor(private readonly options: CommandForwarderOptions) {
     const { clocks, peers, fork } = options
-    this.processEpoch = Math.floor(clocks.wallNow())
+    this.processStartedAt = Math.floor(clocks.wallNow())
     const sendCommands = (to: NodeName, commands: ReadonlyArray<ForwardedCommand>) =>
       peers.send(
-        { kind: "commands", senderStartedAt: this.processEpoch, sentAt: clocks.wallNow(), commands },
+        { kind: "commands", senderStartedAt: this.processStartedAt, sentAt: clocks.wallNow(), commands },
         to,
       )
     const sendResults = (to: NodeName, results: ReadonlyArray<ForProcess<CommandResult>>) => {
-      const recipientStartedAt = this.processEpochs.get(to) ?? 0
+      const recipientStartedAt = this.processStartTimes.get(to) ?? 0
       peers.send(
         { kind: "commandResults", recipientStartedAt, results: itemsForProcess(results, recipientStartedAt) },
         to,
@@ -110,7 +110,7 @@
   /** Sends another node's commands to workers that send their heartbeats to this node. */
   receiveCommands(from: NodeName, { senderStartedAt, sentAt, commands }: ForwardedCommands): void {
     const { clocks, clockSkewMs, inFlight, fork } = this.options
-    this.processEpochs.set(from, senderStartedAt)
+    this.processStartTimes.set(from, senderStartedAt)
     const ageMs = clocks.wallNow() - sentAt
     // The requests of an older message have timed out at the sender, which may have sent other commands
     // since.
@@ -119,24 +119,24 @@
       if (!isExpired && !inFlight.isFull) fork(this.sendOnBehalfOf(from, senderStartedAt, command))
       else
         this.resultOutbox.add(from, {
-          processEpoch: senderStartedAt,
+          processStartedAt: senderStartedAt,
           item: { ...NO_RESPONSE, id: command.id, status: NOT_SENT },
         })
     }
   }
   private sendOnBehalfOf(
     from: NodeName,
-    processEpoch: number,
+    processStartedAt: number,
     { id, address, batch }: ForwardedCommand,
   ): Effect.Effect<void> {
     return Effect.map(this.options.inFlight.track(this.sendDirectly(address, batch)), (outcome) =>
-      this.resultOutbox.add(from, { processEpoch, item: { id, ...outcome } }),
+      this.resultOutbox.add(from, { processStartedAt, item: { id, ...outcome } }),
     )
   }
   /** Completes the requests of commands that another node has sent for this node. */
   receiveResults({ recipientStartedAt, results }: CommandResults): void {
     // Results for an earlier process of this node match no request of this one, though ids may be equal.
-    if (recipientStartedAt !== this.processEpoch) return
+    if (recipientStartedAt !== this.processStartedAt) return
     for (const { id, ...outcome } of results) {
       const resume = this.pendingCommands.get(id)
       this.pendingCommands.delete(id)
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -97,18 +97,18 @@
   private readonly lastAnswered = new Map<MachineId, AnsweredHeartbeat>()
   private readonly heartbeatOutbox: Outbox<OutgoingHeartbeat>
   private readonly replyOutbox: Outbox<ForProcess<ForwardedReply>>
-  /** Latest known process epochs of the nodes whose forwarded heartbeats this node answers. */
-  private readonly processEpochs = new Map<NodeName, number>()
-  private readonly processEpoch: number
+  /** Latest known start times of the processes whose forwarded heartbeats this node answers. */
+  private readonly processStartTimes = new Map<NodeName, number>()
+  private readonly processStartedAt: number
   private lastHeartbeatId = 0
   private isCheckingTimeouts = false
 
   constructor(private readonly options: HeartbeatForwarderOptions) {
     const { clocks, peers, fork } = options
-    this.processEpoch = Math.floor(clocks.wallNow())
+    this.processStartedAt = Math.floor(clocks.wallNow())
     this.heartbeatOutbox = new Outbox(BATCHING_DELAY_MS, (to, items) => this.sendHeartbeats(to, items), fork)
     const sendReplies = (to: NodeName, replies: ReadonlyArray<ForProcess<ForwardedReply>>) => {
-      const recipientStartedAt = this.processEpochs.get(to) ?? 0
+      const recipientStartedAt = this.processStartTimes.get(to) ?? 0
       peers.send(
         {
           kind: "heartbeatReplies",
@@ -182,7 +182,7 @@
       }
       const sentAt = clocks.wallNow()
       peers.send(
-        { kind: "heartbeats", senderStartedAt: this.processEpoch, sentAt, heartbeats, repeats },
+        { kind: "heartbeats", senderStartedAt: this.processStartedAt, sentAt, heartbeats, repeats },
         owner,
       )
     }
@@ -190,7 +190,7 @@
   /** Answers pending heartbeats with the owner's replies. */
   receiveReplies({ recipientStartedAt, replies }: ForwardedReplies): void {
     // Replies for an earlier process of this node match no heartbeat of this one, though ids may be equal.
-    if (recipientStartedAt !== this.processEpoch) return
+    if (recipientStartedAt !== this.processStartedAt) return
     for (const { id, status, body } of replies) {
       const pending = this.pendingHeartbeats.get(id)
       if (pending === undefined) continue
@@ -209,25 +209,28 @@
   /** Accepts heartbeats of this owner's machines from another node; a message that is too old is ignored. */
   receiveHeartbeats(
     from: NodeName,
-    { senderStartedAt: processEpoch, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
+    { senderStartedAt, sentAt, heartbeats, repeats }: ForwardedHeartbeats,
     accept: (heartbeat: Heartbeat, respond: Respond) => void,
     expandRepeat: (repeat: RepeatedHeartbeat) => Heartbeat | null,
   ): void {
     const { clocks, clockSkewMs } = this.options
     if (clocks.wallNow() - sentAt > MAX_MESSAGE_AGE_MS + 2 * clockSkewMs) return
-    this.processEpochs.set(from, processEpoch)
+    this.processStartTimes.set(from, senderStartedAt)
     const respondTo =
       (id: number): Respond =>
       ({ status, body }) =>
         this.replyOutbox.add(from, {
-          processEpoch,
+          processStartedAt: senderStartedAt,
           item: { id, status, body: body as ForwardedReply["body"] },
         })
     for (const { id, heartbeat } of heartbeats) accept(heartbeat, respondTo(id))
     for (const { id, repeat } of repeats) {
       const heartbeat = expandRepeat(repeat)
       if (heartbeat === null)
-        this.replyOutbox.add(from, { processEpoch, item: { id, status: FULL_HEARTBEAT_NEEDED, body: {} } })
+        this.replyOutbox.add(from, {
+          processStartedAt: senderStartedAt,
+          item: { id, status: FULL_HEARTBEAT_NEEDED, body: {} },
+        })
       else accept(heartbeat, respondTo(id))
     }
   }
--- a/packages/forwarding/src/outbox.ts
+++ b/packages/forwarding/src/outbox.ts
@@ -4,17 +4,18 @@
 
 /**
  * An item for one process of a node. Request ids are unique only within a process: a restarted one reuses
- * them. A process epoch is the process's start time in milliseconds.
+ * them. The start time of the process, in milliseconds, identifies it.
  */
 export interface ForProcess<A> {
-  readonly processEpoch: number
+  readonly processStartedAt: number
   readonly item: A
 }
 /** Selects the items for one process: no response for an earlier one may reach a request of this one. */
 export const itemsForProcess = <A>(
   items: ReadonlyArray<ForProcess<A>>,
-  processEpoch: number,
-): ReadonlyArray<A> => items.filter((entry) => entry.processEpoch === processEpoch).map(({ item }) => item)
+  processStartedAt: number,
+): ReadonlyArray<A> =>
+  items.filter((entry) => entry.processStartedAt === processStartedAt).map(({ item }) => item)
 
 /** Collects items by node, and sends those for one node together after a delay. */
 export class Outbox<A> {
--- a/packages/forwarding/test/heartbeat-forwarder.test.ts
+++ b/packages/forwarding/test/heartbeat-forwarder.test.ts
@@ -125,17 +125,17 @@
 test("a reply for an earlier process of a node is not sent to its current one", async () => {
   const owner = harness()
   const deferredReplies: Array<Respond> = []
-  const forwardedBy = (processEpoch: number): ForwardedHeartbeats => ({
+  const forwardedBy = (senderStartedAt: number): ForwardedHeartbeats => ({
     kind: "heartbeats",
-    senderStartedAt: processEpoch,
+    senderStartedAt: senderStartedAt,
     sentAt: 1_000_000,
     heartbeats: [{ id: 5, heartbeat: heartbeat(1) }],
     repeats: [],
   })
-  const receive = (processEpoch: number) =>
+  const receive = (senderStartedAt: number) =>
     owner.forwarder.receiveHeartbeats(
       OWNER,
-      forwardedBy(processEpoch),
+      forwardedBy(senderStartedAt),
       (_, respond) => deferredReplies.push(respond),
       () => null,
     )
--- a/packages/jobs/src/ends-pages.ts
+++ b/packages/jobs/src/ends-pages.ts
@@ -15,7 +15,7 @@
 
 /**
  * Keys of a shard's ends pages, which together hold the final states that are
- * not folded into job pages yet. A cancellation is conditioned on all of them
+ * not moved to job pages yet. A cancellation is conditioned on all of them
  * and on the job page of its job, so their number is limited by the number of
  * conditions of a transaction.
  */
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the final states of one shard's jobs to ends pages, and folds job pages
+ * Writes the final states of one shard's jobs to ends pages, and compacts job pages
  * when the ends pages fill up. Every write of final states is fenced: by the
  * shard epoch, by the revision of the ends page, and, for each job that is done,
  * by the revision of its job page.
@@ -43,9 +43,9 @@
 const IDLE_WAIT_MS = 5_000
 /**
  * Once the ends pages are filled to this fraction of their capacity, the shard's
- * owner folds job pages itself instead of leaving it to the next writer of each page.
+ * owner compacts job pages itself instead of leaving it to the next writer of each page.
  */
-const FOLD_THRESHOLD = 0.6
+const COMPACTION_THRESHOLD = 0.6
 /** Below the store's limit on a value, because each write of a page is sent to every controller. */
 const MAX_PAGE_BYTES = 3_072
 /** Bytes of a value that are reserved for the rest of a stored ends page. */
@@ -55,8 +55,8 @@
 export interface JobEndsWriterEvents {
   /** The final states of these jobs are durable. */
   readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
-  /** Rewrites a job page with the jobs that are over folded into final states. */
-  readonly fold: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
+  /** Rewrites a job page, with the records of jobs that are over replaced by their final states. */
+  readonly compactJobPage: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
 
 /** Options of the writer. */
@@ -83,7 +83,7 @@
 /**
  * Writes the final states of one shard's jobs, with one put for all jobs that
  * ended since the last write. An ends page lists a job until the job's record has
- * been folded; the next write of the ends page omits final states that are no
+ * been replaced on its page; the next write of the ends page omits final states that are no
  * longer needed.
  */
 export class JobEndsWriter {
@@ -111,9 +111,9 @@
     this.jobAdded.notify()
   }
 
-  /** Writes final states and folds job pages until it is interrupted. */
+  /** Writes final states and compacts job pages until it is interrupted. */
   readonly run: Effect.Effect<void> = Effect.suspend(() =>
-    Effect.all([this.writeLoop(), this.foldLoop()], { concurrency: "unbounded", discard: true }),
+    Effect.all([this.writeLoop(), this.compactionLoop()], { concurrency: "unbounded", discard: true }),
   )
 
   private writeLoop() {
@@ -196,15 +196,15 @@
     )
   }
 
-  private foldLoop() {
+  private compactionLoop() {
     return Effect.forever(
       Effect.gen({ self: this }, function* () {
         yield* this.endsPagesGrew.wait(IDLE_WAIT_MS)
         for (;;) {
-          const page = this.options.mayWrite() ? this.pageToFold() : null
+          const page = this.options.mayWrite() ? this.pageToCompact() : null
           if (page === null) return
-          const folded = yield* Effect.result(this.options.events.fold(page))
-          if (Result.isFailure(folded)) return
+          const compacted = yield* Effect.result(this.options.events.compactJobPage(page))
+          if (Result.isFailure(compacted)) return
         }
       }),
     )
@@ -214,10 +214,10 @@
    * Job page with the largest number of jobs that are over; null while the ends
    * pages are filled below the threshold.
    */
-  private pageToFold(): StoreKey<JobPage> | null {
+  private pageToCompact(): StoreKey<JobPage> | null {
     const contents = this.endsPageContents()
     const bytes = contents.reduce((sum, content) => sum + content.bytes, 0)
-    if (bytes < FOLD_THRESHOLD * contents.length * this.maxPageBytes) return null
+    if (bytes < COMPACTION_THRESHOLD * contents.length * this.maxPageBytes) return null
     const endedJobsByPage = new Map<StoreKey<JobPage>, number>()
     for (const digits of contents.flatMap(({ page }) => [...page.done, ...page.cancelled])) {
       const pageKey = this.options.jobIndex.pageKeyOf(idFromDigits(digits))
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -1,7 +1,7 @@
 /**
  * Pure functions on job pages; they neither read nor write the store. A job is
  * accepted by adding its record to a page of its bucket. Once the job is over,
- * the next write of that page folds it: the record is replaced by the job's
+ * the next write of that page compacts it: the record is replaced by the job's
  * final state, which takes a few bytes. So neither the end nor the removal of
  * a job costs a write of its own.
  */
@@ -64,7 +64,7 @@
 })
 
 /** Returns the page with the records of jobs that are over replaced by their final states. */
-export const foldEnds = (page: JobPage, finalStatusOf: (id: JobId) => FinalStatus | null): JobPage => {
+export const compactPage = (page: JobPage, finalStatusOf: (id: JobId) => FinalStatus | null): JobPage => {
   const jobs: Array<JobRecord> = []
   const done = [...page.done]
   const cancelled = [...page.cancelled]
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -33,10 +33,10 @@
   archiveFinalStates,
   bucketOf,
   cancelJob,
+  compactPage,
   EMPTY_PAGE,
   finalStatusIn,
   fitsValue,
-  foldEnds,
 } from "./job-pages.ts"
 
 /** Number of operations of a write that moves final states to the archive. */
@@ -60,7 +60,7 @@
 
 /** Callbacks of the job store. */
 export interface JobStoreEvents {
-  /** A page was written. The owner of this job should be told before it receives the watch event. */
+  /** A page was written. Notifies the owner of this job's shard ahead of the watch event. */
   readonly pageWritten: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
   /** Final status found by an earlier lookup; it never changes. Null if none is cached. */
   readonly cachedFinalStatus: (id: JobId) => FinalStatus | null
@@ -162,7 +162,7 @@
         conditions.push(...this.endsConditions(this.events.shardOf(spec)))
         const { page: written, operations } = this.writesForPage(
           page.key,
-          cancelJob(this.foldedPage(page), id),
+          cancelJob(this.compactedPage(page), id),
         )
         const cancelled = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (!cancelled.ok) continue
@@ -173,12 +173,12 @@
     })
   }
 
-  /** Rewrites a job page with the jobs that are over folded into final states. */
-  fold(key: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
+  /** Rewrites a job page, with the records of jobs that are over replaced by their final states. */
+  compactJobPage(key: StoreKey<JobPage>): Effect.Effect<void, StoreError> {
     return Effect.gen({ self: this }, function* () {
       const page = this.pageAt(key)
       if (page === null) return
-      const { page: written, operations } = this.writesForPage(key, this.foldedPage(page))
+      const { page: written, operations } = this.writesForPage(key, this.compactedPage(page))
       const conditions = [{ key, modRevision: page.modRevision }]
       const result = yield* this.store.compareAndSwap(conditions, operations, 3)
       if (!result.ok) return yield* this.membership.readBarrier.wait
@@ -216,8 +216,8 @@
     })
   }
 
-  private foldedPage({ value }: Entry<JobPage>): JobPage {
-    return foldEnds(value, (id) => this.jobIndex.endsPageStatusOf(id))
+  private compactedPage({ value }: Entry<JobPage>): JobPage {
+    return compactPage(value, (id) => this.jobIndex.endsPageStatusOf(id))
   }
 
   /**
@@ -230,7 +230,7 @@
   ): { readonly key: StoreKey<JobPage>; readonly page: JobPage } | null {
     const { valueKb } = this.store.limits
     for (const entry of pages) {
-      const page = addJob(this.foldedPage(entry), record)
+      const page = addJob(this.compactedPage(entry), record)
       const { key } = entry
       if (fitsValue(key, page, valueKb)) return { key, page }
     }
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -37,7 +37,10 @@
       return nowMs as MonotonicTime
     },
     mayWrite: () => true,
-    events: { jobsEnded: (ends) => reported.push(...ends), fold: (page) => jobStore.fold(page) },
+    events: {
+      jobsEnded: (ends) => reported.push(...ends),
+      compactJobPage: (page) => jobStore.compactJobPage(page),
+    },
   })
   for (const { id, record, pageKey, modRevision } of [...jobIndex.liveJobs()]) {
     const job = new JobState(id, record, pageKey, modRevision)
@@ -54,7 +57,7 @@
 }
 
 describe("final states of many jobs", () => {
-  it("share writes, and the owner folds them into job pages if no other write does", async () => {
+  it("share writes, and the owner moves them to job pages if no other write does", async () => {
     const store = new MemoryStore(limits)
     const node = await nodeWithJobs(store)
     const putsBefore = store.puts.length
@@ -67,6 +70,6 @@
     const endsPuts = puts.filter((key) => key.startsWith("s/ends/")).length
     const pagePuts = puts.length - endsPuts
     assert.ok(endsPuts < JOB_COUNT / 8, `${endsPuts} puts of ends pages`)
-    assert.ok(pagePuts > 0 && pagePuts < JOB_COUNT, `${pagePuts} pages folded by the owner`)
+    assert.ok(pagePuts > 0 && pagePuts < JOB_COUNT, `${pagePuts} pages compacted by the owner`)
   })
 })
--- a/packages/rate-limit/test/builders.ts
+++ b/packages/rate-limit/test/builders.ts
@@ -32,5 +32,5 @@
 })
 
 /** Runs a test on a clock that the test advances explicitly. */
-export const onTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
+export const runOnTestClock = <A, E>(test: Effect.Effect<A, E>): Promise<A> =>
   Effect.runPromise(Effect.provide(test, TestClock.layer()))
--- a/packages/rate-limit/test/shared-rate-limit.test.ts
+++ b/packages/rate-limit/test/shared-rate-limit.test.ts
@@ -4,14 +4,14 @@
 import { TestClock } from "effect/testing"
 import {
   BURST_REQUESTS,
-  onTestClock,
   RECHECK_MS,
   REQUEST_INTERVAL_MS,
   rateLimitOnTestClock,
+  runOnTestClock,
 } from "./builders.ts"
 
 test("an idle node sends a burst at once, and the next request when there is capacity", () =>
-  onTestClock(
+  runOnTestClock(
     Effect.gen(function* () {
       const { sent, sendRequests } = yield* rateLimitOnTestClock
       yield* sendRequests(BURST_REQUESTS + 1, 2)
@@ -24,7 +24,7 @@
   ))
 
 test("a request of an immediate priority is sent at once and delays the queued ones", () =>
-  onTestClock(
+  runOnTestClock(
     Effect.gen(function* () {
       const { sent, sendRequests } = yield* rateLimitOnTestClock
       yield* sendRequests(BURST_REQUESTS + 1, 2)
@@ -38,7 +38,7 @@
   ))
 
 test("rejections in quick succession empty the token bucket and lower the rate once", () =>
-  onTestClock(
+  runOnTestClock(
     Effect.gen(function* () {
       const { rateLimit, sent, sendRequests } = yield* rateLimitOnTestClock
       rateLimit.recordRejection()
--- a/packages/shard/src/command-delivery.ts
+++ b/packages/shard/src/command-delivery.ts
@@ -69,12 +69,15 @@
       if (!commands.some(({ kind }) => kind !== "purge")) return Effect.void
       session.recordDirectCommands(commands, now)
       const batch = { fencingToken: token, agentEpoch, commands }
-      return Effect.map(node.commandForwarder.send(address, batch, session.via), ({ status, heartbeat }) => {
-        const isOutcomeKnown = status === HTTP_OK || status === HTTP_CONFLICT || status === NOT_SENT
-        session.recordDirectResult(commands, token, isOutcomeKnown)
-        if (this.context.isStopped() || this.context.machines.get(session.id) !== session) return
-        this.applyResponse(session, heartbeat)
-      })
+      return Effect.map(
+        node.commandForwarder.send(address, batch, session.forwardedBy),
+        ({ status, heartbeat }) => {
+          const isOutcomeKnown = status === HTTP_OK || status === HTTP_CONFLICT || status === NOT_SENT
+          session.recordDirectResult(commands, token, isOutcomeKnown)
+          if (this.context.isStopped() || this.context.machines.get(session.id) !== session) return
+          this.applyResponse(session, heartbeat)
+        },
+      )
     })
   }
 
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -85,7 +85,10 @@
       jobIndex,
       now,
       mayWrite: mayAct,
-      events: { jobsEnded: (ends) => node.onJobsEnded(ends), fold: (page) => node.compactJobPage(page) },
+      events: {
+        jobsEnded: (ends) => node.onJobsEnded(ends),
+        compactJobPage: (page) => node.compactJobPage(page),
+      },
     })
   }
 
--- a/packages/shard/src/worker-communication.ts
+++ b/packages/shard/src/worker-communication.ts
@@ -61,7 +61,7 @@
     const changesBefore = this.taskOutcomes.capacityChangeCount
     const session = this.acceptHeartbeat(heartbeat)
     if (session === null) return respond(HEARTBEAT_UNAVAILABLE)
-    session.via = forwardedBy
+    session.forwardedBy = forwardedBy
     // The worker has abandoned the request that is still deferred, since it sends the next heartbeat.
     this.deferredReplies.replyWith(session, HEARTBEAT_UNAVAILABLE)
     if (this.taskOutcomes.capacityChangeCount === changesBefore || !this.context.hasUnplacedTasks())
--- a/packages/store/src/records/job-page.ts
+++ b/packages/store/src/records/job-page.ts
@@ -28,7 +28,7 @@
 }
 
 /**
- * Jobs of one bucket of job ids: accepted jobs whose final states are not folded in yet, and the final states
+ * Jobs of one bucket of job ids: accepted jobs whose final states are not on the page yet, and the final states
  * of earlier jobs. Any controller may write it, with a compare-and-swap on its mod revision.
  */
 export interface JobPage extends FinalStates {
--- a/packages/store/src/records/keys.ts
+++ b/packages/store/src/records/keys.ts
@@ -46,7 +46,7 @@
     key<MachineBlock>(`${MACHINE_BLOCKS}${series}.${zeroPad(n, 9)}`),
   /** A job page of a bucket of job ids. */
   jobPage: (bucket: number, page: number) => key<JobPage>(`${JOB_PAGES}${bucket}.${page}`),
-  /** An ends page: final states that a shard's owner has not yet folded into job pages. */
+  /** An ends page: final states that a shard's owner has not moved to job pages yet. */
   endsPage: (shard: ShardName, page: number) => key<FinalStates>(`${ENDS_PAGES}${shard}.${page}`),
   /** A team's quota. */
   quota: (team: string) => key<QuotaRecord>(`s/quota/${team}`),
--- a/packages/testkit/src/faults/user-faults.ts
+++ b/packages/testkit/src/faults/user-faults.ts
@@ -19,17 +19,17 @@
 const MAX_HUNG_MACHINES = 8
 /** Tasks that finish more than this apart count as far apart. */
 const FAR_APART_MS = 15_000
-/** Mean time between odd requests. */
-const ODD_REQUEST_INTERVAL_MS = 700
+/** Mean time between unusual requests. */
+const UNUSUAL_REQUEST_INTERVAL_MS = 700
 
-/** Sends requests of users that follow each other closely or are odd, and counts them. */
+/** Sends requests of users that follow each other closely or are unusual, and counts them. */
 export class UserFaults {
-  private closePollsUntil = 0
-  /** Share of the jobs accepted during close polls that is cancelled at once. */
+  private immediatePollsUntil = 0
+  /** Share of the jobs accepted during immediate polls that is cancelled at once. */
   private cancelledAtOnceShare = 0
   private earlyCancellations = { share: 0, until: 0 }
   private cancellationsAtEnd = { share: 0, until: 0 }
-  private oddRequestsUntil = 0
+  private unusualRequestsUntil = 0
   private invalidJobCount = 0
   readonly count = {
     /** Answers soon after an acceptance, a confirmed cancellation, and the end of a job's last task. */
@@ -38,14 +38,14 @@
     closeAfterEnd: 0,
     /** Jobs cancelled as their last task ended, by the answer to the user: cancelled, or done. */
     endsCancelled: 0,
-    endsTold: 0,
+    endsDone: 0,
     /** Jobs with tasks that finished before and after a controller crash, many seconds apart. */
     endsFarApart: 0,
-    /** Jobs cancelled in bursts, machines hung with them, odd requests, and refusals of invalid jobs. */
-    burst: 0,
-    burstHung: 0,
-    odd: 0,
-    oddRefused: 0,
+    /** Jobs cancelled in bursts, machines hung with them, unusual requests, and refusals of invalid jobs. */
+    cancelledInBurst: 0,
+    hungAfterBurst: 0,
+    unusualRequests: 0,
+    invalidJobsRefused: 0,
   }
 
   constructor(
@@ -57,21 +57,21 @@
     invariants.onComplete.push((job) => this.jobCompleted(job as JobId))
   }
 
-  /** Whether close polls, cancellations at job ends or odd requests are under way. */
+  /** Whether immediate polls, cancellations at job ends or unusual requests are under way. */
   areActive(): boolean {
     return (
       this.simulation.now <
-      Math.max(this.closePollsUntil, this.cancellationsAtEnd.until, this.oddRequestsUntil)
+      Math.max(this.immediatePollsUntil, this.cancellationsAtEnd.until, this.unusualRequestsUntil)
     )
   }
   /** Polls all nodes within milliseconds of each event, and repeats submissions, for `durationMs`. */
-  pollClosely(durationMs: number, cancelledAtOnceShare: number): void {
+  pollImmediately(durationMs: number, cancelledAtOnceShare: number): void {
     this.cancelledAtOnceShare = cancelledAtOnceShare
-    this.closePollsUntil = Math.max(this.closePollsUntil, this.simulation.now + durationMs)
+    this.immediatePollsUntil = Math.max(this.immediatePollsUntil, this.simulation.now + durationMs)
   }
   private jobChanged(event: UserEvent, job: JobId): void {
     if (event === "accepted") this.cancelLater(job)
-    if (this.simulation.now >= this.closePollsUntil) return
+    if (this.simulation.now >= this.immediatePollsUntil) return
     if (event === "cancelled") return this.pollAllNodes(job, () => this.count.closeAfterCancelled++)
     this.pollAllNodes(job, () => this.count.closeAfterAccepted++)
     if (this.simulation.random.chance(this.cancelledAtOnceShare)) this.users.cancel(job)
@@ -104,7 +104,8 @@
     this.cancellationsAtEnd = { share, until: this.simulation.now + durationMs }
   }
   private jobCompleted(job: JobId): void {
-    if (this.simulation.now < this.closePollsUntil) this.pollAllNodes(job, () => this.count.closeAfterEnd++)
+    if (this.simulation.now < this.immediatePollsUntil)
+      this.pollAllNodes(job, () => this.count.closeAfterEnd++)
     const firstFinishedAt = this.invariants.users.firstFinishedAt.get(job) ?? this.simulation.now
     const { lastCrashAt } = this.invariants
     if (firstFinishedAt < lastCrashAt && firstFinishedAt + FAR_APART_MS < this.simulation.now)
@@ -112,7 +113,7 @@
     const { share, until } = this.cancellationsAtEnd
     if (this.simulation.now >= until || !this.simulation.random.chance(share)) return
     this.users.cancel(job, (_, state) => {
-      if (state === "done") this.count.endsTold++
+      if (state === "done") this.count.endsDone++
       else this.count.endsCancelled++
     })
   }
@@ -122,36 +123,36 @@
     const jobs = this.invariants.jobsWithTimeLeft(MIN_TIME_LEFT_S).slice(0, count)
     const machines = new Set<string>()
     for (const job of jobs) {
-      this.count.burst++
+      this.count.cancelledInBurst++
       for (const machine of this.invariants.machinesOf(job)) machines.add(machine)
       this.simulation.after(this.simulation.random.between(0, BURST_SPREAD_MS), () =>
         this.users.cancel(job as JobId),
       )
     }
     const machinesToHang = [...machines].slice(0, MAX_HUNG_MACHINES)
-    this.count.burstHung += machinesToHang.length
+    this.count.hungAfterBurst += machinesToHang.length
     return machinesToHang
   }
 
   /** Sends repeated submissions of unfinished jobs, cancellations of done jobs, and invalid jobs. */
-  sendOddRequests(durationMs: number): void {
+  sendUnusualRequests(durationMs: number): void {
     const until = this.simulation.now + durationMs
-    this.oddRequestsUntil = Math.max(this.oddRequestsUntil, until)
+    this.unusualRequestsUntil = Math.max(this.unusualRequestsUntil, until)
     const sendNext = () => {
       if (this.simulation.now >= until) return
-      this.sendOddRequest()
-      this.simulation.after(this.simulation.random.between(0.5, 1.5) * ODD_REQUEST_INTERVAL_MS, sendNext)
+      this.sendUnusualRequest()
+      this.simulation.after(this.simulation.random.between(0.5, 1.5) * UNUSUAL_REQUEST_INTERVAL_MS, sendNext)
     }
     sendNext()
   }
-  private sendOddRequest(): void {
+  private sendUnusualRequest(): void {
     const { random } = this.simulation
     const jobsByOutcome = (isFinal: boolean) =>
       this.users.jobs.filter((id) => (this.invariants.users.finalState(id) !== null) === isFinal)
     const unfinished = jobsByOutcome(false).filter((id) => this.invariants.users.isAccepted(id))
     const done = jobsByOutcome(true).filter((id) => this.invariants.users.finalState(id) === "done")
     const draw = random.next()
-    this.count.odd++
+    this.count.unusualRequests++
     if (draw < 0.25 && unfinished.length > 0) return this.users.resubmit(random.pick(unfinished))
     if (draw < 0.4 && done.length > 0) return this.users.cancelDone(random.pick(done))
     if (draw < 0.5) return this.users.pollUnknownJob()
@@ -159,8 +160,8 @@
   }
   private submitInvalid(): void {
     const id = `run-${String(900_000 + ++this.invalidJobCount).padStart(6, "0")}` as JobId
-    const { change, refusal } = this.simulation.random.pick(ODD_JOBS)
-    const request = change(uncheckedJob(id, ODD_JOB_FIELDS))
+    const { change, refusal } = this.simulation.random.pick(INVALID_JOBS)
+    const request = change(uncheckedJob(id, VALID_JOB_FIELDS))
     this.invariants.users.recordInvalidSubmission(id, refusal)
     const submitTo = (node?: NodeName) =>
       this.users.sendRequest(
@@ -168,7 +169,7 @@
         id,
         request,
         (status) => {
-          if (status === 400 || status === 422) this.count.oddRefused++
+          if (status === 400 || status === 422) this.count.invalidJobsRefused++
         },
         node,
       )
@@ -182,8 +183,8 @@
   }
 }
 
-/** Fields of a valid job, from which the odd jobs are derived. */
-const ODD_JOB_FIELDS: JobFields = { pieces: 2, cores: 2, expected_s: 5 }
+/** Fields of a valid job, from which the invalid jobs are derived. */
+const VALID_JOB_FIELDS: JobFields = { pieces: 2, cores: 2, expected_s: 5 }
 const withoutField =
   (field: keyof WireJob) =>
   (request: JobFields): JobFields => {
@@ -193,7 +194,7 @@
 const withFields =
   (fields: JobFields) =>
   (request: JobFields): JobFields => ({ ...request, ...fields })
-const ODD_JOBS: ReadonlyArray<{
+const INVALID_JOBS: ReadonlyArray<{
   readonly change: (request: JobFields) => JobFields
   readonly refusal: RefusalReason
 }> = [
--- a/packages/testkit/src/golden/days.ts
+++ b/packages/testkit/src/golden/days.ts
@@ -34,7 +34,7 @@
 ]
 
 /**
- * A day whose store is dumped before its end. At that time the store holds jobs of every state, folded and
+ * A day whose store is dumped before its end. At that time the store holds jobs of every state, compacted and
  * archived job pages, ends pages and machines.
  */
 export const STORE_DAY = `(scenario "a day with faults whose store is dumped" (seed 17) (until 151) (nodes 3)
--- a/packages/testkit/src/scenarios/user-actions.ts
+++ b/packages/testkit/src/scenarios/user-actions.ts
@@ -62,9 +62,9 @@
   "cancel-some": (deployment, args) =>
     deployment.userFaults.cancelSome(numberArgument(args, 0, 0.25), millisecondsArgument(args, 1, 60)),
   "unusual-requests": (deployment, args) =>
-    deployment.userFaults.sendOddRequests(millisecondsArgument(args, 0, 60)),
+    deployment.userFaults.sendUnusualRequests(millisecondsArgument(args, 0, 60)),
   "immediate-polls": (deployment, args) =>
-    deployment.userFaults.pollClosely(millisecondsArgument(args, 0, 60), numberArgument(args, 1, 0.15)),
+    deployment.userFaults.pollImmediately(millisecondsArgument(args, 0, 60), numberArgument(args, 1, 0.15)),
 }
 /** Actions that don't impair the service: they don't extend the time within which polls may go unanswered. */
 export const HARMLESS_ACTIONS: ReadonlySet<string> = new Set([
@@ -83,12 +83,12 @@
     "answers soon after a confirmed cancellation": userFaults.count.closeAfterCancelled,
     "answers soon after the end of a job": userFaults.count.closeAfterEnd,
     "cancellations at the end of a job answered cancelled": userFaults.count.endsCancelled,
-    "cancellations at the end of a job answered done": userFaults.count.endsTold,
+    "cancellations at the end of a job answered done": userFaults.count.endsDone,
     "jobs with task ends far apart across a crash": userFaults.count.endsFarApart,
-    "jobs cancelled in a burst": userFaults.count.burst,
-    "machines hung after a burst of cancellations": userFaults.count.burstHung,
-    "unusual requests": userFaults.count.odd,
-    "invalid jobs refused": userFaults.count.oddRefused,
+    "jobs cancelled in a burst": userFaults.count.cancelledInBurst,
+    "machines hung after a burst of cancellations": userFaults.count.hungAfterBurst,
+    "unusual requests": userFaults.count.unusualRequests,
+    "invalid jobs refused": userFaults.count.invalidJobsRefused,
     "late transactions": state.faults.count.late,
     "late transactions refused": state.faults.count.lateRefused,
     "late transactions applied": state.faults.count.lateApplied,
@@ -98,7 +98,7 @@
     "messages of the state service delayed": state.faults.count.slow,
     "changes that create a job": state.operations.count.create,
     "changes that cancel a job": state.operations.count.cancel,
-    "changes that fold a job page": state.operations.count.fold,
+    "changes that compact a job page": state.operations.count.compact,
     "changes that record ends of jobs": state.operations.count.end,
     "changes that start tasks": state.operations.count.start,
     "changes that finish tasks": state.operations.count.finish,
--- a/packages/testkit/src/services/operations.ts
+++ b/packages/testkit/src/services/operations.ts
@@ -5,14 +5,14 @@
 import { decodeRecord, type JobPage, type PlacementRecord, type StoreKey } from "@sorreltally/store"
 
 /** Purpose of a change in the state service. */
-export type Operation = "create" | "cancel" | "fold" | "end" | "start" | "finish" | "archive" | "other"
+export type Operation = "create" | "cancel" | "compact" | "end" | "start" | "finish" | "archive" | "other"
 
 /** Number of puts and deletes that were applied, by purpose. */
 export class Operations {
   readonly count: Record<Operation, number> = {
     create: 0,
     cancel: 0,
-    fold: 0,
+    compact: 0,
     end: 0,
     start: 0,
     finish: 0,
@@ -45,5 +45,5 @@
   const previousJobs = new Map(before?.jobs.map((job) => [job.spec.id, job]))
   if (after.jobs.some((job) => !previousJobs.has(job.spec.id))) return "create"
   const cancelled = after.jobs.some((job) => job.cancelled && !previousJobs.get(job.spec.id)?.cancelled)
-  return cancelled ? "cancel" : "fold"
+  return cancelled ? "cancel" : "compact"
 }
--- a/packages/testkit/test/golden-codecs.ts
+++ b/packages/testkit/test/golden-codecs.ts
@@ -7,8 +7,8 @@
 import {
   archiveFinalStates,
   cancelJob,
+  compactPage,
   EMPTY_PAGE,
-  foldEnds,
   JobState,
   type Placement,
   PlacementLedger,
@@ -112,10 +112,10 @@
     JSON.stringify(encodeRecord(key, decodeRecord(key, JSON.parse(text))))
 const decodeJobPage = (text: string): JobPage => decodeRecord(JOB_PAGE, JSON.parse(text))
 const encodeJobPage = (page: JobPage): string => JSON.stringify(encodeRecord(JOB_PAGE, page))
-const reencodeJobPage: RoundTrip = (text) => encodeJobPage(foldEnds(decodeJobPage(text), () => null))
+const reencodeJobPage: RoundTrip = (text) => encodeJobPage(compactPage(decodeJobPage(text), () => null))
 /** A job page as it is written when all its jobs have ended with the given state. */
-export const foldJobPage = (text: string, end: "done" | "withdrawn"): string =>
-  encodeJobPage(foldEnds(decodeJobPage(text), () => (end === "done" ? "done" : "cancelled")))
+export const compactJobPage = (text: string, end: "done" | "withdrawn"): string =>
+  encodeJobPage(compactPage(decodeJobPage(text), () => (end === "done" ? "done" : "cancelled")))
 /** A job page as it is written when its first job has been cancelled. */
 export const cancelFirstJob = (text: string): string => {
   const page = decodeJobPage(text)
--- a/packages/testkit/test/golden-store.test.ts
+++ b/packages/testkit/test/golden-store.test.ts
@@ -44,7 +44,7 @@
     deployment.simulation.runUntil(dump.atMs + RUN_MS + FINAL_POLLS_MS)
   })
 
-  it("holds jobs of all states, folded and archived pages, machines and quotas", () => {
+  it("holds jobs of all states, compacted and archived pages, machines and quotas", () => {
     const states = new Set([...lastReplies.values()].map(({ state }) => state))
     assert.deepEqual(states, new Set(["queued", "running", "done", "withdrawn"]))
     const { entries } = dump.state
--- a/packages/testkit/test/golden.test.ts
+++ b/packages/testkit/test/golden.test.ts
@@ -18,7 +18,7 @@
 import {
   cancelFirstJob,
   cloudAnswerRoundTrips,
-  foldJobPage,
+  compactJobPage,
   heartbeatError,
   messageBodyRoundTrips,
   packBody,
@@ -233,9 +233,9 @@
   const digits = firstJob.request.id.slice("run-".length) as string
   it("of a job page mark cancelled and ended jobs as before", () => {
     assert.equal(cancelFirstJob(jobPageText({})), jobPageText({ jobs: [{ ...firstJob, withdrawn: true }] }))
-    assert.equal(foldJobPage(jobPageText({}), "done"), jobPageText({ jobs: [], done: ["000007", digits] }))
+    assert.equal(compactJobPage(jobPageText({}), "done"), jobPageText({ jobs: [], done: ["000007", digits] }))
     assert.equal(
-      foldJobPage(jobPageText({}), "withdrawn"),
+      compactJobPage(jobPageText({}), "withdrawn"),
       jobPageText({ jobs: [], withdrawn: ["000008", digits] }),
     )
   })
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -101,15 +101,15 @@
     this.directStarts.set(key, { token, sentAt: now })
   }
   /**
-   * Records the end of a request with a direct start. `isAnswered`: it was answered, or certainly not sent;
+   * Records the end of a request with a direct start. `isOutcomeKnown`: it was answered, or certainly not sent;
    * otherwise its outcome is unknown.
    */
-  recordDirectResult(task: TaskId, attempt: Attempt, token: FencingToken, isAnswered: boolean): void {
+  recordDirectResult(task: TaskId, attempt: Attempt, token: FencingToken, isOutcomeKnown: boolean): void {
     const key = keyOf(task, attempt)
     const remaining = (this.inFlight.get(key) ?? 1) - 1
     if (remaining === 0) this.inFlight.delete(key)
     else this.inFlight.set(key, remaining)
-    if (isAnswered) return
+    if (isOutcomeKnown) return
     this.unansweredAttempts.add(key)
     // Guards against a start that is executed after the task's absence was taken as proof that it won't run.
     if (this.unansweredToken === null || this.unansweredToken < token) this.unansweredToken = token
--- a/packages/workers/src/worker-commands.ts
+++ b/packages/workers/src/worker-commands.ts
@@ -98,15 +98,15 @@
       if (kind === "start") this.starts.recordDirectStart(taskId, attempt, token, now)
   }
   /**
-   * Records the end of a request with direct commands. `isAnswered`: it was answered, or certainly not sent;
+   * Records the end of a request with direct commands. `isOutcomeKnown`: it was answered, or certainly not sent;
    * otherwise its outcome is unknown.
    */
-  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isAnswered: boolean): void {
+  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isOutcomeKnown: boolean): void {
     this.inFlight = false
     for (const { kind, taskId, attempt } of commands) {
       if (kind !== "start") continue
-      this.starts.recordDirectResult(taskId, attempt, token, isAnswered)
-      if (!isAnswered) this.countUnacknowledgedStart(taskId)
+      this.starts.recordDirectResult(taskId, attempt, token, isOutcomeKnown)
+      if (!isOutcomeKnown) this.countUnacknowledgedStart(taskId)
     }
   }
   private countUnacknowledgedStart(task: TaskId): void {
--- a/packages/workers/src/worker-session.ts
+++ b/packages/workers/src/worker-session.ts
@@ -60,7 +60,7 @@
   /** When the cloud will preempt the machine, by the worker's preemption notice; null: no notice. */
   preemptionAt: MonotonicTime | null = null
   /** The node that forwarded the latest heartbeat; null: the worker sent it directly to the owner. */
-  via: NodeName | null = null
+  forwardedBy: NodeName | null = null
   /** No direct commands are sent before this time: the last ones got no response. */
   commandsPausedUntil: MonotonicTime = EARLIEST_TIME
 
@@ -343,8 +343,8 @@
   recordDirectCommands(commands: ReadonlyArray<Command>, now: MonotonicTime): void {
     this.workerCommands.recordDirect(commands, this.token, now)
   }
-  /** Records the end of such a request; `isAnswered`: answered, or certainly not sent; else unknown. */
-  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isAnswered: boolean): void {
-    this.workerCommands.recordDirectResult(commands, token, isAnswered)
+  /** Records the end of such a request; `isOutcomeKnown`: answered, or certainly not sent; else unknown. */
+  recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isOutcomeKnown: boolean): void {
+    this.workerCommands.recordDirectResult(commands, token, isOutcomeKnown)
   }
 }
--- a/packages/workers/test/builders.ts
+++ b/packages/workers/test/builders.ts
@@ -125,15 +125,15 @@
 }
 
 export const startCommand = (taskId: TaskId): Command => ({ kind: "start", taskId, attempt: ATTEMPT })
-/** Sends the commands to the worker's own address; `isAnswered` false: no response came. */
+/** Sends the commands to the worker's own address; `isOutcomeKnown` false: no response came. */
 export const sendDirect = (
   session: WorkerSession,
   commands: ReadonlyArray<Command>,
-  isAnswered: boolean,
+  isOutcomeKnown: boolean,
   now: MonotonicTime,
 ): void => {
   session.recordDirectCommands(commands, now)
-  session.recordDirectResult(commands, session.token, isAnswered)
+  session.recordDirectResult(commands, session.token, isOutcomeKnown)
 }
 
 export const isDurable = () => true
