--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -167,7 +167,7 @@
       membership: this.membership,
       jobIndex: this.jobIndex,
       events: {
-        pageWritten: (entry, spec) => this.jobChanged(entry, spec),
+        onPageWritten: (entry, spec) => this.jobChanged(entry, spec),
         cachedFinalStatus: (id) => this.progress.finalStatus(id),
         cacheFinalStatus: (id, status) => this.progress.cacheFinalStatus(id, status),
         shardOf: (spec) => this.shardOfJob(spec),
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -72,8 +72,8 @@
 interface OutgoingHeartbeat {
   readonly id: number
   readonly heartbeat: Heartbeat
-  /** Whether it must be sent whole, because the owner lacks the heartbeat that it may repeat. */
-  readonly mustBeWhole: boolean
+  /** Whether it must be sent in full, because the owner lacks the heartbeat that it may repeat. */
+  readonly mustBeFull: boolean
 }
 
 /** Options of the heartbeat forwarder. */
@@ -146,7 +146,7 @@
     const id = ++this.lastHeartbeatId
     const expiresAt = addMs(clocks.monotonicNow(), REPLY_TIMEOUT_MS)
     this.pendingHeartbeats.set(id, { heartbeat, owner, respond, expiresAt })
-    this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeWhole: false })
+    this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeFull: false })
     if (this.isCheckingTimeouts) return
     this.isCheckingTimeouts = true
     fork(this.checkTimeouts())
@@ -172,7 +172,7 @@
     while (items.length > 0) {
       const heartbeats: Array<ForwardedHeartbeats["heartbeats"][number]> = []
       const repeats: Array<ForwardedHeartbeats["repeats"][number]> = []
-      for (const { id, heartbeat, mustBeWhole } of takeBatch(items, ({ heartbeat }) =>
+      for (const { id, heartbeat, mustBeFull: mustBeWhole } of takeBatch(items, ({ heartbeat }) =>
         byteSizeOf(heartbeat),
       )) {
         const previous = mustBeWhole ? undefined : this.lastAnswered.get(heartbeat.machineId)
@@ -197,7 +197,7 @@
       const { heartbeat, owner } = pending
       if (status === FULL_HEARTBEAT_NEEDED) {
         this.lastAnswered.delete(heartbeat.machineId)
-        this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeWhole: true })
+        this.heartbeatOutbox.add(owner, { id, heartbeat, mustBeFull: true })
         continue
       }
       this.pendingHeartbeats.delete(id)
--- a/packages/forwarding/test/heartbeat-forwarder.test.ts
+++ b/packages/forwarding/test/heartbeat-forwarder.test.ts
@@ -127,7 +127,7 @@
   const deferredReplies: Array<Respond> = []
   const forwardedBy = (senderStartedAt: number): ForwardedHeartbeats => ({
     kind: "heartbeats",
-    senderStartedAt: senderStartedAt,
+    senderStartedAt,
     sentAt: 1_000_000,
     heartbeats: [{ id: 5, heartbeat: heartbeat(1) }],
     repeats: [],
--- a/packages/jobs/src/job-ends.ts
+++ b/packages/jobs/src/job-ends.ts
@@ -54,7 +54,7 @@
 /** Callbacks of the writer. */
 export interface JobEndsWriterEvents {
   /** The final states of these jobs are durable. */
-  readonly jobsEnded: (ends: ReadonlyArray<JobEnd>) => void
+  readonly onJobsEnded: (ends: ReadonlyArray<JobEnd>) => void
   /** Rewrites a job page, with the records of jobs that are over replaced by their final states. */
   readonly compactJobPage: (page: StoreKey<JobPage>) => Effect.Effect<void, StoreError>
 }
@@ -182,7 +182,7 @@
       this.waitingJobs.delete(job)
       ends.push({ id: job.id, status })
     }
-    if (ends.length > 0) this.options.events.jobsEnded(ends)
+    if (ends.length > 0) this.options.events.onJobsEnded(ends)
   }
 
   /** Content of the shard's ends pages that is still needed. */
--- a/packages/jobs/src/job-store.ts
+++ b/packages/jobs/src/job-store.ts
@@ -61,7 +61,7 @@
 /** Callbacks of the job store. */
 export interface JobStoreEvents {
   /** A page was written. Notifies the owner of this job's shard ahead of the watch event. */
-  readonly pageWritten: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
+  readonly onPageWritten: (entry: Entry, spec: JobSpec) => Effect.Effect<void>
   /** Final status found by an earlier lookup; it never changes. Null if none is cached. */
   readonly cachedFinalStatus: (id: JobId) => FinalStatus | null
   readonly cacheFinalStatus: (id: JobId, status: FinalStatus) => void
@@ -136,7 +136,7 @@
         const accepted = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (accepted.ok) {
           const entry = { key: target.key, value: written, modRevision: accepted.revision }
-          yield* this.events.pageWritten(entry, spec)
+          yield* this.events.onPageWritten(entry, spec)
           return { kind: "accepted" } as const
         }
         yield* this.membership.readBarrier.wait
@@ -167,7 +167,7 @@
         const cancelled = yield* this.store.compareAndSwap(conditions, operations, 1)
         if (!cancelled.ok) continue
         const entry = { key: page.key, value: written, modRevision: cancelled.revision }
-        yield* this.events.pageWritten(entry, spec)
+        yield* this.events.onPageWritten(entry, spec)
         return { kind: "live", record: { ...found.record, cancelled: true } } as const
       }
     })
--- a/packages/jobs/src/placement-writer.ts
+++ b/packages/jobs/src/placement-writer.ts
@@ -67,9 +67,9 @@
 /** Callbacks of the writer. */
 export interface PlacementWriterEvents {
   /** These placements are durable: their tasks may be started. */
-  readonly placementsDurable: (placements: ReadonlyArray<Placement>) => void
+  readonly onPlacementsDurable: (placements: ReadonlyArray<Placement>) => void
   /** The placement won't become durable: its write failed, and its task is to stop (job cancelled). */
-  readonly placementAbandoned: (placement: Placement) => void
+  readonly onPlacementAbandoned: (placement: Placement) => void
 }
 
 /** Options of the writer. */
@@ -267,7 +267,7 @@
 
   private handleCommit(write: SlotWrite, modRevision: ModRevision): void {
     this.ledger.markCommitted(write, modRevision)
-    this.options.events.placementsDurable(write.starts)
+    this.options.events.onPlacementsDurable(write.starts)
   }
 
   private handleAbort(write: SlotWrite, modRevision: ModRevision): void {
@@ -277,7 +277,7 @@
       // task may run: it counts until the task is proven to be off its machine.
       if (placement.durable || placement.job.placements.get(placement.index) !== placement) continue
       if (placement.stop === null) this.pendingStarts.add(placement)
-      else this.options.events.placementAbandoned(placement)
+      else this.options.events.onPlacementAbandoned(placement)
     }
   }
 }
--- a/packages/jobs/test/builders.ts
+++ b/packages/jobs/test/builders.ts
@@ -153,7 +153,7 @@
     membership,
     jobIndex,
     events: {
-      pageWritten: (entry) => Effect.sync(() => replica.applyWrite(entry)),
+      onPageWritten: (entry) => Effect.sync(() => replica.applyWrite(entry)),
       cachedFinalStatus: () => null,
       cacheFinalStatus: () => {},
       shardOf: () => shard,
--- a/packages/jobs/test/job-ends.test.ts
+++ b/packages/jobs/test/job-ends.test.ts
@@ -38,7 +38,7 @@
     },
     mayWrite: () => true,
     events: {
-      jobsEnded: (ends) => reported.push(...ends),
+      onJobsEnded: (ends) => reported.push(...ends),
       compactJobPage: (page) => jobStore.compactJobPage(page),
     },
   })
--- a/packages/jobs/test/placement-writer.test.ts
+++ b/packages/jobs/test/placement-writer.test.ts
@@ -33,7 +33,7 @@
     membership: { readBarrier: { wait: Effect.void } } as unknown as Membership,
     now: () => performance.now() as MonotonicTime,
     mayWrite: () => true,
-    events: { placementsDurable: () => {}, placementAbandoned: (placement) => abandoned.push(placement) },
+    events: { onPlacementsDurable: () => {}, onPlacementAbandoned: (placement) => abandoned.push(placement) },
   })
   return { slots, writer, abandoned, fiber: Effect.runFork(writer.run) }
 }
--- a/packages/planner/src/demand-pass.ts
+++ b/packages/planner/src/demand-pass.ts
@@ -13,7 +13,7 @@
 import type { Plan, PlannedRental, UnplacedTasks } from "./output.ts"
 import { reserveOnReady } from "./placement.ts"
 import type { JobProgress } from "./placement-pass.ts"
-import { onDemandJustified, planProvision, spotAvailable } from "./provisioning.ts"
+import { isOnDemandJustified, isSpotAvailable, planProvision } from "./provisioning.ts"
 import { releaseIdleMachine, releaseMachine } from "./release.ts"
 import { planRentals, type RentalsByOffer } from "./renting.ts"
 
@@ -130,13 +130,13 @@
       snapshot.deploymentS,
     )
     if (shortfall === 0) this.releaseOneMachine(job)
-    const onDemandAllowed = onDemandJustified(job, lateTasks, snapshot.deploymentS)
+    const onDemandAllowed = isOnDemandJustified(job, lateTasks, snapshot.deploymentS)
     // On-demand machines that are already up need no boot, so they are kept for any late task that spot has
     // no capacity for.
     this.onDemandNeeded ||=
       rentableTasks > 0 &&
       (lateTasks > 0 || (shortfall > 0 && onDemandAllowed)) &&
-      !spotAvailable(job, snapshot)
+      !isSpotAvailable(job, snapshot)
     const rentedTasks = planRentals(
       { job, shortfall, onDemandAllowed },
       snapshot,
--- a/packages/planner/src/demand.ts
+++ b/packages/planner/src/demand.ts
@@ -41,6 +41,6 @@
   readonly claims: ReadonlyArray<TeamClaim>
 }
 
-/** Total order of quota demands, the same on every node, so that any two shards agree which goes first. */
-export const goesFirst = (a: QuotaDemand, b: QuotaDemand): boolean =>
+/** Total order of quota demands, equal on all nodes, so that any two shards agree on their precedence. */
+export const hasPrecedence = (a: QuotaDemand, b: QuotaDemand): boolean =>
   a.rank !== b.rank ? a.rank > b.rank : a.since !== b.since ? a.since < b.since : a.shard < b.shard
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -146,7 +146,7 @@
 export interface Snapshot {
   readonly reserve: Reserve
   /** Whether other shards lack machines and could borrow empty ones. */
-  readonly otherShardsWait: boolean
+  readonly otherShardsLackMachines: boolean
   readonly machineTypes: ReadonlyArray<MachineType>
   readonly load: () => ShardLoad
   readonly jobs: ReadonlyArray<JobView>
--- a/packages/planner/src/placement.ts
+++ b/packages/planner/src/placement.ts
@@ -61,7 +61,7 @@
   if (cachedOnly && !machine.images.has(job.spec.image)) return null
   const usesReserve = isBelowReserve(job, snapshot.reserve) && bin.reserved
   if (usesReserve && ready.spareCores < job.spec.cores) return null
-  const isLendable = snapshot.otherShardsWait && machine.busyTasks === 0
+  const isLendable = snapshot.otherShardsLackMachines && machine.busyTasks === 0
   const penalty =
     (usesReserve ? RESERVED_PENALTY_S : 0) + (isLendable ? job.executionS * LENDABLE_PENALTY_RUN_SHARE : 0)
   return suitability(job, bin) - penalty
--- a/packages/planner/src/provisioning.ts
+++ b/packages/planner/src/provisioning.ts
@@ -87,7 +87,7 @@
 }
 
 /** Whether spot machines are offered on which the job may run. */
-export const spotAvailable = (job: JobView, { offers }: Pick<Snapshot, "offers">): boolean =>
+export const isSpotAvailable = (job: JobView, { offers }: Pick<Snapshot, "offers">): boolean =>
   offers.some((offer) => offer.spot && isEligible(job.spec, offer))
 
 /**
@@ -95,7 +95,7 @@
  * are the fallback if running tasks end too late for the queue. They are requested as late as possible: until
  * then spot capacity may become available again, or another shard may lend machines.
  */
-export const onDemandJustified = (job: JobView, lateTasks: number, deploymentS: number): boolean => {
+export const isOnDemandJustified = (job: JobView, lateTasks: number, deploymentS: number): boolean => {
   if (!job.spec.spotAllowed) return true
   if (lateTasks === 0) return false
   if (job.timeLeftS === null) {
--- a/packages/planner/test/builders.ts
+++ b/packages/planner/test/builders.ts
@@ -100,7 +100,7 @@
   jobs,
   machines,
   reserve: noReserve,
-  otherShardsWait: false,
+  otherShardsLackMachines: false,
   machineTypes: [machineType],
   load: () => ({ cores: 0, endingCoresBySecond: [] }),
   allocationHeadroom: headroom({ red: 100 }),
--- a/packages/planner/test/plan.test.ts
+++ b/packages/planner/test/plan.test.ts
@@ -50,7 +50,7 @@
     new Set(
       plan({
         ...snapshot([smallJob], [halfFullMachine, emptyMachine]),
-        otherShardsWait: othersWait,
+        otherShardsLackMachines: othersWait,
       }).placements.map((p) => p.machine as string),
     )
   assert.deepEqual([...machinesUsed(false)], ["i-2"])
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -73,8 +73,8 @@
       now,
       mayWrite: mayAct,
       events: {
-        placementsDurable: events.onPlacementsDurable,
-        placementAbandoned: (placement) => this.abandonPlacement(placement),
+        onPlacementsDurable: events.onPlacementsDurable,
+        onPlacementAbandoned: (placement) => this.abandonPlacement(placement),
       },
     })
     this.jobEnds = new JobEndsWriter({
@@ -86,7 +86,7 @@
       now,
       mayWrite: mayAct,
       events: {
-        jobsEnded: (ends) => node.onJobsEnded(ends),
+        onJobsEnded: (ends) => node.onJobsEnded(ends),
         compactJobPage: (page) => node.compactJobPage(page),
       },
     })
--- a/packages/shard/src/quota-demand.ts
+++ b/packages/shard/src/quota-demand.ts
@@ -6,7 +6,7 @@
 import { type JobState, SUSPECT_RANK } from "@sorreltally/jobs"
 import {
   countBoostedTasks,
-  goesFirst,
+  hasPrecedence,
   isStarved,
   type JobView,
   type QuotaDemand,
@@ -85,7 +85,7 @@
     const since = shard.jobs.get(job.id)?.submitted ?? 0
     const demand: QuotaDemand = { shard: shard.name, team, rank, since }
     const current = demands.get(team)
-    if (current === undefined || goesFirst(demand, current)) demands.set(team, demand)
+    if (current === undefined || hasPrecedence(demand, current)) demands.set(team, demand)
   }
   return [...demands.values()]
 }
@@ -194,7 +194,7 @@
   const { all, starved, smallestTask } = teamQueue(shard, team, usage, unusedCores)
   const competing = demandsOfOthers.filter((demand) => demand.team === team.name)
   const isOutranked = ({ rank, since }: QueuedQuota) =>
-    competing.some((demand) => goesFirst(demand, { shard: shard.name, team: team.name, rank, since }))
+    competing.some((demand) => hasPrecedence(demand, { shard: shard.name, team: team.name, rank, since }))
   const demandFor = (
     queue: QueuedQuota,
     competingDemand: AllocationDemand["competingDemand"],
--- a/packages/shard/src/scale-in.ts
+++ b/packages/shard/src/scale-in.ts
@@ -39,7 +39,7 @@
   readonly windowMs: number
   /** Other shards' demand for machines. */
   readonly demands: ReadonlyArray<MachineDemand>
-  readonly hasSpotUp: boolean
+  readonly hasSpotMachineUp: boolean
   /** Queued jobs that aren't limited by their teams' quota: an idle machine could take their tasks. */
   readonly startableJobs: ReadonlyArray<JobSpec>
   /** Machines that the round found due for release so far. */
@@ -55,9 +55,16 @@
     const { shard } = this.options
     const { machines: demands } = shard.node.demandOfOtherShards(shard.name)
     const windowMs = shard.node.operators.provisioning.windowS * 1000
-    let hasSpotUp = false
-    for (const session of shard.machines.values()) hasSpotUp ||= session.entry.spot && session.isUp
-    return { now, windowMs, demands, hasSpotUp, startableJobs: this.startableJobs(now), dueForRelease: [] }
+    let hasSpotMachineUp = false
+    for (const session of shard.machines.values()) hasSpotMachineUp ||= session.entry.spot && session.isUp
+    return {
+      now,
+      windowMs,
+      demands,
+      hasSpotMachineUp,
+      startableJobs: this.startableJobs(now),
+      dueForRelease: [],
+    }
   }
 
   /** Checks whether a machine is due for release; releases a closing machine as soon as it is empty. */
@@ -72,7 +79,7 @@
     }
     if (
       !session.entry.spot &&
-      round.hasSpotUp &&
+      round.hasSpotMachineUp &&
       !onDemandNeeded() &&
       !isUrgentlyDemanded(round.demands, session)
     )
--- a/packages/shard/src/shard-planning.ts
+++ b/packages/shard/src/shard-planning.ts
@@ -277,7 +277,7 @@
       machineTypes: [...(node.inventory.catalog()?.values() ?? [])],
       maxOnDemandCostRatio: node.operators.provisioning.maxOnDemandCostRatio,
       reserve,
-      otherShardsWait: demandOfOthers.machines.length > 0,
+      otherShardsLackMachines: demandOfOthers.machines.length > 0,
       load: () => this.load(now),
       offers: node.inventory.currentOffers(),
       maxMachinesPerRental: MAX_MACHINES_PER_RENTAL,
--- a/packages/testkit/src/faults/infrastructure-faults.ts
+++ b/packages/testkit/src/faults/infrastructure-faults.ts
@@ -213,7 +213,9 @@
   }
 
   runningMachines(): ReadonlyArray<Machine> {
-    return [...this.deployment.cloud.machines.values()].filter((m) => m.status === "running" && !m.gone)
+    return [...this.deployment.cloud.machines.values()].filter(
+      (m) => m.status === "running" && !m.isPoweredOff,
+    )
   }
   /** Picks up to `count` running machines at random. */
   pickMachines(count: number): ReadonlyArray<Machine> {
--- a/packages/testkit/src/invariants/waiting-invariant.ts
+++ b/packages/testkit/src/invariants/waiting-invariant.ts
@@ -75,7 +75,7 @@
     const zonesByJob = new Map<string, Map<string, number>>()
     const cpusByTeam = new Map<string, number>()
     for (const machine of this.cloud.machines.values()) {
-      if (machine.gone || machine.status !== "running") continue
+      if (machine.isPoweredOff || machine.status !== "running") continue
       const free = { machine, cores: machine.type.cores, mem: machine.type.mem_gb }
       for (const { job } of machine.occupants()) {
         const request = this.invariants.submitted.get(job)
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -64,7 +64,7 @@
   agentEpoch = 1
   /** Time at which a spot machine will be preempted, in milliseconds; null: no preemption notice. */
   preemptedAt: number | null = null
-  gone = false
+  isPoweredOff = false
   faulty = false
   rentedAt: number
   private sequence = 0
@@ -99,7 +99,7 @@
   // --- power ------------------------------------------------------------------
 
   boot(): void {
-    if (this.gone) return
+    if (this.isPoweredOff) return
     this.status = "running"
     this.lastAnsweredAt = this.simulation.now
     this.options.network.listen(
@@ -115,7 +115,7 @@
   }
   /** Restarts the machine; its tasks, cached images, agent epoch and fencing token are lost. */
   reboot(afterMs: number): void {
-    if (this.gone || this.status !== "running") return
+    if (this.isPoweredOff || this.status !== "running") return
     this.options.network.close(this.id)
     this.cancelHeartbeat()
     this.tasks.reset()
@@ -130,14 +130,14 @@
   }
   /** Ends the machine without a request; the cloud first lists it as running, and later as failed. */
   die(): void {
-    const { gone } = this
+    const { isPoweredOff } = this
     this.remove()
-    if (!gone) this.simulation.after(LISTED_AS_RUNNING_MS, () => (this.status = "failed"))
+    if (!isPoweredOff) this.simulation.after(LISTED_AS_RUNNING_MS, () => (this.status = "failed"))
   }
   /** Powers the machine off for good: it runs no tasks and answers no requests. */
   remove(): void {
-    if (this.gone) return
-    this.gone = true
+    if (this.isPoweredOff) return
+    this.isPoweredOff = true
     this.options.network.close(this.id)
     this.cancelHeartbeat()
     this.tasks.dropAll()
@@ -152,7 +152,7 @@
     for (const run of deferred) run()
   }
   runWhenAwake(run: () => void): void {
-    if (this.gone) return
+    if (this.isPoweredOff) return
     if (this.hung) this.deferred.push(() => this.runWhenAwake(run))
     else run()
   }
@@ -207,7 +207,7 @@
   // --- lease ------------------------------------------------------------------
 
   private checkLease(boot: number): void {
-    if (this.gone || boot !== this.bootCount) return
+    if (this.isPoweredOff || boot !== this.bootCount) return
     // Also checked during a hang: the machine runs nothing then, and has to resume within its lease.
     this.expireLease()
     this.simulation.after(LEASE_CHECK_INTERVAL_MS, () => this.checkLease(boot))
@@ -307,7 +307,7 @@
   }
   /** Ends an exchange once; does nothing if the machine has ended or rebooted since it was sent. */
   private finishExchange(exchange: HeartbeatExchange, next: () => void): void {
-    if (exchange.isOver || this.gone || exchange.boot !== this.bootCount) return
+    if (exchange.isOver || this.isPoweredOff || exchange.boot !== this.bootCount) return
     exchange.isOver = true
     this.isHeartbeatPending = false
     next()
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -39,7 +39,7 @@
   /** Whether every task that runs on this machine fails soon after its start. */
   readonly faulty: boolean
   /** Whether the machine is powered off for good. */
-  readonly gone: boolean
+  readonly isPoweredOff: boolean
   /** Runs a function at once, or as soon as the machine no longer hangs. */
   runWhenAwake(run: () => void): void
   /** Schedules a heartbeat that reports a change. */
@@ -135,7 +135,7 @@
   }
 
   private run(task: WorkerTask, request: WireJob): void {
-    if (task.phase !== "pulling" || this.host.gone) return
+    if (task.phase !== "pulling" || this.host.isPoweredOff) return
     this.images.add(request.bundle)
     task.phase = "running"
     task.startedAt = this.simulation.now
@@ -152,11 +152,11 @@
       this.host.faulty ? "tasks failed because of their machine" : "tasks failed because of their job",
     )
     this.setTimer(task, FAILURE_DELAY_MS, () => {
-      if (task.phase === "running" && !this.host.gone) this.exit(task, "error")
+      if (task.phase === "running" && !this.host.isPoweredOff) this.exit(task, "error")
     })
   }
   private complete(task: WorkerTask): void {
-    if (task.phase !== "running" || this.host.gone) return
+    if (task.phase !== "running" || this.host.isPoweredOff) return
     this.invariants.taskFinished(task.job, task.index)
     this.exit(task, "done")
   }
@@ -178,7 +178,7 @@
     task.phase = "checkpointing"
     const elapsedS = (this.simulation.now - task.startedAt) / 1000
     this.setTimer(task, request.flush_s * 1000, () => {
-      if (task.phase !== "checkpointing" || this.host.gone) return
+      if (task.phase !== "checkpointing" || this.host.isPoweredOff) return
       this.environment.checkpoints.set(taskIdOf(task), this.checkpointedS(task) + elapsedS)
       task.checkpointed = true
       this.exit(task, "stopped")
--- a/packages/testkit/src/simulation/simulated-controller.ts
+++ b/packages/testkit/src/simulation/simulated-controller.ts
@@ -39,7 +39,7 @@
   /** Called when a heartbeat arrives. */
   heartbeatReceived(machine: string, node: NodeName): void
   /** Called when a request was answered with 200. */
-  answered(node: NodeName, from: string, path: string): void
+  requestSucceeded(node: NodeName, from: string, path: string): void
   /** Called with every line of a controller's log. */
   log(line: string): void
 }
@@ -112,7 +112,7 @@
     const incoming = { method: request.method, path: request.path, body: JSON.stringify(request.body) }
     node.serve(incoming, (outgoing) => {
       const isOk = outgoing.status === 200
-      if (isOk) this.environment.answered(this.identity.name, from, request.path)
+      if (isOk) this.environment.requestSucceeded(this.identity.name, from, request.path)
       this.sendUnlessFrozen(isOk && isHeartbeat(request) ? "answer" : null, () => answer(outgoing))
     })
   }
--- a/packages/testkit/src/simulation/simulated-deployment.ts
+++ b/packages/testkit/src/simulation/simulated-deployment.ts
@@ -128,7 +128,7 @@
         this.count.maxConcurrentCommands = Math.max(this.count.maxConcurrentCommands, count)
       },
       heartbeatReceived: (machine, node) => this.heartbeatReceived(machine, node),
-      answered: (node, from, path) => {
+      requestSucceeded: (node, from, path) => {
         if (path === "/v1/report") this.membershipFaults.heartbeatAnswered(node, from)
         this.faults.requestAnswered(node, path)
       },
