--- a/packages/api/src/responses.ts
+++ b/packages/api/src/responses.ts
@@ -1,4 +1,4 @@
-/** HTTP responses to users without a job; statuses and bodies are defined by the protocol. */
+/** HTTP responses to users that contain no job; statuses and bodies are defined by the protocol. */
 import type { OutgoingResponse } from "@sorreltally/protocol"
 
 /** 400: the request doesn't conform to the protocol. */
--- a/packages/controller/src/running-shards.ts
+++ b/packages/controller/src/running-shards.ts
@@ -1,6 +1,6 @@
 /**
  * The shards that this node owns, each with the fiber that runs it. `Membership` alone decides which shards
- * these are: this module starts and stops shards on its request, and never acquires one by itself.
+ * these are: this module starts and stops them at its request, and never acquires one itself.
  */
 
 import type { TaskCounts } from "@sorreltally/peers"
--- a/packages/jobs/src/job-pages.ts
+++ b/packages/jobs/src/job-pages.ts
@@ -3,7 +3,7 @@
  * accepted by adding its record to a page of its bucket. Once the job is over,
  * the next write of that page compacts it: the record is replaced by the job's
  * final state, which takes a few bytes. So neither the end nor the removal of
- * a job costs a write of its own.
+ * a job requires a separate write.
  */
 
 import { hashText, type JobId } from "@sorreltally/protocol"
--- a/packages/jobs/src/placement-ledger.ts
+++ b/packages/jobs/src/placement-ledger.ts
@@ -63,7 +63,7 @@
   readonly restoredAt: MonotonicTime
 }
 
-/** Number of slots scanned for dead ones at each write: enough to keep up with those that become free. */
+/** Number of slots scanned for obsolete ones at each write: enough to keep up with those that become free. */
 const SLOTS_SCANNED_PER_WRITE = 12
 /** With more slots in use than this, old ones are compacted into new ones that have room. */
 const COMPACTION_THRESHOLD_SLOTS = 48
@@ -100,7 +100,7 @@
       if (!builder.addFinishes(job, [...job.unsavedFinishes])) break
     }
     if (builder.isEmpty) return null
-    this.reclaimDeadSlots()
+    this.reclaimObsoleteSlots()
     const compacted = this.slots.size > COMPACTION_THRESHOLD_SLOTS ? this.compactOldest(builder) : []
     const { slot, modRevision } = this.freeSlots.pop() ?? {
       slot: this.nextSlot++,
@@ -141,11 +141,11 @@
   }
 
   /** Frees slots whose content is obsolete. */
-  private reclaimDeadSlots(): void {
+  private reclaimObsoleteSlots(): void {
     const numbers = [...this.slots.keys()]
     for (let i = 0; i < Math.min(SLOTS_SCANNED_PER_WRITE, numbers.length); i++) {
       const number = numbers[this.scanPosition++ % numbers.length]!
-      if (isDead(this.slots.get(number)!)) this.freeSlot(number)
+      if (isObsolete(this.slots.get(number)!)) this.freeSlot(number)
     }
   }
 
@@ -240,5 +240,5 @@
 const isCurrent = (placement: Placement): boolean =>
   !placement.job.finalized && placement.job.placements.get(placement.index) === placement
 
-const isDead = (slot: Slot): boolean =>
+const isObsolete = (slot: Slot): boolean =>
   !slot.finishes.some(({ job }) => !job.finalized) && !slot.starts.some(isCurrent)
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -68,7 +68,7 @@
 export interface JobView {
   readonly id: JobId
   readonly spec: JobSpec
-  /** Higher ranks go first. */
+  /** Jobs of higher rank have precedence. */
   readonly rank: number
   /** Number of tasks that may be placed now. */
   readonly queued: number
--- a/packages/protocol/src/clocks.ts
+++ b/packages/protocol/src/clocks.ts
@@ -20,5 +20,5 @@
 
 /** The time `ms` milliseconds after `time`, or before it when `ms` is negative. */
 export const addMs = (time: MonotonicTime, ms: number): MonotonicTime => (time + ms) as MonotonicTime
-/** Earlier than every other time: stands for the time of an event that has not occurred yet. */
+/** Earlier than every other time: the time of an event that has not occurred yet. */
 export const EARLIEST_TIME = Number.NEGATIVE_INFINITY as MonotonicTime
--- a/packages/shard/src/fencing.ts
+++ b/packages/shard/src/fencing.ts
@@ -1,4 +1,7 @@
-/** Decides when a machine's fencing token is raised and its preemption notice planned for; writes nothing. */
+/**
+ * Decides when a machine's fencing token is raised, and when a preemption notice requires a plan. Writes
+ * nothing itself.
+ */
 import type { WorkerSession } from "@sorreltally/workers"
 import type { WorkerCommunicationContext } from "./worker-communication-context.ts"
 
--- a/packages/shard/src/machine-release.ts
+++ b/packages/shard/src/machine-release.ts
@@ -13,7 +13,7 @@
 const IDLE_PAUSE_MS = 100
 const RELEASE_RETRY_MS = 400
 
-/** Why a machine is released at once: it is gone, or tasks can't run on it. Logged as it is. */
+/** Why a machine is released at once: it is gone, or tasks can't run on it. Logged verbatim. */
 export type FaultReason =
   /** The cloud doesn't list it although it should, and it sends no heartbeats. */
   | "vanished"
--- a/packages/testkit/src/measure/profile-summary.ts
+++ b/packages/testkit/src/measure/profile-summary.ts
@@ -1,4 +1,4 @@
-/** Sums profiles up by component: a module of this project, a library, a module of Node.js or the engine. */
+/** Sums up profiles by component: a module of this project, a library, a module of Node.js or the engine. */
 
 interface CallFrame {
   readonly functionName: string
--- a/packages/testkit/src/services/machine.ts
+++ b/packages/testkit/src/services/machine.ts
@@ -134,7 +134,7 @@
     this.remove()
     if (!isPoweredOff) this.simulation.after(LISTED_AS_RUNNING_MS, () => (this.status = "failed"))
   }
-  /** Powers the machine off for good: it runs no tasks and answers no requests. */
+  /** Powers the machine off permanently: it runs no tasks and answers no requests. */
   remove(): void {
     if (this.isPoweredOff) return
     this.isPoweredOff = true
--- a/packages/testkit/src/services/worker-tasks.ts
+++ b/packages/testkit/src/services/worker-tasks.ts
@@ -38,7 +38,7 @@
   readonly type: { readonly name: string; readonly cores: number; readonly pull_gb_per_s: number }
   /** Whether every task that runs on this machine fails soon after its start. */
   readonly faulty: boolean
-  /** Whether the machine is powered off for good. */
+  /** Whether the machine is powered off permanently. */
   readonly isPoweredOff: boolean
   /** Runs a function at once, or as soon as the machine no longer hangs. */
   runWhenAwake(run: () => void): void
