--- a/packages/store/src/records/job-page.ts
+++ b/packages/store/src/records/job-page.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * Jobs of one bucket of job ids: accepted jobs whose final states are not on the page yet, and the final states
- * of earlier jobs. Any controller may write it, with a compare-and-swap on its mod revision.
+ * Jobs of one bucket of job ids: accepted jobs whose final states are not on the page yet, and the final
+ * states of earlier jobs. Any controller may write it, with a compare-and-swap on its mod revision.
  */
 export interface JobPage extends FinalStates {
   readonly jobs: ReadonlyArray<JobRecord>
--- a/packages/workers/src/start-tracker.ts
+++ b/packages/workers/src/start-tracker.ts
@@ -101,7 +101,7 @@
     this.directStarts.set(key, { token, sentAt: now })
   }
   /**
-   * Records the end of a request with a direct start. `isOutcomeKnown`: whether it was answered, or certainly not
+   * Records the end of a request with a direct start. `isOutcomeKnown`: it was answered, or certainly not
    * sent; otherwise its outcome is unknown.
    */
   recordDirectResult(task: TaskId, attempt: Attempt, token: FencingToken, isOutcomeKnown: boolean): void {
--- a/packages/workers/src/worker-commands.ts
+++ b/packages/workers/src/worker-commands.ts
@@ -98,7 +98,7 @@
       if (kind === "start") this.starts.recordDirectStart(taskId, attempt, token, now)
   }
   /**
-   * Records the end of a request with direct commands. `isOutcomeKnown`: whether it was answered, or certainly not
+   * Records the end of a request with direct commands. `isOutcomeKnown`: it was answered, or certainly not
    * sent; otherwise its outcome is unknown.
    */
   recordDirectResult(commands: ReadonlyArray<Command>, token: FencingToken, isOutcomeKnown: boolean): void {
