--- a/packages/forwarding/src/command-forwarder.ts
+++ b/packages/forwarding/src/command-forwarder.ts
@@ -55,7 +55,7 @@
   private readonly pendingCommands = new Map<number, (outcome: CommandOutcome) => void>()
   private readonly commandOutbox: Outbox<ForwardedCommand>
   private readonly resultOutbox: Outbox<ForProcess<CommandResult>>
-  /** Latest known start times of the processes for which this node sends commands. */
+  /** By node, the latest known start time of the process for which this node sends commands. */
   private readonly processStartTimes = new Map<NodeName, number>()
   private readonly processStartedAt: number
   private lastCommandId = 0
--- a/packages/forwarding/src/heartbeat-forwarder.ts
+++ b/packages/forwarding/src/heartbeat-forwarder.ts
@@ -97,7 +97,7 @@
   private readonly lastAnswered = new Map<MachineId, AnsweredHeartbeat>()
   private readonly heartbeatOutbox: Outbox<OutgoingHeartbeat>
   private readonly replyOutbox: Outbox<ForProcess<ForwardedReply>>
-  /** Latest known start times of the processes whose forwarded heartbeats this node answers. */
+  /** By node, the latest known start time of the process whose forwarded heartbeats this node answers. */
   private readonly processStartTimes = new Map<NodeName, number>()
   private readonly processStartedAt: number
   private lastHeartbeatId = 0
@@ -172,10 +172,10 @@
     while (items.length > 0) {
       const heartbeats: Array<ForwardedHeartbeats["heartbeats"][number]> = []
       const repeats: Array<ForwardedHeartbeats["repeats"][number]> = []
-      for (const { id, heartbeat, mustBeFull: mustBeWhole } of takeBatch(items, ({ heartbeat }) =>
+      for (const { id, heartbeat, mustBeFull } of takeBatch(items, ({ heartbeat }) =>
         byteSizeOf(heartbeat),
       )) {
-        const previous = mustBeWhole ? undefined : this.lastAnswered.get(heartbeat.machineId)
+        const previous = mustBeFull ? undefined : this.lastAnswered.get(heartbeat.machineId)
         if (previous !== undefined && previous.owner === owner && isRepeat(heartbeat, previous.heartbeat))
           repeats.push({ id, repeat: { ...heartbeat, repeatedSequence: previous.heartbeat.sequence } })
         else heartbeats.push({ id, heartbeat })
