--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -167,7 +167,7 @@
       membership: this.membership,
       jobIndex: this.jobIndex,
       events: {
-        pageWritten: (entry, spec) => this.jobChanged(entry, spec),
+        onPageWritten: (entry, spec) => this.jobChanged(entry, spec),
         cachedFinalStatus: (id) => this.progress.finalStatus(id),
         cacheFinalStatus: (id, status) => this.progress.cacheFinalStatus(id, status),
         shardOf: (spec) => this.shardOfJob(spec),
@@ -218,7 +218,7 @@
       handOff: (shard, id, handoff) => this.handoffs.send(shard, id, handoff),
       jobIndex: this.jobIndex,
       onJobsEnded: (ends) => this.progress.recordEnds(ends),
-      compactJobPage: (page) => this.jobStore.fold(page),
+      compactJobPage: (page) => this.jobStore.compactJobPage(page),
       nextRentalRequestId: () => this.nextRentalRequestId(),
       fork,
     }
--- a/packages/planner/src/input.ts
+++ b/packages/planner/src/input.ts
@@ -68,7 +68,7 @@
 export interface JobView {
   readonly id: JobId
   readonly spec: JobSpec
-  /** Higher ranks go first. */
+  /** Jobs of higher rank have precedence. */
   readonly rank: number
   /** Number of tasks that may be placed now. */
   readonly queued: number
@@ -146,7 +146,7 @@
 export interface Snapshot {
   readonly reserve: Reserve
   /** Whether other shards lack machines and could borrow empty ones. */
-  readonly otherShardsWait: boolean
+  readonly otherShardsLackMachines: boolean
   readonly machineTypes: ReadonlyArray<MachineType>
   readonly load: () => ShardLoad
   readonly jobs: ReadonlyArray<JobView>
--- a/packages/shard/src/job-registry.ts
+++ b/packages/shard/src/job-registry.ts
@@ -73,8 +73,8 @@
       now,
       mayWrite: mayAct,
       events: {
-        placementsDurable: events.onPlacementsDurable,
-        placementAbandoned: (placement) => this.abandonPlacement(placement),
+        onPlacementsDurable: events.onPlacementsDurable,
+        onPlacementAbandoned: (placement) => this.abandonPlacement(placement),
       },
     })
     this.jobEnds = new JobEndsWriter({
@@ -85,7 +85,10 @@
       jobIndex,
       now,
       mayWrite: mayAct,
-      events: { jobsEnded: (ends) => node.onJobsEnded(ends), fold: (page) => node.compactJobPage(page) },
+      events: {
+        onJobsEnded: (ends) => node.onJobsEnded(ends),
+        compactJobPage: (page) => node.compactJobPage(page),
+      },
     })
   }
 
