--- a/packages/testkit/src/measure/version-replacement.ts
+++ b/packages/testkit/src/measure/version-replacement.ts
@@ -70,11 +70,11 @@
   await runPhase("old build, filling", FILL_S)
   users.jobs.filter((_, i) => i % JOBS_PER_CANCELLATION === 0).forEach((job) => void users.cancel(job))
   await runPhase("old build, some jobs cancelled", SETTLE_S)
-  const statesBefore = observedStates(users, invariants)
+  const endedJobs = users.jobs.filter((job) => invariants.users.finalState(job) !== null)
   await killAll(nodes)
   await startAll("all nodes of the current build on the store of the old one", nodes, CURRENT_BUILD)
   await runPhase("current build", SETTLE_S)
-  const areStatesKept = checkKeptStates(statesBefore, observedStates(users, invariants))
+  const areStatesKept = await checkFinalAnswers(options, endedJobs, "jobs that ended under the old build")
 
   await mixedNode!.kill()
   await startAll(
@@ -94,7 +94,7 @@
 
   options.stopSubmitting()
   await waitUntilFinished(users)
-  const areAnswersCorrect = await checkAnswers(options)
+  const areAnswersCorrect = await checkFinalAnswers(options, users.jobs, "all jobs")
   const faultLogLines = nodes.flatMap((node) => readFaultLines(`${options.folder}/${node.name}.log`))
   printLine(`log lines of faults or malformed messages: ${faultLogLines.length}`)
   for (const line of faultLogLines) printLine(`  ${line}`)
@@ -105,24 +105,6 @@
   )
 }
 
-const FINAL_STATES: ReadonlySet<string | null> = new Set(["done", "withdrawn"])
-const observedStates = (users: Users, invariants: Invariants): ReadonlyMap<JobId, string | null> =>
-  new Map(users.jobs.map((job) => [job, invariants.users.state(job)]))
-
-/** Prints how many final states of the old build the current build has kept; true if it has kept all. */
-const checkKeptStates = (
-  before: ReadonlyMap<JobId, string | null>,
-  after: ReadonlyMap<JobId, string | null>,
-): boolean => {
-  const finalBefore = [...before].filter(([, state]) => FINAL_STATES.has(state))
-  const kept = finalBefore.filter(([job, state]) => after.get(job) === state)
-  printLine(
-    `  final states of the old build kept by the current build: ${kept.length} of ${finalBefore.length};`,
-  )
-  printLine(`  jobs without a final state under the old build: ${before.size - finalBefore.length}`)
-  return kept.length === finalBefore.length
-}
-
 const waitUntilFinished = async (users: Users): Promise<void> => {
   for (let waitedS = 0; waitedS < FINISH_LIMIT_S; waitedS += FINISH_POLL_INTERVAL_S) {
     const { jobs, done, cancelled } = users.counts()
@@ -131,23 +113,30 @@
   }
 }
 
-/** Polls every job once at every node, and prints the answers; true if all answers are 200 with the same, final state. */
-const checkAnswers = async ({ nodes, users, invariants }: VersionReplacementOptions): Promise<boolean> => {
+/**
+ * Polls jobs once at every node, and prints the answers; true if all are 200 with the job's final state. The
+ * expected state is the first final one that any node of either build answered.
+ */
+const checkFinalAnswers = async (
+  { nodes, users, invariants }: VersionReplacementOptions,
+  jobs: ReadonlyArray<JobId>,
+  description: string,
+): Promise<boolean> => {
   const counts = new Map<string, number>()
   let correctAnswers = 0
   for (const { name } of nodes) {
-    for (const job of users.jobs)
+    for (const job of jobs)
       users.pollAt(job, name, (status, state) => {
         const answer = `${name}: ${status} ${state}`
         counts.set(answer, (counts.get(answer) ?? 0) + 1)
-        if (status === 200 && FINAL_STATES.has(state) && state === invariants.users.state(job))
-          correctAnswers++
+        if (status === 200 && state !== null && state === invariants.users.finalState(job)) correctAnswers++
       })
     await pause(ANSWER_WAIT_S)
   }
-  printLine("answers of the final poll of every job, by node, status and state:")
+  const expectedAnswers = nodes.length * jobs.length
+  printLine(`${description}: ${correctAnswers} of ${expectedAnswers} answers show the final state;`)
   for (const [answer, count] of counts) printLine(`  ${answer}: ${count}`)
-  return correctAnswers === nodes.length * users.jobs.length
+  return correctAnswers === expectedAnswers
 }
 
 const readFaultLines = (file: string): ReadonlyArray<string> =>
